--- a/benches/parts.rs
+++ b/benches/parts.rs
@@ -1,12 +1,12 @@
 //! Parts of the sender, each with the time and the blocks of memory that it takes: `cargo bench`. Times are noisy on
 //! shared machines; blocks and bytes are not. What the figures mean stands in `docs/cost.md`.
 use divan::{AllocProfiler, Bencher};
-use micadrum::net::input::Input;
-use micadrum::net::relay::Answer;
-use micadrum::net::server::{self, Doors};
-use micadrum::net::store::{Attempt, Handed, Owed, Store};
-use micadrum::wire::Targets;
-use micadrum::*;
+use message_sender::net::input::Input;
+use message_sender::net::relay::Answer;
+use message_sender::net::server::{self, Doors};
+use message_sender::net::store::{Attempt, Handed, Owed, Store};
+use message_sender::wire::Targets;
+use message_sender::*;
 use std::hint::black_box;
 use std::sync::Arc;
 use tempfile::TempDir;
--- a/src/bin/micadrum-shell.rs
+++ b/src/bin/message-sender-cli.rs
@@ -1,7 +1,7 @@
-//! What a person can ask of the sender. `micadrum` becomes this program where it is given any word, and this one
-//! becomes `micadrum` to run.
+//! What a person can ask of the sender. `message-sender` becomes this program where it is given any word, and this one
+//! becomes `message-sender` to run.
 use clap::{Parser, Subcommand};
-use micadrum::config::{self, Checked, ConfigError};
+use message_sender::config::{self, Checked, ConfigError};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,7 +14,7 @@
 ///
 /// Without a command it runs, as $PROXY_CONFIG and $PROXY_STATE say.
 #[derive(Parser)]
-#[command(name = "micadrum", version)]
+#[command(name = "message-sender", version)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -123,7 +123,7 @@
         Some(Command::Config { what }) => show(what).map(|()| ExitCode::SUCCESS),
     };
     answered.unwrap_or_else(|e| {
-        eprintln!("micadrum: {e}");
+        eprintln!("message-sender: {e}");
         ExitCode::from(UNUSABLE)
     })
 }
@@ -131,7 +131,7 @@
 /// Becomes the sender. A file that a person names is checked first, whole.
 fn run(config: Option<PathBuf>, state: Option<PathBuf>) -> Result<ExitCode, ShellError> {
     let own = std::env::current_exe().map_err(ShellError::Sender)?;
-    let mut sender = std::process::Command::new(own.with_file_name("micadrum"));
+    let mut sender = std::process::Command::new(own.with_file_name("message-sender"));
     if let Some(config) = config {
         let checked = config::check(&config)?;
         if !checked.errors.is_empty() {
--- a/src/bin/micadrum-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -34,7 +34,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("micadrum-adapter: {}", what.replace('\n', " "));
+            eprintln!("simulator-adapter: {}", what.replace('\n', " "));
             ExitCode::FAILURE
         }
     }
--- a/src/bin/micadrum-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,5 +1,5 @@
 //! The wire's own shapes, as serde types.
-use micadrum::profile::Profile;
+use message_sender::profile::Profile;
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
--- a/src/bin/micadrum-adapter/world.rs
+++ b/src/bin/simulator-adapter/world.rs
@@ -1,7 +1,7 @@
 //! All instances of one process, each with a sender and interning of its own.
 use crate::wire::{self, Input, ListKind, Output, Readiness, Status};
-use micadrum::profile::{Names, Profile, look};
-use micadrum::*;
+use message_sender::profile::{Names, Profile, look};
+use message_sender::*;
 use std::collections::HashMap;
 
 /// The process: instances by number and the catalog pages they refer to.
--- a/src/config.rs
+++ b/src/config.rs
@@ -131,15 +131,15 @@
 
 impl Fleet {
     /// What it says, as the machines take it; `zone` is that of the settings.
-    pub fn settings(&self, zone: &str) -> micadrum_fleet::Settings {
-        let info = micadrum_fleet::Info {
+    pub fn settings(&self, zone: &str) -> sender_membership::Settings {
+        let info = sender_membership::Info {
             name: self.member.clone(),
             zone: self.zone.clone().unwrap_or_else(|| zone.to_owned()),
             machine: self.machine.clone(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             address: self.advertise.unwrap_or(self.listen),
         };
-        let mut settings = micadrum_fleet::Settings::new(&self.name, info, self.seeds.clone());
+        let mut settings = sender_membership::Settings::new(&self.name, info, self.seeds.clone());
         settings.keepers = self.keepers.unwrap_or(settings.keepers);
         settings.suspect = self.suspect_ms.unwrap_or(settings.suspect);
         settings
@@ -188,7 +188,7 @@
         source: Box<figment::Error>,
     },
     /// A TOML file has keys that are not known.
-    #[error("configuration {path}: keys that are not known: {}; `micadrum check` tells all faults", keys.join(", "))]
+    #[error("configuration {path}: keys that are not known: {}; `message-sender check` tells all faults", keys.join(", "))]
     Unknown {
         /// The file.
         path: PathBuf,
@@ -201,7 +201,7 @@
         /// The file.
         path: PathBuf,
         /// All that is wrong.
-        faults: Vec<micadrum_fleet::SettingsError>,
+        faults: Vec<sender_membership::SettingsError>,
     },
     /// `$PROXY_MGMT` holds no address.
     #[error("$PROXY_MGMT: {0:?} is no address")]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
-//! micadrum decides what a delivery service does with each outbound message: when to send it, where,
+//! message-sender decides what a delivery service does with each outbound message: when to send it, where,
 //! whether to try again, and when to give up. It performs no I/O and reads no clock: a host feeds
 //! [`Event`]s to [`Sender::step`] and carries out the [`Action`]s. The real sender round it, `net`, is here only so
 //! that its parts can be measured by `cargo bench`; nothing else is to depend on it.
 //!
 //! ```
-//! use micadrum::*;
+//! use message_sender::*;
 //! let second = 1_000_000;
 //! let settings = Settings {
 //!     classes: vec![Class {
@@ -39,7 +39,7 @@
 #![forbid(unsafe_code)]
 
 // The network code names the module as the program and the adapter do.
-extern crate self as micadrum;
+extern crate self as message_sender;
 
 mod brain;
 pub mod config;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,6 @@
 //! One real sender: takes messages on from clients and delivers them to endpoints, over sockets.
-use micadrum::config::{self, ConfigError};
-use micadrum::net;
+use message_sender::config::{self, ConfigError};
+use message_sender::net;
 use net::Descriptors;
 use net::discovery;
 use net::fleet;
@@ -245,7 +245,7 @@
 /// Leaves the fleet in order. Whoever cannot be told in time goes all the same, and is held lost.
 async fn leave(to_fleet: &mpsc::Sender<fleet::Asked>) {
     let (answer, answered) = oneshot::channel();
-    let asked = fleet::Asked::Order(micadrum_fleet::Order::Leave, answer);
+    let asked = fleet::Asked::Order(sender_membership::Order::Leave, answer);
     if to_fleet.send(asked).await.is_ok() {
         match timeout(LAST_LEAVE, answered).await {
             Ok(Ok(Ok(_))) => tracing::info!("fleet: left"),
@@ -303,7 +303,7 @@
     match runtime.map_err(StartError::from).and_then(|runtime| runtime.block_on(run())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("micadrum: {e}");
+            eprintln!("message-sender: {e}");
             ExitCode::FAILURE
         }
     }
@@ -317,10 +317,10 @@
     // All else is the shell's, a program of its own beside this one: what it links would cost each sender 1.3 MB.
     let error = match std::env::current_exe() {
         Ok(own) => {
-            Command::new(own.with_file_name("micadrum-shell")).args(std::env::args_os().skip(1)).exec()
+            Command::new(own.with_file_name("message-sender-cli")).args(std::env::args_os().skip(1)).exec()
         }
         Err(e) => e,
     };
-    eprintln!("micadrum: starting micadrum-shell, which is to lie beside this program: {error}");
+    eprintln!("message-sender: starting message-sender-cli, which is to lie beside this program: {error}");
     ExitCode::FAILURE
 }
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,5 +1,5 @@
 //! Two clocks made one.
-use micadrum::Time;
+use message_sender::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::Method;
-use micadrum::wire::{TARGETS, Targets};
+use message_sender::wire::{TARGETS, Targets};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::net::SocketAddr;
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -1,10 +1,10 @@
-//! The sender's part in its fleet, on sockets: drives the machines of `micadrum-fleet`, on a thread of its own, so that a busy
+//! The sender's part in its fleet, on sockets: drives the machines of `sender-membership`, on a thread of its own, so that a busy
 //! loop is not taken for a lost sender. Without `[fleet]` none of this is begun.
 use super::{telemetry, wal};
 use crate::config;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use micadrum_fleet::{
+use sender_membership::{
     Change, Effect, Halt, Health, MOST_DATAGRAM, MOST_FRAME, Node, Note, Order, Record, Settings, State,
 };
 use std::collections::HashMap;
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -11,7 +11,7 @@
 //! Before 4 the old one goes on as if nothing had been asked where anything fails; the new one asks again until it
 //! has the lock. After 4 the old one finishes its calls and passes on what still reaches it.
 use super::relay::{ToNew, ToOld};
-use micadrum::{EndpointId, Event, Sender, Time};
+use message_sender::{EndpointId, Event, Sender, Time};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
--- a/src/net/host/calls.rs
+++ b/src/net/host/calls.rs
@@ -5,7 +5,7 @@
 use crate::net::pool::{Call, Parcel, Pool};
 use crate::net::store::Attempt;
 use crate::net::telemetry;
-use micadrum::{EndpointId, Event, MessageId, Outcome, Report, Span, Time};
+use message_sender::{EndpointId, Event, MessageId, Outcome, Report, Span, Time};
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/src/net/host/list.rs
+++ b/src/net/host/list.rs
@@ -1,7 +1,7 @@
 //! The list of endpoints, and the numbers that the module knows them by.
 use crate::net::tuning::Tuning;
-use micadrum::wire::{Member, Phase, Targets};
-use micadrum::{DestinationId, EndpointId, Entry, Event, Listing};
+use message_sender::wire::{Member, Phase, Targets};
+use message_sender::{DestinationId, EndpointId, Entry, Event, Listing};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
--- a/src/net/host/recovery.rs
+++ b/src/net/host/recovery.rs
@@ -8,7 +8,7 @@
 use crate::net::relay::{ToNew, ToOld};
 use crate::net::server::Doors;
 use crate::net::store::Owed;
-use micadrum::{Event, Outcome, Resumed, Time, ZoneId};
+use message_sender::{Event, Outcome, Resumed, Time, ZoneId};
 use std::time::Duration;
 use tokio::net::UnixStream;
 use tokio::sync::mpsc::UnboundedSender;
--- a/src/net/host/remains.rs
+++ b/src/net/host/remains.rs
@@ -5,7 +5,7 @@
 use crate::net::mgmt::Asked;
 use crate::net::relay::{Answer, ToNew, ToOld};
 use crate::net::server::Doors;
-use micadrum::Time;
+use message_sender::Time;
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::net::UnixStream;
--- a/src/net/host/round.rs
+++ b/src/net/host/round.rs
@@ -1,7 +1,7 @@
 //! One round: the module takes in what has happened, and what it decides is carried out.
 use super::Host;
 use crate::net::store::End;
-use micadrum::{Action, EndpointId, Event, MessageId, Outcome, Time};
+use message_sender::{Action, EndpointId, Event, MessageId, Outcome, Time};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/src/net/host/staff.rs
+++ b/src/net/host/staff.rs
@@ -4,7 +4,7 @@
 use crate::net::server::Doors;
 use crate::net::telemetry::{Present, Snapshot};
 use crate::net::tuning::Tuning;
-use micadrum::Event;
+use message_sender::Event;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -84,12 +84,12 @@
     Figures,
     Order(Order),
     Look(Look),
-    Fleet(micadrum_fleet::Order),
+    Fleet(sender_membership::Order),
 }
 
 /// What is asked of the fleet's part.
 fn parse_fleet<'a>(mut words: impl Iterator<Item = &'a str>) -> Result<Parsed, CallError> {
-    use micadrum_fleet::Order;
+    use sender_membership::Order;
     Ok(match words.next().ok_or(CallError::Fleet)? {
         "view" => Parsed::Look(Look::View),
         "roster" => Parsed::Look(Look::Roster),
--- a/src/net/notices.rs
+++ b/src/net/notices.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::{Method, StatusCode};
-use micadrum::wire::{NOTICES, NoticeLine, NoticeState};
+use message_sender::wire::{NOTICES, NoticeLine, NoticeState};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/net/relay.rs
+++ b/src/net/relay.rs
@@ -1,7 +1,7 @@
 //! What two processes of one sender tell each other while one takes over from the other.
 use super::mgmt::Order;
 use super::store::Handed;
-use micadrum::{EndpointId, Outcome, Report, Span, Time};
+use message_sender::{EndpointId, Outcome, Report, Span, Time};
 use serde::{Deserialize, Serialize};
 
 /// What the client is told.
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -11,7 +11,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use micadrum::wire::{ENVELOPE, HAND_IN, IDEMPOTENCY_KEY, LANE, READY, REMAINING, TXN};
+use message_sender::wire::{ENVELOPE, HAND_IN, IDEMPOTENCY_KEY, LANE, READY, REMAINING, TXN};
 use std::convert::Infallible;
 use std::future::pending;
 use std::sync::Arc;
--- a/src/net/store.rs
+++ b/src/net/store.rs
@@ -5,7 +5,7 @@
 pub use super::wal::Damage;
 use super::wal::{self, HEADER, frame};
 use bytes::Bytes;
-use micadrum::Class;
+use message_sender::Class;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{File, OpenOptions};
--- a/src/net/store/tests.rs
+++ b/src/net/store/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use micadrum::{Group, Repeat, Span};
+use message_sender::{Group, Repeat, Span};
 
 const DISK: u64 = 3_000_000;
 
--- a/src/net/telemetry.rs
+++ b/src/net/telemetry.rs
@@ -4,7 +4,7 @@
 //! of them with its present state when a scrape asks: all of it is of one moment between two turns of the loop, as
 //! the tasks that count in [`Shared`] run on the host's thread. Files of the system are read and text is written on
 //! the thread of the second address. All counters begin anew with each process.
-use micadrum::Outcome;
+use message_sender::Outcome;
 use std::fmt::{Display, Write};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
--- a/src/net/tuning.rs
+++ b/src/net/tuning.rs
@@ -1,7 +1,7 @@
 //! The settings in the forms that the sender's I/O needs.
 use hyper::HeaderMap;
-use micadrum::profile::{Names, Profile};
-use micadrum::{Report, Settings, Span};
+use message_sender::profile::{Names, Profile};
+use message_sender::{Report, Settings, Span};
 use std::time::Duration;
 
 /// Where the settings do not say how long a sender may go without asking discovery.
--- a/system/document-fields/tests/fields.rs
+++ b/system/config-fields/tests/fields.rs
@@ -1,6 +1,6 @@
 //! Lenient fields: what they take, and what is noted about those that are missing or wrong.
 
-use document_fields::{CollectFindings, Field, Number, within};
+use config_fields::{CollectFindings, Field, Number, within};
 use googletest::prelude::*;
 use serde::Deserialize;
 use serde_json::{Value, json};
--- a/system/control-node/src/event.rs
+++ b/system/control-node/src/event.rs
@@ -1,7 +1,7 @@
 //! Changes of state that a control node tells of.
 
 use config_register::AcceptorRecord;
-use control_duties::LossesBorne;
+use controllers::LossesBorne;
 use fleet_model::{AcceptedValue, ChosenValue, ControlState, Store};
 use std::fmt;
 use std::net::Ipv4Addr;
--- a/system/control-node/src/lib.rs
+++ b/system/control-node/src/lib.rs
@@ -1,7 +1,7 @@
 //! A control node: it answers proposers of the register as an acceptor, proposes what operators and storage nodes ask for,
 //! confirms by quorum reads what it knows, feeds agents, and carries out the singleton tasks of whoever holds their lease.
 //!
-//! What is decided stands in `config-register` and `control-duties`; here it is carried out, over [`node_runtime::Runtime`] and
+//! What is decided stands in `config-register` and `controllers`; here it is carried out, over [`node_runtime::Runtime`] and
 //! [`ControlBackend`]: the program in service and the simulation run this very code. Nothing here does I/O, reads a clock or
 //! draws random numbers.
 
@@ -22,7 +22,7 @@
 pub use orders::{CurrentConfig, PutConfig, Retire};
 
 use config_register::AcceptorRecord;
-use control_duties::DutyClaim;
+use controllers::LeaseCandidate;
 use fleet_model::{ControlState, Endpoint, Fence};
 
 /// The name of the singleton task that reads the platform's list and looks after machines that are gone.
@@ -59,7 +59,12 @@
 
     /// The state in which a lease passes to this node, if it still stands as in `from`. Nothing else is to be done here in
     /// service; a simulation that breaks the fencing on purpose does it here.
-    fn acquire(&self, candidate: &DutyClaim, state: &ControlState, from: &Fence) -> Option<ControlState> {
+    fn acquire(
+        &self,
+        candidate: &LeaseCandidate,
+        state: &ControlState,
+        from: &Fence,
+    ) -> Option<ControlState> {
         candidate.taken(state, from)
     }
 }
--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -2,7 +2,7 @@
 
 use crate::proposing::Wanted;
 use crate::{ControlBackend, ControlNode};
-use control_duties::fill;
+use controllers::fill;
 use fleet_model::{Answer, ControlState, Store};
 use node_runtime::Runtime;
 use std::net::Ipv4Addr;
@@ -17,8 +17,8 @@
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
     /// So many storage machines make a set.
-    pub(crate) fn least_stores(&self) -> usize {
-        control_duties::least_stores(self.backend.tolerance())
+    pub(crate) fn min_storage_nodes(&self) -> usize {
+        controllers::min_storage_nodes(self.backend.tolerance())
     }
 
     pub(crate) async fn join_core(&self, ip: Ipv4Addr) -> Answer {
@@ -34,7 +34,7 @@
     }
 
     pub(crate) async fn join_storage(&self, store: Store) -> Answer {
-        let least = self.least_stores();
+        let least = self.min_storage_nodes();
         let known = self.feed.state();
         let admitted = {
             let mut stores = self.stores.borrow_mut();
@@ -42,15 +42,15 @@
             stores.heard(self.runtime.now_ms(), store.disk);
             stores.admits(&known.roster, &store)
         };
-        if !admitted || control_duties::join(&known, &store, least).is_none() {
+        if !admitted || controllers::join(&known, &store, least).is_none() {
             return Answer::Done;
         }
-        done(self.change(CHANGE, |state| control_duties::join(state, &store, least).into()).await)
+        done(self.change(CHANGE, |state| controllers::join(state, &store, least).into()).await)
     }
 
     pub(crate) async fn filled(&self, disk: u64, epoch: u64) -> Answer {
         self.stores.borrow_mut().heard(self.runtime.now_ms(), disk);
-        let least = self.least_stores();
+        let least = self.min_storage_nodes();
         done(self.change(CHANGE, |state| fill(state, Some(disk), epoch, &[], least).into()).await)
     }
 }
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -3,7 +3,7 @@
 use crate::replica::Replica;
 use crate::{ControlBackend, ControlEvent, DiskState, LIST, StorageLosses};
 use config_register::{AcceptorRecord, BallotSource, Pacing, Standing};
-use control_duties::{CoreWatch, DutyClaim, LossesBorne, RosterWatch};
+use controllers::{LeaseCandidate, LossesBorne, StorageController, VoterController};
 use fleet_model::{
     AcceptedValue, Answer, Ballot, Call, ChosenValue, RegisterReply, RegisterRequest, RegisterValue,
 };
@@ -71,7 +71,7 @@
     /// To be written before the first vote of a machine that never voted.
     pub(crate) founding: RefCell<Option<AcceptorRecord>>,
     /// How the core machines are.
-    pub(crate) core: RefCell<CoreWatch>,
+    pub(crate) core: RefCell<VoterController>,
     /// Core machines that were heard of, voters or not.
     pub(crate) heard: RefCell<BTreeSet<Ipv4Addr>>,
     /// The newest value known to be chosen, with its voters' epoch.
@@ -79,7 +79,7 @@
     /// Makes the ballots of this life.
     pub(crate) ballots: RefCell<BallotSource>,
     /// This life's candidacy for the lease of the singleton task.
-    pub(crate) candidate: RefCell<DutyClaim>,
+    pub(crate) candidate: RefCell<LeaseCandidate>,
     /// One proposal at a time.
     pub(crate) proposing: Mutex<()>,
     /// When a round may begin beside those of others.
@@ -90,7 +90,7 @@
     /// A poll has ended.
     pub(crate) polled: Notify,
     /// How the storage machines are.
-    pub(crate) stores: RefCell<RosterWatch>,
+    pub(crate) stores: RefCell<StorageController>,
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
@@ -120,11 +120,11 @@
             feed,
             replica: Replica::new(runtime.clone(), backend.clone(), kept),
             founding: RefCell::new(founding),
-            core: RefCell::new(CoreWatch::new(me)),
+            core: RefCell::new(VoterController::new(me)),
             heard: RefCell::new(heard),
             known: RefCell::new(known),
             ballots: RefCell::new(ballots),
-            candidate: RefCell::new(DutyClaim::new(LIST, me)),
+            candidate: RefCell::new(LeaseCandidate::new(LIST, me)),
             proposing: Mutex::new(()),
             pacing: RefCell::default(),
             rounds: Cell::default(),
--- a/system/control-node/src/orders.rs
+++ b/system/control-node/src/orders.rs
@@ -2,7 +2,7 @@
 
 use crate::{ControlBackend, ControlNode};
 use bytes::Bytes;
-use control_duties::{ConfigVerdict, RetireVerdict};
+use controllers::{ConfigVerdict, RetireVerdict};
 use fleet_model::{ControlState, TakenVersion};
 use node_runtime::Runtime;
 use operator_config::{Findings, OperatorConfig, digest};
@@ -67,7 +67,7 @@
         let verdict = Cell::new(None);
         let done = self
             .change(ANSWER_WITHIN, |state| {
-                let (wanted, judged) = control_duties::put_config(state, expected, &taken, &body);
+                let (wanted, judged) = controllers::put_config(state, expected, &taken, &body);
                 verdict.set(Some(judged));
                 wanted.into()
             })
@@ -94,11 +94,11 @@
 
     /// Begins to empty a storage machine.
     pub async fn retire(&self, name: &str) -> Retire {
-        let least = self.least_stores();
+        let least = self.min_storage_nodes();
         let verdict = Cell::new(None);
         let done = self
             .change(ANSWER_WITHIN, |state| {
-                let (wanted, judged) = control_duties::retire(state, name, least);
+                let (wanted, judged) = controllers::retire(state, name, least);
                 verdict.set(Some(judged));
                 wanted.into()
             })
@@ -112,7 +112,7 @@
         if !self.confirm_now(ANSWER_WITHIN).await {
             return Retire::Unavailable;
         }
-        let verdict = control_duties::retire_state(&self.feed.state(), name);
-        Retire::Told { verdict, least: self.least_stores() }
+        let verdict = controllers::retire_state(&self.feed.state(), name);
+        Retire::Told { verdict, least: self.min_storage_nodes() }
     }
 }
--- a/system/control-node/src/singleton.rs
+++ b/system/control-node/src/singleton.rs
@@ -1,10 +1,10 @@
 //! Singleton tasks: whoever holds the lease reads the platform's list and looks after storage machines and voters that are
-//! gone. What is to be done is decided in `control-duties`; here it is carried out.
+//! gone. What is to be done is decided in `controllers`; here it is carried out.
 
 use crate::membership::CHANGE;
 use crate::proposing::Wanted;
 use crate::{ControlBackend, ControlEvent, ControlNode, LIST, StorageLosses};
-use control_duties::{CoreWatch, Readings, RosterStep, stands, times};
+use controllers::{DiscoveryPolls, RosterStep, VoterController, stands, times};
 use fleet_model::{Answer, Call, ControlState, Fence, Store};
 use futures_util::future::join_all;
 use node_runtime::{Runtime, follow_lists, timeout};
@@ -51,7 +51,7 @@
         if !self.backend.discovers_endpoints() {
             return;
         }
-        let mut readings = Readings::default();
+        let mut readings = DiscoveryPolls::default();
         let began = self.runtime.now();
         loop {
             // Who lives is not known at once; a node that had the lease in its former life need not know it.
@@ -74,7 +74,7 @@
         }
     }
 
-    async fn read_list(&self, readings: &mut Readings, asked: u64, token: u64) {
+    async fn read_list(&self, readings: &mut DiscoveryPolls, asked: u64, token: u64) {
         match self.backend.discover_endpoints().await {
             // Read under a lease that may have passed to another: its stamp says so, and loses.
             Ok(endpoints) => {
@@ -114,7 +114,7 @@
         self.core.borrow_mut().observe(now, &self.feed.value().voters);
         let state = self.feed.state();
         let mut stores = self.stores.borrow_mut();
-        stores.observe(now, &state.roster, self.least_stores());
+        stores.observe(now, &state.roster, self.min_storage_nodes());
         let to_bear = self.backend.tolerance();
         if let Some(borne) = stores.news_of_losses(&state.roster, to_bear) {
             self.backend.on_event(&ControlEvent::StorageLosses(StorageLosses { to_bear, borne }));
@@ -125,7 +125,7 @@
         let state = self.feed.state();
         let roster = &state.roster;
         let mut members = roster.current.clone();
-        let further = control_duties::proposed(roster).iter().filter(|store| !roster.current.contains(store));
+        let further = controllers::proposed(roster).iter().filter(|store| !roster.current.contains(store));
         members.extend(further.cloned());
         self.stores.borrow_mut().looks(self.runtime.now_ms());
         join_all(members.iter().map(|store| self.look_at(store))).await;
@@ -146,7 +146,7 @@
         self.observe();
         let state = self.feed.state();
         let epoch = state.roster.epoch;
-        let least = self.least_stores();
+        let least = self.min_storage_nodes();
         let step = self.stores.borrow().step(self.runtime.now_ms(), &state, self.backend.tolerance());
         // A holder that slept meanwhile may have lost the lease to one that sees better.
         let still_holds = |state: &ControlState| stands(state, LIST, self.me, token);
@@ -167,7 +167,7 @@
         let Some((voter, silent_ms)) = gone else { return };
         self.backend.on_event(&ControlEvent::RemovesVoter { voter, silent_ms });
         let wanted = |state: &ControlState, voters: &[Ipv4Addr]| match stands(state, LIST, self.me, token) {
-            true => CoreWatch::without(voters, voter).map_or(Wanted::Nothing, Wanted::Voters),
+            true => VoterController::without(voters, voter).map_or(Wanted::Nothing, Wanted::Voters),
             false => Wanted::Nothing,
         };
         self.propose(CHANGE, wanted).await;
--- a/system/control-duties/src/readings.rs
+++ b/system/controllers/src/discovery_poll.rs
@@ -3,14 +3,14 @@
 
 /// What becomes of the readings of the list, under one fence after another.
 #[derive(Clone, Debug, Default)]
-pub struct Readings {
+pub struct DiscoveryPolls {
     fence: u64,
     sequence: u64,
     /// When a series of empty answers began, and its last one.
     empty: Option<(u64, u64)>,
 }
 
-impl Readings {
+impl DiscoveryPolls {
     /// The platform was asked at `asked_ms` under `fence` and listed these; the list to spread, if it is another one than
     /// is known. Whoever knows a list of a later fence passes this one over.
     pub fn take(
--- a/system/control-duties/src/claim.rs
+++ b/system/controllers/src/lease_candidate.rs
@@ -1,5 +1,5 @@
-use crate::core_watch::CoreWatch;
 use crate::times::{HEAD_START, HOLDER_GONE};
+use crate::voter_controller::VoterController;
 use fleet_model::{ControlState, Fence, rank};
 use std::net::Ipv4Addr;
 
@@ -11,7 +11,7 @@
 /// One keeper's claim to one duty, in this life of it. A fence that a former life took is not its own: what was told under
 /// it is forgotten here, so it takes the next one.
 #[derive(Clone, Debug)]
-pub struct DutyClaim {
+pub struct LeaseCandidate {
     duty: &'static str,
     me: Ipv4Addr,
     took: Option<u64>,
@@ -19,7 +19,7 @@
     vacant: Option<(u64, u64)>,
 }
 
-impl DutyClaim {
+impl LeaseCandidate {
     /// The claim of a keeper that has just started.
     pub fn new(duty: &'static str, me: Ipv4Addr) -> Self {
         Self { duty, me, took: None, vacant: None }
@@ -37,7 +37,7 @@
         now_ms: u64,
         state: &ControlState,
         voters: &[Ipv4Addr],
-        core: &CoreWatch,
+        core: &VoterController,
     ) -> Option<Fence> {
         let fence = state.fences.get(self.duty).cloned().unwrap_or_default();
         if self.holds(state).is_some() || !voters.contains(&self.me) {
--- a/system/control-duties/src/turnover.rs
+++ b/system/controllers/src/replacement.rs
@@ -3,7 +3,7 @@
 
 /// Who came to a set lately and who left it: each newcomer replaces at most one.
 #[derive(Clone, Debug)]
-pub(crate) struct Turnover<K> {
+pub(crate) struct Replacement<K> {
     members: Option<BTreeSet<K>>,
     /// All that ever were members: one of them that returns is no newcomer.
     former: BTreeSet<K>,
@@ -13,13 +13,13 @@
     leavers: Vec<(K, u64)>,
 }
 
-impl<K> Default for Turnover<K> {
+impl<K> Default for Replacement<K> {
     fn default() -> Self {
         Self { members: None, former: BTreeSet::new(), newcomers: Vec::new(), leavers: Vec::new() }
     }
 }
 
-impl<K: Ord + Clone> Turnover<K> {
+impl<K: Ord + Clone> Replacement<K> {
     /// These are the members now. `settled`: who is new among them may replace another. `bidden`: who left because it was
     /// told to, and needs no replacement.
     pub(crate) fn observe(
--- a/system/control-duties/src/roster_watch.rs
+++ b/system/controllers/src/storage_controller.rs
@@ -1,9 +1,9 @@
+use crate::replacement::Replacement;
 use crate::roster::{fill, give_up, proposed};
 use crate::times::{
     FILL_PATIENCE, FILLING_BEGUN, FILLING_MOST, FOUNDING, FOUNDING_WAIT, LEAST_MISSES, LOOK, LOOK_AGAIN,
     LOOK_BREAK, NEWCOMER, STORE_BLOCKING, STORE_GONE, STORE_REPLACED, STORE_UNSURE,
 };
-use crate::turnover::Turnover;
 use fleet_model::{ControlState, QuorumSizes, Roster, Store};
 use std::collections::BTreeMap;
 
@@ -41,7 +41,7 @@
 }
 
 /// How many storage machines a fleet needs for all that it is to bear.
-pub fn least_stores(tolerance: usize) -> usize {
+pub fn min_storage_nodes(tolerance: usize) -> usize {
     2 * tolerance + 1
 }
 
@@ -80,12 +80,12 @@
 /// What one keeper knows of the storage machines: who is silent, and who came lately. Every keeper looks at them, so that
 /// the next holder of the duty knows what the last one knew.
 #[derive(Clone, Debug, Default)]
-pub struct RosterWatch {
+pub struct StorageController {
     looked: Option<u64>,
     heard: BTreeMap<u64, Heard>,
     /// When this keeper first saw the roster.
     began: Option<u64>,
-    turnover: Turnover<String>,
+    turnover: Replacement<String>,
     /// The roster's epoch, and since when it is known.
     epoch: (u64, u64),
     /// Since when the roster has as many machines as the tolerance asks for; 0 if it had when this keeper first saw it.
@@ -96,7 +96,7 @@
     borne: Option<LossesBorne>,
 }
 
-impl RosterWatch {
+impl StorageController {
     /// This is the roster, of a fleet that is founded with `least` machines.
     pub fn observe(&mut self, now_ms: u64, roster: &Roster, least: usize) {
         if roster.epoch == 0 {
@@ -229,7 +229,7 @@
     /// than that, but more than are to be lost, keep what they were told through as many losses as are to be borne; with the
     /// machine that is gone for good still among them, the next loss could stop them for ever.
     fn give_up_gone(&self, now_ms: u64, state: &ControlState, tolerance: usize) -> RosterStep {
-        let step = self.give_up_step(now_ms, state, self.patience(now_ms), least_stores(tolerance));
+        let step = self.give_up_step(now_ms, state, self.patience(now_ms), min_storage_nodes(tolerance));
         match step {
             RosterStep::Leave => self.give_up_step(now_ms, state, STORE_GONE, tolerance + 1),
             step => step,
@@ -279,7 +279,7 @@
         else {
             return false;
         };
-        members.len() < least_stores(tolerance)
+        members.len() < min_storage_nodes(tolerance)
             && silent(members) > sizes.losses_served()
             && silent(members) < members.len()
             && roster.current.len() - silent(&roster.current) >= current.covering
--- a/system/control-duties/src/core_watch.rs
+++ b/system/controllers/src/voter_controller.rs
@@ -1,11 +1,11 @@
+use crate::replacement::Replacement;
 use crate::times::{FOUNDING, LEAST_VOTERS, OWN_SLEEP, VOTER_GONE, VOTER_REPLACED};
-use crate::turnover::Turnover;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
 /// What one keeper knows of how long the core's machines have been silent.
 #[derive(Clone, Debug)]
-pub struct CoreWatch {
+pub struct VoterController {
     me: Ipv4Addr,
     began: Option<u64>,
     asked: Option<u64>,
@@ -13,10 +13,10 @@
     heard: BTreeMap<Ipv4Addr, u64>,
     /// When each voter was first known as one: it has as long to answer as one that has answered.
     known: BTreeMap<Ipv4Addr, u64>,
-    turnover: Turnover<Ipv4Addr>,
+    turnover: Replacement<Ipv4Addr>,
 }
 
-impl CoreWatch {
+impl VoterController {
     /// The watch of a keeper that has just started.
     pub fn new(me: Ipv4Addr) -> Self {
         Self {
@@ -25,7 +25,7 @@
             asked: None,
             heard: BTreeMap::new(),
             known: BTreeMap::new(),
-            turnover: Turnover::default(),
+            turnover: Replacement::default(),
         }
     }
 
--- a/system/control-duties/tests/duties/changes.rs
+++ b/system/controllers/tests/duties/changes.rs
@@ -1,7 +1,7 @@
 //! Pure changes of the state.
 
 use bytes::Bytes;
-use control_duties::{
+use controllers::{
     ConfigVerdict, RetireVerdict, RosterStep, fill, give_up, join, put_config, retire, retire_state,
 };
 use fleet_model::{ControlState, Store, TakenVersion};
--- a/system/control-duties/tests/duties/fleet.rs
+++ b/system/controllers/tests/duties/fleet.rs
@@ -1,8 +1,9 @@
 //! A fleet in memory: keepers over a register that is a plain compare-and-set for whoever reaches a majority, and storage
 //! machines that join, fill and tell. Its clock goes in ticks; the history is all that the checks look at.
 
-use control_duties::{
-    CoreWatch, DutyClaim, Readings, RosterStep, RosterWatch, fill, join, proposed, retire, stands, times,
+use controllers::{
+    DiscoveryPolls, LeaseCandidate, RosterStep, StorageController, VoterController, fill, join, proposed,
+    retire, stands, times,
 };
 use fleet_model::{ControlState, EndpointList, QuorumSizes, Roster, Store};
 use rand_chacha::ChaCha8Rng;
@@ -50,10 +51,10 @@
     state: Rc<ControlState>,
     voters: Vec<Ipv4Addr>,
     fresh_at: Option<u64>,
-    core: CoreWatch,
-    claim: DutyClaim,
-    watch: RosterWatch,
-    readings: Readings,
+    core: VoterController,
+    claim: LeaseCandidate,
+    watch: StorageController,
+    readings: DiscoveryPolls,
     list: EndpointList,
     pending: Option<Pending>,
     next_poll: u64,
@@ -102,10 +103,10 @@
         state: Rc::default(),
         voters: Vec::new(),
         fresh_at: None,
-        core: CoreWatch::new(ip),
-        claim: DutyClaim::new(LIST, ip),
-        watch: RosterWatch::default(),
-        readings: Readings::default(),
+        core: VoterController::new(ip),
+        claim: LeaseCandidate::new(LIST, ip),
+        watch: StorageController::default(),
+        readings: DiscoveryPolls::default(),
         list: EndpointList::default(),
         pending: None,
         next_poll: now + phase % POLL,
@@ -228,7 +229,7 @@
         self.keepers.iter().position(|keeper| keeper.ip == holder)
     }
 
-    pub fn retire(&mut self, name: &str) -> control_duties::RetireVerdict {
+    pub fn retire(&mut self, name: &str) -> controllers::RetireVerdict {
         let (state, verdict) = retire(&self.state, name, self.least());
         if let Some(state) = state {
             self.choose(state, Vec::new());
@@ -436,7 +437,7 @@
             Pending::Remove(gone, fence) => {
                 if self.reaches_majority(at)
                     && stands(&self.state, LIST, me, fence)
-                    && let Some(voters) = CoreWatch::without(&self.voters, gone)
+                    && let Some(voters) = VoterController::without(&self.voters, gone)
                 {
                     self.voters = voters;
                     self.version += 1;
--- a/system/control-duties/tests/duties/schedules.rs
+++ b/system/controllers/tests/duties/schedules.rs
@@ -1,7 +1,7 @@
 //! Random trouble, never more machines of a class at once than the fleet bears.
 
 use crate::fleet::Fleet;
-use control_duties::RetireVerdict;
+use controllers::RetireVerdict;
 use googletest::prelude::*;
 
 /// A machine counts as lost until so long after its return, where one may be lost at once.
--- a/system/control-duties/tests/duties/stories.rs
+++ b/system/controllers/tests/duties/stories.rs
@@ -1,7 +1,7 @@
 //! Stories of the whole fleet: how the roster, the duty and the voters come through one trouble.
 
 use crate::fleet::{Event, Fleet, LIST};
-use control_duties::{RetireVerdict, retire_state};
+use controllers::{RetireVerdict, retire_state};
 use googletest::prelude::*;
 
 /// A machine counts as lost until so long after its return: by then full copies stand again.
--- a/system/control-duties/tests/duties/watches.rs
+++ b/system/controllers/tests/duties/watches.rs
@@ -1,7 +1,8 @@
 //! What one keeper knows and claims.
 
-use control_duties::{
-    CoreWatch, DutyClaim, LossesBorne, Readings, RosterStep, RosterWatch, join, stands, times,
+use controllers::{
+    DiscoveryPolls, LeaseCandidate, LossesBorne, RosterStep, StorageController, VoterController, join,
+    stands, times,
 };
 use fleet_model::{ControlState, Endpoint, EndpointList, EndpointState, Fence, Store, rank};
 use googletest::prelude::*;
@@ -26,8 +27,8 @@
     voters
 }
 
-fn watch(me: Ipv4Addr, now: u64, voters: &[Ipv4Addr], heard: &[Ipv4Addr]) -> CoreWatch {
-    let mut core = CoreWatch::new(me);
+fn watch(me: Ipv4Addr, now: u64, voters: &[Ipv4Addr], heard: &[Ipv4Addr]) -> VoterController {
+    let mut core = VoterController::new(me);
     core.observe(now, voters);
     heard.iter().for_each(|ip| core.heard(now, *ip));
     core
@@ -35,7 +36,7 @@
 
 #[gtest]
 fn a_duty_stays_where_its_holder_answers() {
-    let mut claim = DutyClaim::new(LIST, A);
+    let mut claim = LeaseCandidate::new(LIST, A);
     let core = watch(A, 0, &[A, B, C], &[B, C]);
     expect_that!(claim.wants(times::HOLDER_GONE - 1, &held(4, B), &[A, B, C], &core), none());
 }
@@ -48,7 +49,7 @@
     for (place, me) in order.iter().enumerate() {
         let mut core = watch(*me, 0, &[A, B, C], &[]);
         core.heard(now, order[1 - place]);
-        let mut claim = DutyClaim::new(LIST, *me);
+        let mut claim = LeaseCandidate::new(LIST, *me);
         let from = claim.wants(now, &state, &[A, B, C], &core);
         expect_that!(from.is_some(), eq(place == 0));
         if let Some(from) = from {
@@ -67,7 +68,7 @@
     let (better, me) = (order[0], order[1]);
     let state = held(4, C);
     let mut core = watch(me, 0, &[A, B, C], &[]);
-    let mut claim = DutyClaim::new(LIST, me);
+    let mut claim = LeaseCandidate::new(LIST, me);
     let gone = times::HOLDER_GONE;
     for now in (gone..gone + times::HEAD_START).step_by(200) {
         core.heard(now, better);
@@ -83,7 +84,7 @@
 fn a_fence_of_a_former_life_is_not_ones_own() -> Result<()> {
     // given a keeper that held the duty, and starts again at once
     let state = held(4, A);
-    let mut claim = DutyClaim::new(LIST, A);
+    let mut claim = LeaseCandidate::new(LIST, A);
     // then it does not hold it, and takes it under the next number without waiting
     expect_that!(claim.holds(&state), none());
     let core = watch(A, 0, &[A, B, C], &[B, C]);
@@ -96,7 +97,7 @@
 #[gtest]
 fn of_two_that_take_a_duty_one_gets_it_and_both_know_which() -> Result<()> {
     let state = held(4, C);
-    let (mut one, mut other) = (DutyClaim::new(LIST, A), DutyClaim::new(LIST, B));
+    let (mut one, mut other) = (LeaseCandidate::new(LIST, A), LeaseCandidate::new(LIST, B));
     let from = Fence { number: 4, holder: Some(C) };
     let state = one.taken(&state, &from).or_fail()?;
     expect_that!(other.taken(&state, &from), none());
@@ -108,14 +109,14 @@
 #[gtest]
 fn a_machine_that_is_no_voter_takes_no_duty() {
     let core = watch(A, 0, &[B, C, D], &[]);
-    let mut claim = DutyClaim::new(LIST, A);
+    let mut claim = LeaseCandidate::new(LIST, A);
     expect_that!(claim.wants(60_000, &held(4, B), &[B, C, D], &core), none());
     expect_that!(claim.wants(60_000, &held(4, A), &[B, C, D], &core), none());
 }
 
 #[gtest]
 fn a_holder_that_slept_holds_nothing_once_it_reads_the_next_fence() -> Result<()> {
-    let mut claim = DutyClaim::new(LIST, A);
+    let mut claim = LeaseCandidate::new(LIST, A);
     let from = Fence::default();
     let state = claim.taken(&ControlState::default(), &from).or_fail()?;
     expect_that!(claim.settle(&state, &from), some(eq(1)));
@@ -176,7 +177,7 @@
     let voters = [A, B, C, D];
     let mut core = watch(A, 0, &[A, B, C], &[]);
     let mut now = 0;
-    let mut run = |core: &mut CoreWatch, until: u64, heard: &[Ipv4Addr]| {
+    let mut run = |core: &mut VoterController, until: u64, heard: &[Ipv4Addr]| {
         while now < until {
             now += 250;
             core.asks(now);
@@ -191,12 +192,12 @@
     let now = run(&mut core, 20_000 + times::VOTER_REPLACED + 250, &[B, D]);
     // then C is removed
     expect_that!(core.gone(now, &voters), some((eq(C), anything())));
-    expect_that!(CoreWatch::without(&voters, C), some(eq(&vec![A, B, D])));
+    expect_that!(VoterController::without(&voters, C), some(eq(&vec![A, B, D])));
     // and of three voters none is
     core.observe(now, &[A, B, D]);
     let now = run(&mut core, 60_000, &[B]);
     expect_that!(core.gone(now, &[A, B, D]), none());
-    expect_that!(CoreWatch::without(&[A, B, D], D), none());
+    expect_that!(VoterController::without(&[A, B, D], D), none());
 }
 
 fn store(name: &str, ip: u8, disk: u64) -> Store {
@@ -212,13 +213,13 @@
 
 /// A keeper's watch with a clock; it looks as often as it wants to.
 struct Watching {
-    watch: RosterWatch,
+    watch: StorageController,
     now: u64,
 }
 
 impl Watching {
     fn new() -> Self {
-        Self { watch: RosterWatch::default(), now: 10_000 }
+        Self { watch: StorageController::default(), now: 10_000 }
     }
 
     /// Until then, machines with these disks answer.
@@ -235,7 +236,7 @@
     fn look(&mut self, state: &ControlState, live: &[u64]) {
         self.watch.looks(self.now);
         let mut disks: Vec<u64> = state.roster.current.iter().map(|store| store.disk).collect();
-        disks.extend(control_duties::proposed(&state.roster).iter().map(|store| store.disk));
+        disks.extend(controllers::proposed(&state.roster).iter().map(|store| store.disk));
         disks.sort_unstable();
         disks.dedup();
         for disk in disks {
@@ -516,7 +517,7 @@
         let Some(next) = step.applied(&state, state.roster.epoch, 2 * tolerance + 1) else { break };
         state = next;
     }
-    control_duties::proposed(&state.roster).iter().map(|store| store.disk).collect()
+    controllers::proposed(&state.roster).iter().map(|store| store.disk).collect()
 }
 
 #[gtest]
@@ -550,7 +551,7 @@
 #[gtest]
 fn what_the_machines_bear_is_told_when_it_is_less_than_asked_for_and_when_it_changes() {
     let borne = |served, survived| LossesBorne { served, survived };
-    let mut watch = RosterWatch::default();
+    let mut watch = StorageController::default();
     expect_that!(watch.news_of_losses(&Default::default(), 2), none());
     expect_that!(watch.news_of_losses(&founded(5).roster, 2), none());
     expect_that!(watch.news_of_losses(&founded(4).roster, 2), some(eq(borne(1, 2))));
@@ -592,7 +593,7 @@
 
 #[gtest]
 fn a_reading_is_spread_where_it_is_news_or_its_fence_is() -> Result<()> {
-    let mut readings = Readings::default();
+    let mut readings = DiscoveryPolls::default();
     let first = readings.take(100, 90, 1, &EndpointList::default(), endpoints(&["a"])).or_fail()?;
     expect_that!(first.stamp, eq((1, 1)));
     expect_that!(readings.take(1_100, 1_090, 1, &first, endpoints(&["a"])), none());
@@ -606,9 +607,9 @@
 #[gtest]
 fn an_empty_list_counts_only_after_empty_answers_without_a_break() {
     let known = EndpointList { stamp: (1, 1), endpoints: endpoints(&["a"]) };
-    let mut readings = Readings::default();
+    let mut readings = DiscoveryPolls::default();
     let empty =
-        |readings: &mut Readings, at: u64, fence: u64| readings.take(at, at, fence, &known, Vec::new());
+        |readings: &mut DiscoveryPolls, at: u64, fence: u64| readings.take(at, at, fence, &known, Vec::new());
     for at in (0..times::EMPTY_FOR).step_by(1_000) {
         expect_that!(empty(&mut readings, at, 1), none());
     }
@@ -622,13 +623,13 @@
 
 #[gtest]
 fn an_empty_list_is_taken_at_once_where_there_were_no_endpoints() {
-    let mut readings = Readings::default();
+    let mut readings = DiscoveryPolls::default();
     expect_that!(readings.take(10, 10, 1, &EndpointList::default(), Vec::new()), some(anything()));
 }
 
 #[gtest]
 fn a_reading_that_its_asker_slept_over_is_not_spread() {
-    let mut readings = Readings::default();
+    let mut readings = DiscoveryPolls::default();
     let known = EndpointList::default();
     expect_that!(readings.take(times::READING_MOST + 2, 1, 1, &known, endpoints(&["a"])), none());
 }
--- a/system/control-duties/tests/orders.rs
+++ b/system/controllers/tests/orders.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use config_register::{Acceptor, BallotSource, Change, Proposal, Step, found};
-use control_duties::{ConfigVerdict, put_config};
+use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
     AcceptedValue, Ballot, ControlState, RegisterReply, RegisterRequest, RegisterValue, TakenVersion,
 };
--- a/system/fleet-membership/tests/datagrams.rs
+++ b/system/fleet-membership/tests/datagrams.rs
@@ -137,7 +137,7 @@
     }
 
     #[test]
-    fn sound_datagrams_with_changed_bytes_never_panic(
+    fn sound_datagrams_with_byte_mutation_never_panic(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..20),
     ) {
         let mut bytes = join_of(FLEET);
--- a/system/node-settings/src/findings.rs
+++ b/system/node-settings/src/findings.rs
@@ -1,7 +1,7 @@
 //! What is wrong with a settings file.
 
 use crate::Finding;
-use document_fields::CollectFindings;
+use config_fields::CollectFindings;
 
 /// What is wrong so far.
 #[derive(Default)]
--- a/system/node-settings/src/form.rs
+++ b/system/node-settings/src/form.rs
@@ -2,7 +2,7 @@
 
 use crate::findings::Findings;
 use crate::{Figure, ListenAddresses};
-use document_fields::{CollectFindings, Field, Number};
+use config_fields::{CollectFindings, Field, Number};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 use std::collections::BTreeMap;
--- a/system/node-settings/src/read.rs
+++ b/system/node-settings/src/read.rs
@@ -3,7 +3,7 @@
 use crate::findings::Findings;
 use crate::form::{BoundForm, CloudApiForm, FaultToleranceForm, LimitsForm, SettingsForm};
 use crate::{Bounds, CloudApi, FaultTolerance, Figure, Finding, Limits, Settings};
-use document_fields::{CollectFindings, Field, Number, within};
+use config_fields::{CollectFindings, Field, Number, within};
 use figment::Figment;
 use figment::providers::{Format, Yaml};
 use std::collections::BTreeMap;
--- a/system/node-settings/tests/fuzz.rs
+++ b/system/node-settings/tests/fuzz.rs
@@ -1,6 +1,6 @@
 //! Settings that were changed in many ways: they are whole, or what is wrong is told; nothing breaks.
 
-use changed_bytes::changed;
+use byte_mutation::changed;
 use googletest::prelude::*;
 use node_settings::Settings;
 use proptest::prelude::*;
--- a/system/operator-config/src/form.rs
+++ b/system/operator-config/src/form.rs
@@ -1,6 +1,6 @@
 //! The documents as they are sent, before any check. Fields that are not named here are passed over.
 
-use document_fields::{Field, Number};
+use config_fields::{Field, Number};
 use serde::Deserialize;
 
 #[derive(Default, Deserialize)]
--- a/system/operator-config/src/lib.rs
+++ b/system/operator-config/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub use difference::difference;
 
-use document_fields::CollectFindings;
+use config_fields::CollectFindings;
 use sha2::{Digest, Sha256};
 use std::fmt;
 use table::RouteTable;
--- a/system/operator-config/src/read.rs
+++ b/system/operator-config/src/read.rs
@@ -3,7 +3,7 @@
 use crate::form::{ConfigForm, EngineForm, LimitsForm, RouteForm, ServiceForm, ShareForm};
 use crate::table::{RouteTable, normal_host};
 use crate::{Engine, Findings, Limits, OperatorConfig, Route, RouteKind, Service, Share};
-use document_fields::{CollectFindings, Field, Number, within};
+use config_fields::{CollectFindings, Field, Number, within};
 use figment::Provider;
 use figment::providers::{Format, Json};
 use figment::value::{Dict, Value};
--- a/system/operator-config/tests/config/properties.rs
+++ b/system/operator-config/tests/config/properties.rs
@@ -1,7 +1,7 @@
 //! Properties of reading and routing.
 
 use crate::samples::VALID;
-use changed_bytes::changed;
+use byte_mutation::changed;
 use operator_config::{OperatorConfig, Route};
 use proptest::prelude::*;
 
@@ -40,7 +40,7 @@
     }
 
     #[test]
-    fn given_a_valid_document_with_changed_bytes_when_read_then_it_is_whole_or_told(
+    fn given_a_valid_document_with_byte_mutation_when_read_then_it_is_whole_or_told(
         changes in prop::collection::vec((0..VALID.len(), prop::sample::select(&b"0179-.,:\"{}[]/ aetruflns"[..])), 1..4),
     ) {
         let mut bytes = VALID.as_bytes().to_vec();
--- a/system/peer-wire/tests/calls.rs
+++ b/system/peer-wire/tests/calls.rs
@@ -2,7 +2,7 @@
 
 mod samples;
 
-use changed_bytes::changed;
+use byte_mutation::changed;
 use fleet_model::{Answer, Ballot, Call, Frame, Push};
 use googletest::prelude::*;
 use peer_wire::{
--- a/system/peer-wire/tests/fuzz.rs
+++ b/system/peer-wire/tests/fuzz.rs
@@ -3,7 +3,7 @@
 // One test only: what is asked for is counted for the whole process.
 mod samples;
 
-use changed_bytes::changed;
+use byte_mutation::changed;
 use googletest::prelude::*;
 use peer_wire::{MAX_FRAME_LEN, WireError, decode, encode};
 use proptest::test_runner::{Config, TestRunner};
--- a/system/programs/src/keeper.rs
+++ b/system/programs/src/keeper.rs
@@ -51,22 +51,22 @@
     fn inspect(&self, topic: &str) -> Answer {
         let node = &self.node;
         self.desk.answer(topic, |figures| {
-            figures.gauge("config_keeper_fit_to_vote", f64::from(u8::from(node.is_fit())));
-            figures.gauge("config_keeper_damages_found", self.damages as f64);
-            figures.gauge("config_keeper_fresh", f64::from(u8::from(node.is_fresh())));
-            figures.gauge("config_keeper_core_machines_heard", node.core_machines_heard() as f64);
+            figures.gauge("control_node_fit_to_vote", f64::from(u8::from(node.is_fit())));
+            figures.gauge("control_node_damages_found", self.damages as f64);
+            figures.gauge("control_node_fresh", f64::from(u8::from(node.is_fresh())));
+            figures.gauge("control_node_core_machines_heard", node.core_machines_heard() as f64);
             let state = node.feed.state();
             let holds = state.fences.values().filter(|fence| fence.holder == Some(self.me)).count();
-            figures.gauge("config_keeper_duties", holds as f64);
+            figures.gauge("control_node_duties", holds as f64);
             let losses = node.storage_losses();
-            figures.gauge("config_keeper_storage_losses_to_bear", losses.to_bear as f64);
-            figures.gauge("config_keeper_storage_losses_borne", losses.borne.served as f64);
-            figures.gauge("config_keeper_storage_losses_survived", losses.borne.survived as f64);
+            figures.gauge("control_node_storage_losses_to_bear", losses.to_bear as f64);
+            figures.gauge("control_node_storage_losses_borne", losses.borne.served as f64);
+            figures.gauge("control_node_storage_losses_survived", losses.borne.survived as f64);
             let (rounds, disk) = (node.rounds(), node.disk());
-            figures.counter("config_keeper_runs_total", rounds.begun);
-            figures.counter("config_keeper_runs_lost_total", rounds.lost);
-            figures.gauge("config_keeper_disk_refusing", f64::from(u8::from(disk.is_refusing)));
-            figures.counter("config_keeper_disk_refusals_total", disk.refusals);
+            figures.counter("control_node_runs_total", rounds.begun);
+            figures.counter("control_node_runs_lost_total", rounds.lost);
+            figures.gauge("control_node_disk_refusing", f64::from(u8::from(disk.is_refusing)));
+            figures.counter("control_node_disk_refusals_total", disk.refusals);
         })
     }
 }
@@ -103,7 +103,7 @@
     let ballots = BallotSource::new(me, life_nonce()?);
     let node = ControlNode::new(feed.runtime().clone(), backend, feed.clone(), ballots, beginning);
     let members = take_part(&process, &node)?;
-    let desk = Desk::new(process.clone(), feed, Some(members), "config-keeper");
+    let desk = Desk::new(process.clone(), feed, Some(members), "control-node");
     let keeper = Rc::new(Keeper { me, node: node.clone(), desk, damages });
     let peers = listen(SocketAddrV4::new(me, settings.peer_port())).await?;
     let server = PeerServer::new(process.fleet(), keeper.clone());
--- a/system/programs/src/keeper/orders.rs
+++ b/system/programs/src/keeper/orders.rs
@@ -3,8 +3,8 @@
 use super::Keeper;
 use crate::operator::{Operations, Reply};
 use bytes::Bytes;
-use control_duties::RetireVerdict;
 use control_node::{CurrentConfig, PutConfig, Retire};
+use controllers::RetireVerdict;
 use hyper::StatusCode;
 
 impl Operations for Keeper {
--- a/system/programs/src/keeper/record/tests.rs
+++ b/system/programs/src/keeper/record/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use bytes::Bytes;
 use config_register::{Acceptor, AcceptorRecord, Standing, found};
-use control_duties::{ConfigVerdict, put_config};
+use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
     AcceptedValue, Ballot, ControlState, Fence, RegisterReply, RegisterRequest, RegisterValue, TakenVersion,
 };
--- a/system/programs/src/platform.rs
+++ b/system/programs/src/platform.rs
@@ -4,7 +4,7 @@
 use fleet_model::{Endpoint, EndpointState};
 use http_body_util::{BodyExt, Limited};
 use hyper::{Method, StatusCode};
-use micadrum::net::connection::{Connection, request};
+use message_sender::net::connection::{Connection, request};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 use std::time::Duration;
--- a/system/programs/src/staff/commands/processes.rs
+++ b/system/programs/src/staff/commands/processes.rs
@@ -51,8 +51,8 @@
     let proxy = || FleetProcess { place, program: "request-proxy", address: fleet.proxy(place.member.ip) };
     match place.member.role.as_str() {
         "edge" => vec![peer("proxy-agent"), proxy()],
-        "core" => vec![peer("config-keeper")],
-        _ => vec![peer("turn-keeper")],
+        "core" => vec![peer("control-node")],
+        _ => vec![peer("storage-node")],
     }
 }
 
--- a/system/programs/src/storage.rs
+++ b/system/programs/src/storage.rs
@@ -215,17 +215,17 @@
 
     fn figures(&self, figures: &mut Figures) {
         let flag = |set: bool| f64::from(u8::from(set));
-        figures.gauge("turn_keeper_disk_refusing", flag(self.replica.is_refusing()));
-        figures.counter("turn_keeper_disk_refusals", self.replica.refusals());
+        figures.gauge("storage_node_disk_refusing", flag(self.replica.is_refusing()));
+        figures.counter("storage_node_disk_refusals", self.replica.refusals());
         self.replica.with(|replica| {
             let (turns, accounts, bytes) = replica.state.counts();
-            figures.gauge("turn_keeper_turns", turns as f64);
-            figures.gauge("turn_keeper_accounts", accounts as f64);
-            figures.gauge("turn_keeper_turn_bytes", bytes as f64);
-            figures.gauge("turn_keeper_damages_found", replica.damages as f64);
-            figures.gauge("turn_keeper_table_bytes", replica.disk.table_bytes() as f64);
-            figures.gauge("turn_keeper_room_scarce", flag(replica.state.room() != Room::Ample));
-            figures.gauge("turn_keeper_full", flag(replica.state.is_full()));
+            figures.gauge("storage_node_turns", turns as f64);
+            figures.gauge("storage_node_accounts", accounts as f64);
+            figures.gauge("storage_node_turn_bytes", bytes as f64);
+            figures.gauge("storage_node_damages_found", replica.damages as f64);
+            figures.gauge("storage_node_table_bytes", replica.disk.table_bytes() as f64);
+            figures.gauge("storage_node_room_scarce", flag(replica.state.room() != Room::Ample));
+            figures.gauge("storage_node_full", flag(replica.state.is_full()));
         });
     }
 }
@@ -257,7 +257,7 @@
     let feed = new_feed(&process);
     let members = Members::start(process.clone(), feed.clone(), Role::Storage, |_| ())?;
     let keeper = Rc::new(TurnKeeper {
-        desk: Desk::new(process.clone(), feed.clone(), Some(members), "turn-keeper"),
+        desk: Desk::new(process.clone(), feed.clone(), Some(members), "storage-node"),
         process: process.clone(),
         feed: feed.clone(),
         replica: replica.clone(),
--- a/system/programs/tests/staff.rs
+++ b/system/programs/tests/staff.rs
@@ -86,7 +86,7 @@
 fn given_views_that_differ_then_it_is_told_who_suspects_and_who_misses_whom() {
     let ip = |last| Ipv4Addr::new(10, 0, 0, last);
     let view = |node: &str, members: Value| -> View<SeenMembers> {
-        let mut view = json!(origin(node, "a", "config-keeper"));
+        let mut view = json!(origin(node, "a", "control-node"));
         view["members"] = members;
         serde_json::from_value(view).unwrap()
     };
@@ -229,7 +229,7 @@
 
 /// A core machine's process, with the age of what it says.
 fn keeper(age_ms: Option<u64>) -> Made {
-    let origin = Origin { age_ms, ..origin("core-1", "a", "config-keeper") };
+    let origin = Origin { age_ms, ..origin("core-1", "a", "control-node") };
     let config = json!({ "version": 3, "taken": [1, 3], "digests": ["aa", "bb"], "config": CONFIG });
     let listed = Endpoint {
         instance_id: "i-1".to_owned(),
@@ -282,7 +282,7 @@
 }
 
 /// A storage machine's process: whether it holds the turn `t-1`, and its reservations of the program `p`.
-fn turn_keeper(last: u8, holds: bool, reservations: Option<&[(u64, u32)]>) -> Made {
+fn storage_node(last: u8, holds: bool, reservations: Option<&[(u64, u32)]>) -> Made {
     let disk = u64::from(last) * 100;
     let turn = json!({
         "disk": disk, "losses": 1, "state": if holds { "held" } else { "absent" },
@@ -296,7 +296,7 @@
     let account = json!({ "disk": disk, "known": reservations.is_some(), "reservations": told });
     let topics =
         [("versions", version(3)), ("members", member_list()), ("turn t-1", turn), ("account p", account)];
-    process(ip(last), &origin(&format!("store-{last}"), "b", "turn-keeper"), &topics)
+    process(ip(last), &origin(&format!("store-{last}"), "b", "storage-node"), &topics)
 }
 
 /// The whole fleet, everything well.
@@ -305,9 +305,9 @@
         keeper(Some(40)),
         agent(3),
         proxy(&[endpoint("i-1", None), endpoint("i-2", Some("draining"))]),
-        turn_keeper(4, true, Some(&[(1, 50), (2, 30)])),
-        turn_keeper(5, true, Some(&[(1, 20)])),
-        turn_keeper(6, false, Some(&[(2, 30)])),
+        storage_node(4, true, Some(&[(1, 50), (2, 30)])),
+        storage_node(5, true, Some(&[(1, 20)])),
+        storage_node(6, false, Some(&[(2, 30)])),
     ]
 }
 
@@ -396,7 +396,7 @@
     let report = run(made, Command::Versions);
     expect_that!(report.verdict, eq(Verdict::Wrong));
     expect_that!(report.text, contains_regex("edge-2 +proxy-agent .* behind"));
-    expect_that!(report.text, contains_regex("store-6 +turn-keeper .* no answer"));
+    expect_that!(report.text, contains_regex("store-6 +storage-node .* no answer"));
     expect_that!(report.text, contains_substring("2 of 6 processes need a look"));
 }
 
@@ -406,7 +406,7 @@
     made[0] = keeper(Some(95_000));
     let versions = run(made, Command::Versions);
     expect_that!(versions.verdict, eq(Verdict::Wrong));
-    expect_that!(versions.text, contains_regex("core-1 +config-keeper +a +3 +95 s .* stale"));
+    expect_that!(versions.text, contains_regex("core-1 +control-node +a +3 +95 s .* stale"));
     let shown = run(vec![keeper(None)], Command::Config(ConfigCommand::Show));
     expect_that!(shown.verdict, eq(Verdict::Wrong));
     expect_that!(shown.text, eq(&format!("{CONFIG}\n")));
@@ -536,7 +536,7 @@
 #[gtest]
 fn given_only_one_of_three_holders_that_may_answer_then_the_sum_does_not_hold() {
     let mut made = well();
-    made[3] = turn_keeper(4, true, None);
+    made[3] = storage_node(4, true, None);
     made.pop();
     let report = run(made, Command::Account { program: "p".to_owned() });
     expect_that!(report.verdict, eq(Verdict::Wrong));
@@ -577,6 +577,6 @@
 fn given_figures_of_one_machine_then_they_are_exposition_text() {
     let report = run(well(), Command::Figures { node: Some("core-1".to_owned()) });
     expect_that!(report.verdict, eq(Verdict::Fine));
-    let line = r#"members{node="core-1",program="config-keeper",zone="a"} 5"#;
+    let line = r#"members{node="core-1",program="control-node",zone="a"} 5"#;
     expect_that!(report.text, eq(&format!("# TYPE members gauge\n{line}\n")));
 }
--- a/system/request-forwarding/src/answer_pump.rs
+++ b/system/request-forwarding/src/answer_pump.rs
@@ -13,7 +13,7 @@
 use hyper::HeaderMap;
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
-use micadrum::Outcome;
+use message_sender::Outcome;
 use std::rc::Rc;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
--- a/system/request-forwarding/src/delivery.rs
+++ b/system/request-forwarding/src/delivery.rs
@@ -6,7 +6,7 @@
 use crate::queue::Rank;
 use hyper::Response;
 use hyper::body::Incoming;
-use micadrum::{Outcome, Span};
+use message_sender::{Outcome, Span};
 use request_routing::{Ask, GiveUp, Next, SendEnd, Tried};
 use std::rc::Rc;
 use std::time::Duration;
--- a/system/request-forwarding/src/forwarder.rs
+++ b/system/request-forwarding/src/forwarder.rs
@@ -18,7 +18,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONTENT_LENGTH, HOST, HeaderMap};
 use hyper::{Method, Request, Response, StatusCode, Version};
-use micadrum::{Outcome, Span};
+use message_sender::{Outcome, Span};
 use operator_config::{OperatorConfig, Route};
 use request_routing::{Ask, EndpointView, RouteKind, RoutingPolicy, SendEnd, ServiceTerms, promises_not_run};
 use std::cell::RefCell;
--- a/system/request-forwarding/src/own_answer.rs
+++ b/system/request-forwarding/src/own_answer.rs
@@ -4,7 +4,7 @@
 use crate::headers::ATTEMPT_ID;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
-use micadrum::Span;
+use message_sender::Span;
 use request_routing::{GiveUp, Tried};
 use tokio::time::Instant;
 
--- a/system/request-forwarding/src/place.rs
+++ b/system/request-forwarding/src/place.rs
@@ -3,7 +3,7 @@
 use crate::own_answer::RETRY;
 use crate::pool::Core;
 use crate::queue::Rank;
-use micadrum::{Span, Time};
+use message_sender::{Span, Time};
 use request_routing::{Ask, GiveUp, Pick, Target, Tried};
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
--- a/system/request-forwarding/tests/fuzz.rs
+++ b/system/request-forwarding/tests/fuzz.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use changed_bytes::changed;
+use byte_mutation::changed;
 use googletest::prelude::*;
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::TestRunner;
--- a/system/request-routing/src/admission.rs
+++ b/system/request-routing/src/admission.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::RoutingPolicy;
 use crate::types::*;
-use micadrum::Time;
+use message_sender::Time;
 use std::collections::BTreeMap;
 
 /// Requests that wait for one service at most.
--- a/system/request-routing/src/endpoint.rs
+++ b/system/request-routing/src/endpoint.rs
@@ -4,7 +4,7 @@
 use crate::policy::RoutingPolicy;
 use crate::types::*;
 use fleet_model::EndpointState;
-use micadrum::{Outcome, Span, Time};
+use message_sender::{Outcome, Span, Time};
 use std::sync::Arc;
 
 /// Reported load counts half after this, in microseconds.
--- a/system/request-routing/src/execution.rs
+++ b/system/request-routing/src/execution.rs
@@ -1,7 +1,7 @@
 //! Whether a request may have run: how a send ends on the wire, what each such end says, and the one transition of
 //! the state that decides about a repeat and about a promise. Nothing else judges it.
 
-use micadrum::{Outcome, Span};
+use message_sender::{Outcome, Span};
 use operator_config::RouteKind;
 
 /// How a send ended that brought no answer to pass on.
--- a/system/request-routing/src/lib.rs
+++ b/system/request-routing/src/lib.rs
@@ -17,7 +17,7 @@
 mod types;
 
 pub use execution::{Execution, SendEnd, promises_not_run};
-pub use micadrum::{Outcome, Span, Time};
+pub use message_sender::{Outcome, Span, Time};
 pub use operator_config::RouteKind;
 pub use policy::{RoutingPolicy, UnknownMechanism};
 pub use router::Router;
--- a/system/request-routing/src/outlier.rs
+++ b/system/request-routing/src/outlier.rs
@@ -2,7 +2,7 @@
 //! back in. One that fails only part of its attempts is never ejected: what failed lately adds to its load, whatever
 //! succeeded between.
 
-use micadrum::Time;
+use message_sender::Time;
 
 /// Attempts in a row without a usable answer that eject an endpoint.
 const EJECTING_FAILURES: u32 = 4;
--- a/system/request-routing/src/placement.rs
+++ b/system/request-routing/src/placement.rs
@@ -5,7 +5,7 @@
 use crate::policy::RoutingPolicy;
 use crate::service::Service;
 use crate::types::*;
-use micadrum::Time;
+use message_sender::Time;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::RngCore;
 
--- a/system/request-routing/src/retry.rs
+++ b/system/request-routing/src/retry.rs
@@ -2,7 +2,7 @@
 
 use crate::execution::Execution;
 use crate::types::*;
-use micadrum::{Outcome, Span, Time};
+use message_sender::{Outcome, Span, Time};
 use operator_config::RouteKind;
 
 /// First wait as a share of the aim, ...
--- a/system/request-routing/src/router.rs
+++ b/system/request-routing/src/router.rs
@@ -11,7 +11,7 @@
 use crate::sessions::Sessions;
 use crate::types::*;
 use fleet_model::EndpointList;
-use micadrum::{Outcome, Span, Time};
+use message_sender::{Outcome, Span, Time};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
--- a/system/request-routing/src/service.rs
+++ b/system/request-routing/src/service.rs
@@ -4,7 +4,7 @@
 use crate::endpoint::Bounds;
 use crate::prefix_demand::PrefixDemand;
 use crate::types::*;
-use micadrum::{Span, Time};
+use message_sender::{Span, Time};
 use operator_config::RouteKind;
 
 /// Weight of one more observation in a learned mean.
--- a/system/request-routing/src/types.rs
+++ b/system/request-routing/src/types.rs
@@ -1,7 +1,7 @@
 //! The types that a host and the router speak.
 
 use crate::execution::Execution;
-use micadrum::{Span, Time};
+use message_sender::{Span, Time};
 use operator_config::RouteKind;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
--- a/system/turn-store/src/records/tests.rs
+++ b/system/turn-store/src/records/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use changed_bytes::changed;
+use byte_mutation::changed;
 use proptest::prelude::*;
 
 fn samples() -> Vec<Vec<u8>> {
--- a/system/turn-store/tests/changes/fleet.rs
+++ b/system/turn-store/tests/changes/fleet.rs
@@ -1,8 +1,8 @@
 //! Storage machines in memory, one keeper with a clock, and what was promised to clients.
 
 use crate::operations::Operation;
-use control_duties::{
-    LossesBorne, RetireVerdict, RosterWatch, fill, join, proposed, retire, retire_state, times,
+use controllers::{
+    LossesBorne, RetireVerdict, StorageController, fill, join, proposed, retire, retire_state, times,
 };
 use fleet_model::{Answer, Call, ControlState, QuorumSizes, Roster, Store, account_holders};
 use rand_chacha::ChaCha8Rng;
@@ -107,7 +107,7 @@
     most: usize,
     /// Rosters by epoch: some machine or proxy may still go by any of them.
     pub rosters: BTreeMap<u64, Roster>,
-    watch: RosterWatch,
+    watch: StorageController,
     names: u8,
     disks: u64,
     random: ChaCha8Rng,
@@ -136,7 +136,7 @@
             longest_short: 0,
             most: 0,
             rosters: BTreeMap::new(),
-            watch: RosterWatch::default(),
+            watch: StorageController::default(),
             names: 0,
             disks: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -154,7 +154,7 @@
     }
 
     pub fn least(&self) -> usize {
-        control_duties::least_stores(self.tolerance)
+        controllers::min_storage_nodes(self.tolerance)
     }
 
     pub fn roster(&self) -> &Roster {
--- a/system/turn-store/tests/changes/losses.rs
+++ b/system/turn-store/tests/changes/losses.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{Fleet, Mutation};
 use crate::operations::BOUND;
-use control_duties::RetireVerdict;
+use controllers::RetireVerdict;
 
 /// What the staff, or chance, begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/lab/src/baseline.rs
+++ b/testbed/src/baseline.rs
@@ -11,7 +11,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
-use micadrum::wire::{
+use message_sender::wire::{
     ENVELOPE, HAND_IN, HOOK, IDEMPOTENCY_KEY, LANE, NOTICES, NoticeLine, NoticeState, Phase, READY,
     REMAINING, TARGETS, TXN, Targets,
 };
@@ -260,7 +260,8 @@
     async fn call(&self, held: &Held) -> Ended {
         let to = {
             let list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
-            let serving = |m: &&micadrum::wire::Member| m.cell == held.dest && m.phase == Phase::Serving;
+            let serving =
+                |m: &&message_sender::wire::Member| m.cell == held.dest && m.phase == Phase::Serving;
             let members: Vec<_> = list.members.iter().filter(serving).map(|m| m.host_port).collect();
             let turn = self.turn.fetch_add(1, Ordering::Relaxed);
             members.get(turn % members.len().max(1)).copied()
--- a/lab/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -1,7 +1,7 @@
 //! Stand-in clients behind a plain front: each hands its message in, and again after a refusal.
+use crate::environment::Stage;
 use crate::plan::{Arrival, Micros, micros};
 use crate::scenario::Effect;
-use crate::stage::Stage;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HOST, RETRY_AFTER};
@@ -9,7 +9,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use micadrum::wire::{ENVELOPE, HAND_IN, IDEMPOTENCY_KEY, LANE, REMAINING, TXN};
+use message_sender::wire::{ENVELOPE, HAND_IN, IDEMPOTENCY_KEY, LANE, REMAINING, TXN};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp};
--- a/lab/src/directory.rs
+++ b/testbed/src/directory.rs
@@ -1,15 +1,15 @@
 //! The stand-in directory: the list, watches on it, and the notices that end messages. Each sender has an address of
 //! its own, so that it is known what it was told.
 use crate::endpoints::{Cut, plain};
+use crate::environment::Stage;
 use crate::scenario::Rules;
-use crate::stage::Stage;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use micadrum::wire::{Member, NOTICES, NoticeLine, NoticeState, Phase, TARGETS, Targets};
+use message_sender::wire::{Member, NOTICES, NoticeLine, NoticeState, Phase, TARGETS, Targets};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::net::TcpListener;
--- a/lab/src/endpoints.rs
+++ b/testbed/src/endpoints.rs
@@ -1,8 +1,8 @@
 //! Partners' endpoints on real sockets: what a model says of a call becomes an answer, silence or a broken connection.
-use crate::judge::{Admission, Ended};
+use crate::checker::{Admission, Ended};
+use crate::environment::Stage;
 use crate::model::Fate;
 use crate::plan::Micros;
-use crate::stage::Stage;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -10,7 +10,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use micadrum::wire::{HOOK, NO_SLOT, TXN};
+use message_sender::wire::{HOOK, NO_SLOT, TXN};
 use std::future::pending;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/lab/src/stage.rs
+++ b/testbed/src/environment.rs
@@ -1,5 +1,5 @@
 //! What all parties of a play share: the clock, the partners' models and the judge.
-use crate::judge::Judge;
+use crate::checker::Judge;
 use crate::model::{Condition, Partner};
 use crate::plan::{Micros, Plan};
 use crate::scenario::{Scenario, Trouble};
--- a/lab/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -1,5 +1,5 @@
 //! Variants of one scenario, played in turn, and what can be said of their difference.
-use crate::play::Played;
+use crate::run::Played;
 use crate::scenario::Variant;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/lab/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::directory::invariants;
 use crate::plan::Plan;
 use crate::scenario::{Baseline, Effect, Scenario, Variant};
-use micadrum::wire::READY;
+use message_sender::wire::READY;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::{Value, json};
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// The sender's program.
-const SENDER: &str = "micadrum";
+const SENDER: &str = "message-sender";
 /// A sender that is not ready by then does not start.
 const START_PATIENCE: Duration = Duration::from_secs(20);
 /// After SIGTERM a process has so long until SIGKILL.
--- a/lab/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -4,20 +4,20 @@
 
 pub mod baseline;
 mod built;
+pub mod checker;
 pub mod clients;
 pub mod directory;
 pub mod endpoints;
+pub mod environment;
 pub mod experiment;
 pub mod fleet;
-pub mod judge;
 pub mod model;
 pub mod peers;
 pub mod plan;
-pub mod play;
 pub mod report;
+pub mod run;
 pub mod scenario;
+pub mod serving_tier;
 pub mod sim;
-pub mod stage;
 pub mod system;
 pub mod table;
-pub mod tier;
--- a/lab/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,26 +1,26 @@
 //! The lab's commands.
 use clap::{Parser, Subcommand};
-use micadrum_lab::baseline::{self, BaselineError};
-use micadrum_lab::experiment::{comparison, order};
-use micadrum_lab::fleet::{FleetError, Program, built_sender};
-use micadrum_lab::peers::campaign::{self, Break};
-use micadrum_lab::peers::check::check;
-use micadrum_lab::peers::history::{self, HistoryError, What};
-use micadrum_lab::peers::real::Promises;
-use micadrum_lab::peers::schedule::Fault;
-use micadrum_lab::peers::shrink::smallest;
-use micadrum_lab::peers::sim::Cost;
-use micadrum_lab::play::{Played, play};
-use micadrum_lab::report::{ReportError, html};
-use micadrum_lab::scenario::{Baseline, MOST_PROCESSES, ParseError, Scenario, ScenarioError, Variant};
-use micadrum_lab::sim::{SimError, simulate};
-use micadrum_lab::system::{self, MUTATIONS, Mutation, Schedule};
-use micadrum_lab::table::table;
-use micadrum_lab::tier;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
+use testbed::baseline::{self, BaselineError};
+use testbed::experiment::{comparison, order};
+use testbed::fleet::{FleetError, Program, built_sender};
+use testbed::peers::campaign::{self, Break};
+use testbed::peers::check::check;
+use testbed::peers::history::{self, HistoryError, What};
+use testbed::peers::real::Promises;
+use testbed::peers::schedule::Fault;
+use testbed::peers::shrink::smallest;
+use testbed::peers::sim::Cost;
+use testbed::report::{ReportError, html};
+use testbed::run::{Played, play};
+use testbed::scenario::{Baseline, MOST_PROCESSES, ParseError, Scenario, ScenarioError, Variant};
+use testbed::serving_tier;
+use testbed::sim::{SimError, simulate};
+use testbed::system::{self, MUTATIONS, Mutation, Schedule};
+use testbed::table::table;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
@@ -234,7 +234,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
-            eprintln!("micadrum-lab: {e}");
+            eprintln!("testbed: {e}");
             ExitCode::from(2)
         }
     }
@@ -251,11 +251,11 @@
                 play_all(scenario, sender, seed, None, false, stop).await
             }
             Command::Tier { programs, seed, seconds } => {
-                let programs = programs.map_or_else(tier::machines::built_programs, Ok)?;
+                let programs = programs.map_or_else(serving_tier::machines::built_programs, Ok)?;
                 println!("tier, seed {seed}:");
-                let plan = tier::play::Plan { seconds, seed, grace_s: 6.0, tell: true };
-                let played = tier::play::play(plan, &programs, stop).await?;
-                println!("\n{}", tier::table::table(&played));
+                let plan = serving_tier::run::Plan { seconds, seed, grace_s: 6.0, tell: true };
+                let played = serving_tier::run::play(plan, &programs, stop).await?;
+                println!("\n{}", serving_tier::table::table(&played));
                 println!("{}", if played.is_good() { "all rules kept" } else { "NOT clean" });
                 Ok(played.is_good())
             }
@@ -457,7 +457,7 @@
     let text = serde_json::to_string_pretty(&shortest.schedule);
     write(out, text.map_err(|source| LabError::NoSchedule { path: out.to_owned(), source })?)?;
     write_system(history, &shortest)?;
-    println!("again: micadrum-lab sim-system --replay {}", out.display());
+    println!("again: testbed sim-system --replay {}", out.display());
     Ok(false)
 }
 
@@ -608,7 +608,7 @@
                 _ = terminated => {}
             }
             count.send_modify(|count| *count += 1);
-            eprintln!("micadrum-lab: ending (once more to end at once)");
+            eprintln!("testbed: ending (once more to end at once)");
         }
     });
     counted
--- a/lab/src/peers/history.rs
+++ b/testbed/src/peers/history.rs
@@ -1,7 +1,7 @@
 //! What was done and what was seen in a play of a fleet, event by event, as JSON lines.
 use super::campaign::Break;
 use super::schedule::Fault;
-use micadrum_fleet::{Health, Standing};
+use sender_membership::{Health, Standing};
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, Write};
 use std::path::{Path, PathBuf};
--- a/lab/src/peers/plain.rs
+++ b/testbed/src/peers/plain.rs
@@ -1,6 +1,6 @@
 //! What the fleet's machines are compared with: a fixed list of all senders, a datagram to each of them every second, and a
 //! fixed time after which one that was not heard counts as lost. Simulated only.
-use micadrum_fleet::{
+use sender_membership::{
     Counts, Effect, Halt, Health, KeeperState, Mark, Node, Order, Roster, Row, Standing, View, WireError,
 };
 use std::net::SocketAddr;
--- a/lab/src/peers/sim.rs
+++ b/testbed/src/peers/sim.rs
@@ -1,12 +1,12 @@
-//! A fleet in simulated time: the machines of `micadrum-fleet` alone, one thread, everything that chance decides drawn from the
+//! A fleet in simulated time: the machines of `sender-membership` alone, one thread, everything that chance decides drawn from the
 //! seed, so that two plays of a seed have the same history to the byte.
 use super::campaign::Break;
 use super::history::{Event, SeenMember, What};
 use super::plain::{Heartbeat, Machine};
 use super::schedule::{Kind, Met, Peers};
-use micadrum_fleet::{Broken, Effect, Halt, Info, Mark, Node, Note, Record, Settings, State};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use sender_membership::{Broken, Effect, Halt, Info, Mark, Node, Note, Record, Settings, State};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -646,7 +646,7 @@
             self.tell(What::Asked { name: name.clone() });
             let now = self.now;
             if let Some(node) = &mut self.processes[asked].node {
-                node.order(now, 0, &micadrum_fleet::Order::Remove(name));
+                node.order(now, 0, &sender_membership::Order::Remove(name));
             }
             self.carry_out(asked);
         }
--- a/lab/src/report.rs
+++ b/testbed/src/report.rs
@@ -1,7 +1,7 @@
 //! One self-contained HTML page for the plays of a scenario: tables, time lines and distributions, no scripts.
+use crate::checker::Span;
 use crate::experiment::comparison;
-use crate::judge::Span;
-use crate::play::Played;
+use crate::run::Played;
 use crate::scenario::Variant;
 use crate::table::table;
 use plotters::prelude::*;
--- a/lab/src/play.rs
+++ b/testbed/src/run.rs
@@ -1,14 +1,14 @@
 //! One play: all parties on loopback, the troubles in their time, and the judge's verdict.
+use crate::checker::{Breach, Rule, Verdict};
 use crate::clients::Clients;
 use crate::directory::{self, Directory};
 use crate::endpoints;
+use crate::environment::Stage;
 use crate::fleet::{FleetError, Node, Program, configuration, free_address};
-use crate::judge::{Breach, Rule, Verdict};
 use crate::peers::real::{Promises, Rig};
 use crate::plan::{Plan, micros};
 use crate::scenario::{Scenario, Trouble, TroubleKind, Variant};
-use crate::stage::Stage;
-use micadrum::wire::{Member, Phase};
+use message_sender::wire::{Member, Phase};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::path::Path;
--- a/lab/src/tier/clients.rs
+++ b/testbed/src/serving_tier/clients.rs
@@ -6,7 +6,7 @@
 use http_body_util::BodyExt;
 use hyper::header::{CONNECTION, HOST as HOST_HEADER, RETRY_AFTER};
 use hyper::{HeaderMap, Method, Request};
-use micadrum::net::connection::{CallError, Connection, request};
+use message_sender::net::connection::{CallError, Connection, request};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
--- a/lab/src/tier/machines.rs
+++ b/testbed/src/serving_tier/machines.rs
@@ -46,8 +46,8 @@
     /// Its program's name.
     pub fn program(self) -> &'static str {
         match self {
-            Self::ConfigKeeper => "config-keeper",
-            Self::TurnKeeper => "turn-keeper",
+            Self::ConfigKeeper => "control-node",
+            Self::TurnKeeper => "storage-node",
             Self::ProxyAgent => "proxy-agent",
             Self::RequestProxy => "request-proxy",
         }
--- a/lab/src/tier/mod.rs
+++ b/testbed/src/serving_tier/mod.rs
@@ -1,10 +1,10 @@
 //! The tier on loopback: its four programs as real processes, each machine on an address of its own, between stand-ins for
 //! the platform, the endpoints, the operator and the clients, and a judge that is told by these alone.
+pub mod checker;
 pub mod clients;
 pub mod endpoints;
 pub mod history;
-pub mod judge;
 pub mod machines;
 pub mod operator;
-pub mod play;
+pub mod run;
 pub mod table;
--- a/lab/src/tier/operator.rs
+++ b/testbed/src/serving_tier/operator.rs
@@ -4,7 +4,7 @@
 use http_body_util::BodyExt;
 use hyper::Method;
 use hyper::header::{CONTENT_TYPE, IF_MATCH};
-use micadrum::net::connection::{Connection, request};
+use message_sender::net::connection::{Connection, request};
 use serde_json::json;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
--- a/lab/src/tier/play.rs
+++ b/testbed/src/serving_tier/run.rs
@@ -1,8 +1,8 @@
 //! One play of the tier: all machines and stand-ins on loopback, the troubles in their time, and the verdict.
+use super::checker::{Verdict, judge};
 use super::clients::{Clients, Front};
 use super::endpoints::{self, Endpoint, Platform};
 use super::history::{History, Kind, Recorder};
-use super::judge::{Verdict, judge};
 use super::machines::{Addresses, Machine, Role};
 use super::operator::{Operator, configuration};
 use crate::fleet::{FleetError, io};
--- a/lab/src/tier/table.rs
+++ b/testbed/src/serving_tier/table.rs
@@ -1,7 +1,7 @@
 //! The table that a play of the tier ends with.
+use super::checker::LEAST_FINISHED;
 use super::history::{End, Kind, Try};
-use super::judge::LEAST_FINISHED;
-use super::play::Played;
+use super::run::Played;
 use std::fmt::Write;
 
 /// Breaches of one rule, and unfinished programs, that are told.
--- a/lab/src/sim.rs
+++ b/testbed/src/sim.rs
@@ -1,13 +1,13 @@
 //! The decision module alone in simulated time: thousands of senders against the same partners, clients and judge, in
 //! one thread. No sockets and no journal: what a kill takes is what an unbroken journal would give back.
+use crate::checker::{Admission, Ended, Judge};
 use crate::fleet::{FleetError, apply, configuration};
-use crate::judge::{Admission, Ended, Judge};
 use crate::model::{Condition, Fate, Partner};
 use crate::plan::{Micros, Plan, micros};
-use crate::play::Played;
+use crate::run::Played;
 use crate::scenario::{Scenario, Trouble, TroubleKind, Variant};
-use micadrum::profile::Profile;
-use micadrum::{
+use message_sender::profile::Profile;
+use message_sender::{
     Action, Class, ClassId, DestinationId, EndpointId, Entry, Event, KindId, Listing, Message, MessageId,
     Outcome, Resumed, Sender, Settings, Span, Time, ZoneId,
 };
--- a/lab/src/system/control.rs
+++ b/testbed/src/system/control.rs
@@ -7,11 +7,11 @@
 use super::world::{Answering, Host};
 use bytes::Bytes;
 use config_register::{AcceptorRecord, BallotSource};
-use control_duties::{ConfigVerdict, DutyClaim, RetireVerdict};
 use control_node::{
     Beginning, ControlBackend, ControlEvent, ControlNode, CurrentConfig, DiscoveryError, LIST, PersistError,
     PutConfig, Retire,
 };
+use controllers::{ConfigVerdict, LeaseCandidate, RetireVerdict};
 use fleet_model::{AcceptedValue, Call, ControlState, Endpoint, Fence, Roster, Store, rank};
 use node_runtime::Runtime;
 use std::collections::BTreeMap;
@@ -174,7 +174,12 @@
         }
     }
 
-    fn acquire(&self, candidate: &DutyClaim, state: &ControlState, from: &Fence) -> Option<ControlState> {
+    fn acquire(
+        &self,
+        candidate: &LeaseCandidate,
+        state: &ControlState,
+        from: &Fence,
+    ) -> Option<ControlState> {
         if !self.host.breaks(Mutation::FenceNotChecked) {
             return candidate.taken(state, from);
         }
--- a/lab/src/system/disk.rs
+++ b/testbed/src/system/disk.rs
@@ -2,7 +2,7 @@
 
 use super::world::Host;
 use bytes::Bytes;
-use control_duties::times;
+use controllers::times;
 use fleet_model::{Reservation, Turn};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
--- a/lab/src/system/operators.rs
+++ b/testbed/src/system/operators.rs
@@ -6,7 +6,7 @@
 use super::history::{Fact, OrderAnswer};
 use super::play::Stage;
 use bytes::Bytes;
-use control_duties::{ConfigVerdict, RetireVerdict};
+use controllers::{ConfigVerdict, RetireVerdict};
 use fleet_model::TakenVersion;
 use futures_util::future::join_all;
 use std::cell::{Cell, RefCell};
@@ -293,7 +293,7 @@
                 let (host, name, mutation) = (keeper.host().clone(), name.clone(), self.world.mutation);
                 let told = async move {
                     keeper.version().await?;
-                    Some(control_duties::retire_state(&keeper.feed.state(), &name))
+                    Some(controllers::retire_state(&keeper.feed.state(), &name))
                 };
                 let verdict = self.at(&host, PATIENCE_MS, told).await.flatten();
                 // Broken on purpose: what is only agreed counts as completed.
@@ -315,7 +315,7 @@
         // Broken on purpose: by its own replicated state, without a majority.
         let taken = TakenVersion { version: order.number, digest: operator_config::digest(&order.body) };
         let state = keeper.feed.state();
-        let (_, verdict) = control_duties::put_config(&state, order.on, &taken, &order.body);
+        let (_, verdict) = controllers::put_config(&state, order.on, &taken, &order.body);
         if verdict != ConfigVerdict::Taken {
             return told(Some(verdict));
         }
--- a/lab/src/system/schedule.rs
+++ b/testbed/src/system/schedule.rs
@@ -213,7 +213,7 @@
 const STEP_MS: u64 = 7_000;
 /// A machine counts as lost until so long after its return, where one may be lost at once.
 const CATCH_UP: u64 = 4_100;
-/// The same where two may be: see the schedules of `control-duties`.
+/// The same where two may be: see the schedules of `controllers`.
 const CATCH_UP_OF_TWO: u64 = 5_000;
 
 struct Drawing {
--- a/lab/src/table.rs
+++ b/testbed/src/table.rs
@@ -1,5 +1,5 @@
 //! The table that a play ends with.
-use crate::play::Played;
+use crate::run::Played;
 use std::fmt::Write;
 
 /// A play's figures, for a terminal.
--- a/lab/tests/peers.rs
+++ b/testbed/tests/peers.rs
@@ -1,6 +1,6 @@
 //! The fleet in simulated time, and the checker: V1 to V4 of `docs/fleet.md`.
-use micadrum_lab::peers::campaign::{Break, one};
-use micadrum_lab::scenario::Scenario;
+use testbed::peers::campaign::{Break, one};
+use testbed::scenario::Scenario;
 
 fn scenario(text: &str) -> Scenario {
     Scenario::parse(text).unwrap()
--- a/lab/tests/record_log.rs
+++ b/testbed/tests/record_log.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use config_register::{Acceptor, AcceptorRecord, found};
-use control_duties::{ConfigVerdict, put_config};
+use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
     AcceptedValue, Ballot, ControlState, RegisterReply, RegisterRequest, RegisterValue, TakenVersion, rank,
 };
--- a/lab/tests/rig.rs
+++ b/testbed/tests/rig.rs
@@ -1,10 +1,10 @@
 //! The rig on processes: a fleet of the real program, with faults of processes and links at once, told and judged by its
 //! history alone (V1 to V4 of `docs/fleet.md`).
-use micadrum_lab::fleet::{Program, built_sender};
-use micadrum_lab::peers::check::check;
-use micadrum_lab::peers::history::{self, What};
-use micadrum_lab::play::play;
-use micadrum_lab::scenario::{Scenario, Variant};
+use testbed::fleet::{Program, built_sender};
+use testbed::peers::check::check;
+use testbed::peers::history::{self, What};
+use testbed::run::play;
+use testbed::scenario::{Scenario, Variant};
 use tokio::sync::watch;
 
 const SCENARIO: &str = r#"
--- a/lab/tests/play.rs
+++ b/testbed/tests/run.rs
@@ -1,9 +1,9 @@
 //! Whole plays on loopback with the real sender. Only rules that no slow machine breaks are asserted.
-use micadrum_lab::fleet::{FleetError, Program, built_sender};
-use micadrum_lab::judge::Rule;
-use micadrum_lab::play::{Played, play};
-use micadrum_lab::scenario::{Scenario, Variant};
 use std::path::{Path, PathBuf};
+use testbed::checker::Rule;
+use testbed::fleet::{FleetError, Program, built_sender};
+use testbed::run::{Played, play};
+use testbed::scenario::{Scenario, Variant};
 use tokio::sync::watch;
 
 const SHORT: &str =
--- a/lab/tests/tier.rs
+++ b/testbed/tests/serving_tier.rs
@@ -1,13 +1,13 @@
 //! The tier's play: each rule of the judge on a made-up history, and short plays of the real programs on loopback, of which only
 //! what no slow machine breaks is asserted.
 use bytes::Bytes;
-use micadrum_lab::fleet::FleetError;
-use micadrum_lab::tier::history::{End, History, Kind, Program, Run, Try, Way};
-use micadrum_lab::tier::judge::{Rule, judge, output};
-use micadrum_lab::tier::machines::built_programs;
-use micadrum_lab::tier::play::{Plan, Played, play};
 use std::path::Path;
 use std::time::Duration;
+use testbed::fleet::FleetError;
+use testbed::serving_tier::checker::{Rule, judge, output};
+use testbed::serving_tier::history::{End, History, Kind, Program, Run, Try, Way};
+use testbed::serving_tier::machines::built_programs;
+use testbed::serving_tier::run::{Plan, Played, play};
 use tokio::sync::watch;
 
 /// Two events.
@@ -233,7 +233,7 @@
     let chained = played.history.tries.iter().filter(|t| t.previous.is_some()).count();
     assert!(chained > 0 && played.history.runs.len() > chained, "{chained}");
     let told = |what: &str| played.history.events.iter().any(|(_, event)| event.contains(what));
-    assert!(told("turn-keeper-1 starts on an empty disk") && told("request-proxy-0 starts again"));
+    assert!(told("storage-node-1 starts on an empty disk") && told("request-proxy-0 starts again"));
     assert_eq!(played.pids.len(), 12, "ten processes, of which two were started again");
     assert_eq!(left(&played, &programs), 0);
 }
--- a/lab/tests/system.rs
+++ b/testbed/tests/system.rs
@@ -2,7 +2,7 @@
 
 use fleet_model::{Ballot, rank};
 use googletest::prelude::*;
-use micadrum_lab::system::{
+use testbed::system::{
     Fact, History, Mutation, Rule, Schedule, Told, check, play, play_one, play_until_broken, shortest,
 };
 
--- a/lab/tests/system_rules.rs
+++ b/testbed/tests/system_rules.rs
@@ -2,7 +2,7 @@
 
 use fleet_model::Ballot;
 use googletest::prelude::*;
-use micadrum_lab::system::{Class, Disturbance, Fact, History, OrderAnswer, Rule, check};
+use testbed::system::{Class, Disturbance, Fact, History, OrderAnswer, Rule, check};
 
 /// Three core machines, one storage machine, one edge machine.
 const EDGE: usize = 4;
--- a/lab/tests/system_scenarios.rs
+++ b/testbed/tests/system_scenarios.rs
@@ -1,7 +1,7 @@
 //! The worst days of the control side, as named scenarios: no case breaks a rule, and each mechanism that is taken out is missed.
 
 use googletest::prelude::*;
-use micadrum_lab::system::{Case, Measured, Mutation, Rule, Scenario, play_until_broken, thousand_changes};
+use testbed::system::{Case, Measured, Mutation, Rule, Scenario, play_until_broken, thousand_changes};
 
 /// The rules that these cases break, each with its case.
 fn broken(cases: &[Case], mutation: Option<Mutation>) -> Vec<(String, Rule)> {
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_micadrum-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Helpers shared by the tests of the module: settings, a list, and a host that keeps the clock.
 #![allow(dead_code)]
-use micadrum::*;
+use message_sender::*;
 
 pub const SECOND: u64 = 1_000_000;
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,7 +1,7 @@
 //! One small test for each failure that an incident or a hunt has shown.
 mod common;
 use common::*;
-use micadrum::*;
+use message_sender::*;
 
 /// Delivers one message each at the given endpoints' destination, 100 ms apart, with a good answer.
 fn warm_up(host: &mut Host, id: u32, class: ClassId, d: u64, count: u32) {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -58,7 +58,7 @@
 
     fn start(&mut self) {
         let log = std::fs::File::options().create(true).append(true).open(self.folder.path().join("log"));
-        let child = Command::new(env!("CARGO_BIN_EXE_micadrum"))
+        let child = Command::new(env!("CARGO_BIN_EXE_message-sender"))
             .env("PROXY_CONFIG", self.folder.path().join("config.json"))
             .env("PROXY_STATE", self.state())
             .stdin(Stdio::null())
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -2,7 +2,7 @@
 //! action, and every message ends exactly once. Outcomes are drawn blindly; nothing here models a server.
 mod common;
 use common::*;
-use micadrum::*;
+use message_sender::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Each rule from both sides, and the outcomes by kind of message.
 mod common;
 use common::*;
-use micadrum::*;
+use message_sender::*;
 
 const MAY_HAVE_RUN: [Outcome; 4] = [Outcome::Failure, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
 const NEVER_RAN: [Outcome; 5] = [
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,7 +1,7 @@
 //! One small test for each failure shown at full size: hundreds of senders, each with a trickle.
 mod common;
 use common::*;
-use micadrum::*;
+use message_sender::*;
 
 fn many_senders() -> Settings {
     Settings { senders: 300, slots: 4, ..settings() }
--- a/tests/shell.rs
+++ b/tests/shell.rs
@@ -9,14 +9,14 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-fn micadrum() -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_micadrum"));
+fn message_sender() -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_message-sender"));
     command.env_remove("PROXY_CONFIG").env_remove("PROXY_STATE").env_remove("PROXY_MGMT");
     command
 }
 
 fn answer(args: &[&str]) -> (i32, String) {
-    told(micadrum().args(args).output().unwrap())
+    told(message_sender().args(args).output().unwrap())
 }
 
 fn told(output: Output) -> (i32, String) {
@@ -97,7 +97,7 @@
 fn values_are_shown_with_their_origins_and_secrets_are_not() {
     let (_folder, path) = file("c.toml", &example().replace("mgmt =", "#"));
     let path = path.to_str().unwrap();
-    let mut show = micadrum();
+    let mut show = message_sender();
     show.args(["config", "show", path]).env("MICADRUM_LIMITS__DISK_MB", "9").env("PROXY_MGMT", "127.0.0.1:7");
     let (code, text) = told(show.output().unwrap());
     assert_eq!(code, 0, "{text}");
@@ -126,7 +126,7 @@
 
 impl Running {
     fn start(config: &Path, state: &Path) -> Self {
-        let mut command = micadrum();
+        let mut command = message_sender();
         command.arg("run").arg("--config").arg(config).arg("--state").arg(state);
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let log = BufReader::new(child.stderr.take().unwrap()).lines();
@@ -261,7 +261,7 @@
 #[test]
 fn a_sender_does_not_run_by_a_faulty_file() {
     let (folder, path) = file("c.toml", &example().replace("sockets = 512", "sockets = 0"));
-    let mut run = micadrum();
+    let mut run = message_sender();
     run.arg("run").arg("--config").arg(&path).arg("--state").arg(folder.path());
     let (code, text) = told(run.output().unwrap());
     assert!(code == 2 && text.contains("error: limits.sockets: 0 is less"), "{text}");
--- a/tests/sockets/world.rs
+++ b/tests/sockets/world.rs
@@ -313,7 +313,7 @@
     pub async fn begin(&mut self) {
         let file = self.folder.path().join("config.json");
         std::fs::write(&file, self.config.to_string()).unwrap();
-        let mut process = Command::new(env!("CARGO_BIN_EXE_micadrum"))
+        let mut process = Command::new(env!("CARGO_BIN_EXE_message-sender"))
             .env("PROXY_CONFIG", &file)
             .env("PROXY_STATE", self.folder.path())
             .stderr(Stdio::piped())
