--- a/system/config-register/src/acceptor.rs
+++ b/system/config-register/src/acceptor.rs
@@ -100,10 +100,10 @@
 
     /// Answers a request. The flag tells that the record changed: it is synced before the reply is sent.
     pub fn handle(&mut self, request: &RegisterRequest) -> (RegisterReply, bool) {
-        let Some(record) = &mut self.record else { return (RegisterReply::Unfit, false) };
+        let Some(record) = &mut self.record else { return (RegisterReply::Recovering, false) };
         match request {
             RegisterRequest::Prepare(ballot) if *ballot < record.promised => {
-                (RegisterReply::Refused(record.promised), false)
+                (RegisterReply::Rejected(record.promised), false)
             }
             RegisterRequest::Prepare(ballot) => {
                 let changed = record.promised != *ballot;
@@ -116,7 +116,7 @@
                 let later =
                     record.accepted.as_ref().is_some_and(|held| held.value.epoch > offered.value.epoch);
                 if offered.ballot < record.promised || (later && offered.ballot > record.promised) {
-                    return (RegisterReply::Refused(record.promised), false);
+                    return (RegisterReply::Rejected(record.promised), false);
                 }
                 let changed = record.promised != offered.ballot || record.accepted.as_ref() != Some(offered);
                 record.promised = offered.ballot;
--- a/system/config-register/src/ballots.rs
+++ b/system/config-register/src/ballots.rs
@@ -71,6 +71,6 @@
     /// The ballot of a new run: in a round above all that were made or seen.
     pub fn next_ballot(&mut self) -> Ballot {
         self.round += 1;
-        Ballot { round: self.round, proposer: self.proposer, life: self.life }
+        Ballot { round: self.round, proposer: self.proposer, incarnation: self.life }
     }
 }
--- a/system/config-register/src/learner.rs
+++ b/system/config-register/src/learner.rs
@@ -1,7 +1,7 @@
 //! Tells whether the newest chosen value is known.
 
 use crate::Outbox;
-use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue, rank};
+use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue, rendezvous_rank};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
@@ -143,6 +143,6 @@
 pub fn completing_place(me: Ipv4Addr, voters: &[Ipv4Addr], ballot: Ballot) -> usize {
     let mut others: Vec<Ipv4Addr> =
         voters.iter().copied().filter(|ip| u32::from(*ip) != ballot.proposer).collect();
-    others.sort_by_key(|ip| (rank(&ip.octets(), ballot.round), *ip));
+    others.sort_by_key(|ip| (rendezvous_rank(&ip.octets(), ballot.round), *ip));
     others.iter().position(|ip| *ip == me).unwrap_or(others.len())
 }
--- a/system/config-register/src/round.rs
+++ b/system/config-register/src/round.rs
@@ -91,8 +91,8 @@
             return Progress::Wait;
         }
         match (reply, self.proposed.is_some()) {
-            (RegisterReply::Refused(seen), _) if *seen > self.ballot => self.end(Progress::Lost(*seen)),
-            (RegisterReply::Refused(_) | RegisterReply::Unfit, _) => self.on_failure(from),
+            (RegisterReply::Rejected(seen), _) if *seen > self.ballot => self.end(Progress::Lost(*seen)),
+            (RegisterReply::Rejected(_) | RegisterReply::Recovering, _) => self.on_failure(from),
             (RegisterReply::Promised(told), false) => self.on_promise(from, told.as_ref()),
             (RegisterReply::Accepted, true) if self.heard.contains_key(&from) => {
                 self.heard.insert(from, Heard::Accepted);
--- a/system/config-register/src/stored.rs
+++ b/system/config-register/src/stored.rs
@@ -92,7 +92,7 @@
 
 impl From<FirstBallot> for Ballot {
     fn from(FirstBallot { round, proposer }: FirstBallot) -> Self {
-        Self { round, proposer, life: 0 }
+        Self { round, proposer, incarnation: 0 }
     }
 }
 
--- a/system/config-register/tests/ballots.rs
+++ b/system/config-register/tests/ballots.rs
@@ -137,11 +137,11 @@
 #[gtest]
 fn given_a_damaged_ballot_without_measure_when_it_is_seen_then_the_count_goes_on() {
     let mut ballots = BallotSource::new(A, 7);
-    ballots.saw(Ballot { round: 5, proposer: 9, life: 1 });
-    ballots.saw(Ballot { round: u64::MAX, proposer: 9, life: 1 });
+    ballots.saw(Ballot { round: 5, proposer: 9, incarnation: 1 });
+    ballots.saw(Ballot { round: u64::MAX, proposer: 9, incarnation: 1 });
 
-    expect_that!(ballots.next_ballot(), eq(Ballot { round: 6, proposer: u32::from(A), life: 7 }));
-    expect_that!(ballots.next_ballot(), eq(Ballot { round: 7, proposer: u32::from(A), life: 7 }));
+    expect_that!(ballots.next_ballot(), eq(Ballot { round: 6, proposer: u32::from(A), incarnation: 7 }));
+    expect_that!(ballots.next_ballot(), eq(Ballot { round: 7, proposer: u32::from(A), incarnation: 7 }));
 }
 
 #[gtest]
@@ -152,7 +152,7 @@
     // A promise to the later holds against the earlier, and an acceptor tells their values apart.
     let mut acceptor = Acceptor::new(found(VOTERS.to_vec()));
     acceptor.handle(&RegisterRequest::Prepare(other));
-    expect_that!(acceptor.handle(&RegisterRequest::Prepare(one)).0, eq(&RegisterReply::Refused(other)));
+    expect_that!(acceptor.handle(&RegisterRequest::Prepare(one)).0, eq(&RegisterReply::Rejected(other)));
 }
 
 /// Voters in memory, which answer at once.
@@ -218,7 +218,7 @@
 #[gtest]
 fn given_a_life_that_knows_nothing_when_its_first_run_is_refused_then_the_second_goes_through() {
     // Given a fleet that is at round 1,000,000, and A back with an empty disk and a clock that stands anywhere.
-    let promised = Ballot { round: 1_000_000, proposer: u32::from(B), life: 3 };
+    let promised = Ballot { round: 1_000_000, proposer: u32::from(B), incarnation: 3 };
     let mut fleet = Fleet::far_up(promised);
     fleet.0.insert(A, Acceptor::unfit());
     let mut ballots = BallotSource::new(A, 4);
@@ -258,7 +258,7 @@
     assert_that!(second, matches_pattern!(Step::Done(_)));
     // when the Accept of the first comes to B, then a reader of A and B is told this.
     voters.0.get_mut(&B).unwrap().handle(&RegisterRequest::Accept(late));
-    let read = voters.propose_to(&[A, B], C, Ballot { round: 9, proposer: 9, life: 9 }, "");
+    let read = voters.propose_to(&[A, B], C, Ballot { round: 9, proposer: 9, incarnation: 9 }, "");
     let Step::Done(read) = read else { panic!("{read:?}") };
     read.value.payload
 }
--- a/system/config-register/tests/model.rs
+++ b/system/config-register/tests/model.rs
@@ -221,7 +221,7 @@
         };
         for (number, round) in self.rounds.into_iter().enumerate() {
             let me = proposer(number);
-            let ballot = Ballot { round, proposer: u32::from(me), life: 0 };
+            let ballot = Ballot { round, proposer: u32::from(me), incarnation: 0 };
             let run = Proposal::start(me, ballot, &self.founding());
             fleet.send(Asker::Proposer(number), run.outbox());
             fleet.runs.push(Run::Running(Box::new(run)));
--- a/system/config-register/tests/pacing.rs
+++ b/system/config-register/tests/pacing.rs
@@ -15,7 +15,7 @@
 const LARGE: u64 = 9;
 
 fn ballot(round: u64, proposer: u8) -> Ballot {
-    Ballot { round, proposer: u32::from(machine(proposer)), life: 0 }
+    Ballot { round, proposer: u32::from(machine(proposer)), incarnation: 0 }
 }
 
 /// The ballot above `seen` of a proposer whose life has the nonce 0.
--- a/system/config-register/tests/schedules.rs
+++ b/system/config-register/tests/schedules.rs
@@ -533,7 +533,7 @@
 #[gtest]
 fn the_checker_finds_a_change_that_was_lost() {
     let value = |round, ids: &[u32]| AcceptedValue {
-        ballot: Ballot { round, proposer: 1, life: 0 },
+        ballot: Ballot { round, proposer: 1, incarnation: 0 },
         value: RegisterValue {
             payload: Bytes::from_iter(ids.iter().flat_map(|id| id.to_be_bytes())),
             ..Default::default()
@@ -544,7 +544,7 @@
         [Told::Chosen { begun: 0, value: value(1, &[1]) }, Told::Chosen { begun: 0, value: value(2, &[2]) }];
     let stale = [
         Told::Learnt(value(2, &[2])),
-        Told::Fresh { begun: 1, ballot: Ballot { round: 1, proposer: 1, life: 0 } },
+        Told::Fresh { begun: 1, ballot: Ballot { round: 1, proposer: 1, incarnation: 0 } },
     ];
     let kept = [Told::Chosen { begun: 0, value: value(2, &[1, 2]) }, Told::Learnt(value(1, &[1]))];
 
--- a/system/config-register/tests/stories.rs
+++ b/system/config-register/tests/stories.rs
@@ -20,7 +20,7 @@
 const ALL: [Ipv4Addr; 5] = [A, B, C, D, E];
 
 fn ballot(round: u64, proposer: Ipv4Addr) -> Ballot {
-    Ballot { round, proposer: u32::from(proposer), life: 0 }
+    Ballot { round, proposer: u32::from(proposer), incarnation: 0 }
 }
 
 /// The ballot above `seen` of a proposer whose life has the nonce 0.
@@ -190,7 +190,7 @@
         RegisterRequest::Poll { chosen: ballot(1, P) },
         RegisterRequest::Fetch,
     ] {
-        expect_that!(fleet.handle(A, &request), eq(&RegisterReply::Unfit));
+        expect_that!(fleet.handle(A, &request), eq(&RegisterReply::Recovering));
     }
     // C never heard of the change, and A has lost it.
     expect_that!(fleet.run(ballot(2, Q), &founding(), &[A, C], keep), eq(&Step::Failed));
@@ -225,7 +225,7 @@
     fleet.restore(A, Restore::start_from(A, ballot(2, A), &founding(), &ALL), &[B, C]);
 
     for (to, request) in late {
-        expect_that!(fleet.handle(to, &request), eq(&RegisterReply::Refused(ballot(2, A))));
+        expect_that!(fleet.handle(to, &request), eq(&RegisterReply::Rejected(ballot(2, A))));
     }
 }
 
@@ -399,7 +399,7 @@
 
     let unasked = RegisterRequest::Accept(AcceptedValue { ballot: ballot(2, Q), value: founding() });
 
-    expect_that!(fleet.handle(A, &unasked), eq(&RegisterReply::Refused(ballot(1, P))));
+    expect_that!(fleet.handle(A, &unasked), eq(&RegisterReply::Rejected(ballot(1, P))));
 }
 
 #[gtest]
@@ -454,7 +454,7 @@
     expect_that!(acceptor.handle(&RegisterRequest::Prepare(ballot(1, P))).1, eq(false));
     expect_that!(
         acceptor.handle(&RegisterRequest::Prepare(Ballot::default())),
-        eq(&(RegisterReply::Refused(ballot(1, P)), false))
+        eq(&(RegisterReply::Rejected(ballot(1, P)), false))
     );
     expect_that!(acceptor.handle(&RegisterRequest::Accept(value.clone())).1, eq(true));
     expect_that!(acceptor.handle(&RegisterRequest::Accept(value)).1, eq(false));
@@ -530,7 +530,7 @@
     // It holds a later value than the one that it knows to be chosen, or accepted one after the poll.
     expect_that!(told_chosen(&polled(ballot(2, P), ballot(1, P)), &fetched), none());
     expect_that!(told_chosen(&polled(ballot(1, P), ballot(1, P)), &fetched), none());
-    expect_that!(told_chosen(&RegisterReply::Unfit, &fetched), none());
+    expect_that!(told_chosen(&RegisterReply::Recovering, &fetched), none());
 }
 
 #[gtest]
@@ -585,7 +585,7 @@
     let voters: Vec<Ipv4Addr> = (1..=8).map(|number| Ipv4Addr::new(10, 0, 0, number)).collect();
     let mut firsts = std::collections::BTreeSet::new();
     for round in 1..200 {
-        let ballot = Ballot { round, proposer: u32::from(voters[2]), life: 0 };
+        let ballot = Ballot { round, proposer: u32::from(voters[2]), incarnation: 0 };
         let mut places: Vec<usize> =
             voters.iter().map(|ip| config_register::completing_place(*ip, &voters, ballot)).collect();
         expect_that!(places[2], eq(7));
--- a/system/control-node/src/event.rs
+++ b/system/control-node/src/event.rs
@@ -2,7 +2,7 @@
 
 use config_register::AcceptorRecord;
 use controllers::LossesBorne;
-use fleet_model::{AcceptedValue, ChosenValue, ControlState, Store};
+use fleet_model::{AcceptedValue, ChosenValue, ControlState, StorageNode};
 use std::fmt;
 use std::net::Ipv4Addr;
 
@@ -45,7 +45,7 @@
     /// A storage node is to be evicted.
     Evicts {
         /// Which.
-        store: &'a Store,
+        store: &'a StorageNode,
         /// For how long it has been silent, in milliseconds.
         silent_ms: u64,
     },
--- a/system/control-node/src/lib.rs
+++ b/system/control-node/src/lib.rs
@@ -23,7 +23,7 @@
 
 use config_register::AcceptorRecord;
 use controllers::LeaseCandidate;
-use fleet_model::{ControlState, Endpoint, Fence};
+use fleet_model::{ControlState, Endpoint, Lease};
 
 /// The name of the singleton task that reads the platform's list and looks after machines that are gone.
 pub const LIST: &str = "list";
@@ -63,7 +63,7 @@
         &self,
         candidate: &LeaseCandidate,
         state: &ControlState,
-        from: &Fence,
+        from: &Lease,
     ) -> Option<ControlState> {
         candidate.taken(state, from)
     }
--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -3,7 +3,7 @@
 use crate::proposing::Wanted;
 use crate::{ControlBackend, ControlNode};
 use controllers::fill;
-use fleet_model::{Answer, ControlState, Store};
+use fleet_model::{Answer, ControlState, StorageNode};
 use node_runtime::Runtime;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 pub(crate) const CHANGE: Duration = Duration::from_millis(600);
 
 fn done(is_done: bool) -> Answer {
-    if is_done { Answer::Done } else { Answer::Unready }
+    if is_done { Answer::Done } else { Answer::NotReady }
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
@@ -33,7 +33,7 @@
         done(self.propose(CHANGE, wanted).await)
     }
 
-    pub(crate) async fn join_storage(&self, store: Store) -> Answer {
+    pub(crate) async fn join_storage(&self, store: StorageNode) -> Answer {
         let least = self.min_storage_nodes();
         let known = self.feed.state();
         let admitted = {
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -7,7 +7,7 @@
 use fleet_model::{
     AcceptedValue, Answer, Ballot, Call, ChosenValue, RegisterReply, RegisterRequest, RegisterValue,
 };
-use node_runtime::{Feed, MOST_AGE, Runtime, keep_beating, timeout};
+use node_runtime::{Feed, MAX_STATE_AGE, Runtime, run_heartbeats, timeout};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -138,7 +138,7 @@
 
     /// Begins all that it does by itself.
     pub fn run(self: &Rc<Self>) {
-        self.runtime.spawn(keep_beating(self.feed.clone()));
+        self.runtime.spawn(run_heartbeats(self.feed.clone()));
         self.runtime.spawn(self.clone().keep_voting());
         self.runtime.spawn(self.clone().keep_polling());
         self.runtime.spawn(self.clone().keep_tasks());
@@ -151,15 +151,15 @@
         match (call, subscriber) {
             (Call::Register(request), _) => match self.answer_register(from, request).await {
                 Some(reply) => Answer::Register(reply),
-                None => Answer::Unready,
+                None => Answer::NotReady,
             },
             (call @ Call::Subscribe { .. }, Some(subscriber)) => {
                 self.feed.subscribe(&call, false, subscriber)
             }
             (Call::JoinCore { ip }, _) => self.join_core(ip).await,
             (Call::JoinStorage { store }, _) => self.join_storage(store).await,
-            (Call::Filled { disk, epoch }, _) => self.filled(disk, epoch).await,
-            _ => Answer::Unready,
+            (Call::InSync { disk, epoch }, _) => self.filled(disk, epoch).await,
+            _ => Answer::NotReady,
         }
     }
 
@@ -196,7 +196,7 @@
 
     /// Whether a majority confirmed lately what is known here.
     pub fn is_fresh(&self) -> bool {
-        self.feed.age().is_some_and(|age| age < MOST_AGE)
+        self.feed.age().is_some_and(|age| age < MAX_STATE_AGE)
     }
 
     /// The fencing token under which this life of the node holds the lease of the singleton task.
@@ -245,7 +245,7 @@
             RegisterRequest::Accept(offered) => offered.ballot,
             _ => return,
         };
-        if from != self.me && !matches!(reply, RegisterReply::Refused(_)) {
+        if from != self.me && !matches!(reply, RegisterReply::Rejected(_)) {
             self.pacing.borrow_mut().hears(self.runtime.now_ms(), ballot);
         }
     }
--- a/system/control-node/src/orders.rs
+++ b/system/control-node/src/orders.rs
@@ -3,7 +3,7 @@
 use crate::{ControlBackend, ControlNode};
 use bytes::Bytes;
 use controllers::{ConfigVerdict, RetireVerdict};
-use fleet_model::{ControlState, TakenVersion};
+use fleet_model::{CommittedVersion, ControlState};
 use node_runtime::Runtime;
 use operator_config::{Findings, OperatorConfig, digest};
 use std::cell::Cell;
@@ -63,7 +63,7 @@
             Err(findings) => return PutConfig::Invalid(findings),
         };
         let Some(expected) = expected else { return PutConfig::NoBase };
-        let taken = TakenVersion { version: config.version, digest: digest(&body) };
+        let taken = CommittedVersion { version: config.version, digest: digest(&body) };
         let verdict = Cell::new(None);
         let done = self
             .change(ANSWER_WITHIN, |state| {
--- a/system/control-node/src/polling.rs
+++ b/system/control-node/src/polling.rs
@@ -35,7 +35,7 @@
             let at_once = self.clone().poll(&mut undecided).await;
             self.polled.notify_waiters();
             if !at_once {
-                let pause = POLL + Duration::from_millis(self.runtime.draw() % 40);
+                let pause = POLL + Duration::from_millis(self.runtime.random_u64() % 40);
                 let _ = timeout(&self.runtime, pause, self.poll_now.notified()).await;
             }
         }
@@ -108,14 +108,14 @@
         let waiting = undecided.take().filter(|waiting| waiting.ballot == newest);
         let waiting = waiting.unwrap_or_else(|| {
             let place = completing_place(self.me, &self.feed.value().voters, newest);
-            let chance = self.runtime.draw() % UNDECIDED_MS;
+            let chance = self.runtime.random_u64() % UNDECIDED_MS;
             let wait = UNDECIDED_MS + chance + COMPLETING_STEP_MS * place as u64;
             Undecided { ballot: newest, until: self.runtime.now() + Duration::from_millis(wait) }
         });
         let is_early = self.runtime.now() < waiting.until;
         if is_early || self.pacing.borrow().waits(self.runtime.now_ms()) > 0 {
             *undecided = Some(waiting);
-            self.runtime.sleep(Duration::from_millis(25 + self.runtime.draw() % 20)).await;
+            self.runtime.sleep(Duration::from_millis(25 + self.runtime.random_u64() % 20)).await;
         } else {
             let deadline = self.runtime.now() + COMPLETING;
             // One round, and the next poll tells whether another is wanted.
--- a/system/control-node/src/proposing.rs
+++ b/system/control-node/src/proposing.rs
@@ -124,7 +124,7 @@
     pub(crate) async fn way_is_free(&self, deadline: Duration) -> bool {
         while self.pacing.borrow().waits(self.runtime.now_ms()) > 0 {
             // Those who wait do not all begin in the moment in which the way gets free.
-            let pause = Duration::from_millis(10 + self.runtime.draw() % 15);
+            let pause = Duration::from_millis(10 + self.runtime.random_u64() % 15);
             if self.runtime.now() + pause >= deadline {
                 return false;
             }
@@ -138,7 +138,7 @@
         let mut rounds = self.rounds.get();
         rounds.lost += 1;
         self.rounds.set(rounds);
-        self.pacing.borrow_mut().loses(self.runtime.now_ms(), self.runtime.draw());
+        self.pacing.borrow_mut().loses(self.runtime.now_ms(), self.runtime.random_u64());
     }
 
     /// What is proposed on top of the value that was read.
--- a/system/control-node/src/recovery.rs
+++ b/system/control-node/src/recovery.rs
@@ -27,7 +27,7 @@
                 self.ask_to_vote().await;
             }
             self.replica.probe_disk();
-            self.runtime.sleep(Duration::from_millis(250 + self.runtime.draw() % 100)).await;
+            self.runtime.sleep(Duration::from_millis(250 + self.runtime.random_u64() % 100)).await;
         }
     }
 
--- a/system/control-node/src/singleton.rs
+++ b/system/control-node/src/singleton.rs
@@ -5,7 +5,7 @@
 use crate::proposing::Wanted;
 use crate::{ControlBackend, ControlEvent, ControlNode, LIST, StorageLosses};
 use controllers::{DiscoveryPolls, RosterStep, VoterController, stands, times};
-use fleet_model::{Answer, Call, ControlState, Fence, Store};
+use fleet_model::{Answer, Call, ControlState, Lease, StorageNode};
 use futures_util::future::join_all;
 use node_runtime::{Runtime, follow_lists, timeout};
 use std::net::Ipv4Addr;
@@ -24,13 +24,13 @@
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
     /// Who holds the lease of the singleton task.
     fn holder(&self) -> Option<Ipv4Addr> {
-        self.feed.state().fences.get(LIST).and_then(|fence| fence.holder)
+        self.feed.state().leases.get(LIST).and_then(|fence| fence.holder)
     }
 
     /// Acquires the lease if it is this node's turn.
     async fn acquire_lease(&self) {
         let value = self.feed.value();
-        let from: Option<Fence> = {
+        let from: Option<Lease> = {
             let core = self.core.borrow();
             let now = self.runtime.now_ms();
             self.candidate.borrow_mut().wants(now, &self.feed.state(), &value.voters, &core)
@@ -63,7 +63,7 @@
             let Some(token) = self.holds_list() else {
                 self.acquire_lease().await;
                 if self.holds_list().is_none() {
-                    self.runtime.sleep(Duration::from_millis(200 + self.runtime.draw() % 50)).await;
+                    self.runtime.sleep(Duration::from_millis(200 + self.runtime.random_u64() % 50)).await;
                 }
                 continue;
             };
@@ -131,7 +131,7 @@
         join_all(members.iter().map(|store| self.look_at(store))).await;
     }
 
-    async fn look_at(&self, store: &Store) {
+    async fn look_at(&self, store: &StorageNode) {
         let call = Call::Inspect { topic: "disk".to_owned() };
         let answer = self.runtime.call(store.ip, call, LOOK).await;
         let is_there = matches!(&answer, Some(Answer::View(text)) if text.trim() == store.disk.to_string());
--- a/system/control-node/tests/disk/fleet.rs
+++ b/system/control-node/tests/disk/fleet.rs
@@ -175,9 +175,9 @@
         BEFORE + self.began.elapsed()
     }
 
-    fn draw(&self) -> u64 {
+    fn random_u64(&self) -> u64 {
         self.fleet.drawn.set(self.fleet.drawn.get() + 1);
-        fleet_model::rank(&self.fleet.drawn.get().to_be_bytes(), 1)
+        fleet_model::rendezvous_rank(&self.fleet.drawn.get().to_be_bytes(), 1)
     }
 
     async fn sleep(&self, pause: Duration) {
--- a/system/control-node/tests/durable_acceptor.rs
+++ b/system/control-node/tests/durable_acceptor.rs
@@ -14,7 +14,7 @@
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, proposer: 1, life: 1 }
+    Ballot { round, proposer: 1, incarnation: 1 }
 }
 
 fn prepare(round: u64) -> RegisterRequest {
@@ -127,9 +127,9 @@
 #[gtest]
 fn without_a_record_it_votes_only_once_one_is_on_disk() {
     let mut acceptor = DurableAcceptor::new(None);
-    expect_that!(acceptor.handle(&prepare(1)).reply, eq(&RegisterReply::Unfit));
+    expect_that!(acceptor.handle(&prepare(1)).reply, eq(&RegisterReply::Recovering));
     let write = acceptor.recover(found(voters()));
-    expect_that!(acceptor.handle(&prepare(1)).reply, eq(&RegisterReply::Unfit));
+    expect_that!(acceptor.handle(&prepare(1)).reply, eq(&RegisterReply::Recovering));
     acceptor.write_ended(write.number, false);
     expect_that!((acceptor.has_record(), acceptor.outcome(write.number)), eq((false, WriteOutcome::Failed)));
     let write = acceptor.recover(found(voters()));
@@ -156,7 +156,7 @@
         (RegisterReply::Accepted, RegisterRequest::Accept(offered)) => {
             disk.promised >= offered.ballot && accepted >= Some(offered.ballot)
         }
-        (RegisterReply::Refused(promised), _) => disk.promised >= *promised,
+        (RegisterReply::Rejected(promised), _) => disk.promised >= *promised,
         (RegisterReply::Polled { accepted: told, .. }, _) => *told <= accepted,
         (RegisterReply::Fetched(told), _) => told.as_ref().map(|value| value.ballot) <= accepted,
         _ => false,
--- a/system/controllers/src/config.rs
+++ b/system/controllers/src/config.rs
@@ -10,7 +10,7 @@
 //!   state, and told only once that is chosen.
 
 use bytes::Bytes;
-use fleet_model::{ControlState, RefusedConfig, TakenVersion};
+use fleet_model::{CommittedVersion, ControlState, RejectedConfig};
 use std::cmp::Ordering;
 
 /// Versions taken that are remembered: an operator repeats a call for some seconds.
@@ -36,18 +36,18 @@
 pub fn put_config(
     state: &ControlState,
     expected: u64,
-    sent: &TakenVersion,
+    sent: &CommittedVersion,
     body: &Bytes,
 ) -> (Option<ControlState>, ConfigVerdict) {
     let current = state.version();
-    let refusal = RefusedConfig { expected, sent: sent.clone() };
-    if state.taken.contains(sent) {
+    let refusal = RejectedConfig { expected, sent: sent.clone() };
+    if state.committed.contains(sent) {
         return (None, ConfigVerdict::Taken);
     }
     if may_be_forgotten(state, &refusal) {
         return (None, ConfigVerdict::Unclear);
     }
-    if state.refused.contains(&refusal) {
+    if state.rejected.contains(&refusal) {
         return (None, ConfigVerdict::OtherVersion(current));
     }
     match current.cmp(&expected) {
@@ -59,34 +59,34 @@
 }
 
 /// Whether it can be one of those that were taken and are remembered no more. Whatever was taken is above what it went by.
-fn may_be_forgotten(state: &ControlState, order: &RefusedConfig) -> bool {
-    order.sent.version <= state.forgotten && order.expected < order.sent.version
+fn may_be_forgotten(state: &ControlState, order: &RejectedConfig) -> bool {
+    order.sent.version <= state.highest_pruned && order.expected < order.sent.version
 }
 
 /// Refuses an order that goes by a version which may yet come.
-fn refuse_for_good(state: &ControlState, refusal: RefusedConfig) -> (Option<ControlState>, ConfigVerdict) {
+fn refuse_for_good(state: &ControlState, refusal: RejectedConfig) -> (Option<ControlState>, ConfigVerdict) {
     let verdict = ConfigVerdict::OtherVersion(state.version());
     if refusal.sent.version <= refusal.expected {
         // It is refused on top of that one too.
         return (None, verdict);
     }
-    if state.refused.len() == MOST_REFUSED {
+    if state.rejected.len() == MOST_REFUSED {
         return (None, ConfigVerdict::Unclear);
     }
     let mut next = state.clone();
-    next.refused.push(refusal);
+    next.rejected.push(refusal);
     (Some(next), verdict)
 }
 
-fn take(state: &ControlState, sent: &TakenVersion, body: &Bytes) -> ControlState {
+fn take(state: &ControlState, sent: &CommittedVersion, body: &Bytes) -> ControlState {
     let mut next = state.clone();
     next.config = body.clone();
-    next.taken.push(sent.clone());
-    let extra = next.taken.len().saturating_sub(MOST_TAKEN);
-    if let Some(last) = next.taken.drain(..extra).next_back() {
-        next.forgotten = last.version;
+    next.committed.push(sent.clone());
+    let extra = next.committed.len().saturating_sub(MOST_TAKEN);
+    if let Some(last) = next.committed.drain(..extra).next_back() {
+        next.highest_pruned = last.version;
     }
     // What goes by an earlier version is refused for that.
-    next.refused.retain(|refused| refused.expected >= sent.version);
+    next.rejected.retain(|refused| refused.expected >= sent.version);
     next
 }
--- a/system/controllers/src/discovery_poll.rs
+++ b/system/controllers/src/discovery_poll.rs
@@ -1,5 +1,5 @@
 use crate::times::{EMPTY_BREAK, EMPTY_FOR, READING_MOST};
-use fleet_model::{Endpoint, EndpointList};
+use fleet_model::{Endpoint, EndpointList, ListVersion};
 
 /// What becomes of the readings of the list, under one fence after another.
 #[derive(Clone, Debug, Default)]
@@ -38,10 +38,10 @@
                 return None;
             }
         }
-        if known.endpoints == endpoints && known.stamp.0 == fence {
+        if known.endpoints == endpoints && known.version.token == fence {
             return None;
         }
         self.sequence += 1;
-        Some(EndpointList { stamp: (fence, self.sequence), endpoints })
+        Some(EndpointList { version: ListVersion::new(fence, self.sequence), endpoints })
     }
 }
--- a/system/controllers/src/lease_candidate.rs
+++ b/system/controllers/src/lease_candidate.rs
@@ -1,11 +1,11 @@
 use crate::times::{HEAD_START, HOLDER_GONE};
 use crate::voter_controller::VoterController;
-use fleet_model::{ControlState, Fence, rank};
+use fleet_model::{ControlState, Lease, rendezvous_rank};
 use std::net::Ipv4Addr;
 
 /// Whether `holder` has `duty` under fence `number` in this state: what a holder does to the state is done only then.
 pub fn stands(state: &ControlState, duty: &str, holder: Ipv4Addr, number: u64) -> bool {
-    state.fences.get(duty).is_some_and(|fence| fence.number == number && fence.holder == Some(holder))
+    state.leases.get(duty).is_some_and(|fence| fence.token == number && fence.holder == Some(holder))
 }
 
 /// One keeper's claim to one duty, in this life of it. A fence that a former life took is not its own: what was told under
@@ -38,8 +38,8 @@
         state: &ControlState,
         voters: &[Ipv4Addr],
         core: &VoterController,
-    ) -> Option<Fence> {
-        let fence = state.fences.get(self.duty).cloned().unwrap_or_default();
+    ) -> Option<Lease> {
+        let fence = state.leases.get(self.duty).cloned().unwrap_or_default();
         if self.holds(state).is_some() || !voters.contains(&self.me) {
             self.vacant = None;
             return None;
@@ -55,31 +55,31 @@
             return None;
         }
         let since = match self.vacant {
-            Some((number, since)) if number == fence.number => since,
+            Some((number, since)) if number == fence.token => since,
             _ => now_ms,
         };
-        self.vacant = Some((fence.number, since));
-        let place = |ip: &Ipv4Addr| (rank(&ip.octets(), fence.number), *ip);
+        self.vacant = Some((fence.token, since));
+        let place = |ip: &Ipv4Addr| (rendezvous_rank(&ip.octets(), fence.token), *ip);
         let live = |ip: &&Ipv4Addr| **ip != self.me && core.answers(**ip, now_ms, HOLDER_GONE);
         let before = voters.iter().filter(live).filter(|ip| place(ip) > place(&self.me)).count() as u64;
         (now_ms.saturating_sub(since) >= before * HEAD_START).then_some(fence)
     }
 
     /// The state in which this keeper has the duty, if it still stands as in `from`.
-    pub fn taken(&self, state: &ControlState, from: &Fence) -> Option<ControlState> {
+    pub fn taken(&self, state: &ControlState, from: &Lease) -> Option<ControlState> {
         let mut state = state.clone();
-        let standing = state.fences.entry(self.duty.to_owned()).or_default();
-        if standing.number != from.number {
+        let standing = state.leases.entry(self.duty.to_owned()).or_default();
+        if standing.token != from.token {
             return None;
         }
-        *standing = Fence { number: from.number + 1, holder: Some(self.me) };
+        *standing = Lease { token: from.token + 1, holder: Some(self.me) };
         Some(state)
     }
 
     /// The change is chosen, and this is the state now; the fence, if the duty is this life's.
-    pub fn settle(&mut self, state: &ControlState, from: &Fence) -> Option<u64> {
-        if stands(state, self.duty, self.me, from.number + 1) {
-            self.took = Some(from.number + 1);
+    pub fn settle(&mut self, state: &ControlState, from: &Lease) -> Option<u64> {
+        if stands(state, self.duty, self.me, from.token + 1) {
+            self.took = Some(from.token + 1);
             self.vacant = None;
         }
         self.holds(state)
--- a/system/controllers/src/roster.rs
+++ b/system/controllers/src/roster.rs
@@ -1,4 +1,4 @@
-use fleet_model::{ControlState, Roster, Store};
+use fleet_model::{ControlState, Roster, StorageNode};
 
 /// How far a retire is, or why there is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,27 +19,27 @@
 }
 
 /// The next set, whether or not a change is under way.
-pub fn proposed(roster: &Roster) -> &[Store] {
+pub fn proposed(roster: &Roster) -> &[StorageNode] {
     roster.next.as_deref().unwrap_or(&roster.current)
 }
 
 /// How many of these are not to be emptied.
-fn staying(roster: &Roster, stores: &[Store]) -> usize {
+fn staying(roster: &Roster, stores: &[StorageNode]) -> usize {
     stores.iter().filter(|store| !roster.retiring.contains(&store.name)).count()
 }
 
 /// The roster with another next set: the epoch rises, and nobody is full yet.
-fn with_next(state: &ControlState, next: Vec<Store>) -> ControlState {
+fn with_next(state: &ControlState, next: Vec<StorageNode>) -> ControlState {
     let mut state = state.clone();
     state.roster.epoch += 1;
-    state.roster.filled.clear();
+    state.roster.in_sync.clear();
     state.roster.next = (next != state.roster.current).then_some(next);
     state
 }
 
 /// Whether the next set without this member would be the current one. Then nobody would fill, and what was meanwhile kept
 /// by the member and one other would have that one copy: such a change is carried through, and the member leaves after.
-pub(crate) fn would_abandon(roster: &Roster, store: &Store) -> bool {
+pub(crate) fn would_abandon(roster: &Roster, store: &StorageNode) -> bool {
     let Some(next) = &roster.next else { return false };
     !roster.current.contains(store) && next.iter().filter(|other| *other != store).eq(roster.current.iter())
 }
@@ -48,7 +48,7 @@
 ///
 /// Before the founding there is no current set, and nothing is kept: machines gather in the next set, and the first set
 /// becomes current by [`fill`] like any other, once it has `least` machines or the founding has waited long enough.
-pub fn join(state: &ControlState, store: &Store, least: usize) -> Option<ControlState> {
+pub fn join(state: &ControlState, store: &StorageNode, least: usize) -> Option<ControlState> {
     let roster = &state.roster;
     let former = proposed(roster);
     if former.contains(store) || roster.retiring.contains(&store.name) {
@@ -58,7 +58,7 @@
         // Two machines of one name, and this is the earlier one: it hands over, and takes nothing back.
         return None;
     }
-    let mut next: Vec<Store> =
+    let mut next: Vec<StorageNode> =
         former.iter().filter(|other| other.name != store.name && other.ip != store.ip).cloned().collect();
     next.push(store.clone());
     next.sort();
@@ -70,7 +70,7 @@
     let mut state = state.clone();
     // What is full but for the disk that this one replaces counts, as if that were waived: else one machine's loss after
     // the other could keep all changes from their end. Someone has to be full: a set of that disk alone has nothing.
-    let full = |other: &Store| roster.filled.contains(&other.disk) || !next.contains(other);
+    let full = |other: &StorageNode| roster.in_sync.contains(&other.disk) || !next.contains(other);
     if let Some(set) = &roster.next
         && founded
         && set.len() > 1
@@ -85,7 +85,7 @@
 /// Begins to empty a storage machine.
 pub fn retire(state: &ControlState, name: &str, least: usize) -> (Option<ControlState>, RetireVerdict) {
     let roster = &state.roster;
-    let named = |store: &&Store| store.name == name;
+    let named = |store: &&StorageNode| store.name == name;
     if roster.retiring.iter().any(|other| other == name) {
         return (None, retire_state(state, name));
     }
@@ -100,7 +100,8 @@
             false => (None, RetireVerdict::Unknown),
         };
     };
-    let next: Vec<Store> = proposed(roster).iter().filter(|store| store.name != name).cloned().collect();
+    let next: Vec<StorageNode> =
+        proposed(roster).iter().filter(|store| store.name != name).cloned().collect();
     let left = staying(roster, &next);
     if left < least || roster.current.is_empty() {
         return (None, RetireVerdict::TooFew { left });
@@ -114,7 +115,7 @@
 /// How far a retire is.
 pub fn retire_state(state: &ControlState, name: &str) -> RetireVerdict {
     let roster = &state.roster;
-    let holds = |stores: &[Store]| stores.iter().any(|store| store.name == name);
+    let holds = |stores: &[StorageNode]| stores.iter().any(|store| store.name == name);
     let counts = holds(&roster.current) || roster.next.as_deref().is_some_and(holds);
     match (roster.retiring.iter().any(|other| other == name), counts) {
         (true, true) => RetireVerdict::Active,
@@ -137,10 +138,10 @@
     let next = roster.next.clone().filter(|_| roster.epoch == epoch)?;
     let mut state = state.clone();
     let new =
-        disk.filter(|disk| next.iter().any(|store| store.disk == *disk) && !roster.filled.contains(disk));
-    state.roster.filled.extend(new);
+        disk.filter(|disk| next.iter().any(|store| store.disk == *disk) && !roster.in_sync.contains(disk));
+    state.roster.in_sync.extend(new);
     let waits =
-        next.iter().any(|store| !state.roster.filled.contains(&store.disk) && !waived.contains(&store.disk));
+        next.iter().any(|store| !state.roster.in_sync.contains(&store.disk) && !waived.contains(&store.disk));
     let founds_too_early = roster.current.is_empty() && next.len() < least;
     if waits || founds_too_early {
         return new.map(|_| state);
@@ -148,11 +149,11 @@
     state.roster.epoch += 1;
     state.roster.current = next;
     state.roster.next = None;
-    state.roster.filled.clear();
+    state.roster.in_sync.clear();
     // Who was to be emptied while this change was under way leaves by the next one.
     let roster = &mut state.roster;
-    let stays = |store: &&Store| !roster.retiring.contains(&store.name);
-    let left: Vec<Store> = roster.current.iter().filter(stays).cloned().collect();
+    let stays = |store: &&StorageNode| !roster.retiring.contains(&store.name);
+    let left: Vec<StorageNode> = roster.current.iter().filter(stays).cloned().collect();
     if left.len() < roster.current.len() && left.len() >= least {
         roster.next = Some(left);
     }
@@ -161,12 +162,12 @@
 
 /// Goes on without a member of the proposed set that is gone, if this is still the roster's epoch and at least `fewest`
 /// are left.
-pub fn give_up(state: &ControlState, gone: &Store, epoch: u64, fewest: usize) -> Option<ControlState> {
+pub fn give_up(state: &ControlState, gone: &StorageNode, epoch: u64, fewest: usize) -> Option<ControlState> {
     let roster = &state.roster;
     let former = proposed(roster);
     if roster.epoch != epoch || !former.contains(gone) || would_abandon(roster, gone) {
         return None;
     }
-    let left: Vec<Store> = former.iter().filter(|store| *store != gone).cloned().collect();
+    let left: Vec<StorageNode> = former.iter().filter(|store| *store != gone).cloned().collect();
     (staying(roster, &left) >= fewest.max(1)).then(|| with_next(state, left))
 }
--- a/system/controllers/src/storage_controller.rs
+++ b/system/controllers/src/storage_controller.rs
@@ -4,7 +4,7 @@
     FILL_PATIENCE, FILLING_BEGUN, FILLING_MOST, FOUNDING, FOUNDING_WAIT, LEAST_MISSES, LOOK, LOOK_AGAIN,
     LOOK_BREAK, NEWCOMER, STORE_BLOCKING, STORE_GONE, STORE_REPLACED, STORE_UNSURE,
 };
-use fleet_model::{ControlState, QuorumSizes, Roster, Store};
+use fleet_model::{ControlState, QuorumSizes, Roster, StorageNode};
 use std::collections::BTreeMap;
 
 /// What the holder of the duty is to do about the storage machines.
@@ -15,7 +15,7 @@
     /// Go on without this one, by [`give_up`](crate::give_up).
     GiveUp {
         /// The machine.
-        store: Store,
+        store: StorageNode,
         /// For how long it was silent.
         silent_ms: u64,
         /// How few may be left.
@@ -58,7 +58,7 @@
     /// By this roster. Nothing is borne before it is founded.
     pub fn of(roster: &Roster, tolerance: usize) -> Self {
         let sets = [Some(roster.current.as_slice()), roster.next.as_deref()];
-        let sizes = sets.into_iter().flatten().map(|set| QuorumSizes::of(set.len(), tolerance));
+        let sizes = sets.into_iter().flatten().map(|set| QuorumSizes::for_machines(set.len(), tolerance));
         let borne = |sizes: Option<QuorumSizes>| {
             sizes.map_or_else(Self::default, |sizes| Self {
                 served: sizes.losses_served(),
@@ -114,7 +114,7 @@
             self.founded.get_or_insert(if first { 0 } else { now_ms });
         }
         let settled = self.founded.is_some_and(|at| at == 0 || now_ms.saturating_sub(at) >= FOUNDING);
-        let names = |stores: &[Store]| stores.iter().map(|store| store.name.clone()).collect();
+        let names = |stores: &[StorageNode]| stores.iter().map(|store| store.name.clone()).collect();
         if first {
             // A change that is under way tells who came and who leaves.
             self.turnover.observe(now_ms, names(&roster.current), settled, |_| false);
@@ -143,9 +143,10 @@
 
     /// Whether a machine that asks to be taken in may be. Of two live machines of one name the one with the place keeps it
     /// until it is gone, or they would push each other out for as long as both run.
-    pub fn admits(&self, roster: &Roster, store: &Store) -> bool {
-        let rival =
-            |other: &&Store| other.name == store.name && other.ip != store.ip && other.disk != store.disk;
+    pub fn admits(&self, roster: &Roster, store: &StorageNode) -> bool {
+        let rival = |other: &&StorageNode| {
+            other.name == store.name && other.ip != store.ip && other.disk != store.disk
+        };
         let lives = |disk: u64| self.heard.get(&disk).is_none_or(|heard| heard.missed == 0);
         !proposed(roster).iter().filter(rival).any(|other| lives(other.disk))
     }
@@ -177,7 +178,7 @@
     }
 
     /// For how long a member has missed its looks.
-    fn silent(&self, now_ms: u64, store: &Store) -> u64 {
+    fn silent(&self, now_ms: u64, store: &StorageNode) -> u64 {
         let heard = self.heard.get(&store.disk).filter(|heard| heard.missed >= LEAST_MISSES);
         heard.map_or(0, |heard| now_ms.saturating_sub(heard.at))
     }
@@ -209,8 +210,10 @@
                 .filter(|store| self.silent(now_ms, store) > FILL_PATIENCE)
                 .map(|store| store.disk)
                 .collect();
-            let full = |store: &Store| roster.filled.contains(&store.disk) || waived.contains(&store.disk);
-            let may_lack = QuorumSizes::of(next.len(), tolerance).map_or(0, |sizes| sizes.losses_survived());
+            let full =
+                |store: &StorageNode| roster.in_sync.contains(&store.disk) || waived.contains(&store.disk);
+            let may_lack =
+                QuorumSizes::for_machines(next.len(), tolerance).map_or(0, |sizes| sizes.losses_survived());
             if waived.len() <= may_lack && next.iter().all(full) {
                 return RosterStep::Waive(waived);
             }
@@ -262,7 +265,7 @@
             Some((store, silent_ms)) if next.len() > 1 => {
                 RosterStep::GiveUp { store: store.clone(), silent_ms, fewest: 1 }
             }
-            None if next.iter().all(|store| roster.filled.contains(&store.disk)) => RosterStep::Found,
+            None if next.iter().all(|store| roster.in_sync.contains(&store.disk)) => RosterStep::Found,
             _ => RosterStep::Leave,
         }
     }
@@ -271,12 +274,13 @@
     /// and the others hold all that was kept: then the set has to shrink to these.
     fn is_blocked(&self, now_ms: u64, roster: &Roster, tolerance: usize) -> bool {
         let members = proposed(roster);
-        let silent = |stores: &[Store]| {
+        let silent = |stores: &[StorageNode]| {
             stores.iter().filter(|store| self.silent(now_ms, store) > STORE_BLOCKING).count()
         };
-        let (Some(sizes), Some(current)) =
-            (QuorumSizes::of(members.len(), tolerance), QuorumSizes::of(roster.current.len(), tolerance))
-        else {
+        let (Some(sizes), Some(current)) = (
+            QuorumSizes::for_machines(members.len(), tolerance),
+            QuorumSizes::for_machines(roster.current.len(), tolerance),
+        ) else {
             return false;
         };
         members.len() < min_storage_nodes(tolerance)
--- a/system/controllers/tests/duties/changes.rs
+++ b/system/controllers/tests/duties/changes.rs
@@ -4,14 +4,14 @@
 use controllers::{
     ConfigVerdict, RetireVerdict, RosterStep, fill, give_up, join, put_config, retire, retire_state,
 };
-use fleet_model::{ControlState, Store, TakenVersion};
+use fleet_model::{CommittedVersion, ControlState, StorageNode};
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 
 const LEAST: usize = 3;
 
-fn store(name: &str, ip: u8, disk: u64) -> Store {
-    Store { name: name.into(), ip: Ipv4Addr::new(10, 3, 0, ip), zone: "a".into(), disk }
+fn store(name: &str, ip: u8, disk: u64) -> StorageNode {
+    StorageNode { name: name.into(), ip: Ipv4Addr::new(10, 3, 0, ip), zone: "a".into(), disk }
 }
 
 fn founded(names: &[&str]) -> ControlState {
@@ -22,15 +22,15 @@
     state
 }
 
-fn changing(names: &[&str], next: &[&Store]) -> ControlState {
+fn changing(names: &[&str], next: &[&StorageNode]) -> ControlState {
     let mut state = founded(names);
-    let mut next: Vec<Store> = next.iter().map(|store| (*store).clone()).collect();
+    let mut next: Vec<StorageNode> = next.iter().map(|store| (*store).clone()).collect();
     next.sort();
     state.roster.next = Some(next);
     state
 }
 
-fn names(stores: &[Store]) -> Vec<&str> {
+fn names(stores: &[StorageNode]) -> Vec<&str> {
     stores.iter().map(|store| store.name.as_str()).collect()
 }
 
@@ -42,8 +42,8 @@
     state
 }
 
-fn version(number: u64) -> TakenVersion {
-    TakenVersion { version: number, digest: [number as u8; 32] }
+fn version(number: u64) -> CommittedVersion {
+    CommittedVersion { version: number, digest: [number as u8; 32] }
 }
 
 fn gathered(count: u8) -> Result<ControlState> {
@@ -108,7 +108,7 @@
     // when that one comes with another disk, then all three gather anew
     let state = join(&state, &store("s3", 3, 33), LEAST).or_fail()?;
     expect_that!(state.roster.current, is_empty());
-    expect_that!(state.roster.filled, is_empty());
+    expect_that!(state.roster.in_sync, is_empty());
     expect_that!(all_fill(state).roster.current.len(), eq(3));
     Ok(())
 }
@@ -147,7 +147,7 @@
     // then the next set has its new disk for the old, and all fill anew
     let next = state.roster.next.clone().or_fail()?;
     expect_that!(next.iter().map(|store| store.disk).collect::<Vec<_>>(), elements_are![&1, &22, &3, &4]);
-    expect_that!(state.roster.filled.len(), eq(0));
+    expect_that!(state.roster.in_sync.len(), eq(0));
     expect_that!(state.roster.epoch, eq(former + 1));
     // and what is told for the former epoch counts no more
     expect_that!(fill(&state, Some(3), former, &[], LEAST), none());
@@ -336,7 +336,7 @@
     // the same again, whatever it goes by
     expect_that!(put_config(&state, 0, &version(3), &body), eq(&(None, ConfigVerdict::Taken)));
     // other bytes under its number, and a lower number
-    let other = TakenVersion { version: 3, digest: [9; 32] };
+    let other = CommittedVersion { version: 3, digest: [9; 32] };
     expect_that!(put_config(&state, 3, &other, &body), eq(&(None, ConfigVerdict::NotAbove)));
     expect_that!(put_config(&state, 3, &version(2), &body), eq(&(None, ConfigVerdict::NotAbove)));
     // another version in the operator's mind comes first
@@ -355,5 +355,5 @@
         state = put_config(&state, number - 1, &version(number), &Bytes::new()).0.unwrap_or_default();
     }
     expect_that!(state.version(), eq(600));
-    expect_that!(state.taken.len(), eq(512));
+    expect_that!(state.committed.len(), eq(512));
 }
--- a/system/controllers/tests/duties/fleet.rs
+++ b/system/controllers/tests/duties/fleet.rs
@@ -5,7 +5,7 @@
     DiscoveryPolls, LeaseCandidate, RosterStep, StorageController, VoterController, fill, join, proposed,
     retire, stands, times,
 };
-use fleet_model::{ControlState, EndpointList, QuorumSizes, Roster, Store};
+use fleet_model::{ControlState, EndpointList, ListVersion, QuorumSizes, Roster, StorageNode};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,7 +30,7 @@
     /// A storage machine holds all that it should under that epoch.
     Filled(u64, u64),
     /// A list got this stamp; it was read then.
-    List((u64, u64), u64),
+    List(ListVersion, u64),
     /// The proposed set went below what a fleet is founded with: so many are left, without these disks, each silent for so long.
     Shrunk(usize, Vec<(u64, u64)>),
 }
@@ -63,7 +63,7 @@
 }
 
 pub struct Machine {
-    pub store: Store,
+    pub store: StorageNode,
     pub up: bool,
     /// Since when it is down, or when it last froze.
     silent_since: u64,
@@ -88,7 +88,7 @@
     random: ChaCha8Rng,
 }
 
-fn disks(stores: &[Store]) -> BTreeSet<u64> {
+fn disks(stores: &[StorageNode]) -> BTreeSet<u64> {
     stores.iter().map(|store| store.disk).collect()
 }
 
@@ -163,8 +163,12 @@
     /// A machine with an empty disk starts under this name and address.
     pub fn start(&mut self, name: &str, ip: u8) -> u64 {
         self.disks += 1;
-        let store =
-            Store { name: name.into(), ip: Ipv4Addr::new(10, 3, 0, ip), zone: "a".into(), disk: self.disks };
+        let store = StorageNode {
+            name: name.into(),
+            ip: Ipv4Addr::new(10, 3, 0, ip),
+            zone: "a".into(),
+            disk: self.disks,
+        };
         let next = self.now + 300 + self.draw(TOLD);
         self.machines.push(Machine {
             store,
@@ -225,7 +229,7 @@
 
     /// The keeper that holds the duty by the register.
     pub fn holder(&self) -> Option<usize> {
-        let holder = self.state.fences.get(LIST)?.holder?;
+        let holder = self.state.leases.get(LIST)?.holder?;
         self.keepers.iter().position(|keeper| keeper.ip == holder)
     }
 
@@ -266,7 +270,7 @@
     /// left out.
     fn shrunk(&self, after: &Roster) -> Option<Event> {
         let (before, left) = (proposed(&self.state.roster), proposed(after));
-        let same = |one: &Store, other: &Store| one.name == other.name || one.ip == other.ip;
+        let same = |one: &StorageNode, other: &StorageNode| one.name == other.name || one.ip == other.ip;
         let out: Vec<(u64, u64)> = before
             .iter()
             .filter(|store| !left.iter().any(|other| same(store, other)))
@@ -370,9 +374,9 @@
             };
             endpoint.zone = "a".into();
             if let Some(list) = keeper.readings.take(now, now, fence, &keeper.list, vec![endpoint])
-                && list.stamp > keeper.list.stamp
+                && list.version > keeper.list.version
             {
-                self.history.push((now, Event::List(list.stamp, now)));
+                self.history.push((now, Event::List(list.version, now)));
                 keeper.list = list;
             }
             return;
@@ -485,7 +489,7 @@
             return;
         }
         if self.machines[at].full_for.contains(&set) {
-            if roster.next.is_some() && !roster.filled.contains(&me.disk) {
+            if roster.next.is_some() && !roster.in_sync.contains(&me.disk) {
                 self.history.push((now, Event::Filled(me.disk, roster.epoch)));
                 let least = self.least();
                 self.change(keeper, Vec::new(), |state| fill(state, Some(me.disk), roster.epoch, &[], least));
@@ -502,7 +506,8 @@
         let sources =
             self.machines.iter().filter(|machine| machine.store.disk != me.disk && full(machine)).count();
         let own = usize::from(here && full(&self.machines[at]));
-        let covering = QuorumSizes::of(current.len(), self.tolerance).map_or(0, |sizes| sizes.covering);
+        let covering =
+            QuorumSizes::for_machines(current.len(), self.tolerance).map_or(0, |sizes| sizes.covering);
         match self.machines[at].filling {
             Some((epoch, done_at)) if epoch == roster.epoch => {
                 if now < done_at {
@@ -521,14 +526,14 @@
         }
     }
 
-    fn ask_to_join(&mut self, at: usize, store: &Store) {
+    fn ask_to_join(&mut self, at: usize, store: &StorageNode) {
         let (now, least) = (self.now, self.least());
         let keeper = &mut self.keepers[at];
         keeper.watch.observe(now, &keeper.state.roster, least);
         keeper.watch.heard(now, store.disk);
         if keeper.watch.admits(&keeper.state.roster, store) && join(&keeper.state, store, least).is_some() {
             // Whom it replaces is lost.
-            let same = |other: &&Store| other.name == store.name || other.ip == store.ip;
+            let same = |other: &&StorageNode| other.name == store.name || other.ip == store.ip;
             let lost = proposed(&self.state.roster).iter().filter(same).map(|other| other.disk).collect();
             self.change(at, lost, |state| join(state, store, least));
         }
@@ -538,7 +543,7 @@
     /// enough are left.
     pub fn is_settled(&self) -> bool {
         let roster = self.roster();
-        let retired = |store: &Store| roster.retiring.contains(&store.name);
+        let retired = |store: &StorageNode| roster.retiring.contains(&store.name);
         let live: BTreeSet<u64> = self
             .machines
             .iter()
@@ -556,7 +561,7 @@
     pub fn broken(&self) -> Vec<String> {
         let mut broken = Vec::new();
         let mut filled: BTreeSet<(u64, u64)> = BTreeSet::new();
-        let mut stamps: BTreeMap<(u64, u64), u64> = BTreeMap::new();
+        let mut stamps: BTreeMap<ListVersion, u64> = BTreeMap::new();
         let mut out: BTreeSet<String> = BTreeSet::new();
         let mut last = Roster::default();
         for (at, event) in &self.history {
@@ -587,7 +592,7 @@
                             .into_iter()
                             .filter(|disk| !filled.contains(&(*disk, last.epoch)))
                             .collect();
-                        let survived = QuorumSizes::of(roster.current.len(), self.tolerance)
+                        let survived = QuorumSizes::for_machines(roster.current.len(), self.tolerance)
                             .map_or(0, |sizes| sizes.losses_survived());
                         if unfilled.len() > survived || unfilled.iter().any(|disk| !waived.contains(disk)) {
                             broken.push(format!(
--- a/system/controllers/tests/duties/schedules.rs
+++ b/system/controllers/tests/duties/schedules.rs
@@ -247,7 +247,7 @@
                             .next
                             .as_ref()
                             .map(|next| next.iter().map(|store| store.disk).collect::<Vec<_>>()),
-                        roster.filled,
+                        roster.in_sync,
                     )),
                     _ => None,
                 })
--- a/system/controllers/tests/duties/stories.rs
+++ b/system/controllers/tests/duties/stories.rs
@@ -16,7 +16,7 @@
 }
 
 fn fence(fleet: &Fleet) -> u64 {
-    fleet.state().fences.get(LIST).map_or(0, |fence| fence.number)
+    fleet.state().leases.get(LIST).map_or(0, |fence| fence.token)
 }
 
 /// When lists were read, from a time on.
--- a/system/controllers/tests/duties/watches.rs
+++ b/system/controllers/tests/duties/watches.rs
@@ -4,7 +4,9 @@
     DiscoveryPolls, LeaseCandidate, LossesBorne, RosterStep, StorageController, VoterController, join,
     stands, times,
 };
-use fleet_model::{ControlState, Endpoint, EndpointList, EndpointState, Fence, Store, rank};
+use fleet_model::{
+    ControlState, Endpoint, EndpointList, EndpointState, Lease, ListVersion, StorageNode, rendezvous_rank,
+};
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 
@@ -16,14 +18,14 @@
 
 fn held(number: u64, holder: Ipv4Addr) -> ControlState {
     let mut state = ControlState::default();
-    state.fences.insert(LIST.into(), Fence { number, holder: Some(holder) });
+    state.leases.insert(LIST.into(), Lease { token: number, holder: Some(holder) });
     state
 }
 
 /// The voters, best-ranked for a fence first.
 fn ranked(number: u64, voters: &[Ipv4Addr]) -> Vec<Ipv4Addr> {
     let mut voters = voters.to_vec();
-    voters.sort_by_key(|ip| std::cmp::Reverse(rank(&ip.octets(), number)));
+    voters.sort_by_key(|ip| std::cmp::Reverse(rendezvous_rank(&ip.octets(), number)));
     voters
 }
 
@@ -98,7 +100,7 @@
 fn of_two_that_take_a_duty_one_gets_it_and_both_know_which() -> Result<()> {
     let state = held(4, C);
     let (mut one, mut other) = (LeaseCandidate::new(LIST, A), LeaseCandidate::new(LIST, B));
-    let from = Fence { number: 4, holder: Some(C) };
+    let from = Lease { token: 4, holder: Some(C) };
     let state = one.taken(&state, &from).or_fail()?;
     expect_that!(other.taken(&state, &from), none());
     expect_that!(one.settle(&state, &from), some(eq(5)));
@@ -117,7 +119,7 @@
 #[gtest]
 fn a_holder_that_slept_holds_nothing_once_it_reads_the_next_fence() -> Result<()> {
     let mut claim = LeaseCandidate::new(LIST, A);
-    let from = Fence::default();
+    let from = Lease::default();
     let state = claim.taken(&ControlState::default(), &from).or_fail()?;
     expect_that!(claim.settle(&state, &from), some(eq(1)));
     expect_that!(claim.holds(&held(2, B)), none());
@@ -200,8 +202,8 @@
     expect_that!(VoterController::without(&[A, B, D], D), none());
 }
 
-fn store(name: &str, ip: u8, disk: u64) -> Store {
-    Store { name: name.into(), ip: Ipv4Addr::new(10, 3, 0, ip), zone: "a".into(), disk }
+fn store(name: &str, ip: u8, disk: u64) -> StorageNode {
+    StorageNode { name: name.into(), ip: Ipv4Addr::new(10, 3, 0, ip), zone: "a".into(), disk }
 }
 
 fn founded(count: u8) -> ControlState {
@@ -302,7 +304,7 @@
 fn what_is_full_but_for_a_silent_machine_counts_before_that_one_is_given_up() -> Result<()> {
     // given that s9 is being taken in, all others are full for it, and s3 is gone
     let mut state = join(&founded(3), &store("s9", 9, 9), 3).or_fail()?;
-    state.roster.filled = vec![1, 2, 9];
+    state.roster.in_sync = vec![1, 2, 9];
     let mut keeper = Watching::new();
     keeper.run(20_000, &state, &[1, 2, 3, 9]);
     keeper.run(20_000 + times::STORE_REPLACED + 800, &state, &[1, 2, 9]);
@@ -456,7 +458,7 @@
 fn a_silent_member_of_the_next_set_is_waived_within_the_tolerance() {
     let mut state = founded(3);
     state.roster.next = Some(vec![store("s1", 1, 1), store("s2", 2, 22), store("s3", 3, 3)]);
-    state.roster.filled = vec![1, 22];
+    state.roster.in_sync = vec![1, 22];
     let mut keeper = Watching::new();
     keeper.run(20_000, &state, &[1, 22, 3]);
     keeper.run(20_000 + times::FILL_PATIENCE + 500, &state, &[1, 22]);
@@ -468,7 +470,7 @@
 fn gathered(count: u8, filled: &[u64]) -> ControlState {
     let mut state = founded(count);
     state.roster.next = Some(std::mem::take(&mut state.roster.current));
-    state.roster.filled = filled.to_vec();
+    state.roster.in_sync = filled.to_vec();
     state
 }
 
@@ -595,18 +597,18 @@
 fn a_reading_is_spread_where_it_is_news_or_its_fence_is() -> Result<()> {
     let mut readings = DiscoveryPolls::default();
     let first = readings.take(100, 90, 1, &EndpointList::default(), endpoints(&["a"])).or_fail()?;
-    expect_that!(first.stamp, eq((1, 1)));
+    expect_that!(first.version, eq(ListVersion::new(1, 1)));
     expect_that!(readings.take(1_100, 1_090, 1, &first, endpoints(&["a"])), none());
     let second = readings.take(2_100, 2_090, 1, &first, endpoints(&["a", "b"])).or_fail()?;
-    expect_that!(second.stamp, eq((1, 2)));
+    expect_that!(second.version, eq(ListVersion::new(1, 2)));
     let third = readings.take(3_100, 3_090, 4, &second, endpoints(&["a", "b"])).or_fail()?;
-    expect_that!(third.stamp, eq((4, 1)));
+    expect_that!(third.version, eq(ListVersion::new(4, 1)));
     Ok(())
 }
 
 #[gtest]
 fn an_empty_list_counts_only_after_empty_answers_without_a_break() {
-    let known = EndpointList { stamp: (1, 1), endpoints: endpoints(&["a"]) };
+    let known = EndpointList { version: ListVersion::new(1, 1), endpoints: endpoints(&["a"]) };
     let mut readings = DiscoveryPolls::default();
     let empty =
         |readings: &mut DiscoveryPolls, at: u64, fence: u64| readings.take(at, at, fence, &known, Vec::new());
--- a/system/controllers/tests/orders.rs
+++ b/system/controllers/tests/orders.rs
@@ -9,7 +9,7 @@
 use config_register::{Acceptor, BallotSource, Change, Proposal, Step, found};
 use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
-    AcceptedValue, Ballot, ControlState, RegisterReply, RegisterRequest, RegisterValue, TakenVersion,
+    AcceptedValue, Ballot, CommittedVersion, ControlState, RegisterReply, RegisterRequest, RegisterValue,
 };
 use googletest::prelude::*;
 use rand_chacha::ChaCha8Rng;
@@ -55,7 +55,7 @@
 }
 
 type Judged = (Option<ControlState>, ConfigVerdict);
-type Judge = fn(&ControlState, u64, &TakenVersion, &Bytes) -> Judged;
+type Judge = fn(&ControlState, u64, &CommittedVersion, &Bytes) -> Judged;
 
 /// How an order's call is judged and answered: as it should be, or broken on purpose.
 #[derive(Clone, Copy)]
@@ -129,14 +129,14 @@
     MACHINES.iter().position(|other| *other == ip).unwrap()
 }
 
-fn sent(order: usize, version: u64) -> TakenVersion {
-    TakenVersion { version, digest: [order as u8; 32] }
+fn sent(order: usize, version: u64) -> CommittedVersion {
+    CommittedVersion { version, digest: [order as u8; 32] }
 }
 
 /// The orders that a value has taken, by their bytes.
 fn taken(value: &RegisterValue) -> Vec<usize> {
     let state = ControlState::from_payload(&value.payload).unwrap();
-    state.taken.iter().map(|taken| usize::from(taken.digest[0])).collect()
+    state.committed.iter().map(|taken| usize::from(taken.digest[0])).collect()
 }
 
 impl Schedules {
@@ -432,9 +432,14 @@
 }
 
 /// Broken: only the version in force is known as taken.
-fn knows_the_last_alone(state: &ControlState, expected: u64, sent: &TakenVersion, body: &Bytes) -> Judged {
+fn knows_the_last_alone(
+    state: &ControlState,
+    expected: u64,
+    sent: &CommittedVersion,
+    body: &Bytes,
+) -> Judged {
     match put_config(state, expected, sent, body) {
-        (None, ConfigVerdict::Taken) if state.taken.last() != Some(sent) => {
+        (None, ConfigVerdict::Taken) if state.committed.last() != Some(sent) => {
             (None, ConfigVerdict::OtherVersion(state.version()))
         }
         judged => judged,
@@ -442,7 +447,7 @@
 }
 
 /// Broken: no refusal is kept.
-fn keeps_no_refusal(state: &ControlState, expected: u64, sent: &TakenVersion, body: &Bytes) -> Judged {
+fn keeps_no_refusal(state: &ControlState, expected: u64, sent: &CommittedVersion, body: &Bytes) -> Judged {
     match put_config(state, expected, sent, body) {
         (_, verdict @ ConfigVerdict::OtherVersion(_)) => (None, verdict),
         judged => judged,
@@ -450,7 +455,7 @@
 }
 
 /// Broken: an order is taken on top of whatever is in force.
-fn asks_for_no_base(state: &ControlState, _: u64, sent: &TakenVersion, body: &Bytes) -> Judged {
+fn asks_for_no_base(state: &ControlState, _: u64, sent: &CommittedVersion, body: &Bytes) -> Judged {
     put_config(state, state.version(), sent, body)
 }
 
@@ -561,7 +566,7 @@
             1 => state.version().saturating_sub(u64::from(rng.next_u32() % 20)),
             _ => state.version(),
         };
-        let order = TakenVersion {
+        let order = CommittedVersion {
             version: base + u64::from(rng.next_u32() % 4),
             digest: std::array::from_fn(|_| rng.next_u32() as u8),
         };
@@ -585,7 +590,7 @@
         for (base, version, digest) in
             refused.iter().skip(rng.next_u32() as usize % refused.len().max(1)).take(4)
         {
-            let order = TakenVersion { version: *version, digest: *digest };
+            let order = CommittedVersion { version: *version, digest: *digest };
             expect_that!(put_config(&state, *base, &order, &body).1, not(eq(ConfigVerdict::Taken)));
         }
     }
--- a/system/fleet-model/tests/payload.rs
+++ b/system/fleet-model/tests/payload.rs
@@ -1,12 +1,12 @@
 //! The register's payload: what is written is read, and nothing else is taken for a state.
 
-use fleet_model::{ControlState, Fence, PayloadError, TakenVersion};
+use fleet_model::{CommittedVersion, ControlState, Lease, PayloadError};
 use googletest::prelude::*;
 
 /// A state with a configuration of so many routes.
 fn state(routes: u64) -> ControlState {
     let route = |number: u64| {
-        let name = fleet_model::rank(&number.to_le_bytes(), 7);
+        let name = fleet_model::rendezvous_rank(&number.to_le_bytes(), 7);
         format!(
             r#"{{"name":"r-{name:x}","hostname":"a.example","path_prefix":"/{name:x}/","route_type":"streaming","timeout_ms":6000,"target_latency_ms":200,"priority":1,"service":"s","max_attempts":2,"retained":true,"retention_s":60.0}}"#
         )
@@ -14,8 +14,8 @@
     let config: Vec<String> = (0..routes).map(route).collect();
     ControlState {
         config: config.join(",").into(),
-        taken: vec![TakenVersion { version: 7, digest: [3; 32] }],
-        fences: [("list".to_owned(), Fence { number: 2, holder: None })].into(),
+        committed: vec![CommittedVersion { version: 7, digest: [3; 32] }],
+        leases: [("list".to_owned(), Lease { token: 2, holder: None })].into(),
         ..ControlState::default()
     }
 }
@@ -33,7 +33,7 @@
 
 /// The state as programs of the first form wrote it.
 fn first_form(state: &ControlState) -> Vec<u8> {
-    let ControlState { config, taken, fences, roster, .. } = state;
+    let ControlState { config, committed: taken, leases: fences, roster, .. } = state;
     let plain = postcard::to_allocvec(&(config, taken, fences, roster)).unwrap();
     [vec![1], lz4_flex::block::compress_prepend_size(&plain)].concat()
 }
@@ -44,10 +44,10 @@
     let short = state(40);
     expect_that!(ControlState::from_payload(&first_form(&short)), ok(eq(&short)));
     // And one that remembers as much as it could: those before may have been taken too.
-    let taken = (100..612).map(|version| TakenVersion { version, digest: [3; 32] }).collect();
-    let full = ControlState { taken, ..state(1) };
+    let taken = (100..612).map(|version| CommittedVersion { version, digest: [3; 32] }).collect();
+    let full = ControlState { committed: taken, ..state(1) };
     let read = ControlState::from_payload(&first_form(&full)).unwrap();
-    expect_that!(read, eq(&ControlState { forgotten: 99, ..full }));
+    expect_that!(read, eq(&ControlState { highest_pruned: 99, ..full }));
 }
 
 #[gtest]
@@ -60,11 +60,11 @@
 fn given_bytes_that_are_no_payload_when_they_are_read_then_an_error_tells_why() {
     let payload = state(40).to_payload().unwrap().to_vec();
     let read = |bytes: &[u8]| ControlState::from_payload(bytes);
-    expect_that!(read(&[9, 1, 2]), err(eq(&PayloadError::Form(9))));
-    expect_that!(read(&payload[..3]), err(matches_pattern!(PayloadError::Packed(_))));
+    expect_that!(read(&[9, 1, 2]), err(eq(&PayloadError::UnknownFormat(9))));
+    expect_that!(read(&payload[..3]), err(matches_pattern!(PayloadError::Decompression(_))));
     let mut long = payload.clone();
     long[1..5].copy_from_slice(&u32::MAX.to_le_bytes());
-    expect_that!(read(&long), err(eq(&PayloadError::Length(u32::MAX as usize))));
+    expect_that!(read(&long), err(eq(&PayloadError::TooLong(u32::MAX as usize))));
     for end in 1..payload.len() {
         expect_that!(read(&payload[..end]), err(anything()), "cut at {end}");
     }
--- a/system/fleet-model/tests/quorums.rs
+++ b/system/fleet-model/tests/quorums.rs
@@ -7,7 +7,11 @@
 fn each(tell: impl Fn(usize, usize, QuorumSizes)) {
     for machines in 1..=MOST {
         for losses in 0..=MOST {
-            tell(machines, losses, QuorumSizes::of(machines, losses).expect("a set with machines has sizes"));
+            tell(
+                machines,
+                losses,
+                QuorumSizes::for_machines(machines, losses).expect("a set with machines has sizes"),
+            );
         }
     }
 }
@@ -20,9 +24,9 @@
 #[test]
 fn every_read_meets_every_write_and_every_covering_set_meets_all_copies() {
     each(|machines, losses, sizes| {
-        assert!(sizes.holders <= machines && (1..=sizes.holders).contains(&sizes.write));
+        assert!(sizes.replicas <= machines && (1..=sizes.replicas).contains(&sizes.write));
         assert!(sizes.read >= 1 && sizes.covering >= 1);
-        assert!(sizes.read + sizes.write > sizes.holders, "{machines} machines, {losses} losses");
+        assert!(sizes.read + sizes.write > sizes.replicas, "{machines} machines, {losses} losses");
         assert!(sizes.covering + sizes.write > machines, "{machines} machines, {losses} losses");
         assert!(sizes.read <= sizes.covering && sizes.covering <= machines);
         assert!(sizes.absent >= sizes.covering && sizes.absent <= machines);
@@ -34,9 +38,9 @@
 fn the_sets_themselves_meet() {
     for machines in 1..=6 {
         for losses in 0..=3 {
-            let sizes = QuorumSizes::of(machines, losses).unwrap();
-            for written in choices(sizes.holders, sizes.write) {
-                assert!(choices(sizes.holders, sizes.read).all(|read| read & written != 0));
+            let sizes = QuorumSizes::for_machines(machines, losses).unwrap();
+            for written in choices(sizes.replicas, sizes.write) {
+                assert!(choices(sizes.replicas, sizes.read).all(|read| read & written != 0));
                 assert!(choices(machines, sizes.covering).all(|source| source & written != 0));
             }
         }
@@ -59,8 +63,8 @@
 #[test]
 fn sizes_of_small_sets() {
     let of = |machines, losses| {
-        QuorumSizes::of(machines, losses)
-            .map(|sizes| (sizes.holders, sizes.write, sizes.read, sizes.covering, sizes.absent))
+        QuorumSizes::for_machines(machines, losses)
+            .map(|sizes| (sizes.replicas, sizes.write, sizes.read, sizes.covering, sizes.absent))
     };
     assert_eq!(of(0, 1), None);
     assert_eq!(of(1, 1), Some((1, 1, 1, 1, 1)));
--- a/system/node-runtime/src/feed.rs
+++ b/system/node-runtime/src/feed.rs
@@ -3,7 +3,7 @@
 
 use crate::{FeedEvent, Runtime, Subscriber};
 use fleet_model::{Answer, Call, ChosenValue, ControlState, EndpointList, Push};
-use state_feed::{FeedState, Learned, Role, Spread, SubscriberId, Unreadable};
+use state_feed::{Broadcast, FeedState, FeedUpdate, Role, SubscriberId, UnreadableValue};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -96,20 +96,20 @@
     }
 
     /// Carries out a push; false if the link's list is not the one known here.
-    pub fn take(&self, push: Push, confirms: bool) -> bool {
+    pub fn apply_push(&self, push: Push, confirms: bool) -> bool {
         let learned = {
             let mut decides = self.decides.borrow_mut();
             self.runtime.before_push(&mut decides, &push);
-            decides.take(self.runtime.now(), push, confirms)
+            decides.apply_push(self.runtime.now(), push, confirms)
         };
         !self.carry_out(learned).out_of_step
     }
 
     /// Passes on what was learned, and tells of it.
-    fn carry_out(&self, learned: Result<Learned, Unreadable>) -> Learned {
+    fn carry_out(&self, learned: Result<FeedUpdate, UnreadableValue>) -> FeedUpdate {
         let mut learned = learned.unwrap_or_else(|e| {
             self.runtime.on_feed(FeedEvent::Unreadable(&e));
-            Learned::default()
+            FeedUpdate::default()
         });
         self.spread(std::mem::take(&mut learned.spreads));
         if learned.changed {
@@ -120,8 +120,8 @@
         learned
     }
 
-    fn spread(&self, spreads: Vec<Spread>) {
-        for Spread { push, to } in spreads {
+    fn spread(&self, spreads: Vec<Broadcast>) {
+        for Broadcast { push, to } in spreads {
             let prepared = R::Subscriber::prepare(&push);
             for link in to {
                 let pushed = match (&prepared, self.subscribers.borrow().get(&link)) {
@@ -130,41 +130,41 @@
                 };
                 // What it missed it would never get: it has to ask again.
                 if !pushed {
-                    self.part_with(link);
+                    self.remove_subscriber(link);
                 }
             }
         }
     }
 
-    fn part_with(&self, link: SubscriberId) {
+    fn remove_subscriber(&self, link: SubscriberId) {
         self.subscribers.borrow_mut().remove(&link);
         self.decides.borrow_mut().remove(link);
     }
 
     /// When the next heartbeat is due.
-    fn beat_due(&self) -> Duration {
-        self.decides.borrow().beat_due()
+    fn heartbeat_due(&self) -> Duration {
+        self.decides.borrow().heartbeat_due()
     }
 
     /// A heartbeat to every subscriber.
-    pub fn beat(&self) {
-        let spreads = self.decides.borrow_mut().beat(self.runtime.now());
+    pub fn send_heartbeats(&self) {
+        let spreads = self.decides.borrow_mut().heartbeat(self.runtime.now());
         self.spread(spreads);
     }
 
     /// Takes a subscriber on, or names others to ask. `relay`: this is no control node.
     pub fn subscribe(&self, call: &Call, relay: bool, subscriber: R::Subscriber) -> Answer {
-        self.part_with_closed();
+        self.remove_closed_subscribers();
         let link = self.last_link.get() + 1;
         self.last_link.set(link);
-        let role = if relay { Role::Relay } else { Role::Keeper };
+        let role = if relay { Role::Relay } else { Role::ControlNode };
         let (now, peer_port) = (self.runtime.now(), self.runtime.peer_port());
         let subscription = self.decides.borrow_mut().subscribe(now, role, peer_port, call, link);
         let sent = |push: &Push| R::Subscriber::prepare(push).is_some_and(|push| subscriber.send(&push));
         // A subscriber that lacks what it was to be told first would be told that it lacks nothing.
         if !subscription.pushes.iter().all(sent) {
             self.decides.borrow_mut().remove(link);
-            return Answer::Unready;
+            return Answer::NotReady;
         }
         if subscription.answer == Answer::Done {
             self.subscribers.borrow_mut().insert(link, subscriber);
@@ -172,29 +172,29 @@
         subscription.answer
     }
 
-    fn part_with_closed(&self) {
+    fn remove_closed_subscribers(&self) {
         let closed: Vec<SubscriberId> = {
             let subscribers = self.subscribers.borrow();
             let closed = subscribers.iter().filter(|(_, subscriber)| subscriber.is_closed());
             closed.map(|(link, _)| *link).collect()
         };
         for link in closed {
-            self.part_with(link);
+            self.remove_subscriber(link);
         }
     }
 
     /// Addresses of subscribers, for staff.
-    pub fn fed(&self) -> Vec<Ipv4Addr> {
-        self.decides.borrow().fed()
+    pub fn subscriber_addresses(&self) -> Vec<Ipv4Addr> {
+        self.decides.borrow().subscriber_addresses()
     }
 }
 
 /// Sends heartbeats for good.
-pub async fn keep_beating<R: Runtime>(feed: Rc<Feed<R>>) {
+pub async fn run_heartbeats<R: Runtime>(feed: Rc<Feed<R>>) {
     loop {
-        let left = feed.beat_due().saturating_sub(feed.runtime.now());
+        let left = feed.heartbeat_due().saturating_sub(feed.runtime.now());
         match left.is_zero() {
-            true => feed.beat(),
+            true => feed.send_heartbeats(),
             false => feed.runtime.sleep(left).await,
         }
     }
--- a/system/node-runtime/src/follow.rs
+++ b/system/node-runtime/src/follow.rs
@@ -1,6 +1,6 @@
 //! Being fed: `state-feed` decides by whom; here links are opened, read and left.
 
-use crate::{Feed, FeedEvent, MOST_AGE, Runtime, Task, Upstream, timeout};
+use crate::{Feed, FeedEvent, MAX_STATE_AGE, Runtime, Task, Upstream, timeout};
 use fleet_model::{Answer, Call, Push};
 use state_feed::{Command, Event, Follower, LinkId, Sources};
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
     control_nodes: impl Fn(&Feed<R>) -> Vec<SocketAddrV4>,
 ) {
     let runtime = feed.runtime().clone();
-    let mut follower = Follower::new(runtime.ip(), sources, runtime.draw());
+    let mut follower = Follower::new(runtime.ip(), sources, runtime.random_u64());
     let (links, mut brought) = mpsc::channel(MOST_WAITING);
     let mut open: BTreeMap<LinkId, R::Task> = BTreeMap::new();
     let mut event = Event::Tick;
@@ -70,7 +70,7 @@
         }
         if follower.parent() != upstream {
             upstream = follower.parent();
-            runtime.on_feed(FeedEvent::FedBy(upstream));
+            runtime.on_feed(FeedEvent::UpstreamChanged(upstream));
         }
         event = loop {
             let left = follower.wake_at().saturating_sub(runtime.now());
@@ -82,7 +82,7 @@
                 Some(Some((link, Brought::Answer(answer)))) => break Event::Answered(link, answer),
                 Some(Some((link, Brought::Push(push)))) => {
                     let age = beat_age(&push);
-                    if !feed.take(push, true) {
+                    if !feed.apply_push(push, true) {
                         break Event::OutOfStep(link);
                     }
                     if let Some(age) = age {
@@ -100,7 +100,7 @@
 
 fn beat_age(push: &Push) -> Option<Duration> {
     match push {
-        Push::Beat { age_ms, .. } => Some(Duration::from_millis((*age_ms).into())),
+        Push::Heartbeat { age_ms, .. } => Some(Duration::from_millis((*age_ms).into())),
         _ => None,
     }
 }
@@ -111,7 +111,7 @@
         zone,
         urgent,
         value: feed.value().ballot,
-        list: feed.list().stamp,
+        list: feed.list().version,
     }
 }
 
@@ -137,9 +137,9 @@
     let address = SocketAddrV4::new(holder, runtime.peer_port());
     let Some((Answer::Done, mut pushes)) = runtime.subscribe(address, call, OPENING).await else { return };
     while still() {
-        match timeout(runtime, MOST_AGE, pushes.next()).await {
+        match timeout(runtime, MAX_STATE_AGE, pushes.next()).await {
             Some(Some(push)) => {
-                if !feed.take(push, false) {
+                if !feed.apply_push(push, false) {
                     return;
                 }
             }
--- a/system/node-runtime/src/lib.rs
+++ b/system/node-runtime/src/lib.rs
@@ -6,13 +6,13 @@
 mod follow;
 mod timeout;
 
-pub use feed::{Feed, keep_beating};
+pub use feed::{Feed, run_heartbeats};
 pub use follow::{follow, follow_lists, follow_one};
-pub use state_feed::MOST_AGE;
+pub use state_feed::MAX_STATE_AGE;
 pub use timeout::{timeout, timeout_at};
 
 use fleet_model::{Answer, Call, ChosenValue, ControlState, EndpointList, Push};
-use state_feed::{FeedState, Unreadable};
+use state_feed::{FeedState, UnreadableValue};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
     fn now(&self) -> Duration;
 
     /// A random number.
-    fn draw(&self) -> u64;
+    fn random_u64(&self) -> u64;
 
     /// Passes when so much time is over.
     async fn sleep(&self, pause: Duration);
@@ -51,14 +51,14 @@
     fn spawn(&self, work: impl Future<Output = ()> + 'static) -> Self::Task;
 
     /// Calls the node of another machine; none without an answer in time.
-    async fn call(&self, to: Ipv4Addr, call: Call, patience: Duration) -> Option<Answer>;
+    async fn call(&self, to: Ipv4Addr, call: Call, timeout: Duration) -> Option<Answer>;
 
     /// Opens a link of the feed; none without an answer in time.
     async fn subscribe(
         &self,
         to: SocketAddrV4,
         call: Call,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<(Answer, Self::Upstream)>;
 
     /// Is told what happens to the feed.
@@ -115,7 +115,7 @@
         list: &'a EndpointList,
     },
     /// A value was passed over, since it cannot be read.
-    Unreadable(&'a Unreadable),
+    Unreadable(&'a UnreadableValue),
     /// It is fed by another upstream now, or by none.
-    FedBy(Option<SocketAddrV4>),
+    UpstreamChanged(Option<SocketAddrV4>),
 }
--- a/system/peer-wire/src/codec.rs
+++ b/system/peer-wire/src/codec.rs
@@ -7,8 +7,8 @@
 use capnp::traits::{HasStructSize, OwnedStruct};
 use capnp::{primitive_list, serialize_packed, struct_list, text};
 use fleet_model::{
-    AcceptedValue, Answer, Ballot, Call, ChosenValue, Endpoint, EndpointList, EndpointState, Frame, Push,
-    RegisterReply, RegisterRequest, RegisterValue, Reservation, Store, Turn,
+    AcceptedValue, Answer, Ballot, Call, ChosenValue, Endpoint, EndpointList, EndpointState, Frame,
+    ListVersion, Push, RegisterReply, RegisterRequest, RegisterValue, Reservation, StorageNode, Turn,
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -114,14 +114,14 @@
     }
     fn turn(turn: &Turn) -> usize {
         let previous = turn.previous.as_ref().map_or(0, String::len);
-        80 + turn.attempt.len() + previous + turn.input.len() + turn.output.len() + 8 * turn.holders.len()
+        80 + turn.attempt.len() + previous + turn.input.len() + turn.output.len() + 8 * turn.replicas.len()
     }
     fn accepted(value: &AcceptedValue) -> usize {
         value.value.payload.len() + 4 * value.value.voters.len()
     }
     match frame {
         Frame::Call(_, Call::Register(RegisterRequest::Accept(value))) => accepted(value),
-        Frame::Call(_, Call::KeepTurn { turn: kept, .. }) => turn(kept),
+        Frame::Call(_, Call::StoreTurn { turn: kept, .. }) => turn(kept),
         Frame::Call(..) => 0,
         Frame::Answer(_, answer) => match answer {
             Answer::Register(RegisterReply::Promised(Some(value)) | RegisterReply::Fetched(Some(value))) => {
@@ -137,10 +137,10 @@
             _ => 0,
         },
         Frame::Push(push) => match push {
-            Push::Beat { .. } => 0,
+            Push::Heartbeat { .. } => 0,
             Push::Value(value) => value.payload.len() + 4 * value.voters.len(),
             Push::List(list) => endpoints(&list.endpoints),
-            Push::ListChange { put, gone, .. } => {
+            Push::ListDelta { upserted: put, removed: gone, .. } => {
                 endpoints(put) + gone.iter().map(|id| 16 + id.len()).sum::<usize>()
             }
         },
@@ -182,7 +182,7 @@
         Call::Register(request) => write_register_request(to.init_register(), request),
         Call::JoinCore { ip } => to.init_join_core().set_ip((*ip).into()),
         Call::JoinStorage { store } => write_store(to.init_join_storage(), store),
-        Call::Filled { disk, epoch } => {
+        Call::InSync { disk, epoch } => {
             let mut to = to.init_filled();
             to.set_disk(*disk);
             to.set_epoch(*epoch);
@@ -193,7 +193,7 @@
             to.set_zone(zone);
             to.set_urgent(*urgent);
             write_ballot(to.reborrow().init_value(), value);
-            write_stamp(to.init_list(), *list);
+            write_list_version(to.init_list(), *list);
         }
         Call::Reserve { epoch, program, reservation } => {
             let mut to = to.init_reserve();
@@ -214,7 +214,7 @@
             to.set_epoch(*epoch);
             to.set_program(program);
         }
-        Call::KeepTurn { epoch, turn } => {
+        Call::StoreTurn { epoch, turn } => {
             let mut to = to.init_keep_turn();
             to.set_epoch(*epoch);
             write_turn(to.init_turn(), turn);
@@ -224,13 +224,13 @@
             to.set_epoch(*epoch);
             to.set_attempt(attempt);
         }
-        Call::Fill { epoch, disk, cursor } => {
+        Call::Backfill { epoch, disk, cursor } => {
             let mut to = to.init_fill();
             to.set_epoch(*epoch);
             to.set_disk(*disk);
             to.set_cursor(cursor);
         }
-        Call::FillDone { epoch, disk } => {
+        Call::BackfillDone { epoch, disk } => {
             let mut to = to.init_fill_done();
             to.set_epoch(*epoch);
             to.set_disk(*disk);
@@ -245,13 +245,13 @@
         Which::Register(request) => Call::Register(read_register_request(request?)?),
         Which::JoinCore(from) => Call::JoinCore { ip: from.get_ip().into() },
         Which::JoinStorage(store) => Call::JoinStorage { store: read_store(store?)? },
-        Which::Filled(from) => Call::Filled { disk: from.get_disk(), epoch: from.get_epoch() },
+        Which::Filled(from) => Call::InSync { disk: from.get_disk(), epoch: from.get_epoch() },
         Which::Subscribe(from) => Call::Subscribe {
             ip: from.get_ip().into(),
             zone: read_text(from.get_zone()?)?,
             urgent: from.get_urgent(),
             value: read_ballot(from.get_value()?),
-            list: read_stamp(from.get_list()?),
+            list: read_list_version(from.get_list()?),
         },
         Which::Reserve(from) => Call::Reserve {
             epoch: from.get_epoch(),
@@ -267,17 +267,17 @@
             Call::ReadAccount { epoch: from.get_epoch(), program: read_text(from.get_program()?)? }
         }
         Which::KeepTurn(from) => {
-            Call::KeepTurn { epoch: from.get_epoch(), turn: read_turn(from.get_turn()?)? }
+            Call::StoreTurn { epoch: from.get_epoch(), turn: read_turn(from.get_turn()?)? }
         }
         Which::ReadChain(from) => {
             Call::ReadChain { epoch: from.get_epoch(), attempt: read_text(from.get_attempt()?)? }
         }
-        Which::Fill(from) => Call::Fill {
+        Which::Fill(from) => Call::Backfill {
             epoch: from.get_epoch(),
             disk: from.get_disk(),
             cursor: Bytes::copy_from_slice(from.get_cursor()?),
         },
-        Which::FillDone(from) => Call::FillDone { epoch: from.get_epoch(), disk: from.get_disk() },
+        Which::FillDone(from) => Call::BackfillDone { epoch: from.get_epoch(), disk: from.get_disk() },
         Which::Inspect(topic) => Call::Inspect { topic: read_text(topic?)? },
     })
 }
@@ -286,7 +286,7 @@
     match answer {
         Answer::Register(reply) => write_register_reply(to.init_register(), reply),
         Answer::Done => to.set_done(()),
-        Answer::Unready => to.set_unready(()),
+        Answer::NotReady => to.set_unready(()),
         Answer::Redirect(addresses) => {
             let mut to = to.init_redirect(count(addresses.len()));
             for (index, address) in (0..).zip(addresses) {
@@ -332,7 +332,7 @@
     Ok(match from.which()? {
         Which::Register(reply) => Answer::Register(read_register_reply(reply?)?),
         Which::Done(()) => Answer::Done,
-        Which::Unready(()) => Answer::Unready,
+        Which::Unready(()) => Answer::NotReady,
         Which::Redirect(addresses) => Answer::Redirect(
             words
                 .hold(addresses?)?
@@ -365,7 +365,7 @@
 
 fn write_push(to: wire::push::Builder<'_>, push: &Push) {
     match push {
-        Push::Beat { age_ms, proxies } => {
+        Push::Heartbeat { age_ms, proxies } => {
             let mut to = to.init_beat();
             to.set_age_ms(*age_ms);
             to.set_proxies(*proxies);
@@ -378,16 +378,16 @@
         }
         Push::List(list) => {
             let mut to = to.init_list();
-            write_stamp(to.reborrow().init_stamp(), list.stamp);
+            write_list_version(to.reborrow().init_stamp(), list.version);
             write_endpoints(to.init_endpoints(count(list.endpoints.len())), &list.endpoints);
         }
-        Push::ListChange { base, stamp, put, gone } => {
+        Push::ListDelta { base, version, upserted, removed } => {
             let mut to = to.init_list_change();
-            write_stamp(to.reborrow().init_base(), *base);
-            write_stamp(to.reborrow().init_stamp(), *stamp);
-            write_endpoints(to.reborrow().init_put(count(put.len())), put);
-            let mut list = to.init_gone(count(gone.len()));
-            for (index, instance) in (0..).zip(gone) {
+            write_list_version(to.reborrow().init_base(), *base);
+            write_list_version(to.reborrow().init_stamp(), *version);
+            write_endpoints(to.reborrow().init_put(count(upserted.len())), upserted);
+            let mut list = to.init_gone(count(removed.len()));
+            for (index, instance) in (0..).zip(removed) {
                 list.set(index, instance);
             }
         }
@@ -397,21 +397,25 @@
 fn read_push(from: wire::push::Reader<'_>, words: Words) -> Result<Push, WireError> {
     use wire::push::Which;
     Ok(match from.which()? {
-        Which::Beat(from) => Push::Beat { age_ms: from.get_age_ms(), proxies: from.get_proxies() },
+        Which::Beat(from) => Push::Heartbeat { age_ms: from.get_age_ms(), proxies: from.get_proxies() },
         Which::Value(from) => Push::Value(ChosenValue {
             ballot: read_ballot(from.get_ballot()?),
             voters: read_ips(from.get_voters()?),
             payload: Bytes::copy_from_slice(from.get_payload()?),
         }),
         Which::List(from) => Push::List(EndpointList {
-            stamp: read_stamp(from.get_stamp()?),
+            version: read_list_version(from.get_stamp()?),
             endpoints: read_endpoints(words.hold(from.get_endpoints()?)?)?,
         }),
-        Which::ListChange(from) => Push::ListChange {
-            base: read_stamp(from.get_base()?),
-            stamp: read_stamp(from.get_stamp()?),
-            put: read_endpoints(words.hold(from.get_put()?)?)?,
-            gone: from.get_gone()?.iter().map(|instance| read_text(instance?)).collect::<Result<_, _>>()?,
+        Which::ListChange(from) => Push::ListDelta {
+            base: read_list_version(from.get_base()?),
+            version: read_list_version(from.get_stamp()?),
+            upserted: read_endpoints(words.hold(from.get_put()?)?)?,
+            removed: from
+                .get_gone()?
+                .iter()
+                .map(|instance| read_text(instance?))
+                .collect::<Result<_, _>>()?,
         },
     })
 }
@@ -444,8 +448,8 @@
             }
         }
         RegisterReply::Accepted => to.set_accepted(()),
-        RegisterReply::Refused(ballot) => write_ballot(to.init_refused(), ballot),
-        RegisterReply::Unfit => to.set_unfit(()),
+        RegisterReply::Rejected(ballot) => write_ballot(to.init_refused(), ballot),
+        RegisterReply::Recovering => to.set_unfit(()),
         RegisterReply::Polled { accepted, chosen } => {
             let mut to = to.init_polled();
             if let Some(accepted) = accepted {
@@ -470,8 +474,8 @@
     Ok(match from.which()? {
         Which::Promised(from) => RegisterReply::Promised(some(from.has_value(), from.get_value())?),
         Which::Accepted(()) => RegisterReply::Accepted,
-        Which::Refused(ballot) => RegisterReply::Refused(read_ballot(ballot?)),
-        Which::Unfit(()) => RegisterReply::Unfit,
+        Which::Refused(ballot) => RegisterReply::Rejected(read_ballot(ballot?)),
+        Which::Unfit(()) => RegisterReply::Recovering,
         Which::Polled(from) => RegisterReply::Polled {
             accepted: from.has_accepted().then(|| from.get_accepted().map(read_ballot)).transpose()?,
             chosen: read_ballot(from.get_chosen()?),
@@ -483,11 +487,11 @@
 fn write_ballot(mut to: wire::ballot::Builder<'_>, ballot: &Ballot) {
     to.set_round(ballot.round);
     to.set_proposer(ballot.proposer);
-    to.set_life(ballot.life);
+    to.set_life(ballot.incarnation);
 }
 
 fn read_ballot(from: wire::ballot::Reader<'_>) -> Ballot {
-    Ballot { round: from.get_round(), proposer: from.get_proposer(), life: from.get_life() }
+    Ballot { round: from.get_round(), proposer: from.get_proposer(), incarnation: from.get_life() }
 }
 
 fn write_accepted(mut to: wire::accepted_value::Builder<'_>, accepted: &AcceptedValue) {
@@ -510,13 +514,13 @@
     })
 }
 
-fn write_stamp(mut to: wire::stamp::Builder<'_>, (fence, reading): (u64, u64)) {
-    to.set_fence(fence);
-    to.set_reading(reading);
+fn write_list_version(mut to: wire::stamp::Builder<'_>, version: ListVersion) {
+    to.set_fence(version.token);
+    to.set_reading(version.poll);
 }
 
-fn read_stamp(from: wire::stamp::Reader<'_>) -> (u64, u64) {
-    (from.get_fence(), from.get_reading())
+fn read_list_version(from: wire::stamp::Reader<'_>) -> ListVersion {
+    ListVersion::new(from.get_fence(), from.get_reading())
 }
 
 fn write_ips(mut to: primitive_list::Builder<'_, u32>, ips: &[Ipv4Addr]) {
@@ -529,15 +533,15 @@
     from.iter().map(Ipv4Addr::from).collect()
 }
 
-fn write_store(mut to: wire::store::Builder<'_>, store: &Store) {
+fn write_store(mut to: wire::store::Builder<'_>, store: &StorageNode) {
     to.set_name(&store.name);
     to.set_ip(store.ip.into());
     to.set_zone(&store.zone);
     to.set_disk(store.disk);
 }
 
-fn read_store(from: wire::store::Reader<'_>) -> Result<Store, WireError> {
-    Ok(Store {
+fn read_store(from: wire::store::Reader<'_>) -> Result<StorageNode, WireError> {
+    Ok(StorageNode {
         name: read_text(from.get_name()?)?,
         ip: from.get_ip().into(),
         zone: read_text(from.get_zone()?)?,
@@ -587,8 +591,8 @@
     to.set_input(&turn.input);
     to.set_output(&turn.output);
     to.set_retention_ms(turn.retention_ms);
-    let mut holders = to.init_holders(count(turn.holders.len()));
-    for (index, disk) in (0..).zip(&turn.holders) {
+    let mut holders = to.init_holders(count(turn.replicas.len()));
+    for (index, disk) in (0..).zip(&turn.replicas) {
         holders.set(index, *disk);
     }
 }
@@ -600,7 +604,7 @@
         input: Bytes::copy_from_slice(from.get_input()?),
         output: Bytes::copy_from_slice(from.get_output()?),
         retention_ms: from.get_retention_ms(),
-        holders: from.get_holders()?.iter().collect(),
+        replicas: from.get_holders()?.iter().collect(),
     })
 }
 
--- a/system/peer-wire/src/server.rs
+++ b/system/peer-wire/src/server.rs
@@ -218,7 +218,7 @@
                 let answer = handler.call(from, call, pusher.clone()).await;
                 let frame = encode(&Frame::Answer(number, answer)).or_else(|error| {
                     log::error!("an answer cannot be sent: {error}");
-                    encode(&Frame::Answer(number, Answer::Unready))
+                    encode(&Frame::Answer(number, Answer::NotReady))
                 });
                 if let Ok(frame) = frame {
                     // Fails if the caller is gone.
--- a/system/peer-wire/tests/calls.rs
+++ b/system/peer-wire/tests/calls.rs
@@ -3,7 +3,7 @@
 mod samples;
 
 use byte_mutation::changed;
-use fleet_model::{Answer, Ballot, Call, Frame, Push};
+use fleet_model::{Answer, Ballot, Call, Frame, ListVersion, Push};
 use googletest::prelude::*;
 use peer_wire::{
     CallFailure, CallLimits, HELLO_LEN, Handler, PeerClient, PeerServer, Pusher, decode, encode,
@@ -47,12 +47,12 @@
                 Answer::View(topic)
             }
             Call::Subscribe { .. } => {
-                pusher.try_push(&Push::Beat { age_ms: 0, proxies: 0 });
+                pusher.try_push(&Push::Heartbeat { age_ms: 0, proxies: 0 });
                 self.pushers.borrow_mut().push(pusher);
                 Answer::Done
             }
             Call::ReadChain { .. } => Answer::Chain { text: vec![1; 17 << 20].into(), missing: None },
-            _ => Answer::Unready,
+            _ => Answer::NotReady,
         }
     }
 }
@@ -106,7 +106,7 @@
 }
 
 fn subscribe() -> Call {
-    let (value, list) = (Ballot::default(), (0, 0));
+    let (value, list) = (Ballot::default(), ListVersion::default());
     Call::Subscribe { ip: Ipv4Addr::LOCALHOST, zone: "a".into(), urgent: false, value, list }
 }
 
@@ -276,18 +276,21 @@
         assert_that!(answer, eq(&Answer::Done));
         let pusher = served.echo.pushers.borrow()[0].clone();
         for age_ms in 1..200 {
-            assert!(pusher.try_push(&Push::Beat { age_ms, proxies: 1 }));
+            assert!(pusher.try_push(&Push::Heartbeat { age_ms, proxies: 1 }));
         }
         // The first was pushed before the answer.
         for age in 0..200 {
             let push = pushes.next().await;
-            assert!(matches!(push, Some(Push::Beat { age_ms, .. }) if age_ms == age), "{push:?} after {age}");
+            assert!(
+                matches!(push, Some(Push::Heartbeat { age_ms, .. }) if age_ms == age),
+                "{push:?} after {age}"
+            );
         }
 
         assert!(!pusher.is_closed());
         drop(pushes);
         pusher.closed().await;
-        assert!(!pusher.try_push(&Push::Beat { age_ms: 0, proxies: 0 }));
+        assert!(!pusher.try_push(&Push::Heartbeat { age_ms: 0, proxies: 0 }));
 
         let (_, mut pushes) = served.client().subscribe(subscribe(), PATIENCE).await.unwrap();
         assert!(pushes.next().await.is_some());
@@ -302,7 +305,7 @@
         let served = serve().await;
         let (_, _pushes) = served.client().subscribe(subscribe(), PATIENCE).await.unwrap();
         let pusher = served.echo.pushers.borrow()[0].clone();
-        let beat = Push::Beat { age_ms: 0, proxies: 0 };
+        let beat = Push::Heartbeat { age_ms: 0, proxies: 0 };
         let taken = (0..100_000).take_while(|_| pusher.try_push(&beat)).count();
         assert_that!(taken, all![gt(100), lt(100_000)]);
         assert_that!(served.client().call(inspect("x"), PATIENCE).await, ok(eq(&view("x"))));
@@ -314,7 +317,7 @@
     local(async {
         let served = serve().await;
         let chain = Call::ReadChain { epoch: 1, attempt: "a".into() };
-        assert_that!(served.client().call(chain, PATIENCE).await, ok(eq(&Answer::Unready)));
+        assert_that!(served.client().call(chain, PATIENCE).await, ok(eq(&Answer::NotReady)));
     });
 }
 
--- a/system/peer-wire/tests/codec.rs
+++ b/system/peer-wire/tests/codec.rs
@@ -19,26 +19,26 @@
             Call::Register(RegisterRequest::Fetch) => 3,
             Call::JoinCore { .. } => 4,
             Call::JoinStorage { .. } => 5,
-            Call::Filled { .. } => 6,
+            Call::InSync { .. } => 6,
             Call::Subscribe { .. } => 7,
             Call::Reserve { .. } => 8,
             Call::Settle { .. } => 9,
             Call::ReadAccount { .. } => 10,
-            Call::KeepTurn { .. } => 11,
+            Call::StoreTurn { .. } => 11,
             Call::ReadChain { .. } => 12,
-            Call::Fill { .. } => 13,
-            Call::FillDone { .. } => 14,
+            Call::Backfill { .. } => 13,
+            Call::BackfillDone { .. } => 14,
             Call::Inspect { .. } => 15,
         },
         Frame::Answer(_, answer) => match answer {
             Answer::Register(RegisterReply::Promised(_)) => 16,
             Answer::Register(RegisterReply::Accepted) => 17,
-            Answer::Register(RegisterReply::Refused(_)) => 18,
-            Answer::Register(RegisterReply::Unfit) => 19,
+            Answer::Register(RegisterReply::Rejected(_)) => 18,
+            Answer::Register(RegisterReply::Recovering) => 19,
             Answer::Register(RegisterReply::Polled { .. }) => 20,
             Answer::Register(RegisterReply::Fetched(_)) => 21,
             Answer::Done => 22,
-            Answer::Unready => 23,
+            Answer::NotReady => 23,
             Answer::Redirect(_) => 24,
             Answer::WrongEpoch(_) => 25,
             Answer::Account(_) => 26,
@@ -48,10 +48,10 @@
             Answer::View(_) => 30,
         },
         Frame::Push(push) => match push {
-            Push::Beat { .. } => 31,
+            Push::Heartbeat { .. } => 31,
             Push::Value(_) => 32,
             Push::List(_) => 33,
-            Push::ListChange { .. } => 34,
+            Push::ListDelta { .. } => 34,
         },
     }
 }
@@ -73,7 +73,7 @@
 fn given_frequent_frames_when_encoded_then_they_are_short() {
     let len = |frame: Frame| encode(&frame).unwrap().len();
     let lens = [
-        len(Frame::Push(Push::Beat { age_ms: 120, proxies: 40 })),
+        len(Frame::Push(Push::Heartbeat { age_ms: 120, proxies: 40 })),
         len(Frame::Call(70_000, reserve())),
         len(Frame::Answer(70_000, Answer::Done)),
         len(Frame::Answer(70_000, Answer::Account(reservations(10)))),
@@ -156,9 +156,9 @@
             input: blobs[0].clone().into(),
             output: blobs[1].clone().into(),
             retention_ms: epoch,
-            holders,
+            replicas: holders,
         };
-        let call = Frame::Call(number, Call::KeepTurn { epoch, turn: turn.clone() });
+        let call = Frame::Call(number, Call::StoreTurn { epoch, turn: turn.clone() });
         prop_assert_eq!(&decode(&encode(&call).unwrap()).unwrap(), &call);
         let accounts = vec![(texts[1].clone(), vec![Reservation { attempt: epoch, tokens: 1 }])];
         let answer = Frame::Answer(number, Answer::Records { turns: vec![turn], accounts, cursor: None });
--- a/system/peer-wire/tests/samples/mod.rs
+++ b/system/peer-wire/tests/samples/mod.rs
@@ -9,7 +9,7 @@
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, proposer: ip(7).into(), life: u64::MAX - round }
+    Ballot { round, proposer: ip(7).into(), incarnation: u64::MAX - round }
 }
 
 fn accepted() -> AcceptedValue {
@@ -39,7 +39,7 @@
         input: Bytes::from_static(b"{\"q\":\"h\xc3\xa9\"}"),
         output: Bytes::from_static(b"one\ntwo\n"),
         retention_ms: 86_400_000,
-        holders: vec![u64::MAX, 0, 5],
+        replicas: vec![u64::MAX, 0, 5],
     }
 }
 
@@ -55,7 +55,8 @@
 pub fn frames() -> Vec<Frame> {
     use RegisterReply as Reply;
     use RegisterRequest as Request;
-    let store = Store { name: "storage-1".into(), ip: ip(9), zone: "zone-a".into(), disk: u64::MAX - 1 };
+    let store =
+        StorageNode { name: "storage-1".into(), ip: ip(9), zone: "zone-a".into(), disk: u64::MAX - 1 };
     let reservation = Reservation { attempt: u64::MAX, tokens: u32::MAX };
     let calls = [
         Call::Register(Request::Prepare(ballot(u64::MAX))),
@@ -64,19 +65,31 @@
         Call::Register(Request::Fetch),
         Call::JoinCore { ip: ip(255) },
         Call::JoinStorage { store },
-        Call::Filled { disk: 1, epoch: 2 },
-        Call::Subscribe { ip: ip(4), zone: "zone-c".into(), urgent: true, value: ballot(2), list: (3, 4) },
-        Call::Subscribe { ip: ip(4), zone: "".into(), urgent: false, value: Ballot::default(), list: (0, 0) },
+        Call::InSync { disk: 1, epoch: 2 },
+        Call::Subscribe {
+            ip: ip(4),
+            zone: "zone-c".into(),
+            urgent: true,
+            value: ballot(2),
+            list: ListVersion::new(3, 4),
+        },
+        Call::Subscribe {
+            ip: ip(4),
+            zone: "".into(),
+            urgent: false,
+            value: Ballot::default(),
+            list: ListVersion::new(0, 0),
+        },
         reserve(),
         Call::Settle { epoch: 5, program: "".into(), reservation },
         Call::ReadAccount { epoch: 6, program: "p\0q".into() },
-        Call::KeepTurn { epoch: 7, turn: turn(Some("before")) },
-        Call::KeepTurn { epoch: 7, turn: turn(Some("")) },
-        Call::KeepTurn { epoch: 7, turn: turn(None) },
+        Call::StoreTurn { epoch: 7, turn: turn(Some("before")) },
+        Call::StoreTurn { epoch: 7, turn: turn(Some("")) },
+        Call::StoreTurn { epoch: 7, turn: turn(None) },
         Call::ReadChain { epoch: 8, attempt: "a".into() },
-        Call::Fill { epoch: 9, disk: 10, cursor: Bytes::new() },
-        Call::Fill { epoch: 9, disk: 10, cursor: Bytes::from_static(b"next") },
-        Call::FillDone { epoch: 11, disk: 12 },
+        Call::Backfill { epoch: 9, disk: 10, cursor: Bytes::new() },
+        Call::Backfill { epoch: 9, disk: 10, cursor: Bytes::from_static(b"next") },
+        Call::BackfillDone { epoch: 11, disk: 12 },
         Call::Inspect { topic: "members".into() },
     ];
     let chain = |missing: Option<&str>| Answer::Chain {
@@ -92,14 +105,14 @@
         Answer::Register(Reply::Promised(None)),
         Answer::Register(Reply::Promised(Some(accepted()))),
         Answer::Register(Reply::Accepted),
-        Answer::Register(Reply::Refused(ballot(3))),
-        Answer::Register(Reply::Unfit),
+        Answer::Register(Reply::Rejected(ballot(3))),
+        Answer::Register(Reply::Recovering),
         Answer::Register(Reply::Polled { accepted: None, chosen: Ballot::default() }),
         Answer::Register(Reply::Polled { accepted: Some(Ballot::default()), chosen: ballot(1) }),
         Answer::Register(Reply::Fetched(None)),
         Answer::Register(Reply::Fetched(Some(accepted()))),
         Answer::Done,
-        Answer::Unready,
+        Answer::NotReady,
         Answer::Redirect(vec![]),
         Answer::Redirect(vec![SocketAddrV4::new(ip(1), 1), SocketAddrV4::new(ip(2), u16::MAX)]),
         Answer::WrongEpoch(77),
@@ -117,14 +130,19 @@
     ];
     let endpoints = vec![endpoint(1, EndpointState::Ready), endpoint(2, EndpointState::Draining)];
     let pushes = [
-        Push::Beat { age_ms: 120, proxies: 40 },
+        Push::Heartbeat { age_ms: 120, proxies: 40 },
         Push::Value(ChosenValue {
             ballot: ballot(8),
             voters: vec![ip(1)],
             payload: Bytes::from_static(b"v"),
         }),
-        Push::List(EndpointList { stamp: (1, 2), endpoints: endpoints.clone() }),
-        Push::ListChange { base: (1, 2), stamp: (1, 3), put: endpoints, gone: vec!["x".into(), "".into()] },
+        Push::List(EndpointList { version: ListVersion::new(1, 2), endpoints: endpoints.clone() }),
+        Push::ListDelta {
+            base: ListVersion::new(1, 2),
+            version: ListVersion::new(1, 3),
+            upserted: endpoints,
+            removed: vec!["x".into(), "".into()],
+        },
     ];
     let calls = (1..).zip(calls).map(|(number, call)| Frame::Call(number, call));
     let answers = answers.into_iter().map(|answer| Frame::Answer(u64::MAX, answer));
--- a/system/programs/src/agent.rs
+++ b/system/programs/src/agent.rs
@@ -1,6 +1,6 @@
 //! The agent beside each proxy: it follows the feed, feeds the proxy over loopback, and other agents below it in the tree.
 
-use crate::feed::{Feed, SubscriberLink, follow, keep_beating, new_feed};
+use crate::feed::{Feed, SubscriberLink, follow, new_feed, run_heartbeats};
 use crate::members::Members;
 use crate::staff::Desk;
 use crate::start::{Process, StartError, ended, listen};
@@ -23,7 +23,7 @@
         match &call {
             Call::Subscribe { .. } => self.feed.subscribe(&call, true, SubscriberLink(pusher)),
             Call::Inspect { topic } => self.desk.answer(topic, |_| ()),
-            _ => Answer::Unready,
+            _ => Answer::NotReady,
         }
     }
 }
@@ -41,7 +41,7 @@
         let server = PeerServer::new(process.fleet(), agent.clone());
         spawn_local(async move { server.serve(listener).await });
     }
-    spawn_local(keep_beating(feed.clone()));
+    spawn_local(run_heartbeats(feed.clone()));
     spawn_local(follow(feed, false));
     ended(&process).await;
     sleep(Duration::from_secs_f64((settings.bounds.grace_period_s - 0.6).clamp(0.0, 30.0))).await;
--- a/system/programs/src/feed.rs
+++ b/system/programs/src/feed.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::task::{AbortHandle, spawn_local};
 
-pub use node_runtime::{MOST_AGE, follow, follow_lists, follow_one, keep_beating};
+pub use node_runtime::{MAX_STATE_AGE, follow, follow_lists, follow_one, run_heartbeats};
 
 /// What a process knows through the feed, and passes on.
 pub type Feed = node_runtime::Feed<NodeProcess>;
@@ -67,7 +67,7 @@
         self.process.now()
     }
 
-    fn draw(&self) -> u64 {
+    fn random_u64(&self) -> u64 {
         drawn()
     }
 
@@ -98,8 +98,8 @@
         match event {
             FeedEvent::Changed { .. } => {}
             FeedEvent::Unreadable(e) => log::error!("passed over: {e}"),
-            FeedEvent::FedBy(Some(upstream)) => log::info!("fed by {upstream}"),
-            FeedEvent::FedBy(None) => log::info!("fed by nobody"),
+            FeedEvent::UpstreamChanged(Some(upstream)) => log::info!("fed by {upstream}"),
+            FeedEvent::UpstreamChanged(None) => log::info!("fed by nobody"),
         }
     }
 }
--- a/system/programs/src/keeper.rs
+++ b/system/programs/src/keeper.rs
@@ -56,7 +56,7 @@
             figures.gauge("control_node_fresh", f64::from(u8::from(node.is_fresh())));
             figures.gauge("control_node_core_machines_heard", node.core_machines_heard() as f64);
             let state = node.feed.state();
-            let holds = state.fences.values().filter(|fence| fence.holder == Some(self.me)).count();
+            let holds = state.leases.values().filter(|fence| fence.holder == Some(self.me)).count();
             figures.gauge("control_node_duties", holds as f64);
             let losses = node.storage_losses();
             figures.gauge("control_node_storage_losses_to_bear", losses.to_bear as f64);
@@ -73,7 +73,7 @@
 
 impl Handler for Keeper {
     async fn call(&self, from: SocketAddr, call: Call, pusher: Pusher) -> Answer {
-        let SocketAddr::V4(from) = from else { return Answer::Unready };
+        let SocketAddr::V4(from) = from else { return Answer::NotReady };
         match call {
             Call::Inspect { topic } => self.inspect(&topic),
             call => self.node.answer(*from.ip(), call, Some(SubscriberLink(pusher))).await,
--- a/system/programs/src/keeper/record/tests.rs
+++ b/system/programs/src/keeper/record/tests.rs
@@ -5,7 +5,8 @@
 use config_register::{Acceptor, AcceptorRecord, Standing, found};
 use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
-    AcceptedValue, Ballot, ControlState, Fence, RegisterReply, RegisterRequest, RegisterValue, TakenVersion,
+    AcceptedValue, Ballot, CommittedVersion, ControlState, Lease, RegisterReply, RegisterRequest,
+    RegisterValue,
 };
 use googletest::prelude::*;
 use std::fs;
@@ -36,15 +37,15 @@
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, proposer: ip(2).into(), life: 0x1234_5678_9abc_def0 }
+    Ballot { round, proposer: ip(2).into(), incarnation: 0x1234_5678_9abc_def0 }
 }
 
 fn state(version: u64, config: usize) -> ControlState {
-    let fence = Fence { number: 3, holder: Some(ip(2)) };
+    let fence = Lease { token: 3, holder: Some(ip(2)) };
     ControlState {
         config: vec![b'c'; config].into(),
-        taken: vec![TakenVersion { version, digest: [7; 32] }],
-        fences: [("list".to_owned(), fence)].into(),
+        committed: vec![CommittedVersion { version, digest: [7; 32] }],
+        leases: [("list".to_owned(), fence)].into(),
         ..ControlState::default()
     }
 }
@@ -135,7 +136,7 @@
     // Then it answers as one that lost its disk.
     let mut acceptor = Acceptor::unfit();
     let (reply, _) = acceptor.handle(&RegisterRequest::Prepare(ballot(9)));
-    expect_that!(reply, eq(&RegisterReply::Unfit));
+    expect_that!(reply, eq(&RegisterReply::Recovering));
     // And what it is restored with is there in its next life.
     put(&opened.durable, &voted(5));
     drop(opened);
@@ -168,7 +169,7 @@
     drop(opened);
     // When the folder is opened, then the promise and the value are there.
     let opened = open_as(folder.path(), false, ip(1));
-    let without_nonce = |round| Ballot { round, proposer, life: 0 };
+    let without_nonce = |round| Ballot { round, proposer, incarnation: 0 };
     let record = AcceptorRecord {
         promised: without_nonce(7),
         accepted: Some(AcceptedValue { ballot: without_nonce(6), value: value.clone() }),
@@ -209,7 +210,7 @@
     // When 2,000 changes are promised and accepted, each put on disk before its answer.
     for version in 1..=2_000_u64 {
         let body = Bytes::from(vec![b'c'; 20_000]);
-        let taken = TakenVersion { version, digest: [version as u8; 32] };
+        let taken = CommittedVersion { version, digest: [version as u8; 32] };
         let (next, verdict) = put_config(&state, version - 1, &taken, &body);
         expect_that!(verdict, eq(ConfigVerdict::Taken));
         state = next.unwrap();
--- a/system/programs/src/proxy.rs
+++ b/system/programs/src/proxy.rs
@@ -1,10 +1,10 @@
 //! The proxy: it carries requests, with what its agent told it.
 
-use crate::feed::{Feed, follow_one, keep_beating, new_feed};
+use crate::feed::{Feed, follow_one, new_feed, run_heartbeats};
 use crate::staff::{Desk, Topic, answers};
 use crate::start::{Process, StartError, ended, listen};
 use crate::turns::{TurnClient, Turns};
-use fleet_model::{Answer, Call};
+use fleet_model::{Answer, Call, ListVersion};
 use operator_config::OperatorConfig;
 use peer_wire::{Handler, PeerServer, Pusher};
 use request_forwarding::{Forwarder, Knowledge, Stage, serve_readiness};
@@ -33,7 +33,7 @@
             }
         }
         let list = feed.list();
-        let list = (list.stamp != (0, 0)).then_some(list);
+        let list = (list.version != ListVersion::default()).then_some(list);
         let known = feed.proxies();
         let proxies = if known == 0 { UNTOLD_PROXIES } else { known };
         let config = last.borrow().1.clone();
@@ -56,7 +56,7 @@
 
 impl Handler for ProxyDesk {
     async fn call(&self, _from: SocketAddr, call: Call, _pusher: Pusher) -> Answer {
-        let Call::Inspect { topic } = call else { return Answer::Unready };
+        let Call::Inspect { topic } = call else { return Answer::NotReady };
         match Topic::read(&topic).name {
             "endpoints" => self.desk.view(answers::endpoints(&self.forwarder.endpoints())),
             _ => self.desk.answer(&topic, |figures| {
@@ -119,7 +119,7 @@
         let (ready, ending) = (ready.clone(), process.ending.clone());
         spawn_local(serve_readiness(readiness, move || ready.get() && !*ending.borrow()));
     }
-    spawn_local(keep_beating(feed.clone()));
+    spawn_local(run_heartbeats(feed.clone()));
     let agent = SocketAddrV4::new(Ipv4Addr::LOCALHOST, settings.feed_port());
     spawn_local(follow_one(feed.clone(), agent));
     let desk = Desk::new(process.clone(), feed.clone(), None, "request-proxy");
--- a/system/programs/src/staff/answers.rs
+++ b/system/programs/src/staff/answers.rs
@@ -37,14 +37,14 @@
             "members" => return self.members_view(),
             "config" => json!({
                 "version": state.version(),
-                "taken": state.taken.iter().map(|taken| taken.version).collect::<Vec<_>>(),
-                "digests": state.taken.iter().map(|taken| hex(&taken.digest)).collect::<Vec<_>>(),
+                "taken": state.committed.iter().map(|taken| taken.version).collect::<Vec<_>>(),
+                "digests": state.committed.iter().map(|taken| hex(&taken.digest)).collect::<Vec<_>>(),
                 "config": String::from_utf8_lossy(&state.config),
             }),
-            "endpoints" => json!({ "stamp": self.feed.list().stamp, "list": self.feed.list().endpoints }),
+            "endpoints" => json!({ "stamp": self.feed.list().version, "list": self.feed.list().endpoints }),
             "roster" => json!({
                 "roster": state.roster,
-                "fences": state.fences,
+                "fences": state.leases,
                 "losses": self.process.settings().fault_tolerance.machines,
             }),
             "figures" => {
@@ -59,7 +59,7 @@
                 "voters": self.feed.value().voters,
                 "endpoints": self.feed.list().endpoints.len(),
                 "proxies": self.feed.proxies(),
-                "fed": self.feed.fed(),
+                "fed": self.feed.subscriber_addresses(),
             }),
         };
         self.view(says)
@@ -117,7 +117,7 @@
         figures.gauge("register_voters", self.feed.value().voters.len() as f64);
         figures.gauge("roster_epoch", self.feed.state().roster.epoch as f64);
         figures.gauge("endpoints_listed", self.feed.list().endpoints.len() as f64);
-        figures.gauge("feed_subscribers", self.feed.fed().len() as f64);
+        figures.gauge("feed_subscribers", self.feed.subscriber_addresses().len() as f64);
         figures.gauge("proxies_told", f64::from(self.feed.proxies()));
         if let Some(members) = &self.members {
             let (all, counters) = (members.all(), members.counters());
@@ -164,7 +164,7 @@
         "disk": disk, "losses": losses, "state": state,
         "bytes": turn.map(|turn| turn.input.len() + turn.output.len()),
         "previous": turn.and_then(|turn| turn.previous.clone()),
-        "holders": turn.map(|turn| turn.holders.clone()).unwrap_or_default(),
+        "holders": turn.map(|turn| turn.replicas.clone()).unwrap_or_default(),
     })
 }
 
--- a/system/programs/src/staff/commands/account.rs
+++ b/system/programs/src/staff/commands/account.rs
@@ -5,7 +5,7 @@
 use crate::staff::View;
 use crate::staff::asking::Fleet;
 use crate::staff::table::table;
-use fleet_model::{Reservation, Store, account_holders};
+use fleet_model::{Reservation, StorageNode, account_replicas};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -33,7 +33,7 @@
 pub(super) async fn account(fleet: &Fleet, program: &str) -> Report {
     let Some(known) = newest_roster(fleet).await else { return Report::silent() };
     let losses = known.says.losses;
-    let holders = account_holders(&known.says.roster.current, program, losses);
+    let holders = account_replicas(&known.says.roster.current, program, losses);
     let asked: Vec<SocketAddrV4> = holders.iter().map(|store| fleet.peer(store.ip)).collect();
     let answers = fleet.ask_all::<SeenAccount>(&asked, &format!("account {program}")).await;
     let views: Vec<Option<View<SeenAccount>>> = answers.into_iter().map(|(_, view)| view).collect();
@@ -44,7 +44,7 @@
 }
 
 /// `views`: what each of the holders answers, in the same order.
-fn report(holders: &[&Store], views: &[Option<View<SeenAccount>>], losses: usize) -> Report {
+fn report(holders: &[&StorageNode], views: &[Option<View<SeenAccount>>], losses: usize) -> Report {
     let holders: Vec<&str> = holders.iter().map(|store| store.name.as_str()).collect();
     let columns: Vec<Option<Reservations>> = views.iter().map(|view| column(view.as_ref())).collect();
     let merged = merged(views);
--- a/system/programs/src/staff/commands/endpoints.rs
+++ b/system/programs/src/staff/commands/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::staff::View;
 use crate::staff::asking::{Fleet, places};
 use crate::staff::table::{age, table};
-use fleet_model::{Endpoint, EndpointState};
+use fleet_model::{Endpoint, EndpointState, ListVersion};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -40,7 +40,7 @@
 /// The platform's list as a process knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct ListedEndpoints {
-    stamp: (u64, u64),
+    stamp: ListVersion,
     list: Vec<Endpoint>,
 }
 
--- a/system/programs/src/staff/commands/roster.rs
+++ b/system/programs/src/staff/commands/roster.rs
@@ -4,7 +4,7 @@
 use crate::staff::View;
 use crate::staff::asking::{Fleet, Place, places};
 use crate::staff::table::table;
-use fleet_model::{Fence, Roster, Store};
+use fleet_model::{Lease, Roster, StorageNode};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -16,7 +16,7 @@
 pub(super) struct SeenRoster {
     pub(super) roster: Roster,
     /// Who holds each task of the control side.
-    fences: BTreeMap<String, Fence>,
+    fences: BTreeMap<String, Lease>,
     /// How many machines may be lost at once.
     pub(super) losses: usize,
 }
@@ -28,8 +28,8 @@
 }
 
 /// Every storage machine of the roster, current ones first.
-pub(super) fn stores(roster: &Roster) -> Vec<&Store> {
-    let mut stores: Vec<&Store> = roster.current.iter().collect();
+pub(super) fn stores(roster: &Roster) -> Vec<&StorageNode> {
+    let mut stores: Vec<&StorageNode> = roster.current.iter().collect();
     stores.extend(roster.next.iter().flatten().filter(|store| !roster.current.contains(store)));
     stores
 }
@@ -42,7 +42,7 @@
 
 fn report(view: &View<SeenRoster>, members: &[Place]) -> Report {
     let SeenRoster { roster, losses, .. } = &view.says;
-    let is_absent = |store: &Store| liveness(store, members) != "alive";
+    let is_absent = |store: &StorageNode| liveness(store, members) != "alive";
     let is_small = roster.current.len() < 2 * losses + 1;
     let is_wrong = is_stale(&view.origin) || roster.current.iter().any(is_absent) || is_small;
     Report::new(Verdict::wrong_if(is_wrong), text(view, members), view)
@@ -59,12 +59,12 @@
     }
     for (task, fence) in &view.says.fences {
         let holder = fence.holder.map_or("nobody".to_owned(), |ip| name(ip, members));
-        text.push_str(&format!("duty {task}: {holder}, fence {}\n", fence.number));
+        text.push_str(&format!("duty {task}: {holder}, fence {}\n", fence.token));
     }
     text
 }
 
-fn row(roster: &Roster, store: &Store, members: &[Place]) -> Vec<String> {
+fn row(roster: &Roster, store: &StorageNode, members: &[Place]) -> Vec<String> {
     let counts = if roster.current.contains(store) { "counts" } else { "" };
     vec![
         store.name.clone(),
@@ -78,7 +78,7 @@
 }
 
 /// How the membership sees a storage machine.
-fn liveness(store: &Store, members: &[Place]) -> &'static str {
+fn liveness(store: &StorageNode, members: &[Place]) -> &'static str {
     match members.iter().find(|place| place.member.ip == store.ip) {
         None => "gone",
         Some(place) if place.member.suspected => "suspected",
@@ -87,11 +87,11 @@
 }
 
 /// How far the change under way is with a storage machine.
-fn progress(roster: &Roster, store: &Store) -> &'static str {
+fn progress(roster: &Roster, store: &StorageNode) -> &'static str {
     match &roster.next {
         None => "",
         Some(next) if !next.contains(store) => "leaves",
-        Some(_) if roster.filled.contains(&store.disk) => "full",
+        Some(_) if roster.in_sync.contains(&store.disk) => "full",
         Some(_) => "fills",
     }
 }
--- a/system/programs/src/start.rs
+++ b/system/programs/src/start.rs
@@ -129,7 +129,7 @@
 pub fn fleet_number(settings: &Settings) -> u16 {
     let names = settings.zones.iter().flat_map(|(zone, region)| [zone, region]);
     let bytes: Vec<u8> = names.flat_map(|name| name.bytes().chain([0])).collect();
-    u16::try_from(fleet_model::rank(&bytes, 0) & 0xffff).unwrap_or_default()
+    u16::try_from(fleet_model::rendezvous_rank(&bytes, 0) & 0xffff).unwrap_or_default()
 }
 
 /// Ends the command line's and the settings' part of a start, then runs `run` until it returns.
--- a/system/programs/src/storage.rs
+++ b/system/programs/src/storage.rs
@@ -11,7 +11,7 @@
 use crate::staff::{Desk, Topic, answers};
 use crate::start::{Process, StartError, drawn, ended, listen};
 use fleet_membership::Role;
-use fleet_model::{Answer, Call, Roster, Store};
+use fleet_model::{Answer, Call, Roster, StorageNode};
 use peer_wire::{Handler, PeerClient, PeerServer, Pusher};
 use recovery::RecoveringReplica;
 use replica::{DirectoryAt, Machine, Replica};
@@ -49,7 +49,7 @@
 
 /// What a machine has to see to for its place, by its roster.
 struct Place {
-    me: Store,
+    me: StorageNode,
     roster: Rc<Roster>,
     /// The roster has it, or takes it in.
     is_placed: bool,
@@ -74,7 +74,7 @@
 
     /// It is to tell that it is in sync for this epoch.
     fn must_tell_in_sync(&self, epoch: u64) -> bool {
-        self.in_sync && !self.roster.filled.contains(&self.me.disk) && self.roster.epoch == epoch
+        self.in_sync && !self.roster.in_sync.contains(&self.me.disk) && self.roster.epoch == epoch
     }
 
     fn pause_ms(&self) -> u64 {
@@ -119,8 +119,8 @@
         let draw = drawn();
         // One keeper changes the roster for all, so that proposers do not get into each other's way.
         let holders: Vec<Ipv4Addr> =
-            self.feed.state().fences.values().filter_map(|fence| fence.holder).collect();
-        ips.sort_by_key(|ip| (!holders.contains(ip), fleet_model::rank(&ip.octets(), draw)));
+            self.feed.state().leases.values().filter_map(|fence| fence.holder).collect();
+        ips.sort_by_key(|ip| (!holders.contains(ip), fleet_model::rendezvous_rank(&ip.octets(), draw)));
         for ip in ips {
             if let Ok(Answer::Done) = self.peer(ip).call(call.clone(), CORE_PATIENCE).await {
                 return true;
@@ -158,7 +158,7 @@
         let Some(after) = place() else { return BUSY_PAUSE_MS };
         let epoch = self.replica.with(|replica| replica.state.epoch()).unwrap_or_default();
         if after.must_tell_in_sync(epoch) && !self.replica.is_refusing() {
-            self.tell_core(Call::Filled { disk: after.me.disk, epoch }).await;
+            self.tell_core(Call::InSync { disk: after.me.disk, epoch }).await;
         }
         after.pause_ms()
     }
@@ -171,7 +171,7 @@
         let own = self.replica.with(|replica| self.inspect_replica(replica, asked));
         match (own.flatten(), asked.name) {
             (Some(answer), _) => answer,
-            (None, "disk" | "turns" | "turn" | "account") => Answer::Unready,
+            (None, "disk" | "turns" | "turn" | "account") => Answer::NotReady,
             (None, _) => self.desk.answer(topic, |figures| self.figures(figures)),
         }
     }
--- a/system/programs/src/storage/catch_up.rs
+++ b/system/programs/src/storage/catch_up.rs
@@ -1,7 +1,7 @@
 //! Catch-up: a storage machine gets from others what it should hold, and tells the core when it is in sync.
 
 use super::TurnKeeper;
-use fleet_model::{Answer, Call, Store};
+use fleet_model::{Answer, Call, StorageNode};
 use futures_util::future::join_all;
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
 }
 
 impl CatchUp {
-    fn give_up(&self, source: &Store) {
+    fn give_up(&self, source: &StorageNode) {
         self.filling.borrow_mut().give_up(source.disk);
     }
 }
@@ -44,7 +44,8 @@
             enough: Notify::new(),
         };
         let began = Instant::now();
-        let sources: Vec<Store> = catch_up.filling.borrow().calls().map(|(store, _)| store.clone()).collect();
+        let sources: Vec<StorageNode> =
+            catch_up.filling.borrow().calls().map(|(store, _)| store.clone()).collect();
         join_all(sources.iter().map(|source| self.drain(source, &catch_up))).await;
         if !catch_up.filling.borrow().is_done() || !self.goes_on(&catch_up) {
             sleep(FAILED_PAUSE).await;
@@ -74,12 +75,12 @@
     /// Enough sources are drained: once it is synced they are told, and it is kept that this replica is in sync.
     async fn finish(&self, catch_up: &CatchUp) -> Result<bool, WriteFailed> {
         self.replica.write(catch_up.generation, Vec::new()).await?;
-        let drained: Vec<Store> = catch_up.filling.borrow().drained().cloned().collect();
+        let drained: Vec<StorageNode> = catch_up.filling.borrow().drained().cloned().collect();
         let Some(disk) = self.replica.with_generation(catch_up.generation, |replica| replica.me.disk) else {
             return Ok(false);
         };
         let told = drained.iter().map(|source| async {
-            let call = Call::FillDone { epoch: catch_up.epoch, disk };
+            let call = Call::BackfillDone { epoch: catch_up.epoch, disk };
             // Who does not hear of it offers the same again: no harm.
             let _ = self.peer(source.ip).call(call, PATIENCE).await;
         });
@@ -95,7 +96,7 @@
     }
 
     /// Asks one source for page after page, until it is drained or gone, or enough others are. A page counts when it is synced.
-    async fn drain(&self, source: &Store, catch_up: &CatchUp) {
+    async fn drain(&self, source: &StorageNode, catch_up: &CatchUp) {
         let mut answered = Instant::now();
         loop {
             if catch_up.filling.borrow().is_done() {
--- a/system/programs/src/storage/recovery.rs
+++ b/system/programs/src/storage/recovery.rs
@@ -170,13 +170,13 @@
     pub async fn answer(&self, call: &Call) -> Answer {
         let now_ms = (self.now_ms)();
         let Some(progress) = self.with(|replica| replica.handle(now_ms, call)) else {
-            return Answer::Unready;
+            return Answer::NotReady;
         };
         match progress {
             Progress::Done(answer) => answer,
             Progress::Syncing(answer, synced) => match synced.await {
                 Ok(()) => answer,
-                Err(_) => Answer::Unready,
+                Err(_) => Answer::NotReady,
             },
         }
     }
--- a/system/programs/src/storage/recovery/tests.rs
+++ b/system/programs/src/storage/recovery/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::storage::replica::{DirectoryAt, OnFailure, OpenedDirectory};
 use bytes::Bytes;
-use fleet_model::{Reservation, Store, Turn};
+use fleet_model::{Reservation, StorageNode, Turn};
 use googletest::prelude::*;
 use std::future::Future;
 use std::net::Ipv4Addr;
@@ -117,7 +117,7 @@
 
     /// The fleet is founded with this machine alone, which is in sync for that.
     async fn join(&self) {
-        let me: Store = self.replica.with(|replica| replica.me.clone()).unwrap();
+        let me: StorageNode = self.replica.with(|replica| replica.me.clone()).unwrap();
         let gathering = Roster { epoch: GATHERED, next: Some(vec![me.clone()]), ..Roster::default() };
         self.replica.set_roster(&gathering);
         let filling = self.replica.with(|replica| replica.state.filling()).unwrap().unwrap();
@@ -148,9 +148,9 @@
             input: "in".into(),
             output: "out".into(),
             retention_ms: 600_000,
-            holders: vec![],
+            replicas: vec![],
         };
-        self.replica.answer(&Call::KeepTurn { epoch: FOUNDED, turn }).await
+        self.replica.answer(&Call::StoreTurn { epoch: FOUNDED, turn }).await
     }
 
     async fn chain(&self, attempt: &str) -> Answer {
@@ -188,9 +188,9 @@
         let fleet = Fleet::holding().await;
         fleet.directory.behave(Behaviour::Refuses);
         // When a reservation comes, then it is not ready to take it, nor any other that would have to be synced.
-        expect_that!(fleet.reserve(2, 50).await, eq(&Answer::Unready));
-        expect_that!(fleet.keep_turn("t2").await, eq(&Answer::Unready));
-        expect_that!(fleet.settle(1, 10).await, eq(&Answer::Unready));
+        expect_that!(fleet.reserve(2, 50).await, eq(&Answer::NotReady));
+        expect_that!(fleet.keep_turn("t2").await, eq(&Answer::NotReady));
+        expect_that!(fleet.settle(1, 10).await, eq(&Answer::NotReady));
         fleet.until(|replica| replica.refusals() == 1).await;
         expect_that!(fleet.replica.is_refusing(), eq(true));
         // And what needs no write is served.
@@ -215,7 +215,7 @@
         // Given a disk that takes a reservation and fails its sync.
         let fleet = Fleet::holding().await;
         fleet.directory.behave(Behaviour::TakesAndRefuses);
-        expect_that!(fleet.reserve(2, 50).await, eq(&Answer::Unready));
+        expect_that!(fleet.reserve(2, 50).await, eq(&Answer::NotReady));
         // When it is well again, then memory is what the disk holds: the reservation too.
         fleet.directory.behave(Behaviour::Takes);
         fleet.until(|replica| replica.generation() == 2).await;
@@ -244,8 +244,8 @@
     played(async {
         let fleet = Fleet::start(Behaviour::Refuses).await;
         expect_that!(fleet.replica.is_refusing(), eq(true));
-        expect_that!(fleet.reserve(1, 100).await, eq(&Answer::Unready));
-        expect_that!(fleet.account().await, eq(&Answer::Unready));
+        expect_that!(fleet.reserve(1, 100).await, eq(&Answer::NotReady));
+        expect_that!(fleet.account().await, eq(&Answer::NotReady));
         fleet.directory.behave(Behaviour::Takes);
         fleet.until(|replica| !replica.is_refusing()).await;
         fleet.join().await;
@@ -259,7 +259,7 @@
         let fleet = Fleet::holding().await;
         for round in 1..=3 {
             fleet.directory.behave(Behaviour::Refuses);
-            expect_that!(fleet.reserve(9, 50).await, eq(&Answer::Unready));
+            expect_that!(fleet.reserve(9, 50).await, eq(&Answer::NotReady));
             fleet.until(|replica| replica.refusals() == round).await;
             fleet.directory.behave(Behaviour::Takes);
             fleet.until(|replica| !replica.is_refusing()).await;
@@ -296,7 +296,7 @@
         let fleet = Fleet::holding().await;
         let began = fleet.replica.generation();
         fleet.directory.behave(Behaviour::Refuses);
-        expect_that!(fleet.reserve(2, 50).await, eq(&Answer::Unready));
+        expect_that!(fleet.reserve(2, 50).await, eq(&Answer::NotReady));
         fleet.directory.behave(Behaviour::Takes);
         fleet.until(|replica| replica.generation() > began).await;
         // Then what it has left to write is refused: what it wrote before may be lost.
--- a/system/programs/src/storage/replica.rs
+++ b/system/programs/src/storage/replica.rs
@@ -2,7 +2,7 @@
 
 use crate::disk::Durable;
 use crate::start::{StartError, drawn};
-use fleet_model::{Answer, Call, Roster, Store};
+use fleet_model::{Answer, Call, Roster, StorageNode};
 use std::future::Future;
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
@@ -77,7 +77,7 @@
     /// Damages on disk that the opening has found.
     pub damages: usize,
     /// This machine with this disk, as the roster has it.
-    pub me: Store,
+    pub me: StorageNode,
     durable: Durable,
 }
 
@@ -94,8 +94,12 @@
     pub fn new(now_ms: u64, machine: &Machine, opened: OpenedDirectory) -> Result<Self, StartError> {
         let OpenedDirectory { disk, writer, kept, damages } = opened;
         let number = disk.number();
-        let me =
-            Store { name: machine.name.clone(), ip: machine.ip, zone: machine.zone.clone(), disk: number };
+        let me = StorageNode {
+            name: machine.name.clone(),
+            ip: machine.ip,
+            zone: machine.zone.clone(),
+            disk: number,
+        };
         let state = StoreState::new(now_ms, number, machine.losses, kept);
         let (turns, accounts, bytes) = state.counts();
         log::info!("disk {number} with {turns} turns, {accounts} accounts, {bytes} bytes");
@@ -114,7 +118,7 @@
         call: &Call,
     ) -> Progress<impl Future<Output = Result<(), WriteFailed>> + use<>> {
         if self.has_failed() && changes_records(call) {
-            return Progress::Done(Answer::Unready);
+            return Progress::Done(Answer::NotReady);
         }
         let Outcome { answer, writes, durability } = self.state.handle(now_ms, call, &*self.disk);
         match durability {
@@ -149,5 +153,8 @@
 
 /// Whether the answer to a call promises something that is to be on disk.
 fn changes_records(call: &Call) -> bool {
-    matches!(call, Call::Reserve { .. } | Call::Settle { .. } | Call::KeepTurn { .. } | Call::FillDone { .. })
+    matches!(
+        call,
+        Call::Reserve { .. } | Call::Settle { .. } | Call::StoreTurn { .. } | Call::BackfillDone { .. }
+    )
 }
--- a/system/programs/src/turns.rs
+++ b/system/programs/src/turns.rs
@@ -4,7 +4,7 @@
 use crate::feed::Feed;
 use crate::start::Process;
 use bytes::{Bytes, BytesMut};
-use fleet_model::{Answer, Call, Reservation, Store, Turn, rank};
+use fleet_model::{Answer, Call, Reservation, StorageNode, Turn, rendezvous_rank};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use peer_wire::{CallFailure, PeerClient};
 use request_forwarding::{Chain, NewTurn, Reserve, TurnKeeping};
@@ -123,7 +123,7 @@
         self.process.settings().fault_tolerance.machines
     }
 
-    async fn ask(&self, store: &Store, call: Call, patience: Duration) -> Result<Answer, CallFailure> {
+    async fn ask(&self, store: &StorageNode, call: Call, patience: Duration) -> Result<Answer, CallFailure> {
         let address = self.process.peer(store.ip);
         let peer = self
             .peers
@@ -140,7 +140,7 @@
         answer
     }
 
-    fn is_down(&self, store: &Store) -> bool {
+    fn is_down(&self, store: &StorageNode) -> bool {
         self.down.borrow().get(&store.disk).is_some_and(|at| at.elapsed() < DOWN)
     }
 
@@ -163,7 +163,7 @@
         let roster = &state.roster;
         let Some(holders) = AccountHolders::of(roster, program, self.losses()) else { return Round::Again };
         let write =
-            |_: &Store| Call::Reserve { epoch: roster.epoch, program: program.to_owned(), reservation };
+            |_: &StorageNode| Call::Reserve { epoch: roster.epoch, program: program.to_owned(), reservation };
         let Some((written, all)) = self.at_quorum(&holders, write, true).await else { return Round::Again };
         let account = match all {
             true => {
@@ -173,7 +173,8 @@
             // Someone may have written between: who reads after its own write sees all that were written before it.
             false => {
                 more(&self.figures.second_round);
-                let read = |_: &Store| Call::ReadAccount { epoch: roster.epoch, program: program.to_owned() };
+                let read =
+                    |_: &StorageNode| Call::ReadAccount { epoch: roster.epoch, program: program.to_owned() };
                 let Some((mut account, _)) = self.at_quorum(&holders.current_only(), read, false).await
                 else {
                     return Round::Again;
@@ -194,7 +195,7 @@
     async fn at_quorum(
         &self,
         holders: &AccountHolders<'_>,
-        call: impl Fn(&Store) -> Call,
+        call: impl Fn(&StorageNode) -> Call,
         wait_for_all: bool,
     ) -> Option<(BTreeMap<u64, u32>, bool)> {
         let mut calls: FuturesUnordered<_> = holders
@@ -229,12 +230,12 @@
     async fn find_round(&self, attempt: &str) -> Round<Found> {
         let state = self.feed.state();
         let roster = &state.roster;
-        let mut stores: Vec<&Store> = roster.current.iter().collect();
+        let mut stores: Vec<&StorageNode> = roster.current.iter().collect();
         stores.extend(roster.next.iter().flatten().filter(|store| !roster.current.contains(store)));
         let zone = self.process.settings().zone.clone();
         let call = || Call::ReadChain { epoch: roster.epoch, attempt: attempt.to_owned() };
         let mut surely_not: BTreeSet<u64> = BTreeSet::new();
-        let (near, far): (Vec<&Store>, Vec<&Store>) =
+        let (near, far): (Vec<&StorageNode>, Vec<&StorageNode>) =
             stores.into_iter().partition(|store| store.zone == zone && !self.is_down(store));
         for (stores, patience) in [(near, HEDGE), (far, PATIENCE)] {
             let mut calls: FuturesUnordered<_> = stores
@@ -261,7 +262,7 @@
         let zone = self.process.settings().zone.clone();
         let copies = self.losses() + 1;
         let stores = copy_order(roster, |store| {
-            (self.is_down(store), store.zone != zone, !rank(turn.attempt.as_bytes(), store.disk))
+            (self.is_down(store), store.zone != zone, !rendezvous_rank(turn.attempt.as_bytes(), store.disk))
         });
         let Some(first) = copies_needed(roster, &stores, copies) else { return Round::Again };
         let record = |holders: Vec<u64>| Turn {
@@ -270,10 +271,10 @@
             input: turn.input.clone(),
             output: turn.output.clone(),
             retention_ms: turn.retention_ms,
-            holders,
+            replicas: holders,
         };
-        let keep = async |store: &Store, holders: Vec<u64>| {
-            let call = Call::KeepTurn { epoch: roster.epoch, turn: record(holders) };
+        let keep = async |store: &StorageNode, holders: Vec<u64>| {
+            let call = Call::StoreTurn { epoch: roster.epoch, turn: record(holders) };
             (store.disk, self.ask(store, call, PATIENCE).await)
         };
         let mut waiting = stores.iter().copied();
@@ -314,7 +315,7 @@
             let state = self.feed.state();
             let Some(holders) = AccountHolders::of(&state.roster, program, self.losses()) else { return };
             let epoch = state.roster.epoch;
-            let call = |_: &Store| Call::Settle { epoch, program: program.to_owned(), reservation };
+            let call = |_: &StorageNode| Call::Settle { epoch, program: program.to_owned(), reservation };
             let calls: FuturesUnordered<_> =
                 holders.all().map(|store| self.ask(store, call(store), PATIENCE)).collect();
             let answers: Vec<_> = calls.collect().await;
@@ -327,7 +328,7 @@
 }
 
 fn reservation(attempt: &str, tokens: u32) -> Reservation {
-    Reservation { attempt: rank(attempt.as_bytes(), 0), tokens }
+    Reservation { attempt: rendezvous_rank(attempt.as_bytes(), 0), tokens }
 }
 
 /// What a proxy's forwarder holds of the storage machines.
--- a/system/programs/tests/loopback/machines.rs
+++ b/system/programs/tests/loopback/machines.rs
@@ -1,7 +1,7 @@
 //! Processes of machines at loopback addresses, and what they are told.
 
 use bytes::Bytes;
-use fleet_model::{Answer, Ballot, Call, ChosenValue, ControlState, TakenVersion};
+use fleet_model::{Answer, Ballot, Call, ChosenValue, CommittedVersion, ControlState};
 use node_settings::Settings;
 use peer_wire::{Handler, PeerServer, Pusher};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
-use system_programs::feed::{Feed, SubscriberLink, keep_beating, new_feed};
+use system_programs::feed::{Feed, SubscriberLink, new_feed, run_heartbeats};
 use system_programs::start::Process;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -76,8 +76,8 @@
 
 /// A state with this configuration in force.
 pub fn state_with(config: &str) -> ControlState {
-    let taken = vec![TakenVersion { version: 7, digest: [0; 32] }];
-    ControlState { config: Bytes::from(config.to_owned()), taken, ..ControlState::default() }
+    let taken = vec![CommittedVersion { version: 7, digest: [0; 32] }];
+    ControlState { config: Bytes::from(config.to_owned()), committed: taken, ..ControlState::default() }
 }
 
 /// Tells a proxy what its agent would, always confirmed.
@@ -89,7 +89,7 @@
     async fn call(&self, _from: SocketAddr, call: Call, pusher: Pusher) -> Answer {
         match &call {
             Call::Subscribe { .. } => self.feed.subscribe(&call, true, SubscriberLink(pusher)),
-            _ => Answer::Unready,
+            _ => Answer::NotReady,
         }
     }
 }
@@ -100,7 +100,7 @@
         let feed = new_feed(process);
         let server = PeerServer::new(process.fleet(), Rc::new(Self { feed: feed.clone() }));
         spawn_local(async move { server.serve(listener).await });
-        spawn_local(keep_beating(feed.clone()));
+        spawn_local(run_heartbeats(feed.clone()));
         let (confirmed, clock) = (feed.clone(), process.clone());
         spawn_local(async move {
             loop {
--- a/system/programs/tests/loopback/shutdown.rs
+++ b/system/programs/tests/loopback/shutdown.rs
@@ -1,7 +1,7 @@
 //! What a proxy answers from the moment in which it is told to end.
 
 use crate::machines::{Machine, Source, chosen, own_address, run, state_with};
-use fleet_model::{Endpoint, EndpointList, EndpointState};
+use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
 use googletest::prelude::*;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::Path;
@@ -108,7 +108,10 @@
         let endpoint = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let SocketAddr::V4(address) = endpoint.local_addr().unwrap() else { unreachable!() };
         feed.learn_value(chosen(1, &state_with(CONFIG)));
-        feed.learn_list(EndpointList { stamp: (1, 1), endpoints: vec![endpoint_at(address)] });
+        feed.learn_list(EndpointList {
+            version: ListVersion::new(1, 1),
+            endpoints: vec![endpoint_at(address)],
+        });
         let folder = tempfile::tempdir().unwrap();
         let settings = folder.path().join("node.yaml");
         std::fs::write(&settings, &machine.settings).unwrap();
--- a/system/programs/tests/loopback/storage.rs
+++ b/system/programs/tests/loopback/storage.rs
@@ -1,7 +1,7 @@
 //! Storage machines with a disk each, whose process can be ended and started again.
 
 use crate::machines::own_address;
-use fleet_model::{Answer, Call, Roster, Store};
+use fleet_model::{Answer, Call, Roster, StorageNode};
 use peer_wire::{Handler, PeerServer, Pusher};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 impl Handler for Answers {
     async fn call(&self, _from: SocketAddr, call: Call, _pusher: Pusher) -> Answer {
         let mut replica = self.0.borrow_mut();
-        let Some(Replica { disk, state }) = replica.as_mut() else { return Answer::Unready };
+        let Some(Replica { disk, state }) = replica.as_mut() else { return Answer::NotReady };
         let outcome = state.handle(1, &call, disk);
         disk.write(&outcome.writes).unwrap();
         outcome.answer
@@ -50,7 +50,7 @@
 
 /// One storage machine.
 struct StorageMachine {
-    store: Store,
+    store: StorageNode,
     folder: TempDir,
     answers: Rc<Answers>,
     serving: Option<AbortHandle>,
@@ -67,13 +67,13 @@
 impl Storage {
     /// One machine in each of these zones, all at the same port of their own addresses.
     pub async fn start(zones: &[&str], peer_port: u16, fleet: u16) -> Self {
-        let store = |(number, zone): (usize, &&str)| Store {
+        let store = |(number, zone): (usize, &&str)| StorageNode {
             name: format!("s{number}"),
             ip: own_address(),
             zone: (*zone).to_owned(),
             disk: number as u64 + 1,
         };
-        let stores: Vec<Store> = zones.iter().enumerate().map(store).collect();
+        let stores: Vec<StorageNode> = zones.iter().enumerate().map(store).collect();
         let roster = Roster { epoch: 1, current: stores.clone(), ..Roster::default() };
         let machine = |store| StorageMachine {
             store,
--- a/system/programs/tests/staff.rs
+++ b/system/programs/tests/staff.rs
@@ -1,7 +1,7 @@
 //! Staff's commands against processes with canned answers, and their parts.
 
 use bpaf::Parser;
-use fleet_model::{Answer, Call, Endpoint, EndpointState, Roster, Store, account_holders};
+use fleet_model::{Answer, Call, Endpoint, EndpointState, Roster, StorageNode, account_replicas};
 use googletest::prelude::*;
 use peer_wire::{Handler, PeerServer, Pusher};
 use serde_json::{Value, json};
@@ -149,9 +149,9 @@
         match call {
             Call::Inspect { topic } => match self.0.get(&topic) {
                 Some(view) => Answer::View(view.to_string()),
-                None => Answer::Unready,
+                None => Answer::NotReady,
             },
-            _ => Answer::Unready,
+            _ => Answer::NotReady,
         }
     }
 }
@@ -203,8 +203,13 @@
     Made { ip, is_proxy: origin.program == "request-proxy", topics: topics.collect() }
 }
 
-fn store(last: u8) -> Store {
-    Store { name: format!("store-{last}"), ip: ip(last), zone: "b".to_owned(), disk: u64::from(last) * 100 }
+fn store(last: u8) -> StorageNode {
+    StorageNode {
+        name: format!("store-{last}"),
+        ip: ip(last),
+        zone: "b".to_owned(),
+        disk: u64::from(last) * 100,
+    }
 }
 
 fn roster() -> Roster {
@@ -524,7 +529,7 @@
     expect_that!(report.json["total"], eq(&json!(50)));
     let rank: Vec<String> = {
         let roster = roster();
-        account_holders(&roster.current, "p", 1).into_iter().map(|store| store.name.clone()).collect()
+        account_replicas(&roster.current, "p", 1).into_iter().map(|store| store.name.clone()).collect()
     };
     let held = BTreeMap::from([("store-4", "50"), ("store-5", "20"), ("store-6", "-")]);
     let cells: Vec<&str> = rank.iter().map(|name| held[name.as_str()]).collect();
@@ -548,7 +553,7 @@
     let mut made = well();
     let next = vec![store(4), store(5), store(7)];
     let roster =
-        Roster { next: Some(next), filled: vec![700], retiring: vec!["store-6".to_owned()], ..roster() };
+        Roster { next: Some(next), in_sync: vec![700], retiring: vec!["store-6".to_owned()], ..roster() };
     made[0].topics.get_mut("roster").unwrap()["roster"] = json!(roster);
     let report = run(made, Command::Roster);
     expect_that!(report.verdict, eq(Verdict::Fine));
--- a/system/request-forwarding/src/forwarder.rs
+++ b/system/request-forwarding/src/forwarder.rs
@@ -432,5 +432,5 @@
 
 /// A draw that stays the same for an attempt.
 fn draw(attempt: &str) -> u64 {
-    fleet_model::rank(attempt.as_bytes(), 0)
+    fleet_model::rendezvous_rank(attempt.as_bytes(), 0)
 }
--- a/system/request-forwarding/tests/frozen.rs
+++ b/system/request-forwarding/tests/frozen.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use fleet_model::{Endpoint, EndpointList, EndpointState};
+use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
 use googletest::prelude::*;
 use operator_config::OperatorConfig;
 use request_forwarding::Knowledge;
@@ -60,7 +60,7 @@
         };
         let world = World::unconfigured().await;
         let config = OperatorConfig::read(world::CONFIG.as_bytes()).unwrap();
-        let list = EndpointList { stamp: (1, 1), endpoints: vec![endpoint] };
+        let list = EndpointList { version: ListVersion::new(1, 1), endpoints: vec![endpoint] };
         world.forwarder.learn(Knowledge {
             config: Some(Rc::new(config)),
             list: Some(Rc::new(list)),
--- a/system/request-forwarding/tests/world/mod.rs
+++ b/system/request-forwarding/tests/world/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use bytes::Bytes;
-use fleet_model::{Endpoint, EndpointList, EndpointState};
+use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
 use operator_config::OperatorConfig;
 use request_forwarding::{Chain, Forwarder, Knowledge, NewTurn, Reserve, Stage, TurnKeeping};
 use request_routing::RoutingPolicy;
@@ -424,7 +424,7 @@
         capacity_slots: 8,
         state: EndpointState::Ready,
     });
-    EndpointList { stamp: (1, 1), endpoints: endpoints.collect() }
+    EndpointList { version: ListVersion::new(1, 1), endpoints: endpoints.collect() }
 }
 
 impl World {
--- a/system/request-routing/tests/common/mod.rs
+++ b/system/request-routing/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A router with its world: what the stories begin with.
 #![allow(dead_code)]
 
-use fleet_model::{Endpoint, EndpointList, EndpointState};
+use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
 use request_routing::*;
 
 pub const MS: u64 = 1_000;
@@ -28,7 +28,7 @@
 }
 
 pub fn list(endpoints: &[Endpoint]) -> EndpointList {
-    EndpointList { stamp: (1, 1), endpoints: endpoints.to_vec() }
+    EndpointList { version: ListVersion::new(1, 1), endpoints: endpoints.to_vec() }
 }
 
 pub fn terms(name: &str, max_connections: u32, engine: bool) -> ServiceTerms {
--- a/system/state-feed/src/follower.rs
+++ b/system/state-feed/src/follower.rs
@@ -3,8 +3,8 @@
 //! An upstream that grows silent or stale is kept until another one feeds: it may come back, and none may be better. What any
 //! link brings is taken in, so during a change two links do no harm.
 
-use crate::{MOST_AGE, RELAY_AGE, SILENCE};
-use fleet_model::{Answer, rank};
+use crate::{MAX_RELAY_STATE_AGE, MAX_STATE_AGE, UPSTREAM_TIMEOUT};
+use fleet_model::{Answer, rendezvous_rank};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -229,7 +229,7 @@
 
     fn draw(&mut self) -> u64 {
         self.draws += 1;
-        rank(&self.draws.to_le_bytes(), self.seed)
+        rendezvous_rank(&self.draws.to_le_bytes(), self.seed)
     }
 
     fn draw_below(&mut self, below: Duration) -> Duration {
@@ -246,9 +246,11 @@
         let stale = match (self.is_one(), upstream.confirmed_at) {
             (true, _) => Duration::MAX,
             (false, None) => Duration::ZERO,
-            (false, Some(at)) => at + if upstream.is_control_node { MOST_AGE } else { RELAY_AGE },
+            (false, Some(at)) => {
+                at + if upstream.is_control_node { MAX_STATE_AGE } else { MAX_RELAY_STATE_AGE }
+            }
         };
-        (upstream.heard_at + SILENCE).min(stale).saturating_add(self.slack)
+        (upstream.heard_at + UPSTREAM_TIMEOUT).min(stale).saturating_add(self.slack)
     }
 
     fn trusts_upstream(&self, now: Duration) -> bool {
@@ -284,7 +286,7 @@
     fn hears(&self, now: Duration, address: SocketAddrV4) -> bool {
         self.upstream
             .as_ref()
-            .is_some_and(|upstream| upstream.address == address && now < upstream.heard_at + SILENCE)
+            .is_some_and(|upstream| upstream.address == address && now < upstream.heard_at + UPSTREAM_TIMEOUT)
     }
 
     fn answered(
@@ -326,7 +328,7 @@
             *relay.ip() != self.me && !self.avoided.contains_key(relay) && !self.hears(now, *relay)
         });
         let draw = self.draw();
-        relays.sort_by_key(|relay| rank(&relay.ip().octets(), draw));
+        relays.sort_by_key(|relay| rendezvous_rank(&relay.ip().octets(), draw));
         let Search::Asking(round) = &mut self.search else { return };
         relays.retain(|relay| {
             !round.queue.iter().any(|candidate| candidate.address == *relay)
@@ -359,12 +361,12 @@
         }
         let returning = matches!(&self.search, Search::Asking(round) if round.returning);
         let Some(attempt) = self.take_attempt(link) else { return };
-        let fresh = self.is_one() || age < MOST_AGE;
+        let fresh = self.is_one() || age < MAX_STATE_AGE;
         let better = match &self.upstream {
             None => true,
             Some(upstream) => {
-                now >= upstream.heard_at + SILENCE
-                    || at > upstream.confirmed_at.map(|confirmed| confirmed + MOST_AGE / 4)
+                now >= upstream.heard_at + UPSTREAM_TIMEOUT
+                    || at > upstream.confirmed_at.map(|confirmed| confirmed + MAX_STATE_AGE / 4)
             }
         };
         if !fresh && (returning || !better) {
@@ -532,7 +534,9 @@
             .copied()
             .filter(|node| self.is_one() || (*node.ip() != self.me && !self.hears(now, *node)))
             .collect();
-        order.sort_by_key(|node| (self.avoided.contains_key(node), rank(&node.ip().octets(), draw)));
+        order.sort_by_key(|node| {
+            (self.avoided.contains_key(node), rendezvous_rank(&node.ip().octets(), draw))
+        });
         let queue =
             order.into_iter().map(|address| Candidate { address, urgent: self.asks_urgently }).collect();
         Round { queue, attempts: Vec::new(), hedge_at: now, returning: false }
--- a/system/state-feed/src/lib.rs
+++ b/system/state-feed/src/lib.rs
@@ -12,23 +12,23 @@
 mod state;
 
 pub use follower::{Command, Event, Follower, LinkId, Sources};
-pub use state::{FeedState, Learned, Role, Spread, SubscriberId, Subscription, Unreadable};
+pub use state::{Broadcast, FeedState, FeedUpdate, Role, SubscriberId, Subscription, UnreadableValue};
 
 use std::time::Duration;
 
 /// Between two heartbeats of a control node. Relays pass them on as they come.
-pub const BEAT: Duration = Duration::from_millis(400);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 /// After so long without a heartbeat from its upstream a relay sends one by itself, to show that it is there.
-pub const RELAY_BEAT: Duration = Duration::from_millis(500);
+pub const RELAY_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Heartbeats from the upstream are not passed on more often.
-pub const LEAST_BEAT_GAP: Duration = Duration::from_millis(200);
+pub const MIN_HEARTBEAT_GAP: Duration = Duration::from_millis(200);
 /// An upstream that has told nothing for so long is not trusted to be there.
-pub const SILENCE: Duration = Duration::from_millis(1_000);
+pub const UPSTREAM_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// What is older is stale: another control node is looked for, and a relay takes no one on.
-pub const MOST_AGE: Duration = Duration::from_millis(1_000);
+pub const MAX_STATE_AGE: Duration = Duration::from_millis(1_000);
 /// As long a relay may be stale before those below it look for another upstream: first it finds one itself.
-pub const RELAY_AGE: Duration = Duration::from_millis(1_400);
+pub const MAX_RELAY_STATE_AGE: Duration = Duration::from_millis(1_400);
 /// Relays of one zone that a control node feeds without being asked urgently; it names these to the zone's others.
-pub const HEADS_PER_ZONE: usize = 2;
+pub const MAX_HEADS_PER_ZONE: usize = 2;
 /// Machines that a relay feeds without being asked urgently.
-pub const MOST_CHILDREN: usize = 24;
+pub const MAX_RELAY_SUBSCRIBERS: usize = 24;
--- a/system/state-feed/src/state.rs
+++ b/system/state-feed/src/state.rs
@@ -1,8 +1,11 @@
 //! What a process knows, whom it feeds, and what is pushed to whom.
 
-use crate::{BEAT, HEADS_PER_ZONE, LEAST_BEAT_GAP, MOST_AGE, MOST_CHILDREN, RELAY_BEAT};
+use crate::{
+    HEARTBEAT_INTERVAL, MAX_HEADS_PER_ZONE, MAX_RELAY_SUBSCRIBERS, MAX_STATE_AGE, MIN_HEARTBEAT_GAP,
+    RELAY_HEARTBEAT_INTERVAL,
+};
 use fleet_model::{
-    Answer, Ballot, Call, ChosenValue, ControlState, Endpoint, EndpointList, PayloadError, Push,
+    Answer, Ballot, Call, ChosenValue, ControlState, Endpoint, EndpointList, ListVersion, PayloadError, Push,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -16,14 +19,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It knows by itself what is chosen.
-    Keeper,
+    ControlNode,
     /// It knows only what it is told.
     Relay,
 }
 
 /// One push for some subscribers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spread {
+pub struct Broadcast {
     /// What is pushed.
     pub push: Push,
     /// To whom.
@@ -41,19 +44,19 @@
 
 /// What came of something that was told.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learned {
+pub struct FeedUpdate {
     /// Value or list is newer than before.
     pub changed: bool,
     /// The change was on top of a list that is not the one known here: the link is to be left.
     pub out_of_step: bool,
     /// What is to be passed on.
-    pub spreads: Vec<Spread>,
+    pub spreads: Vec<Broadcast>,
 }
 
 /// A value that cannot be read is passed over.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the value of ballot {ballot:?} cannot be read: {why}")]
-pub struct Unreadable {
+pub struct UnreadableValue {
     /// Its ballot.
     pub ballot: Ballot,
     /// What is wrong with it.
@@ -66,8 +69,8 @@
     zone: String,
     /// It was taken on without asking urgently, so others of its zone may be sent to it.
     is_zone_relay: bool,
-    /// The stamp of the newest list that it was sent.
-    list: (u64, u64),
+    /// The version of the newest list that it was sent.
+    list: ListVersion,
 }
 
 /// What a process knows through the feed, and passes on.
@@ -132,16 +135,17 @@
     }
 
     /// Takes a newer value.
-    pub fn learn_value(&mut self, value: ChosenValue) -> Result<Learned, Unreadable> {
+    pub fn learn_value(&mut self, value: ChosenValue) -> Result<FeedUpdate, UnreadableValue> {
         if value.ballot <= self.value.ballot {
-            return Ok(Learned::default());
+            return Ok(FeedUpdate::default());
         }
-        let unreadable = |e: PayloadError| Unreadable { ballot: value.ballot, why: e.to_string() };
+        let unreadable = |e: PayloadError| UnreadableValue { ballot: value.ballot, why: e.to_string() };
         let mut state = ControlState::from_payload(&value.payload).map_err(unreadable)?;
-        let same_config = state.taken.last().is_some_and(|taken| self.state.taken.last() == Some(taken));
-        let (whole, slim) = match state.config.is_empty() && !state.taken.is_empty() {
+        let same_config =
+            state.committed.last().is_some_and(|taken| self.state.committed.last() == Some(taken));
+        let (whole, slim) = match state.config.is_empty() && !state.committed.is_empty() {
             // It came without the configuration, which has to be the one known here.
-            true if !same_config => return Ok(Learned { out_of_step: true, ..Learned::default() }),
+            true if !same_config => return Ok(FeedUpdate { out_of_step: true, ..FeedUpdate::default() }),
             true => {
                 state.config = self.state.config.clone();
                 let payload = state.to_payload().map_err(unreadable)?;
@@ -158,33 +162,35 @@
         };
         self.state = Rc::new(state);
         self.value = Rc::new(whole);
-        Ok(Learned { changed: true, spreads: self.to_all(Push::Value(slim)), ..Learned::default() })
+        Ok(FeedUpdate { changed: true, spreads: self.to_all(Push::Value(slim)), ..FeedUpdate::default() })
     }
 
     /// Takes a newer list.
-    pub fn learn_list(&mut self, list: EndpointList) -> Learned {
-        if list.stamp <= self.list.stamp {
-            return Learned::default();
+    pub fn learn_list(&mut self, list: EndpointList) -> FeedUpdate {
+        if list.version <= self.list.version {
+            return FeedUpdate::default();
         }
         self.previous_list = std::mem::replace(&mut self.list, Rc::new(list));
         let (mut change, mut whole) = (Vec::new(), Vec::new());
         for (id, subscriber) in &mut self.subscribers {
-            if subscriber.list < self.list.stamp {
-                match subscriber.list == self.previous_list.stamp && subscriber.list != (0, 0) {
+            if subscriber.list < self.list.version {
+                match subscriber.list == self.previous_list.version
+                    && subscriber.list != ListVersion::default()
+                {
                     true => change.push(*id),
                     false => whole.push(*id),
                 }
-                subscriber.list = self.list.stamp;
+                subscriber.list = self.list.version;
             }
         }
         let mut spreads = Vec::new();
         if !change.is_empty() {
-            spreads.push(Spread { push: self.list_change(), to: change });
+            spreads.push(Broadcast { push: self.list_change(), to: change });
         }
         if !whole.is_empty() {
-            spreads.push(Spread { push: Push::List((*self.list).clone()), to: whole });
+            spreads.push(Broadcast { push: Push::List((*self.list).clone()), to: whole });
         }
-        Learned { changed: true, spreads, ..Learned::default() }
+        FeedUpdate { changed: true, spreads, ..FeedUpdate::default() }
     }
 
     /// The newest list on top of the one before it.
@@ -195,23 +201,23 @@
         let (mut put, former) = (by_instance(&self.list), by_instance(&self.previous_list));
         let gone = former.keys().filter(|instance| !put.contains_key(*instance)).cloned().collect();
         put.retain(|instance, endpoint| former.get(instance) != Some(endpoint));
-        let (base, stamp) = (self.previous_list.stamp, self.list.stamp);
-        Push::ListChange { base, stamp, put: put.into_values().collect(), gone }
+        let (base, version) = (self.previous_list.version, self.list.version);
+        Push::ListDelta { base, version, upserted: put.into_values().collect(), removed: gone }
     }
 
     /// Takes changes on top of a list.
     fn learn_change(
         &mut self,
-        base: (u64, u64),
-        stamp: (u64, u64),
+        base: ListVersion,
+        version: ListVersion,
         put: Vec<Endpoint>,
         gone: &[String],
-    ) -> Learned {
-        if self.list.stamp >= stamp {
-            return Learned::default();
+    ) -> FeedUpdate {
+        if self.list.version >= version {
+            return FeedUpdate::default();
         }
-        if self.list.stamp != base {
-            return Learned { out_of_step: true, ..Learned::default() };
+        if self.list.version != base {
+            return FeedUpdate { out_of_step: true, ..FeedUpdate::default() };
         }
         let mut endpoints: BTreeMap<String, Endpoint> = self
             .list
@@ -223,37 +229,46 @@
             endpoints.remove(instance);
         }
         endpoints.extend(put.into_iter().map(|endpoint| (endpoint.instance_id.clone(), endpoint)));
-        self.learn_list(EndpointList { stamp, endpoints: endpoints.into_values().collect() })
+        self.learn_list(EndpointList { version, endpoints: endpoints.into_values().collect() })
     }
 
     /// Takes what an upstream pushes. `confirms`: its heartbeats count.
-    pub fn take(&mut self, now: Duration, push: Push, confirms: bool) -> Result<Learned, Unreadable> {
+    pub fn apply_push(
+        &mut self,
+        now: Duration,
+        push: Push,
+        confirms: bool,
+    ) -> Result<FeedUpdate, UnreadableValue> {
         match push {
-            Push::Beat { age_ms, proxies } => {
+            Push::Heartbeat { age_ms, proxies } => {
                 if proxies > 0 {
                     self.proxies = proxies;
                 }
                 let at = now.checked_sub(Duration::from_millis(age_ms.into()));
                 let later = confirms && at.is_some_and(|at| self.confirm(at));
                 self.has_upstream |= confirms;
-                let due = self.last_heartbeat.is_none_or(|last| now.saturating_sub(last) >= LEAST_BEAT_GAP);
-                let spreads = if later && due { self.beat(now) } else { Vec::new() };
-                Ok(Learned { spreads, ..Learned::default() })
+                let due =
+                    self.last_heartbeat.is_none_or(|last| now.saturating_sub(last) >= MIN_HEARTBEAT_GAP);
+                let spreads = if later && due { self.heartbeat(now) } else { Vec::new() };
+                Ok(FeedUpdate { spreads, ..FeedUpdate::default() })
             }
             Push::Value(value) => self.learn_value(value),
             Push::List(list) => Ok(self.learn_list(list)),
-            Push::ListChange { base, stamp, put, gone } => Ok(self.learn_change(base, stamp, put, &gone)),
+            Push::ListDelta { base, version, upserted, removed } => {
+                Ok(self.learn_change(base, version, upserted, &removed))
+            }
         }
     }
 
     /// When a heartbeat is due next, if none goes out before.
-    pub fn beat_due(&self) -> Duration {
-        self.last_heartbeat
-            .map_or(Duration::ZERO, |last| last + if self.has_upstream { RELAY_BEAT } else { BEAT })
+    pub fn heartbeat_due(&self) -> Duration {
+        self.last_heartbeat.map_or(Duration::ZERO, |last| {
+            last + if self.has_upstream { RELAY_HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL }
+        })
     }
 
     /// A heartbeat to every subscriber.
-    pub fn beat(&mut self, now: Duration) -> Vec<Spread> {
+    pub fn heartbeat(&mut self, now: Duration) -> Vec<Broadcast> {
         self.last_heartbeat = Some(now);
         match self.heartbeat_now(now) {
             Some(heartbeat) => self.to_all(heartbeat),
@@ -263,12 +278,12 @@
 
     fn heartbeat_now(&self, now: Duration) -> Option<Push> {
         let age_ms = u32::try_from(self.age(now)?.as_millis()).unwrap_or(u32::MAX);
-        Some(Push::Beat { age_ms, proxies: self.proxies })
+        Some(Push::Heartbeat { age_ms, proxies: self.proxies })
     }
 
-    fn to_all(&self, push: Push) -> Vec<Spread> {
+    fn to_all(&self, push: Push) -> Vec<Broadcast> {
         let to: Vec<SubscriberId> = self.subscribers.keys().copied().collect();
-        if to.is_empty() { Vec::new() } else { vec![Spread { push, to }] }
+        if to.is_empty() { Vec::new() } else { vec![Broadcast { push, to }] }
     }
 
     /// Answers a call to subscribe, and takes the link on if the answer is `Done`. Links that are gone have to be removed
@@ -284,17 +299,19 @@
         link: SubscriberId,
     ) -> Subscription {
         let refused = |answer| Subscription { answer, pushes: Vec::new() };
-        let Call::Subscribe { ip, zone, urgent, value, list } = call else { return refused(Answer::Unready) };
-        let is_stale = self.age(now).is_none_or(|age| age > MOST_AGE);
+        let Call::Subscribe { ip, zone, urgent, value, list } = call else {
+            return refused(Answer::NotReady);
+        };
+        let is_stale = self.age(now).is_none_or(|age| age > MAX_STATE_AGE);
         // A stale control node may be the only one left: who asks urgently is fed by it until there is another.
         if self.value.ballot == Ballot::default() || (is_stale && (role == Role::Relay || !urgent)) {
-            return refused(Answer::Unready);
+            return refused(Answer::NotReady);
         }
         if !urgent && let Some(others) = self.redirects(role, peer_port, *ip, zone) {
             return refused(Answer::Redirect(others));
         }
         let pushes = self.first_pushes(now, *value, *list);
-        let list = self.list.stamp.max(*list);
+        let list = self.list.version.max(*list);
         self.subscribers
             .insert(link, Subscriber { ip: *ip, zone: zone.clone(), is_zone_relay: !urgent, list });
         Subscription { answer: Answer::Done, pushes }
@@ -303,16 +320,16 @@
     /// Whom to ask instead of this process, if it feeds enough already; nobody is named by a relay.
     fn redirects(&self, role: Role, peer_port: u16, ip: Ipv4Addr, zone: &str) -> Option<Vec<SocketAddrV4>> {
         match role {
-            Role::Keeper => {
+            Role::ControlNode => {
                 let relays = self.zone_relays(ip, zone);
                 let addresses = || relays.iter().map(|relay| SocketAddrV4::new(*relay, peer_port)).collect();
-                (relays.len() >= HEADS_PER_ZONE).then(addresses)
+                (relays.len() >= MAX_HEADS_PER_ZONE).then(addresses)
             }
             Role::Relay => {
                 let machines: BTreeSet<Ipv4Addr> =
                     self.subscribers.values().map(|subscriber| subscriber.ip).collect();
                 // A machine that is fed already, on a link that it may have given up, adds nothing.
-                (machines.len() >= MOST_CHILDREN && !machines.contains(&ip)).then(Vec::new)
+                (machines.len() >= MAX_RELAY_SUBSCRIBERS && !machines.contains(&ip)).then(Vec::new)
             }
         }
     }
@@ -329,13 +346,13 @@
     }
 
     /// What a subscriber lacks that knows this value and this list, and a heartbeat.
-    fn first_pushes(&self, now: Duration, value: Ballot, list: (u64, u64)) -> Vec<Push> {
+    fn first_pushes(&self, now: Duration, value: Ballot, list: ListVersion) -> Vec<Push> {
         let mut pushes = Vec::new();
         if self.value.ballot > value {
             pushes.push(Push::Value((*self.value).clone()));
         }
-        if self.list.stamp > list {
-            pushes.push(match list == self.previous_list.stamp && list != (0, 0) {
+        if self.list.version > list {
+            pushes.push(match list == self.previous_list.version && list != ListVersion::default() {
                 true => self.list_change(),
                 false => Push::List((*self.list).clone()),
             });
@@ -350,7 +367,7 @@
     }
 
     /// Addresses of subscribers.
-    pub fn fed(&self) -> Vec<Ipv4Addr> {
+    pub fn subscriber_addresses(&self) -> Vec<Ipv4Addr> {
         self.subscribers.values().map(|subscriber| subscriber.ip).collect()
     }
 }
--- a/system/state-feed/tests/fleet/main.rs
+++ b/system/state-feed/tests/fleet/main.rs
@@ -2,6 +2,7 @@
 
 mod world;
 
+use fleet_model::ListVersion;
 use googletest::prelude::*;
 use std::collections::HashMap;
 use world::{Chance, Fact, Kind, Shape, World};
@@ -12,7 +13,7 @@
 /// All findings in a history.
 fn findings(facts: &[Fact]) -> Vec<String> {
     let mut found = Vec::new();
-    let mut known: HashMap<usize, (u64, u64, (u64, u64))> = HashMap::new();
+    let mut known: HashMap<usize, (u64, u64, ListVersion)> = HashMap::new();
     let mut chosen: Vec<(u64, u64, u64)> = Vec::new();
     let mut late: HashMap<usize, u64> = HashMap::new();
     for fact in facts {
@@ -38,7 +39,7 @@
                 let due = chosen.iter().rev().find(|(when, ..)| when + APPLY <= *at);
                 let Some((when, round, list)) = due else { continue };
                 let (_, has, stamp) = known.get(node).copied().unwrap_or_default();
-                if (has < *round || stamp.1 < *list) && late.insert(*node, *when) != Some(*when) {
+                if (has < *round || stamp.poll < *list) && late.insert(*node, *when) != Some(*when) {
                     found.push(format!(
                         "{at}: node {node} has {has}, {stamp:?}; due {round}, {list} of {when}"
                     ));
@@ -94,7 +95,7 @@
         true => of(&mut world.chance, &all),
         false => {
             let keeper = of(&mut world.chance, &keepers);
-            let fed = world.nodes[keeper].feed.fed();
+            let fed = world.nodes[keeper].feed.subscriber_addresses();
             match fed.is_empty() || world.chance.one_in(2) {
                 true => keeper,
                 false => {
@@ -237,7 +238,7 @@
         let calm = load(&world.facts, began - 1_000).0;
         // When all heads of a keeper die, told or untold, or freeze.
         let keeper = world.all(|kind| kind == Kind::Keeper)[0];
-        for ip in world.nodes[keeper].feed.fed() {
+        for ip in world.nodes[keeper].feed.subscriber_addresses() {
             let head =
                 world.all(|kind| kind == Kind::Agent).into_iter().find(|node| world.nodes[*node].ip == ip);
             let Some(head) = head else { continue };
--- a/system/state-feed/tests/fleet/world.rs
+++ b/system/state-feed/tests/fleet/world.rs
@@ -2,7 +2,9 @@
 //! storage machines; links with delays that break, or hold back what is sent.
 
 use bytes::Bytes;
-use fleet_model::{Answer, Ballot, Call, ChosenValue, Endpoint, EndpointList, EndpointState, Push};
+use fleet_model::{
+    Answer, Ballot, Call, ChosenValue, Endpoint, EndpointList, EndpointState, ListVersion, Push,
+};
 use state_feed::{Command, Event, FeedState, Follower, Role, Sources};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -59,7 +61,7 @@
     /// A value was chosen; a list was read.
     Chosen { at: u64, round: u64, list: u64 },
     /// What a node knows from then on.
-    Knows { at: u64, node: usize, life: u64, round: u64, list: (u64, u64), true_list: bool },
+    Knows { at: u64, node: usize, life: u64, round: u64, list: ListVersion, true_list: bool },
     /// Since when the node can reach, without a break, one keeper that knows what is chosen; none if it cannot.
     InTouch { at: u64, node: usize, since: Option<u64> },
     /// Links that a keeper feeds, and calls to subscribe that it got since it was last counted.
@@ -126,7 +128,7 @@
     links: HashMap<u64, u64>,
     next_wake: u64,
     calls: usize,
-    told: Option<(u64, (u64, u64))>,
+    told: Option<(u64, ListVersion)>,
 }
 
 /// How large a fleet is, and how slow.
@@ -597,13 +599,16 @@
 
     fn newest_list(&self) -> EndpointList {
         let number = self.lists.len() as u64 - 1;
-        EndpointList { stamp: (1, number), endpoints: self.lists[number as usize].iter().cloned().collect() }
+        EndpointList {
+            version: ListVersion::new(1, number),
+            endpoints: self.lists[number as usize].iter().cloned().collect(),
+        }
     }
 
     /// What a poll tells that has ended now.
     fn learn_newest(&mut self, keeper: usize) {
         let value = ChosenValue {
-            ballot: Ballot { round: self.round, proposer: 1, life: 1 },
+            ballot: Ballot { round: self.round, proposer: 1, incarnation: 1 },
             voters: Vec::new(),
             payload: Bytes::new(),
         };
@@ -616,7 +621,7 @@
         self.plan(keeper);
     }
 
-    fn spread(&mut self, spreads: Vec<state_feed::Spread>) {
+    fn spread(&mut self, spreads: Vec<state_feed::Broadcast>) {
         for spread in spreads {
             for id in spread.to {
                 self.push(id, spread.push.clone());
@@ -637,18 +642,18 @@
     fn note(&mut self, node: usize) {
         let (round, list) =
             (self.nodes[node].feed.value().ballot.round, self.nodes[node].feed.list().clone());
-        if self.nodes[node].told == Some((round, list.stamp)) {
+        if self.nodes[node].told == Some((round, list.version)) {
             return;
         }
-        self.nodes[node].told = Some((round, list.stamp));
+        self.nodes[node].told = Some((round, list.version));
         let known: BTreeSet<Endpoint> = list.endpoints.iter().cloned().collect();
         self.facts.push(Fact::Knows {
             at: self.now,
             node,
             life: self.nodes[node].life,
             round,
-            list: list.stamp,
-            true_list: self.lists[list.stamp.1 as usize] == known,
+            list: list.version,
+            true_list: self.lists[list.version.poll as usize] == known,
         });
     }
 
@@ -716,7 +721,7 @@
             zone: self.nodes[node].zone.clone(),
             urgent,
             value: self.nodes[node].feed.value().ballot,
-            list: self.nodes[node].feed.list().stamp,
+            list: self.nodes[node].feed.list().version,
         };
         self.send(id, Side::Server, Message::Subscribe(call));
     }
@@ -749,11 +754,11 @@
             Message::Answer(answer) => self.follow(node, Event::Answered(number, answer)),
             Message::Push(push) => {
                 let beat = match &push {
-                    Push::Beat { age_ms, .. } => Some(Duration::from_millis((*age_ms).into())),
+                    Push::Heartbeat { age_ms, .. } => Some(Duration::from_millis((*age_ms).into())),
                     _ => None,
                 };
                 let now = self.time();
-                let learned = self.nodes[node].feed.take(now, push, true).expect("values can be read");
+                let learned = self.nodes[node].feed.apply_push(now, push, true).expect("values can be read");
                 self.spread(learned.spreads);
                 self.note(node);
                 if learned.out_of_step {
@@ -772,11 +777,11 @@
 
     fn subscribed(&mut self, node: usize, id: u64, call: &Call) {
         self.nodes[node].calls += 1;
-        let role = if self.nodes[node].kind == Kind::Keeper { Role::Keeper } else { Role::Relay };
+        let role = if self.nodes[node].kind == Kind::Keeper { Role::ControlNode } else { Role::Relay };
         let now = self.time();
         let subscription = match self.nodes[node].kind {
             Kind::Storage | Kind::Proxy(_) => {
-                self.send(id, Side::Client, Message::Answer(Answer::Unready));
+                self.send(id, Side::Client, Message::Answer(Answer::NotReady));
                 return;
             }
             _ => self.nodes[node].feed.subscribe(now, role, PORT, call, id),
@@ -789,8 +794,8 @@
 
     fn woken(&mut self, node: usize) {
         let now = self.time();
-        if self.nodes[node].feed.beat_due() <= now {
-            let spreads = self.nodes[node].feed.beat(now);
+        if self.nodes[node].feed.heartbeat_due() <= now {
+            let spreads = self.nodes[node].feed.heartbeat(now);
             self.spread(spreads);
         }
         self.follow(node, Event::Tick);
@@ -803,7 +808,7 @@
         }
         let planned = &self.nodes[node];
         let follows = planned.follower.as_ref().map_or(Duration::MAX, Follower::wake_at);
-        let wake = planned.feed.beat_due().min(follows);
+        let wake = planned.feed.heartbeat_due().min(follows);
         let wake = u64::try_from(wake.as_millis()).unwrap_or(u64::MAX).max(self.now + 1);
         if planned.next_wake != wake || planned.next_wake <= self.now {
             self.nodes[node].next_wake = wake;
@@ -833,7 +838,8 @@
         }
         for keeper in keepers {
             let calls = std::mem::take(&mut self.nodes[keeper].calls);
-            let links = if self.works(keeper) { self.nodes[keeper].feed.fed().len() } else { 0 };
+            let links =
+                if self.works(keeper) { self.nodes[keeper].feed.subscriber_addresses().len() } else { 0 };
             self.facts.push(Fact::Load { at: self.now, keeper, links, calls });
         }
     }
--- a/system/state-feed/tests/follower.rs
+++ b/system/state-feed/tests/follower.rs
@@ -2,7 +2,9 @@
 
 use fleet_model::Answer;
 use googletest::prelude::*;
-use state_feed::{Command, Event, Follower, LinkId, MOST_AGE, RELAY_AGE, SILENCE, Sources};
+use state_feed::{
+    Command, Event, Follower, LinkId, MAX_RELAY_STATE_AGE, MAX_STATE_AGE, Sources, UPSTREAM_TIMEOUT,
+};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
@@ -132,10 +134,10 @@
     let mut story = Story::agent();
     let (link, keeper) = story.fed_by_keeper();
     // When nothing comes any more.
-    let commands = story.until(START + SILENCE + ms(70));
+    let commands = story.until(START + UPSTREAM_TIMEOUT + ms(70));
     // Then after a second another keeper is asked, and the old link stays.
     let (at, command) = commands[0];
-    expect_that!(at, ge(START + MOST_AGE - ms(100)));
+    expect_that!(at, ge(START + MAX_STATE_AGE - ms(100)));
     let (next, other, _) = Story::asked(&[command]);
     expect_that!(other, not(eq(keeper)));
     expect_that!(
@@ -152,14 +154,14 @@
 fn a_parent_that_comes_back_meanwhile_stays() {
     let mut story = Story::agent();
     let (link, keeper) = story.fed_by_keeper();
-    let commands = story.until(START + SILENCE + ms(70));
+    let commands = story.until(START + UPSTREAM_TIMEOUT + ms(70));
     let (next, _, _) = Story::asked(&[commands[0].1]);
     // When the parent beats again before the other has.
     let commands = story.on(Event::Beat(link, ms(30)));
     // Then the other is let go.
     expect_that!(commands, contains(eq(&Command::Close(next))));
     expect_that!(story.follower.parent(), some(eq(keeper)));
-    expect_that!(story.follower.wake_at(), ge(story.now + MOST_AGE / 2));
+    expect_that!(story.follower.wake_at(), ge(story.now + MAX_STATE_AGE / 2));
 }
 
 /// Beats on and on that what it tells is as of the start; tells when the follower asks others, and whom first.
@@ -184,8 +186,8 @@
     let (first, asked) = stale_since_start(&mut above, upper);
     let (second, _) = stale_since_start(&mut below, lower);
     // Then the first leaves after a second, and the other only where that has not helped.
-    expect_that!(first, all![ge(START + MOST_AGE), lt(START + MOST_AGE + ms(70))]);
-    expect_that!(second, all![ge(START + RELAY_AGE), lt(START + RELAY_AGE + ms(70))]);
+    expect_that!(first, all![ge(START + MAX_STATE_AGE), lt(START + MAX_STATE_AGE + ms(70))]);
+    expect_that!(second, all![ge(START + MAX_RELAY_STATE_AGE), lt(START + MAX_RELAY_STATE_AGE + ms(70))]);
     // And it does not ask the one that it hears.
     expect_that!(asked, not(eq(keeper)));
 }
@@ -302,7 +304,7 @@
     // Then it stays; it asks anew once the agent is silent, or gone.
     let silent = story.now;
     let commands: Vec<Command> =
-        story.until(silent + SILENCE + ms(70)).into_iter().map(|(_, command)| command).collect();
+        story.until(silent + UPSTREAM_TIMEOUT + ms(70)).into_iter().map(|(_, command)| command).collect();
     let (again, parent, _) = Story::asked(&commands);
     expect_that!(parent, eq(agent));
     story.on(Event::Closed(link));
--- a/system/turn-store/src/disk/tests.rs
+++ b/system/turn-store/src/disk/tests.rs
@@ -14,7 +14,7 @@
         input: Bytes::from_static(b"in"),
         output: Bytes::from_static(b"out"),
         retention_ms: 60_000,
-        holders: vec![7],
+        replicas: vec![7],
     }
 }
 
@@ -182,7 +182,8 @@
     disk.write(&[put_turn("a"), full.write()]).unwrap();
     let (kept, _) = load(&disk).unwrap();
     let mut state = StoreState::new(0, 7, 0, kept);
-    let me = fleet_model::Store { name: "s".into(), ip: [127, 0, 0, 1].into(), zone: "z".into(), disk: 7 };
+    let me =
+        fleet_model::StorageNode { name: "s".into(), ip: [127, 0, 0, 1].into(), zone: "z".into(), disk: 7 };
     state.set_roster(&fleet_model::Roster { epoch: 1, current: vec![me], ..Default::default() });
     expect_that!(state.is_full(), eq(true));
     // When its record is found flipped.
--- a/system/turn-store/src/filling.rs
+++ b/system/turn-store/src/filling.rs
@@ -1,7 +1,7 @@
 //! The asker's side of filling a store.
 
 use bytes::Bytes;
-use fleet_model::{Call, Store};
+use fleet_model::{Call, StorageNode};
 use std::collections::BTreeMap;
 
 /// One filling of a store: whom to ask, how far each has come, and whether it is enough.
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Source {
-    store: Store,
+    store: StorageNode,
     progress: Progress,
 }
 
@@ -32,12 +32,12 @@
     pub(crate) fn new(
         epoch: u64,
         disk: u64,
-        sources: impl Iterator<Item = Store>,
+        sources: impl Iterator<Item = StorageNode>,
         covering: usize,
         counts_itself: bool,
     ) -> Self {
         let source = |store| Source { store, progress: Progress::Asking(Bytes::new()) };
-        let sources = sources.map(|store: Store| (store.disk, source(store))).collect();
+        let sources = sources.map(|store: StorageNode| (store.disk, source(store))).collect();
         let needed = covering.saturating_sub(usize::from(counts_itself));
         Self { epoch, disk, needed, counts_itself, sources }
     }
@@ -53,10 +53,10 @@
     }
 
     /// Whom to ask what next: one call for each that is neither drained nor given up.
-    pub fn calls(&self) -> impl Iterator<Item = (&Store, Call)> {
+    pub fn calls(&self) -> impl Iterator<Item = (&StorageNode, Call)> {
         self.sources.values().filter_map(|source| match &source.progress {
             Progress::Asking(cursor) => {
-                let call = Call::Fill { epoch: self.epoch, disk: self.disk, cursor: cursor.clone() };
+                let call = Call::Backfill { epoch: self.epoch, disk: self.disk, cursor: cursor.clone() };
                 Some((&source.store, call))
             }
             Progress::Drained | Progress::GivenUp => None,
@@ -94,7 +94,7 @@
     }
 
     /// Those that gave all they had: once it is synced here, they are told with `FillDone`.
-    pub fn drained(&self) -> impl Iterator<Item = &Store> {
+    pub fn drained(&self) -> impl Iterator<Item = &StorageNode> {
         self.sources
             .values()
             .filter(|source| source.progress == Progress::Drained)
--- a/system/turn-store/src/records.rs
+++ b/system/turn-store/src/records.rs
@@ -65,7 +65,7 @@
             previous: turn.previous.clone(),
             retention_ms: turn.retention_ms,
             length: u32::try_from(turn.input.len() + turn.output.len()).unwrap_or(u32::MAX),
-            holders: turn.holders.clone(),
+            holders: turn.replicas.clone(),
         }
     }
 }
--- a/system/turn-store/src/records/tests.rs
+++ b/system/turn-store/src/records/tests.rs
@@ -9,7 +9,7 @@
         input: Bytes::from_static(b"{\"q\":1}"),
         output: Bytes::from_static(b"one\ntwo\n"),
         retention_ms: 86_400_000,
-        holders: vec![u64::MAX, 0, 5],
+        replicas: vec![u64::MAX, 0, 5],
     };
     let fill = FillRecord { filled: vec![(7, [1, 2, u64::MAX].into()), (8, [3].into())], damaged: true };
     let mut samples = vec![encode(&turn(None)), encode(&turn(Some("before"))), encode(&fill)];
--- a/system/turn-store/src/state.rs
+++ b/system/turn-store/src/state.rs
@@ -7,7 +7,9 @@
     turn_write,
 };
 use bytes::{Bytes, BytesMut};
-use fleet_model::{Answer, Call, QuorumSizes, Reservation, Roster, Store, Turn, account_holders, rank};
+use fleet_model::{
+    Answer, Call, QuorumSizes, Reservation, Roster, StorageNode, Turn, account_replicas, rendezvous_rank,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::ops::Bound::{Excluded, Included, Unbounded};
@@ -213,7 +215,7 @@
         }
         self.roster = roster.clone();
         let current = disks(&roster.current);
-        let told = roster.filled.contains(&self.disk);
+        let told = roster.in_sync.contains(&self.disk);
         self.fill.filled.retain(|(epoch, set)| {
             *set == current || (Some(set) == next.as_ref() && (*epoch == roster.epoch || told))
         });
@@ -238,7 +240,7 @@
         self.roster.next.as_ref().is_some_and(|next| contains(next, self.disk))
     }
 
-    fn filled_for(&self, stores: &[Store]) -> bool {
+    fn filled_for(&self, stores: &[StorageNode]) -> bool {
         let set = disks(stores);
         self.fill.filled.iter().any(|(_, filled)| *filled == set)
     }
@@ -268,8 +270,8 @@
         };
         due.then(|| {
             let sources = self.roster.current.iter().filter(|store| store.disk != self.disk).cloned();
-            let covering =
-                QuorumSizes::of(self.roster.current.len(), self.losses).map_or(0, |sizes| sizes.covering);
+            let covering = QuorumSizes::for_machines(self.roster.current.len(), self.losses)
+                .map_or(0, |sizes| sizes.covering);
             Filling::new(self.roster.epoch, self.disk, sources, covering, self.is_source())
         })
     }
@@ -306,11 +308,11 @@
             Call::Reserve { epoch, .. }
             | Call::Settle { epoch, .. }
             | Call::ReadAccount { epoch, .. }
-            | Call::KeepTurn { epoch, .. }
+            | Call::StoreTurn { epoch, .. }
             | Call::ReadChain { epoch, .. }
-            | Call::Fill { epoch, .. }
-            | Call::FillDone { epoch, .. } => *epoch,
-            _ => return Outcome::free(Answer::Unready),
+            | Call::Backfill { epoch, .. }
+            | Call::BackfillDone { epoch, .. } => *epoch,
+            _ => return Outcome::free(Answer::NotReady),
         };
         if epoch != self.roster.epoch {
             return Outcome::free(Answer::WrongEpoch(self.roster.epoch));
@@ -319,11 +321,11 @@
             Call::Reserve { program, reservation, .. } => self.reserve(now_ms, program, *reservation),
             Call::Settle { program, reservation, .. } => self.settle(now_ms, program, *reservation),
             Call::ReadAccount { program, .. } => self.read_account(now_ms, program),
-            Call::KeepTurn { turn, .. } => self.keep_turn(now_ms, turn),
+            Call::StoreTurn { turn, .. } => self.keep_turn(now_ms, turn),
             Call::ReadChain { attempt, .. } => self.read_chain(now_ms, attempt, bodies),
-            Call::Fill { disk, cursor, .. } => self.fill_page(*disk, cursor, bodies),
-            Call::FillDone { disk, .. } => self.fill_done(*disk),
-            _ => Outcome::free(Answer::Unready),
+            Call::Backfill { disk, cursor, .. } => self.fill_page(*disk, cursor, bodies),
+            Call::BackfillDone { disk, .. } => self.fill_done(*disk),
+            _ => Outcome::free(Answer::NotReady),
         }
     }
 
@@ -338,10 +340,10 @@
 
     fn reserve(&mut self, now_ms: u64, program: &str, reservation: Reservation) -> Outcome {
         if !self.takes_writes() || program.len() > NAME_BYTES {
-            return Outcome::free(Answer::Unready);
+            return Outcome::free(Answer::NotReady);
         }
         if self.room != Room::Ample && !self.accounts.contains_key(program) {
-            return Outcome::free(Answer::Unready);
+            return Outcome::free(Answer::NotReady);
         }
         let account = self.account(now_ms, program);
         let (tokens, _) = account.merge(reservation);
@@ -351,7 +353,7 @@
 
     fn settle(&mut self, now_ms: u64, program: &str, reservation: Reservation) -> Outcome {
         if !self.takes_writes() || program.len() > NAME_BYTES {
-            return Outcome::free(Answer::Unready);
+            return Outcome::free(Answer::NotReady);
         }
         let (tokens, news) = self.account(now_ms, program).merge(reservation);
         let writes = news.then(|| account_write(program, reservation.attempt, tokens));
@@ -360,7 +362,7 @@
 
     fn read_account(&mut self, now_ms: u64, program: &str) -> Outcome {
         if !self.is_founded() || !self.is_full() {
-            return Outcome::free(Answer::Unready);
+            return Outcome::free(Answer::NotReady);
         }
         let Some(account) = self.accounts.get_mut(program) else {
             return Outcome::free(Answer::Account(Vec::new()));
@@ -372,11 +374,11 @@
     fn keep_turn(&mut self, now_ms: u64, turn: &Turn) -> Outcome {
         let named = (1..=NAME_BYTES).contains(&turn.attempt.len());
         if !self.takes_writes() || !named {
-            return Outcome::free(Answer::Unready);
+            return Outcome::free(Answer::NotReady);
         }
         // Kept already: the record stays as it is, and the answer waits for the first one's sync.
         let writes = match self.turns.get_mut(turn.attempt.as_str()) {
-            None if self.room == Room::Full => return Outcome::free(Answer::Unready),
+            None if self.room == Room::Full => return Outcome::free(Answer::NotReady),
             None => {
                 self.insert(now_ms, KeptTurn::of(turn));
                 vec![turn_write(turn)]
@@ -384,9 +386,9 @@
             Some(entry) => {
                 entry.touch(now_ms);
                 // Sent again, it names who does hold it: one named before may not have answered.
-                let news = entry.holders != turn.holders;
-                entry.holders.clone_from(&turn.holders);
-                news.then(|| holders_write(&turn.attempt, &turn.holders)).into_iter().collect()
+                let news = entry.holders != turn.replicas;
+                entry.holders.clone_from(&turn.replicas);
+                news.then(|| holders_write(&turn.attempt, &turn.replicas)).into_iter().collect()
             }
         };
         Outcome::synced(Answer::Done, writes)
@@ -424,7 +426,7 @@
                     parts.push(turn.output);
                     parts.push(turn.input);
                 }
-                Body::Pending => return Outcome::lazy(Answer::Unready, writes),
+                Body::Pending => return Outcome::lazy(Answer::NotReady, writes),
                 Body::Lost => {
                     writes.extend(self.lose(&asked));
                     missing = Some(asked);
@@ -451,7 +453,7 @@
     }
 
     /// The set of stores for which a disk fills.
-    fn filled_set(&self, disk: u64) -> Option<&[Store]> {
+    fn filled_set(&self, disk: u64) -> Option<&[StorageNode]> {
         match &self.roster.next {
             Some(next) if contains(next, disk) => Some(next),
             _ if contains(&self.roster.current, disk) => Some(&self.roster.current),
@@ -466,7 +468,7 @@
     }
 
     fn fill_page(&mut self, asker: u64, cursor: &[u8], bodies: &dyn Bodies) -> Outcome {
-        let unready = Outcome::free(Answer::Unready);
+        let unready = Outcome::free(Answer::NotReady);
         let cursor = match cursor {
             [] => Ok(Cursor::Accounts { program: "", after: None }),
             bytes => decode(bytes),
@@ -481,7 +483,7 @@
             Cursor::Accounts { program, after } => {
                 let begun = (program, after);
                 for (program, account) in self.accounts.range::<str, _>((Included(program), Unbounded)) {
-                    if !account_holders(set, program, self.losses).iter().any(|store| store.disk == asker) {
+                    if !account_replicas(set, program, self.losses).iter().any(|store| store.disk == asker) {
                         continue;
                     }
                     size += ENTRY_BYTES + program.len();
@@ -516,7 +518,7 @@
             size += ENTRY_BYTES + attempt.len() + entry.length as usize;
             let full_page = size > PAGE_BYTES && !(turns.is_empty() && accounts.is_empty());
             match if full_page { Body::Pending } else { bodies.get(attempt) } {
-                Body::Held(turn) => turns.push(Turn { holders: wanted, ..turn }),
+                Body::Held(turn) => turns.push(Turn { replicas: wanted, ..turn }),
                 Body::Pending if turns.is_empty() && accounts.is_empty() => return unready,
                 Body::Pending => {
                     let cursor = encode(&Cursor::Turns { after });
@@ -524,7 +526,7 @@
                 }
                 Body::Lost => {
                     let attempt = attempt.to_string();
-                    return Outcome::lazy(Answer::Unready, self.lose(&attempt));
+                    return Outcome::lazy(Answer::NotReady, self.lose(&attempt));
                 }
             }
             after = Some(attempt);
@@ -533,8 +535,8 @@
     }
 
     fn fill_done(&mut self, asker: u64) -> Outcome {
-        let Some(set) = self.filled_set(asker).map(<[Store]>::to_vec) else {
-            return Outcome::free(Answer::Unready);
+        let Some(set) = self.filled_set(asker).map(<[StorageNode]>::to_vec) else {
+            return Outcome::free(Answer::NotReady);
         };
         let mut writes = Vec::new();
         for (attempt, entry) in &mut self.turns {
@@ -562,7 +564,7 @@
             match self.turns.get_mut(turn.attempt.as_str()) {
                 Some(entry) => {
                     entry.touch(now_ms);
-                    writes.extend(add_holders(&turn.attempt, &mut entry.holders, &turn.holders));
+                    writes.extend(add_holders(&turn.attempt, &mut entry.holders, &turn.replicas));
                 }
                 None => {
                     self.insert(now_ms, KeptTurn::of(&turn));
@@ -634,11 +636,11 @@
     account.tokens.iter().map(|(&attempt, &tokens)| Reservation { attempt, tokens }).collect()
 }
 
-fn disks(stores: &[Store]) -> BTreeSet<u64> {
+fn disks(stores: &[StorageNode]) -> BTreeSet<u64> {
     stores.iter().map(|store| store.disk).collect()
 }
 
-fn contains(stores: &[Store], disk: u64) -> bool {
+fn contains(stores: &[StorageNode], disk: u64) -> bool {
     stores.iter().any(|store| store.disk == disk)
 }
 
@@ -654,12 +656,12 @@
 
 /// Who is to hold a turn once `set` is what counts: its holders there, and where these are too few for the losses, the
 /// best-ranked of the others.
-fn wanted_holders(attempt: &str, holders: &[u64], set: &[Store], losses: usize) -> Vec<u64> {
+fn wanted_holders(attempt: &str, holders: &[u64], set: &[StorageNode], losses: usize) -> Vec<u64> {
     let mut wanted: Vec<u64> = holders.iter().copied().filter(|disk| contains(set, *disk)).collect();
     if wanted.len() <= losses {
         let mut others: Vec<u64> =
             set.iter().map(|store| store.disk).filter(|disk| !wanted.contains(disk)).collect();
-        others.sort_by_key(|disk| (std::cmp::Reverse(rank(attempt.as_bytes(), *disk)), *disk));
+        others.sort_by_key(|disk| (std::cmp::Reverse(rendezvous_rank(attempt.as_bytes(), *disk)), *disk));
         wanted.extend(others.into_iter().take(losses + 1 - wanted.len()));
     }
     wanted
