--- a/system/turn-store/tests/changes/fleet.rs
+++ b/system/turn-store/tests/changes/fleet.rs
@@ -4,7 +4,7 @@
 use controllers::{
     LossesBorne, RetireVerdict, StorageController, fill, join, proposed, retire, retire_state, times,
 };
-use fleet_model::{Answer, Call, ControlState, QuorumSizes, Roster, Store, account_holders};
+use fleet_model::{Answer, Call, ControlState, QuorumSizes, Roster, StorageNode, account_replicas};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -58,7 +58,7 @@
 }
 
 pub struct Machine {
-    pub store: Store,
+    pub store: StorageNode,
     pub up: bool,
     /// Since when it is down, if it is.
     down_since: u64,
@@ -68,7 +68,7 @@
 }
 
 impl Machine {
-    fn new(store: Store, tolerance: usize) -> Self {
+    fn new(store: StorageNode, tolerance: usize) -> Self {
         let state = StoreState::new(0, store.disk, tolerance, Kept::default());
         Self { store, up: true, down_since: 0, state, shelf: Shelf::default(), filling: None }
     }
@@ -113,7 +113,7 @@
     random: ChaCha8Rng,
 }
 
-pub fn disks(stores: &[Store]) -> BTreeSet<u64> {
+pub fn disks(stores: &[StorageNode]) -> BTreeSet<u64> {
     stores.iter().map(|store| store.disk).collect()
 }
 
@@ -188,7 +188,8 @@
     fn start(&mut self, name: String, ip: u8) {
         self.disks += 1;
         let zone = if ip.is_multiple_of(2) { "a" } else { "b" };
-        let store = Store { name, ip: Ipv4Addr::new(10, 3, 0, ip), zone: zone.to_owned(), disk: self.disks };
+        let store =
+            StorageNode { name, ip: Ipv4Addr::new(10, 3, 0, ip), zone: zone.to_owned(), disk: self.disks };
         let machine = Machine::new(store, self.tolerance);
         self.machines.push(machine);
     }
@@ -267,13 +268,13 @@
         if before.len() < self.least() || left.len() >= self.least() {
             return Vec::new();
         }
-        let same = |one: &Store, other: &Store| one.name == other.name || one.ip == other.ip;
+        let same = |one: &StorageNode, other: &StorageNode| one.name == other.name || one.ip == other.ip;
         let out = before.iter().filter(|store| !left.iter().any(|other| same(store, other)));
         out.filter(|store| !self.is_gone_for_long(store)).map(|store| store.name.clone()).collect()
     }
 
     /// The watch may have heard from a machine a look before it fell silent, not later.
-    fn is_gone_for_long(&self, store: &Store) -> bool {
+    fn is_gone_for_long(&self, store: &StorageNode) -> bool {
         let machine = self.machines.iter().find(|machine| machine.store.disk == store.disk);
         machine.is_none_or(|machine| {
             !machine.up && self.now - machine.down_since + 2 * times::LOOK >= times::STORE_GONE
@@ -375,7 +376,7 @@
             return drained_page;
         }
         let disk = self.machines[at].store.disk;
-        let done = Call::FillDone { epoch: filling.epoch(), disk };
+        let done = Call::BackfillDone { epoch: filling.epoch(), disk };
         let sources: Vec<u64> = filling.drained().map(|store| store.disk).collect();
         for source in sources {
             if let Some(source) = self.by_disk(source).filter(|source| source.up) {
@@ -420,7 +421,7 @@
     fn tell_filled(&mut self, at: usize) -> bool {
         let machine = &self.machines[at];
         let (disk, epoch) = (machine.store.disk, machine.state.epoch());
-        if !machine.state.is_filled_for_next() || self.control.roster.filled.contains(&disk) {
+        if !machine.state.is_filled_for_next() || self.control.roster.in_sync.contains(&disk) {
             return false;
         }
         let Some(state) = fill(&self.control, Some(disk), epoch, &[], self.least()) else { return false };
@@ -445,7 +446,8 @@
 
     /// Whether it is settled, and everyone that counts is there.
     fn is_whole(&self) -> bool {
-        let up = |store: &Store| self.machines.iter().any(|machine| machine.up && machine.store == *store);
+        let up =
+            |store: &StorageNode| self.machines.iter().any(|machine| machine.up && machine.store == *store);
         self.is_settled() && self.roster().current.iter().all(up)
     }
 
@@ -457,9 +459,10 @@
     /// Whether no more can be given up, and the rest is enough to serve.
     fn serves_without_some(&self) -> bool {
         let roster = self.roster();
-        let up = |store: &&Store| self.machines.iter().any(|machine| machine.up && machine.store == **store);
+        let up =
+            |store: &&StorageNode| self.machines.iter().any(|machine| machine.up && machine.store == **store);
         let silent = roster.current.len() - roster.current.iter().filter(up).count();
-        let sizes = QuorumSizes::of(roster.current.len(), self.tolerance);
+        let sizes = QuorumSizes::for_machines(roster.current.len(), self.tolerance);
         roster.current.len() <= self.least() && sizes.is_some_and(|sizes| silent <= sizes.losses_served())
     }
 
@@ -502,10 +505,11 @@
                 let Some(roster) = self.rosters.get(epoch).cloned() else { continue };
                 let absent = self.absent(&attempt, *epoch);
                 let denied = match self.mutation {
-                    Mutation::AbsentByCovering => QuorumSizes::of(roster.current.len(), self.tolerance)
-                        .is_some_and(|sizes| {
+                    Mutation::AbsentByCovering => {
+                        QuorumSizes::for_machines(roster.current.len(), self.tolerance).is_some_and(|sizes| {
                             disks(&roster.current).intersection(&absent).count() >= sizes.covering
-                        }),
+                        })
+                    }
                     _ => is_surely_absent(&roster, &absent, self.tolerance),
                 };
                 if denied {
@@ -540,7 +544,7 @@
     /// Where nothing is under way and everyone is there, each record is on as many machines as it should be.
     fn check_copies(&mut self) {
         let roster = self.roster().clone();
-        let Some(sizes) = QuorumSizes::of(roster.current.len(), self.tolerance) else { return };
+        let Some(sizes) = QuorumSizes::for_machines(roster.current.len(), self.tolerance) else { return };
         let members = disks(&roster.current);
         for attempt in self.turns.clone() {
             let count = self.holding(&attempt).intersection(&members).count();
@@ -549,7 +553,7 @@
             }
         }
         for (program, number, _) in self.granted.clone() {
-            let holders = account_holders(&roster.current, &program, self.tolerance);
+            let holders = account_replicas(&roster.current, &program, self.tolerance);
             let holders: Vec<u64> = holders.into_iter().map(|store| store.disk).collect();
             let count = holders.into_iter().filter(|disk| self.knows(*disk, &program, number)).count();
             if count < sizes.write {
--- a/system/turn-store/tests/changes/operations.rs
+++ b/system/turn-store/tests/changes/operations.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::{Fleet, Mutation};
 use bytes::Bytes;
-use fleet_model::{Answer, Call, QuorumSizes, Reservation, Roster, Store, Turn, rank};
+use fleet_model::{Answer, Call, QuorumSizes, Reservation, Roster, StorageNode, Turn, rendezvous_rank};
 use std::collections::{BTreeMap, BTreeSet};
 use turn_store::{AccountHolders, copies_needed, copy_order, has_copies, merge_reservations};
 
@@ -40,8 +40,8 @@
         let roster = self.roster().clone();
         let up: BTreeSet<u64> =
             self.machines.iter().filter(|machine| machine.up).map(|machine| machine.store.disk).collect();
-        let order = copy_order(&roster, |store: &Store| {
-            (!up.contains(&store.disk), store.zone != "a", !rank(attempt.as_bytes(), store.disk))
+        let order = copy_order(&roster, |store: &StorageNode| {
+            (!up.contains(&store.disk), store.zone != "a", !rendezvous_rank(attempt.as_bytes(), store.disk))
         });
         let Some(holders) = copies_needed(&roster, &order, self.copies()) else { return };
         let waiting = order.iter().rev().map(|store| store.disk).collect();
@@ -90,9 +90,9 @@
             input: Bytes::from(attempt.clone()),
             output: Bytes::new(),
             retention_ms: 600_000,
-            holders: holders.clone(),
+            replicas: holders.clone(),
         };
-        let answer = self.call(disk, &Call::KeepTurn { epoch: operation.roster.epoch, turn });
+        let answer = self.call(disk, &Call::StoreTurn { epoch: operation.roster.epoch, turn });
         if answer != Some(Answer::Done) {
             return if *naming { Progress::Ends } else { Progress::GoesOn };
         }
@@ -168,7 +168,7 @@
         if self.mutation != Mutation::ReadsOneLess {
             return current.is_quorum(answered);
         }
-        QuorumSizes::of(current.current.len(), self.tolerance)
+        QuorumSizes::for_machines(current.current.len(), self.tolerance)
             .is_some_and(|sizes| answered.len() + 1 >= sizes.read)
     }
 
--- a/system/turn-store/tests/placement.rs
+++ b/system/turn-store/tests/placement.rs
@@ -1,16 +1,21 @@
 //! Where the copies of a turn go.
 
-use fleet_model::{Roster, Store};
+use fleet_model::{Roster, StorageNode};
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use turn_store::{copies_needed, copy_order, has_copies};
 
-fn store(disk: u64, zone: &str) -> Store {
-    Store { name: format!("s{disk}"), ip: Ipv4Addr::new(10, 0, 0, disk as u8), zone: zone.to_owned(), disk }
+fn store(disk: u64, zone: &str) -> StorageNode {
+    StorageNode {
+        name: format!("s{disk}"),
+        ip: Ipv4Addr::new(10, 0, 0, disk as u8),
+        zone: zone.to_owned(),
+        disk,
+    }
 }
 
-fn near_first(zone: &str) -> impl Fn(&Store) -> (bool, bool, u64) {
+fn near_first(zone: &str) -> impl Fn(&StorageNode) -> (bool, bool, u64) {
     move |store| (false, store.zone != zone, store.disk)
 }
 
--- a/system/turn-store/tests/stories.rs
+++ b/system/turn-store/tests/stories.rs
@@ -1,7 +1,7 @@
 //! Stories of stores in memory: what each answers, and how records move when the roster changes.
 
 use bytes::Bytes;
-use fleet_model::{Answer, Call, QuorumSizes, Reservation, Roster, Store, Turn, account_holders};
+use fleet_model::{Answer, Call, QuorumSizes, Reservation, Roster, StorageNode, Turn, account_replicas};
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, prop, prop_assert_eq, proptest};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,11 +9,11 @@
 
 const MINUTE: u64 = 60_000;
 
-fn store(disk: u64) -> Store {
-    Store { name: format!("s{disk}"), ip: [10, 0, 0, disk as u8].into(), zone: "z".into(), disk }
+fn store(disk: u64) -> StorageNode {
+    StorageNode { name: format!("s{disk}"), ip: [10, 0, 0, disk as u8].into(), zone: "z".into(), disk }
 }
 
-fn stores(disks: &[u64]) -> Vec<Store> {
+fn stores(disks: &[u64]) -> Vec<StorageNode> {
     disks.iter().map(|disk| store(*disk)).collect()
 }
 
@@ -28,7 +28,7 @@
         input: Bytes::from(format!("in-{attempt};")),
         output: Bytes::from(format!("out-{attempt};")),
         retention_ms: MINUTE,
-        holders: holders.to_vec(),
+        replicas: holders.to_vec(),
     }
 }
 
@@ -96,7 +96,7 @@
 
     fn keep(&mut self, turn: Turn) -> Answer {
         let epoch = self.state.epoch();
-        self.ask(&Call::KeepTurn { epoch, turn })
+        self.ask(&Call::StoreTurn { epoch, turn })
     }
 
     fn chain(&mut self, attempt: &str) -> Answer {
@@ -164,7 +164,7 @@
             let Some((source, call)) = next else { break };
             let answer = match self.machines.get_mut(&source) {
                 Some(machine) if !self.down.contains(&source) => machine.ask(&call),
-                _ => Answer::Unready,
+                _ => Answer::NotReady,
             };
             let Answer::Records { turns, accounts, cursor } = answer else {
                 filling.give_up(source);
@@ -185,7 +185,7 @@
         }
         let drained: Vec<u64> = filling.drained().map(|store| store.disk).collect();
         for source in drained {
-            let call = Call::FillDone { epoch: filling.epoch(), disk };
+            let call = Call::BackfillDone { epoch: filling.epoch(), disk };
             assert_eq!(self.machines.get_mut(&source).unwrap().ask(&call), Answer::Done);
         }
         self.machines.get_mut(&disk).unwrap().state.mark_filled(&filling).is_some()
@@ -232,10 +232,10 @@
             Call::Reserve { epoch, program: "p".into(), reservation: reservation(1, 1) },
             Call::Settle { epoch, program: "p".into(), reservation: reservation(1, 1) },
             Call::ReadAccount { epoch, program: "p".into() },
-            Call::KeepTurn { epoch, turn: turn("a", None, &[1]) },
+            Call::StoreTurn { epoch, turn: turn("a", None, &[1]) },
             Call::ReadChain { epoch, attempt: "a".into() },
-            Call::Fill { epoch, disk: 2, cursor: Bytes::new() },
-            Call::FillDone { epoch, disk: 2 },
+            Call::Backfill { epoch, disk: 2, cursor: Bytes::new() },
+            Call::BackfillDone { epoch, disk: 2 },
         ];
         for call in calls {
             expect_that!(fleet.at(1).ask(&call), eq(&Answer::WrongEpoch(1)));
@@ -309,13 +309,13 @@
     expect_that!(machine.state.set_room(Room::Scarce), eq(true));
     expect_that!(machine.state.set_room(Room::Scarce), eq(false));
     // Then no other one may begin, and that one goes on; what is kept is told.
-    expect_that!(machine.reserve("new", reservation(2, 60)), eq(&Answer::Unready));
+    expect_that!(machine.reserve("new", reservation(2, 60)), eq(&Answer::NotReady));
     expect_that!(machine.account("new"), eq(&Answer::Account(vec![])));
     expect_that!(sum(&machine.reserve("old", reservation(3, 10))), eq(70));
     expect_that!(machine.keep(turn("b", Some("a"), &[1, 2])), eq(&Answer::Done));
     // When it is full, then no further turn is taken, and one that is kept is confirmed.
     machine.state.set_room(Room::Full);
-    expect_that!(machine.keep(turn("c", Some("b"), &[1, 2])), eq(&Answer::Unready));
+    expect_that!(machine.keep(turn("c", Some("b"), &[1, 2])), eq(&Answer::NotReady));
     expect_that!(machine.keep(turn("b", Some("a"), &[1, 2])), eq(&Answer::Done));
     expect_that!(matches!(machine.chain("b"), Answer::Chain { .. }), eq(true));
     expect_that!(sum(&machine.reserve("old", reservation(1, 20))), eq(30));
@@ -363,9 +363,9 @@
     for disk in 1..=3 {
         let machine = fleet.at(disk);
         expect_that!(machine.state.is_filled_for_next(), eq(true));
-        expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::Unready));
-        expect_that!(machine.account("p"), eq(&Answer::Unready));
-        expect_that!(machine.keep(turn("a", None, &[1, 2])), eq(&Answer::Unready));
+        expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
+        expect_that!(machine.account("p"), eq(&Answer::NotReady));
+        expect_that!(machine.keep(turn("a", None, &[1, 2])), eq(&Answer::NotReady));
         expect_that!(machine.chain("a"), eq(&Answer::Absent { complete: false }));
     }
     // When they are founded, then all of them take and tell.
@@ -388,7 +388,7 @@
             expect_that!(fleet.at(*disk).keep(turn("a", None, &disks)), eq(&Answer::Done));
         }
         // When as many are lost as the copies allow, then one that takes their place has all.
-        let survived = QuorumSizes::of(disks.len(), losses).unwrap().losses_survived() as u64;
+        let survived = QuorumSizes::for_machines(disks.len(), losses).unwrap().losses_survived() as u64;
         fleet.down.extend(1..=survived);
         fleet.add(9);
         let next: Vec<u64> = (survived + 1..=machines).chain([9]).collect();
@@ -405,15 +405,18 @@
     fleet.add(4);
     fleet.spread();
     let machine = fleet.at(4);
-    expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::Unready));
-    expect_that!(machine.account("p"), eq(&Answer::Unready));
-    expect_that!(machine.keep(turn("b", None, &[4])), eq(&Answer::Unready));
+    expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
+    expect_that!(machine.account("p"), eq(&Answer::NotReady));
+    expect_that!(machine.keep(turn("b", None, &[4])), eq(&Answer::NotReady));
     expect_that!(machine.chain("a"), eq(&Answer::Absent { complete: false }));
-    expect_that!(machine.ask(&Call::Fill { epoch: 1, disk: 1, cursor: Bytes::new() }), eq(&Answer::Unready));
+    expect_that!(
+        machine.ask(&Call::Backfill { epoch: 1, disk: 1, cursor: Bytes::new() }),
+        eq(&Answer::NotReady)
+    );
     // And it is given nothing.
     expect_that!(
-        fleet.at(1).ask(&Call::Fill { epoch: 1, disk: 4, cursor: Bytes::new() }),
-        eq(&Answer::Unready)
+        fleet.at(1).ask(&Call::Backfill { epoch: 1, disk: 4, cursor: Bytes::new() }),
+        eq(&Answer::NotReady)
     );
 }
 
@@ -441,9 +444,9 @@
     let mut machine = Machine::new(2, 1);
     machine.state.set_roster(&roster(3, &[1, 2, 4], None));
     expect_that!(machine.chain("a"), eq(&Answer::Absent { complete: false }));
-    expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::Unready));
-    expect_that!(machine.account("p"), eq(&Answer::Unready));
-    expect_that!(machine.keep(turn("b", None, &[2])), eq(&Answer::Unready));
+    expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
+    expect_that!(machine.account("p"), eq(&Answer::NotReady));
+    expect_that!(machine.keep(turn("b", None, &[2])), eq(&Answer::NotReady));
     // The one that had filled says it once it is in `current`.
     fleet.set_roster(roster(3, &[1, 2, 4], None));
     expect_that!(fleet.at(4).chain("x"), eq(&Answer::Absent { complete: true }));
@@ -455,7 +458,7 @@
     fleet.add(4);
     fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
     expect_that!(sum(&fleet.at(4).reserve("p", reservation(1, 5))), eq(5));
-    expect_that!(fleet.at(4).account("p"), eq(&Answer::Unready));
+    expect_that!(fleet.at(4).account("p"), eq(&Answer::NotReady));
     expect_that!(fleet.at(4).keep(turn("a", None, &[4, 1])), eq(&Answer::Done));
     expect_that!(matches!(fleet.at(4).chain("a"), Answer::Chain { .. }), eq(true));
 }
@@ -489,7 +492,7 @@
     fleet.at(1).keep(turn("a", None, &[1, 2]));
     let mut again = turn("a", None, &[1, 2]);
     again.output = Bytes::from_static(b"other");
-    let outcome = fleet.at(1).outcome(0, &Call::KeepTurn { epoch: 1, turn: again });
+    let outcome = fleet.at(1).outcome(0, &Call::StoreTurn { epoch: 1, turn: again });
     expect_that!(outcome.answer, eq(&Answer::Done));
     expect_that!((outcome.durability, outcome.writes.len()), eq((Durability::Synced, 0)));
     let text = Bytes::from_static(b"in-a;out-a;");
@@ -501,11 +504,11 @@
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     fleet.at(1).keep(turn("a", None, &[1, 2]));
     fleet.at(1).shelf.written.clear();
-    expect_that!(fleet.at(1).chain("a"), eq(&Answer::Unready));
+    expect_that!(fleet.at(1).chain("a"), eq(&Answer::NotReady));
     // Nor is it left out of a page.
     expect_that!(
-        fleet.at(1).ask(&Call::Fill { epoch: 1, disk: 2, cursor: Bytes::new() }),
-        eq(&Answer::Unready)
+        fleet.at(1).ask(&Call::Backfill { epoch: 1, disk: 2, cursor: Bytes::new() }),
+        eq(&Answer::NotReady)
     );
 }
 
@@ -514,7 +517,7 @@
     // Given a chain whose end was kept a minute later.
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     let machine = fleet.at(1);
-    let keep = |turn| Call::KeepTurn { epoch: 1, turn };
+    let keep = |turn| Call::StoreTurn { epoch: 1, turn };
     machine.outcome(0, &keep(turn("a", None, &[1])));
     machine.outcome(0, &keep(turn("other", None, &[1])));
     machine.outcome(MINUTE, &keep(turn("b", Some("a"), &[1])));
@@ -623,7 +626,7 @@
     let mut fleet = Fleet::founded(&[1, 2, 3, 4, 5], 1);
     let programs: Vec<String> = (0..30).map(|number| format!("program-{number}")).collect();
     for program in &programs {
-        let holders = account_holders(&fleet.roster.current, program, 1);
+        let holders = account_replicas(&fleet.roster.current, program, 1);
         for holder in holders.iter().map(|store| store.disk).collect::<Vec<_>>() {
             fleet.at(holder).reserve(program, reservation(1, 9));
         }
@@ -635,7 +638,7 @@
     // Then every holder has the account, and the new store no other.
     let mut of_new = 0;
     for program in &programs {
-        let holders = account_holders(&fleet.roster.current, program, 1);
+        let holders = account_replicas(&fleet.roster.current, program, 1);
         for holder in holders.iter().map(|store| store.disk).collect::<Vec<_>>() {
             expect_that!(sum(&fleet.at(holder).account(program)), eq(9));
             of_new += usize::from(holder == 6);
@@ -656,10 +659,10 @@
     fleet.at(1).shelf.lost.insert("a".into());
     expect_that!(fleet.at(1).chain("a"), eq(&Answer::Absent { complete: false }));
     // Then it takes nothing, gives nothing, and still tells what it has.
-    expect_that!(fleet.at(1).reserve("p", reservation(1, 1)), eq(&Answer::Unready));
+    expect_that!(fleet.at(1).reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
     expect_that!(
-        fleet.at(1).ask(&Call::Fill { epoch: 1, disk: 2, cursor: Bytes::new() }),
-        eq(&Answer::Unready)
+        fleet.at(1).ask(&Call::Backfill { epoch: 1, disk: 2, cursor: Bytes::new() }),
+        eq(&Answer::NotReady)
     );
     expect_that!(matches!(fleet.at(1).chain("b"), Answer::Chain { .. }), eq(true));
     // One of the others is not enough to fill from.
@@ -698,7 +701,7 @@
     expect_that!(seen.at(4).state.mark_filled(&stale), none());
     // Where the roster itself tells that it was told so, it counts.
     expect_that!(seen.fill(4), eq(true));
-    seen.set_roster(Roster { filled: vec![4], ..roster(12, &[1, 2, 3], Some(&[1, 2, 4])) });
+    seen.set_roster(Roster { in_sync: vec![4], ..roster(12, &[1, 2, 3], Some(&[1, 2, 4])) });
     expect_that!(seen.at(4).state.is_filled_for_next(), eq(true));
 }
 
@@ -748,8 +751,8 @@
     fleet.set_roster(roster(4, &[1, 2, 3, 4], None));
     fleet.at(4).reserve("p", reservation(2, 5));
     fleet.set_roster(roster(5, &[1, 2, 4], None));
-    let call = Call::Fill { epoch: 5, disk: 1, cursor: Bytes::new() };
-    expect_that!(fleet.at(4).ask(&call), eq(&Answer::Unready));
+    let call = Call::Backfill { epoch: 5, disk: 1, cursor: Bytes::new() };
+    expect_that!(fleet.at(4).ask(&call), eq(&Answer::NotReady));
 }
 
 #[gtest]
@@ -771,8 +774,8 @@
     let has_it = fleet.holding("a").contains(&3);
     expect_that!(fleet.fill(4), eq(false));
     expect_that!(fleet.at(4).chain("a"), eq(&Answer::Absent { complete: false }));
-    let call = Call::Fill { epoch: 3, disk: 3, cursor: Bytes::new() };
-    expect_that!(fleet.at(4).ask(&call), eq(&Answer::Unready));
+    let call = Call::Backfill { epoch: 3, disk: 3, cursor: Bytes::new() };
+    expect_that!(fleet.at(4).ask(&call), eq(&Answer::NotReady));
     // and with 1 it gets what it should.
     fleet.down.remove(&1);
     expect_that!(fleet.fill(4), eq(true));
@@ -830,8 +833,8 @@
 #[gtest]
 fn a_nonsense_cursor_is_no_panic() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    let call = Call::Fill { epoch: 1, disk: 2, cursor: Bytes::from_static(&[9, 9, 9]) };
-    expect_that!(fleet.at(1).ask(&call), eq(&Answer::Unready));
+    let call = Call::Backfill { epoch: 1, disk: 2, cursor: Bytes::from_static(&[9, 9, 9]) };
+    expect_that!(fleet.at(1).ask(&call), eq(&Answer::NotReady));
 }
 
 fn account_of(parts: &[&Vec<Reservation>]) -> Vec<Reservation> {
--- a/testbed/src/system/check.rs
+++ b/testbed/src/system/check.rs
@@ -2,7 +2,7 @@
 
 use super::history::{Fact, History, Told};
 use super::{bounds, orders};
-use fleet_model::{Ballot, rank};
+use fleet_model::{Ballot, rendezvous_rank};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -226,7 +226,7 @@
                     continue;
                 };
                 match told {
-                    Told::Text(hash) if *hash == rank(chain.as_bytes(), 0) => {}
+                    Told::Text(hash) if *hash == rendezvous_rank(chain.as_bytes(), 0) => {}
                     Told::Text(_) => {
                         let what = format!("{attempt}, whole since {since}, came with another text");
                         broken.push(Broken { rule: Rule::Text, at: *at, what });
--- a/testbed/src/system/control.rs
+++ b/testbed/src/system/control.rs
@@ -12,7 +12,7 @@
     PutConfig, Retire,
 };
 use controllers::{ConfigVerdict, LeaseCandidate, RetireVerdict};
-use fleet_model::{AcceptedValue, Call, ControlState, Endpoint, Fence, Roster, Store, rank};
+use fleet_model::{AcceptedValue, Call, ControlState, Endpoint, Lease, Roster, StorageNode, rendezvous_rank};
 use node_runtime::Runtime;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -119,19 +119,19 @@
         self.host.note(Fact::Chosen {
             node: self.host.node,
             ballot: chosen.ballot,
-            versions: state.taken.iter().map(|taken| taken.version).collect(),
-            hash: rank(&chosen.value.payload, rank(&voters, 0)),
+            versions: state.committed.iter().map(|taken| taken.version).collect(),
+            hash: rendezvous_rank(&chosen.value.payload, rendezvous_rank(&voters, 0)),
         });
     }
 
     fn note_roster(&self, roster: &Roster) {
-        let disks = |stores: &[Store]| stores.iter().map(|store| store.disk).collect();
+        let disks = |stores: &[StorageNode]| stores.iter().map(|store| store.disk).collect();
         self.host.note(Fact::Roster {
             node: self.host.node,
             epoch: roster.epoch,
             current: disks(&roster.current),
             next: roster.next.as_deref().map(disks),
-            filled: roster.filled.clone(),
+            filled: roster.in_sync.clone(),
         });
     }
 }
@@ -178,15 +178,15 @@
         &self,
         candidate: &LeaseCandidate,
         state: &ControlState,
-        from: &Fence,
+        from: &Lease,
     ) -> Option<ControlState> {
         if !self.host.breaks(Mutation::FenceNotChecked) {
             return candidate.taken(state, from);
         }
         // Broken on purpose: whatever token stands by now.
         let mut state = state.clone();
-        let fence = Fence { number: from.number + 1, holder: Some(self.host.machine.ip) };
-        state.fences.insert(LIST.to_owned(), fence);
+        let fence = Lease { token: from.token + 1, holder: Some(self.host.machine.ip) };
+        state.leases.insert(LIST.to_owned(), fence);
         Some(state)
     }
 }
--- a/testbed/src/system/disk.rs
+++ b/testbed/src/system/disk.rs
@@ -277,7 +277,7 @@
                     attempt: turn.attempt,
                     previous: turn.previous,
                     retention_ms: turn.retention_ms,
-                    holders: turn.holders,
+                    holders: turn.replicas,
                 })),
                 ACCOUNTS => kept.accounts.extend(account(key, value)),
                 STATE => kept.fill = postcard::from_bytes(value).unwrap_or_default(),
--- a/testbed/src/system/edge.rs
+++ b/testbed/src/system/edge.rs
@@ -3,10 +3,10 @@
 
 use super::Mutation;
 use super::history::{Fact, Told};
-use super::runtime::{Feed, follow, follow_one, keep_beating};
+use super::runtime::{Feed, follow, follow_one, run_heartbeats};
 use super::world::{Answering, Host, PORT};
 use bytes::Bytes;
-use fleet_model::{Answer, Call, Reservation, Store, Turn, rank};
+use fleet_model::{Answer, Call, Reservation, StorageNode, Turn, rendezvous_rank};
 use futures_util::future::join;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use std::cell::RefCell;
@@ -37,14 +37,14 @@
             Box::pin(async move {
                 match (&call, pusher) {
                     (Call::Subscribe { .. }, Some(pusher)) => feed.subscribe(&call, true, pusher),
-                    _ => Answer::Unready,
+                    _ => Answer::NotReady,
                 }
             }) as Answering
         };
         world.serve(host, Rc::new(handler));
     }
     host.spawn(follow(feed.clone(), false));
-    host.spawn(keep_beating(feed.clone()));
+    host.spawn(run_heartbeats(feed.clone()));
     feed
 }
 
@@ -115,7 +115,7 @@
 }
 
 fn reservation(attempt: &str, tokens: u32) -> Reservation {
-    Reservation { attempt: rank(attempt.as_bytes(), 0), tokens }
+    Reservation { attempt: rendezvous_rank(attempt.as_bytes(), 0), tokens }
 }
 
 impl Proxy {
@@ -171,7 +171,7 @@
             input,
             output,
             retention_ms: 60_000,
-            holders: Vec::new(),
+            replicas: Vec::new(),
         };
         if self.rounds(KEEP_FOR, async || self.keep_round(&turn).await).await.is_none() {
             return TurnEnd::Failed;
@@ -187,7 +187,7 @@
         TurnEnd::Whole
     }
 
-    async fn ask(&self, store: &Store, call: Call, patience: u64) -> Option<Answer> {
+    async fn ask(&self, store: &StorageNode, call: Call, patience: u64) -> Option<Answer> {
         let answer = self.host.call(store.ip, call, patience).await;
         let mut down = self.down.borrow_mut();
         match &answer {
@@ -197,7 +197,7 @@
         answer
     }
 
-    fn is_down(&self, store: &Store) -> bool {
+    fn is_down(&self, store: &StorageNode) -> bool {
         self.down.borrow().get(&store.disk).is_some_and(|at| self.host.now_ms() - at < DOWN)
     }
 
@@ -226,12 +226,12 @@
         };
         let epoch = roster.epoch;
         let reservation = reservation(&wish.attempt, MOST);
-        let write = |_: &Store| Call::Reserve { epoch, program: wish.program.clone(), reservation };
+        let write = |_: &StorageNode| Call::Reserve { epoch, program: wish.program.clone(), reservation };
         let Some((written, all)) = self.at_majority(&holders, write, true).await else { return Round::Again };
         let mut account = match all {
             true => written,
             false => {
-                let read = |_: &Store| Call::ReadAccount { epoch, program: wish.program.clone() };
+                let read = |_: &StorageNode| Call::ReadAccount { epoch, program: wish.program.clone() };
                 let Some((mut account, _)) = self.at_majority(&holders.current_only(), read, false).await
                 else {
                     return Round::Again;
@@ -253,7 +253,7 @@
     async fn at_majority(
         &self,
         holders: &AccountHolders<'_>,
-        call: impl Fn(&Store) -> Call,
+        call: impl Fn(&StorageNode) -> Call,
         wait_for_all: bool,
     ) -> Option<(BTreeMap<u64, u32>, bool)> {
         let mut calls: FuturesUnordered<_> = holders
@@ -291,7 +291,7 @@
         let told = match self.chain_of(attempt).await {
             Chain::Text(pieces) => {
                 let whole: Vec<u8> = pieces.iter().rev().flat_map(|piece| piece.to_vec()).collect();
-                Told::Text(rank(&whole, 0))
+                Told::Text(rendezvous_rank(&whole, 0))
             }
             Chain::NoSuchTurn => Told::NoSuchTurn,
             Chain::Unavailable => Told::Unavailable,
@@ -329,12 +329,12 @@
     async fn find_round(&self, attempt: &str) -> Round<Option<(Bytes, Option<String>)>> {
         let state = self.feed.state();
         let roster = &state.roster;
-        let mut stores: Vec<&Store> = roster.current.iter().collect();
+        let mut stores: Vec<&StorageNode> = roster.current.iter().collect();
         stores.extend(roster.next.iter().flatten().filter(|store| !roster.current.contains(store)));
         let call = || Call::ReadChain { epoch: roster.epoch, attempt: attempt.to_owned() };
         let mut surely_not: BTreeSet<u64> = BTreeSet::new();
         let zone = &self.host.machine.zone;
-        let (near, far): (Vec<&Store>, Vec<&Store>) =
+        let (near, far): (Vec<&StorageNode>, Vec<&StorageNode>) =
             stores.into_iter().partition(|store| store.zone == *zone && !self.is_down(store));
         for (stores, patience) in [(near, HEDGE), (far, PATIENCE)] {
             let mut calls: FuturesUnordered<_> = stores
@@ -363,11 +363,12 @@
         let short = usize::from(self.host.breaks(Mutation::CopiesOneShort));
         let copies = self.host.losses() + 1 - short;
         let stores = copy_order(roster, |store| {
-            (self.is_down(store), store.zone != *zone, !rank(turn.attempt.as_bytes(), store.disk))
+            (self.is_down(store), store.zone != *zone, !rendezvous_rank(turn.attempt.as_bytes(), store.disk))
         });
         let Some(first) = copies_needed(roster, &stores, copies) else { return Round::Again };
-        let keep = async |store: &Store, holders: Vec<u64>| {
-            let call = Call::KeepTurn { epoch: roster.epoch, turn: Turn { holders, ..turn.clone() } };
+        let keep = async |store: &StorageNode, holders: Vec<u64>| {
+            let call =
+                Call::StoreTurn { epoch: roster.epoch, turn: Turn { replicas: holders, ..turn.clone() } };
             (store.disk, self.ask(store, call, PATIENCE).await)
         };
         let mut waiting = stores.iter().copied();
@@ -411,7 +412,7 @@
                     return;
                 };
                 let epoch = state.roster.epoch;
-                let call = |_: &Store| Call::Settle { epoch, program: program.clone(), reservation };
+                let call = |_: &StorageNode| Call::Settle { epoch, program: program.clone(), reservation };
                 let calls: FuturesUnordered<_> =
                     holders.all().map(|store| proxy.ask(store, call(store), PATIENCE)).collect();
                 let answers: Vec<_> = calls.collect().await;
--- a/testbed/src/system/operators.rs
+++ b/testbed/src/system/operators.rs
@@ -7,7 +7,7 @@
 use super::play::Stage;
 use bytes::Bytes;
 use controllers::{ConfigVerdict, RetireVerdict};
-use fleet_model::TakenVersion;
+use fleet_model::CommittedVersion;
 use futures_util::future::join_all;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -69,7 +69,7 @@
     u64::from_be_bytes(first)
 }
 
-fn order_of(taken: &TakenVersion) -> u64 {
+fn order_of(taken: &CommittedVersion) -> u64 {
     name(&taken.digest)
 }
 
@@ -255,9 +255,9 @@
         let mut seen = self.operators.seen.borrow_mut();
         for keeper in self.keepers.borrow().values() {
             let state = keeper.feed.state();
-            let is_new = |taken: &&TakenVersion| !seen.contains(&(taken.version, order_of(taken)));
+            let is_new = |taken: &&CommittedVersion| !seen.contains(&(taken.version, order_of(taken)));
             let fresh: Vec<(u64, u64)> = state
-                .taken
+                .committed
                 .iter()
                 .rev()
                 .take_while(is_new)
@@ -313,7 +313,7 @@
 async fn answered(keeper: &Keeper, order: &Order, mutation: Option<Mutation>) -> OrderAnswer {
     if mutation == Some(Mutation::AnsweredAlone) {
         // Broken on purpose: by its own replicated state, without a majority.
-        let taken = TakenVersion { version: order.number, digest: operator_config::digest(&order.body) };
+        let taken = CommittedVersion { version: order.number, digest: operator_config::digest(&order.body) };
         let state = keeper.feed.state();
         let (_, verdict) = controllers::put_config(&state, order.on, &taken, &order.body);
         if verdict != ConfigVerdict::Taken {
--- a/testbed/src/system/runtime.rs
+++ b/testbed/src/system/runtime.rs
@@ -4,13 +4,13 @@
 use super::history::Fact;
 use super::schedule::Class;
 use super::world::{Host, PORT, Pusher, Pushes, list_of};
-use fleet_model::{Answer, Ballot, Call, Push, RegisterReply, RegisterRequest};
+use fleet_model::{Answer, Ballot, Call, ListVersion, Push, RegisterReply, RegisterRequest};
 use node_runtime::{FeedEvent, Runtime, Subscriber, Task, Upstream};
 use state_feed::FeedState;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-pub use node_runtime::{follow, follow_one, keep_beating};
+pub use node_runtime::{follow, follow_one, run_heartbeats};
 
 /// What a simulated process knows through the feed, and passes on.
 pub type Feed = node_runtime::Feed<Host>;
@@ -64,7 +64,7 @@
         Host::now(self)
     }
 
-    fn draw(&self) -> u64 {
+    fn random_u64(&self) -> u64 {
         Host::draw(self)
     }
 
@@ -92,7 +92,7 @@
         patience: Duration,
     ) -> Option<(Answer, Pushes)> {
         if let (Call::Subscribe { value, list, .. }, true) = (&mut call, self.takes_all()) {
-            (*value, *list) = (Ballot::default(), (0, 0));
+            (*value, *list) = (Ballot::default(), ListVersion::default());
         }
         Host::subscribe(self, *to.ip(), call, milliseconds(patience)).await
     }
@@ -114,7 +114,7 @@
     fn before_push(&self, known: &mut FeedState, push: &Push) {
         let is_older = match push {
             Push::Value(value) => value.ballot < known.value().ballot,
-            Push::List(list) => list.stamp < known.list().stamp,
+            Push::List(list) => list.version < known.list().version,
             _ => false,
         };
         if is_older && self.takes_all() {
--- a/testbed/src/system/second_loss.rs
+++ b/testbed/src/system/second_loss.rs
@@ -3,7 +3,7 @@
 use super::history::Disturbance;
 use super::play::Stage;
 use super::schedule::{MembershipStep, Victim};
-use fleet_model::{ControlState, Store};
+use fleet_model::{ControlState, StorageNode};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
@@ -30,7 +30,7 @@
             MembershipStep::Agreed | MembershipStep::Filling => {
                 now.next.is_some() && now.epoch > former.epoch
             }
-            MembershipStep::Filled => !now.filled.is_empty() && now.epoch > former.epoch,
+            MembershipStep::Filled => !now.in_sync.is_empty() && now.epoch > former.epoch,
             MembershipStep::Current | MembershipStep::Released => {
                 now.current != former.current && now.epoch > former.epoch
             }
@@ -48,7 +48,7 @@
                 let now = &self.state.roster;
                 let mut after = now.next.clone().unwrap_or_else(|| now.current.clone());
                 let mut former = before.state.roster.current.clone();
-                let by_disk = |store: &Store| store.disk;
+                let by_disk = |store: &StorageNode| store.disk;
                 after.sort_by_key(by_disk);
                 former.sort_by_key(by_disk);
                 chosen(victim, &former, &after, |store| store.ip)
--- a/testbed/src/system/store.rs
+++ b/testbed/src/system/store.rs
@@ -4,7 +4,7 @@
 use super::Mutation;
 use super::runtime::{Feed, follow};
 use super::world::{Answering, Host};
-use fleet_model::{Answer, Call, Store, rank};
+use fleet_model::{Answer, Call, StorageNode, rendezvous_rank};
 use futures_util::future::{Either, join_all, select};
 use std::cell::RefCell;
 use std::net::Ipv4Addr;
@@ -23,14 +23,14 @@
     pub feed: Rc<Feed>,
     state: RefCell<StoreState>,
     /// Itself, as the roster has it.
-    pub me: Store,
+    pub me: StorageNode,
 }
 
 impl TurnKeeper {
     /// Starts a life.
     pub fn start(host: &Host) -> Rc<Self> {
         let disk = host.disk();
-        let me = Store {
+        let me = StorageNode {
             name: host.machine.name.clone(),
             ip: host.machine.ip,
             zone: host.machine.zone.clone(),
@@ -73,8 +73,8 @@
         ips.dedup();
         let draw = self.host.draw();
         let holders: Vec<Ipv4Addr> =
-            self.feed.state().fences.values().filter_map(|fence| fence.holder).collect();
-        ips.sort_by_key(|ip| (!holders.contains(ip), rank(&ip.octets(), draw)));
+            self.feed.state().leases.values().filter_map(|fence| fence.holder).collect();
+        ips.sort_by_key(|ip| (!holders.contains(ip), rendezvous_rank(&ip.octets(), draw)));
         for ip in ips {
             if let Some(Answer::Done) = self.host.call(ip, call.clone(), 700).await {
                 return true;
@@ -88,7 +88,7 @@
         loop {
             self.learn_roster();
             let roster = self.feed.state().roster.clone();
-            let has = |stores: &[Store]| stores.contains(&self.me);
+            let has = |stores: &[StorageNode]| stores.contains(&self.me);
             let placed = has(roster.next.as_ref().unwrap_or(&roster.current));
             let known = self.feed.fresh_at().is_some();
             if known && !placed && !roster.retiring.contains(&self.me.name) {
@@ -99,8 +99,9 @@
                 self.fill(filling).await;
             }
             let full = self.state.borrow().is_filled_for_next();
-            if full && !roster.filled.contains(&self.me.disk) && roster.epoch == self.state.borrow().epoch() {
-                self.tell_core(Call::Filled { disk: self.me.disk, epoch: roster.epoch }).await;
+            if full && !roster.in_sync.contains(&self.me.disk) && roster.epoch == self.state.borrow().epoch()
+            {
+                self.tell_core(Call::InSync { disk: self.me.disk, epoch: roster.epoch }).await;
             }
             let filling = self.state.borrow().filling().is_some();
             let pause = if placed && !full && !filling { 2_000 } else { 120 };
@@ -111,7 +112,7 @@
     async fn fill(&self, filling: Filling) {
         let epoch = filling.epoch();
         let filling = RefCell::new(filling);
-        let sources: Vec<Store> = filling.borrow().calls().map(|(store, _)| store.clone()).collect();
+        let sources: Vec<StorageNode> = filling.borrow().calls().map(|(store, _)| store.clone()).collect();
         let enough = Notify::new();
         join_all(sources.iter().map(|source| self.drain(source, &filling, &enough))).await;
         let filling = filling.into_inner();
@@ -121,7 +122,7 @@
         }
         self.synced(Vec::new()).await;
         let told = filling.drained().map(|source| async {
-            let call = Call::FillDone { epoch, disk: self.me.disk };
+            let call = Call::BackfillDone { epoch, disk: self.me.disk };
             let _ = self.host.call(source.ip, call, PATIENCE).await;
         });
         join_all(told).await;
@@ -131,7 +132,7 @@
         }
     }
 
-    async fn drain(&self, source: &Store, filling: &RefCell<Filling>, enough: &Notify) {
+    async fn drain(&self, source: &StorageNode, filling: &RefCell<Filling>, enough: &Notify) {
         let epoch = filling.borrow().epoch();
         let mut answered = self.host.now_ms();
         loop {
@@ -200,7 +201,7 @@
         Call::Reserve { epoch, .. }
         | Call::Settle { epoch, .. }
         | Call::ReadAccount { epoch, .. }
-        | Call::KeepTurn { epoch, .. }
+        | Call::StoreTurn { epoch, .. }
         | Call::ReadChain { epoch, .. } => *epoch = known,
         _ => {}
     }
--- a/testbed/src/system/world.rs
+++ b/testbed/src/system/world.rs
@@ -482,8 +482,8 @@
     /// Broken on purpose: links do not tell how old what they bring may be.
     fn without_age(&self, push: Push) -> Push {
         match push {
-            Push::Beat { proxies, .. } if self.breaks(Mutation::AgeNotCarried) => {
-                Push::Beat { age_ms: 0, proxies }
+            Push::Heartbeat { proxies, .. } if self.breaks(Mutation::AgeNotCarried) => {
+                Push::Heartbeat { age_ms: 0, proxies }
             }
             push => push,
         }
--- a/testbed/tests/record_log.rs
+++ b/testbed/tests/record_log.rs
@@ -5,7 +5,8 @@
 use config_register::{Acceptor, AcceptorRecord, found};
 use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
-    AcceptedValue, Ballot, ControlState, RegisterReply, RegisterRequest, RegisterValue, TakenVersion, rank,
+    AcceptedValue, Ballot, CommittedVersion, ControlState, RegisterReply, RegisterRequest, RegisterValue,
+    rendezvous_rank,
 };
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -31,7 +32,7 @@
 /// A configuration that differs in many places from the one before.
 fn configuration(version: u64) -> Bytes {
     let route = |place: u64| {
-        let hash = rank(&place.to_be_bytes(), version);
+        let hash = rendezvous_rank(&place.to_be_bytes(), version);
         format!("{{\"name\":\"route-{place}\",\"service\":\"{hash:016x}\"}},")
     };
     let mut text = String::with_capacity(CONFIGURATION_BYTES);
@@ -47,7 +48,7 @@
 fn digest(version: u64) -> [u8; 32] {
     let mut digest = [0; 32];
     for (place, chunk) in digest.chunks_mut(8).enumerate() {
-        chunk.copy_from_slice(&rank(&version.to_be_bytes(), place as u64).to_be_bytes());
+        chunk.copy_from_slice(&rendezvous_rank(&version.to_be_bytes(), place as u64).to_be_bytes());
     }
     digest
 }
@@ -82,10 +83,10 @@
     }
 
     fn change(&mut self, version: u64) {
-        let ballot = Ballot { round: version << 16, proposer: 1, life: 1 };
+        let ballot = Ballot { round: version << 16, proposer: 1, incarnation: 1 };
         let promised = self.handle(RegisterRequest::Prepare(ballot));
         assert!(matches!(promised, RegisterReply::Promised(_)), "{promised:?}");
-        let sent = TakenVersion { version, digest: digest(version) };
+        let sent = CommittedVersion { version, digest: digest(version) };
         let (next, verdict) = put_config(&self.state, version - 1, &sent, &configuration(version));
         assert_eq!(verdict, ConfigVerdict::Taken);
         self.state = next.expect("another state");
--- a/testbed/tests/system.rs
+++ b/testbed/tests/system.rs
@@ -1,6 +1,6 @@
 //! The whole system in simulated time: no schedule breaks a rule, and what is broken on purpose is caught.
 
-use fleet_model::{Ballot, rank};
+use fleet_model::{Ballot, rendezvous_rank};
 use googletest::prelude::*;
 use testbed::system::{
     Fact, History, Mutation, Rule, Schedule, Told, check, play, play_one, play_until_broken, shortest,
@@ -76,7 +76,7 @@
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, proposer: 1, life: 1 }
+    Ballot { round, proposer: 1, incarnation: 1 }
 }
 
 fn chosen(round: u64, versions: &[u64], hash: u64) -> Fact {
@@ -135,7 +135,7 @@
 
 #[gtest]
 fn the_checker_tells_what_turns_and_budgets_break() {
-    let text = |text: &str| Told::Text(rank(text.as_bytes(), 0));
+    let text = |text: &str| Told::Text(rendezvous_rank(text.as_bytes(), 0));
     let kept = [whole("a", None), whole("b", Some("a"))];
     let with = |fact: Fact| rules(&[kept[0].clone(), kept[1].clone(), fact]);
     expect_that!(with(asked(2, "b", text("a;b;"))), is_empty());
--- a/testbed/tests/system_rules.rs
+++ b/testbed/tests/system_rules.rs
@@ -94,7 +94,7 @@
 }
 
 fn knows(at: u64, version: u64, list: u64) -> (u64, Fact) {
-    let ballot = Ballot { round: at, proposer: 1, life: 1 };
+    let ballot = Ballot { round: at, proposer: 1, incarnation: 1 };
     (at, Fact::Knows { node: PROXY, life: 1, ballot, version, list })
 }
 
