--- a/system/programs/src/keeper/record/tests.rs
+++ b/system/programs/src/keeper/record/tests.rs
@@ -11,6 +11,8 @@
 use std::fs;
 use std::path::PathBuf;
 
+mod recorded;
+
 fn ip(last: u8) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 0, last)
 }
