--- a/system/turn-store/src/disk/tests.rs
+++ b/system/turn-store/src/disk/tests.rs
@@ -3,6 +3,8 @@
 use fleet_model::{Call, Reservation, Turn};
 use googletest::prelude::*;
 
+mod recorded;
+
 fn open(dir: &Path) -> Disk {
     Disk::open(dir, SPACES, || 7).unwrap()
 }
--- a/system/turn-store/src/record_log/tests.rs
+++ b/system/turn-store/src/record_log/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 use googletest::prelude::*;
 
+mod recorded;
+
 fn open(folder: &Path) -> Opened {
     RecordLog::open(folder).unwrap()
 }
