--- a/system/fleet-membership/src/wire.rs
+++ b/system/fleet-membership/src/wire.rs
@@ -4,6 +4,9 @@
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
+#[cfg(test)]
+mod tests;
+
 /// Longest datagram.
 pub const MAX_DATAGRAM: usize = 1_200;
 /// Version of the format.
--- /dev/null
+++ b/system/fleet-membership/src/wire/tests.rs
@@ -0,0 +1,85 @@
+//! Datagrams that earlier programs sent are read as they meant them, and written again by the same bytes.
+
+use super::*;
+use crate::member::Role;
+use googletest::prelude::*;
+use std::fs;
+
+const FLEET: u32 = 0x0102_0304;
+
+fn ip(last: u8) -> Ipv4Addr {
+    Ipv4Addr::new(10, 0, 5, last)
+}
+
+fn version(refutation: u32) -> Version {
+    Version { incarnation: 0x0123_4567_89ab_cdef, refutation }
+}
+
+fn alive(last: u8, role: Role) -> Claim {
+    let member = Member {
+        ip: ip(last),
+        role,
+        zone: "zone-a".into(),
+        name: format!("machine-{last}"),
+        incarnation: 1 << 40,
+        tags: vec![1, 0, 255],
+    };
+    Claim::Alive { member, refutation: 300 }
+}
+
+/// A claim of each kind, and a member of each role.
+fn claims() -> Vec<Claim> {
+    vec![
+        alive(1, Role::Edge),
+        alive(2, Role::Core),
+        alive(3, Role::Storage),
+        Claim::Suspect { ip: ip(4), version: version(1) },
+        Claim::Removed { ip: ip(5), version: version(2) },
+        Claim::Left { ip: ip(6), version: version(300) },
+    ]
+}
+
+/// A message of each kind.
+fn bodies() -> Vec<Body> {
+    vec![
+        Body::Ping { number: 70_000 },
+        Body::PingRequest { number: 70_001, target: ip(9) },
+        Body::Ack { number: 70_002 },
+        Body::Gossip,
+        Body::Join { after: Some(ip(7)), alone: true },
+        Body::Join { after: None, alone: false },
+        Body::Page { next: Some(ip(8)), claims: claims() },
+        Body::Page { next: None, claims: Vec::new() },
+        Body::Unknown,
+        Body::Leave,
+    ]
+}
+
+/// What was recorded, a datagram a line: a word on its kind, then its bytes in hexadecimal digits.
+fn recorded() -> Vec<Vec<u8>> {
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/recorded/datagrams.txt");
+    let text = fs::read_to_string(path).unwrap();
+    let byte = |pair: &[u8]| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap();
+    let bytes = |line: &str| line.split_once(' ').unwrap().1.as_bytes().chunks(2).map(byte).collect();
+    text.lines().map(bytes).collect()
+}
+
+fn head(body: Body) -> Head {
+    Head { version: version(5), digest: [8, 7, 6, 5, 4, 3, 2, 1], body }
+}
+
+fn written(body: Body) -> Vec<u8> {
+    let mut writer = Writer::new(FLEET, &head(body));
+    assert!(claims().iter().all(|claim| writer.push(claim)), "there is room");
+    writer.finish()
+}
+
+#[googletest::test]
+fn datagrams_sent_before_are_read_and_written_alike() {
+    let recorded = recorded();
+    expect_that!(recorded.len(), eq(bodies().len()));
+    for (body, bytes) in bodies().into_iter().zip(recorded) {
+        expect_that!(decode(FLEET, &bytes), ok(eq(&(head(body.clone()), claims()))));
+        expect_that!(written(body), eq(&bytes));
+    }
+}
