--- a/fleet/src/disk.rs
+++ b/fleet/src/disk.rs
@@ -102,3 +102,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -299,3 +299,6 @@
     });
     (send, writer)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/store/tests.rs
+++ b/src/net/store/tests.rs
@@ -211,3 +211,64 @@
     store.take_on(message("two", 500)).unwrap();
     assert_eq!(ids(&store), ["two"]);
 }
+
+fn recorded(name: &str) -> Vec<u8> {
+    std::fs::read(format!("{}/tests/recorded/{name}", env!("CARGO_MANIFEST_DIR"))).unwrap()
+}
+
+/// Writes a record of each kind, and has a message in each of its states.
+fn write_all(store: &mut Store) {
+    let full = message("full", 40);
+    let names = Handed {
+        tenant: Some("tenant".to_owned()),
+        key: Some("key".to_owned()),
+        idempotency_key: Some("once".to_owned()),
+        ..full.message.clone()
+    };
+    let full = Owed { message: names, deadline: 1 << 40, ..full };
+    let former = Owed { class: None, ..message("former", 3) };
+    let [full, former] = [full, former].map(|owed| store.take_on(owed).unwrap());
+    let [safe, failed, over] = ["safe", "failed", "over"].map(|id| {
+        let owed = message(id, 2);
+        let class = Class { repeat: Repeat::Safe, ordered: true, ..owed.class.unwrap() };
+        store.take_on(Owed { class: Some(class), ..owed }).unwrap()
+    });
+    for at in [300, 301] {
+        store.begin(full, attempt(at)).unwrap();
+        store.outcome(full, at > 300).unwrap();
+    }
+    store.begin(full, Attempt { at: 1 << 50, zone: "other".to_owned() }).unwrap();
+    store.begin(former, attempt(302)).unwrap();
+    store.end(safe, End::Returned(Some(7_000))).unwrap();
+    store.end(failed, End::Failed).unwrap();
+    store.over(over).unwrap();
+    for id in ["endpoint-1", "endpoint-2"] {
+        store.exclude(id).unwrap();
+    }
+    store.include("endpoint-1").unwrap();
+}
+
+/// Guards against a journal of an earlier version that is read as something else: an upgrade goes on with the folder.
+#[test]
+fn a_journal_written_before_is_read_and_written_alike() {
+    let folders = [(); 2].map(|()| tempfile::tempdir().unwrap());
+    let [before, fresh] = folders.each_ref().map(|folder| folder.path().join("messages.wal"));
+    // Given a journal as it was written before, and one that is written now.
+    std::fs::write(&before, recorded("messages.wal")).unwrap();
+    let (mut written, _) = Store::open(folders[1].path(), DISK).unwrap();
+    write_all(&mut written);
+    // Then they are the same, and both mean the same.
+    assert_eq!(std::fs::read(&fresh).unwrap(), recorded("messages.wal"));
+    let (mut read, damage) = Store::open(folders[0].path(), DISK).unwrap();
+    assert_eq!(damage, Damage::default());
+    assert_eq!(read.owed().collect::<Vec<_>>(), written.owed().collect::<Vec<_>>());
+    assert_eq!(ids(&read), ["full", "former", "safe", "failed"]);
+    assert_eq!(read.get(3).unwrap().end, Some(End::Failed));
+    assert!(read.is_excluded("endpoint-2") && !read.is_excluded("endpoint-1"));
+    // And so are they once they are written anew.
+    read.compact();
+    assert_eq!(std::fs::read(&before).unwrap(), recorded("messages-compacted.wal"));
+    let (again, damage) = Store::open(folders[0].path(), DISK).unwrap();
+    assert_eq!(damage, Damage::default());
+    assert_eq!(again.owed().collect::<Vec<_>>(), written.owed().collect::<Vec<_>>());
+}
