--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -48,6 +48,13 @@
         /// A folder with the tier's programs; without it, those of this project are built and used.
         #[arg(long)]
         programs: Option<PathBuf>,
+        /// A folder with the tier's programs of an earlier build: every other machine starts from it, the second of each
+        /// kind and so on.
+        #[arg(long)]
+        older: Option<PathBuf>,
+        /// The earlier build is on the first machine of each kind instead, and on every other one after it.
+        #[arg(long, requires = "older")]
+        older_first: bool,
         /// Draws other programs and other chances.
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -250,10 +257,15 @@
                 let scenario = Scenario::parse(include_str!("../scenarios/demo.toml"))?;
                 play_all(scenario, sender, seed, None, false, stop).await
             }
-            Command::Tier { programs, seed, seconds } => {
+            Command::Tier { programs, older, older_first, seed, seconds } => {
                 let programs = programs.map_or_else(tier::machines::built_programs, Ok)?;
                 println!("tier, seed {seed}:");
-                let plan = tier::play::Plan { seconds, seed, grace_s: 6.0, tell: true };
+                if let Some(older) = &older {
+                    let which = if older_first { "first" } else { "second" };
+                    println!("every other machine, from the {which} on, starts from {}", older.display());
+                }
+                let older = older.map(|programs| tier::machines::Older { programs, is_first: older_first });
+                let plan = tier::play::Plan { seconds, seed, grace_s: 6.0, tell: true, older };
                 let played = tier::play::play(plan, &programs, stop).await?;
                 println!("\n{}", tier::table::table(&played));
                 println!("{}", if played.is_good() { "all rules kept" } else { "NOT clean" });
--- a/lab/src/tier/machines.rs
+++ b/lab/src/tier/machines.rs
@@ -53,6 +53,23 @@
         }
     }
 
+    /// What its program was called before, where a build from then is played beside the present one.
+    fn former_program(self) -> &'static str {
+        match self {
+            Self::ConfigKeeper => "config-keeper",
+            Self::TurnKeeper => "turn-keeper",
+            Self::ProxyAgent => "proxy-agent",
+            Self::RequestProxy => "request-proxy",
+        }
+    }
+
+    /// What its program is called in a folder of programs.
+    fn program_in(self, programs: &Path) -> &'static str {
+        let is_former =
+            !programs.join(self.program()).exists() && programs.join(self.former_program()).exists();
+        if is_former { self.former_program() } else { self.program() }
+    }
+
     fn class(self) -> (&'static str, &'static [&'static str]) {
         match self {
             Self::ConfigKeeper => ("core", &["control_plane"]),
@@ -67,6 +84,34 @@
     }
 }
 
+/// Programs of an earlier build, on every other machine: what a tier is in the middle of an upgrade.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Older {
+    /// The folder with that build's programs.
+    pub programs: PathBuf,
+    /// Whether they are on the first machine of each kind and each second one after it, or on those between.
+    pub is_first: bool,
+}
+
+/// Where the machines have their programs from.
+#[derive(Clone, Copy, Debug)]
+pub struct Programs<'a> {
+    /// The folder with the present build's programs.
+    pub present: &'a Path,
+    /// The earlier build, where there is one.
+    pub older: Option<&'a Older>,
+}
+
+impl Programs<'_> {
+    /// The folder that machines with this number start from, and whether that is the earlier build's.
+    pub fn of(&self, number: usize) -> (&Path, bool) {
+        match self.older {
+            Some(older) if number.is_multiple_of(2) == older.is_first => (&older.programs, true),
+            _ => (self.present, false),
+        }
+    }
+}
+
 /// Addresses of all machines.
 #[derive(Clone, Debug)]
 pub struct Addresses {
@@ -216,7 +261,7 @@
 impl Machine {
     /// One in a folder of its own below `folder`, not yet started.
     pub fn new(
-        programs: &Path,
+        programs: Programs<'_>,
         folder: &Path,
         addresses: &Addresses,
         (role, number): (Role, usize),
@@ -225,13 +270,18 @@
     ) -> Result<Self, FleetError> {
         let name = format!("{}-{number}", role.program());
         let folder = folder.join(&name);
+        let (programs, is_older) = programs.of(number);
+        let program = role.program_in(programs);
         let mut settings = addresses.settings(role, number, platform, grace_s);
+        if is_older {
+            settings["role"] = json!(program);
+        }
         let data = folder.join("data");
         std::fs::create_dir_all(&data).map_err(io("making a folder"))?;
         if role.has_disk() {
             settings["data_directory"] = json!(data);
         }
-        Ok(Self { name, program: programs.join(role.program()), folder, settings, starts: 0, child: None })
+        Ok(Self { name, program: programs.join(program), folder, settings, starts: 0, child: None })
     }
 
     /// Starts the process with its settings, and with what its folder holds.
--- a/lab/src/tier/play.rs
+++ b/lab/src/tier/play.rs
@@ -3,7 +3,7 @@
 use super::endpoints::{self, Endpoint, Platform};
 use super::history::{History, Kind, Recorder};
 use super::judge::{Verdict, judge};
-use super::machines::{Addresses, Machine, Role};
+use super::machines::{Addresses, Machine, Older, Programs, Role};
 use super::operator::{Operator, configuration};
 use crate::fleet::{FleetError, io};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -37,7 +37,7 @@
 const AWAY: Duration = Duration::from_millis(300);
 
 /// What is played.
-#[derive(Clone, Copy, Debug)]
+#[derive(Clone, Debug)]
 pub struct Plan {
     /// How long, in seconds.
     pub seconds: f64,
@@ -47,6 +47,8 @@
     pub grace_s: f64,
     /// Whether it is told how it goes.
     pub tell: bool,
+    /// The earlier build whose programs are on half of the machines.
+    pub older: Option<Older>,
 }
 
 /// What came of a play.
@@ -90,7 +92,7 @@
 
 impl Tier {
     fn new(
-        programs: &Path,
+        programs: Programs<'_>,
         addresses: &Addresses,
         platform: SocketAddrV4,
         grace_s: f64,
@@ -196,6 +198,7 @@
 
     let addresses = Addresses::find(3, 3, 2, plan.seed).await?;
     addresses.carry(&mut parties).await?;
+    let programs = Programs { present: programs, older: plan.older.as_ref() };
     let tier = Tier::new(programs, &addresses, list, plan.grace_s)?;
     let keepers = (0..addresses.core.len()).map(|number| addresses.control(number)).collect();
     let senders =
--- a/lab/tests/tier.rs
+++ b/lab/tests/tier.rs
@@ -4,7 +4,7 @@
 use micadrum_lab::fleet::FleetError;
 use micadrum_lab::tier::history::{End, History, Kind, Program, Run, Try, Way};
 use micadrum_lab::tier::judge::{Rule, judge, output};
-use micadrum_lab::tier::machines::built_programs;
+use micadrum_lab::tier::machines::{Older, Programs, built_programs};
 use micadrum_lab::tier::play::{Plan, Played, play};
 use std::path::Path;
 use std::time::Duration;
@@ -212,6 +212,23 @@
     assert!(!verdict(0, 0));
 }
 
+#[test]
+fn an_earlier_build_is_on_every_other_machine() {
+    let present = Path::new("present");
+    let older = |is_first| Older { programs: "older".into(), is_first };
+    let starts = |older: Option<&Older>| {
+        let programs = Programs { present, older };
+        (0..4).map(|number| programs.of(number).1).collect::<Vec<_>>()
+    };
+    assert_eq!(starts(None), [false; 4]);
+    assert_eq!(starts(Some(&older(true))), [true, false, true, false]);
+    assert_eq!(starts(Some(&older(false))), [false, true, false, true]);
+    let older = older(true);
+    let mixed = Programs { present, older: Some(&older) };
+    assert_eq!(mixed.of(2), (Path::new("older"), true));
+    assert_eq!(mixed.of(1), (present, false));
+}
+
 /// Processes of the tier that still run.
 fn left(played: &Played, programs: &Path) -> usize {
     let runs = |pid: &&u32| {
@@ -224,7 +241,7 @@
 async fn a_tier_that_loses_a_disk_and_restarts_a_proxy_keeps_its_rules() {
     let programs = built_programs().unwrap();
     let (_stop, stopped) = watch::channel(0);
-    let plan = Plan { seconds: 6.0, seed: 3, grace_s: 4.0, tell: false };
+    let plan = Plan { seconds: 6.0, seed: 3, grace_s: 4.0, tell: false, older: None };
     let played = play(plan, &programs, stopped).await.unwrap();
     assert!(played.verdict.breaches.is_empty(), "{:?}", played.verdict.breaches);
     assert!(played.crashes.is_empty() && !played.cut_short, "{:?}", played.crashes);
@@ -242,7 +259,7 @@
 async fn a_play_that_is_stopped_leaves_no_process() {
     let programs = built_programs().unwrap();
     let (stop, stopped) = watch::channel(0);
-    let plan = Plan { seconds: 600.0, seed: 4, grace_s: 4.0, tell: false };
+    let plan = Plan { seconds: 600.0, seed: 4, grace_s: 4.0, tell: false, older: None };
     let stopping = async {
         tokio::time::sleep(Duration::from_secs(2)).await;
         stop.send_replace(1);
@@ -256,7 +273,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_folder_without_the_programs_is_an_error() {
     let (_stop, stopped) = watch::channel(0);
-    let plan = Plan { seconds: 6.0, seed: 5, grace_s: 4.0, tell: false };
+    let plan = Plan { seconds: 6.0, seed: 5, grace_s: 4.0, tell: false, older: None };
     let error = play(plan, Path::new("/nowhere"), stopped).await.unwrap_err();
     assert!(matches!(error, FleetError::Io { .. }), "{error}");
 }
