--- a/system/control-node/src/event.rs
+++ b/system/control-node/src/event.rs
@@ -1,7 +1,7 @@
 //! Changes of state that a control node tells of.
 
 use config_register::AcceptorRecord;
-use controllers::LossesBorne;
+use controllers::LossTolerance;
 use fleet_model::{AcceptedValue, ChosenValue, ControlState, StorageNode};
 use std::fmt;
 use std::net::Ipv4Addr;
@@ -12,7 +12,7 @@
     /// As the settings have it.
     pub to_bear: usize,
     /// As the current set allows.
-    pub borne: LossesBorne,
+    pub borne: LossTolerance,
 }
 
 /// A change of a control node's state. Shown, it is a line for the log.
--- a/system/control-node/src/lib.rs
+++ b/system/control-node/src/lib.rs
@@ -65,6 +65,6 @@
         state: &ControlState,
         from: &Lease,
     ) -> Option<ControlState> {
-        candidate.taken(state, from)
+        candidate.acquire(state, from)
     }
 }
--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -2,7 +2,7 @@
 
 use crate::proposing::Wanted;
 use crate::{ControlBackend, ControlNode};
-use controllers::fill;
+use controllers::complete_backfill;
 use fleet_model::{Answer, ControlState, StorageNode};
 use node_runtime::Runtime;
 use std::net::Ipv4Addr;
@@ -39,7 +39,7 @@
         let admitted = {
             let mut stores = self.stores.borrow_mut();
             stores.observe(self.runtime.now_ms(), &known.roster, least);
-            stores.heard(self.runtime.now_ms(), store.disk);
+            stores.record_response(self.runtime.now_ms(), store.disk);
             stores.admits(&known.roster, &store)
         };
         if !admitted || controllers::join(&known, &store, least).is_none() {
@@ -49,8 +49,10 @@
     }
 
     pub(crate) async fn filled(&self, disk: u64, epoch: u64) -> Answer {
-        self.stores.borrow_mut().heard(self.runtime.now_ms(), disk);
+        self.stores.borrow_mut().record_response(self.runtime.now_ms(), disk);
         let least = self.min_storage_nodes();
-        done(self.change(CHANGE, |state| fill(state, Some(disk), epoch, &[], least).into()).await)
+        done(
+            self.change(CHANGE, |state| complete_backfill(state, Some(disk), epoch, &[], least).into()).await,
+        )
     }
 }
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -3,7 +3,7 @@
 use crate::replica::Replica;
 use crate::{ControlBackend, ControlEvent, DiskState, LIST, StorageLosses};
 use config_register::{AcceptorRecord, BallotSource, Pacing, Standing};
-use controllers::{LeaseCandidate, LossesBorne, StorageController, VoterController};
+use controllers::{LeaseCandidate, LossTolerance, StorageController, VoterController};
 use fleet_model::{
     AcceptedValue, Answer, Ballot, Call, ChosenValue, RegisterReply, RegisterRequest, RegisterValue,
 };
@@ -186,7 +186,7 @@
     /// How many losses of storage nodes are to be borne, and how many are.
     pub fn storage_losses(&self) -> StorageLosses {
         let to_bear = self.backend.tolerance();
-        StorageLosses { to_bear, borne: LossesBorne::of(&self.feed.state().roster, to_bear) }
+        StorageLosses { to_bear, borne: LossTolerance::from_roster(&self.feed.state().roster, to_bear) }
     }
 
     /// Its rounds at the register so far.
@@ -201,7 +201,7 @@
 
     /// The fencing token under which this life of the node holds the lease of the singleton task.
     pub fn holds_list(&self) -> Option<u64> {
-        self.candidate.borrow().holds(&self.feed.state())
+        self.candidate.borrow().held_token(&self.feed.state())
     }
 
     /// Asks a core machine, itself too, about the register.
@@ -211,13 +211,13 @@
         request: RegisterRequest,
         patience: Duration,
     ) -> Option<RegisterReply> {
-        self.core.borrow_mut().asks(self.runtime.now_ms());
+        self.core.borrow_mut().before_request(self.runtime.now_ms());
         if ip == self.me {
             return self.answer_register(self.me, request).await;
         }
         match self.runtime.call(ip, Call::Register(request), patience).await {
             Some(Answer::Register(reply)) => {
-                self.core.borrow_mut().heard(self.runtime.now_ms(), ip);
+                self.core.borrow_mut().record_response(self.runtime.now_ms(), ip);
                 Some(reply)
             }
             _ => None,
--- a/system/control-node/src/orders.rs
+++ b/system/control-node/src/orders.rs
@@ -73,10 +73,10 @@
             })
             .await;
         match verdict.take().filter(|_| done) {
-            Some(ConfigVerdict::Taken) => PutConfig::Committed(taken.version),
-            Some(ConfigVerdict::OtherVersion(current)) => PutConfig::OtherVersion(current),
-            Some(ConfigVerdict::NotAbove) => PutConfig::NotAbove,
-            Some(ConfigVerdict::Unclear) | None => PutConfig::Unavailable,
+            Some(ConfigVerdict::Committed) => PutConfig::Committed(taken.version),
+            Some(ConfigVerdict::VersionMismatch(current)) => PutConfig::OtherVersion(current),
+            Some(ConfigVerdict::NotNewer) => PutConfig::NotAbove,
+            Some(ConfigVerdict::Indeterminate) | None => PutConfig::Unavailable,
         }
     }
 
@@ -112,7 +112,7 @@
         if !self.confirm_now(ANSWER_WITHIN).await {
             return Retire::Unavailable;
         }
-        let verdict = controllers::retire_state(&self.feed.state(), name);
+        let verdict = controllers::retire_status(&self.feed.state(), name);
         Retire::Told { verdict, least: self.min_storage_nodes() }
     }
 }
--- a/system/control-node/src/singleton.rs
+++ b/system/control-node/src/singleton.rs
@@ -4,7 +4,7 @@
 use crate::membership::CHANGE;
 use crate::proposing::Wanted;
 use crate::{ControlBackend, ControlEvent, ControlNode, LIST, StorageLosses};
-use controllers::{DiscoveryPolls, RosterStep, VoterController, stands, times};
+use controllers::{DiscoveryPolls, RosterStep, VoterController, holds_lease, times};
 use fleet_model::{Answer, Call, ControlState, Lease, StorageNode};
 use futures_util::future::join_all;
 use node_runtime::{Runtime, follow_lists, timeout};
@@ -33,13 +33,13 @@
         let from: Option<Lease> = {
             let core = self.core.borrow();
             let now = self.runtime.now_ms();
-            self.candidate.borrow_mut().wants(now, &self.feed.state(), &value.voters, &core)
+            self.candidate.borrow_mut().lease_to_acquire(now, &self.feed.state(), &value.voters, &core)
         };
         let Some(from) = from else { return };
         let wanted =
             |state: &ControlState| self.backend.acquire(&self.candidate.borrow(), state, &from).into();
         if self.change(CHANGE, wanted).await {
-            let token = self.candidate.borrow_mut().settle(&self.feed.state(), &from);
+            let token = self.candidate.borrow_mut().change_committed(&self.feed.state(), &from);
             if let Some(token) = token {
                 self.backend.on_event(&ControlEvent::LeaseAcquired { task: LIST, token });
             }
@@ -70,7 +70,7 @@
             let asked = self.runtime.now_ms();
             self.read_list(&mut readings, asked, token).await;
             let took = self.runtime.now_ms().saturating_sub(asked);
-            self.runtime.sleep(Duration::from_millis(times::READING.saturating_sub(took))).await;
+            self.runtime.sleep(Duration::from_millis(times::POLL_INTERVAL_MS.saturating_sub(took))).await;
         }
     }
 
@@ -79,7 +79,7 @@
             // Read under a lease that may have passed to another: its stamp says so, and loses.
             Ok(endpoints) => {
                 let now = self.runtime.now_ms();
-                if let Some(list) = readings.take(now, asked, token, &self.feed.list(), endpoints) {
+                if let Some(list) = readings.accept_poll(now, asked, token, &self.feed.list(), endpoints) {
                     self.feed.learn_list(list);
                 }
             }
@@ -91,7 +91,7 @@
     pub(crate) async fn keep_watch(self: Rc<Self>) {
         loop {
             self.observe();
-            if self.stores.borrow().is_due(self.runtime.now_ms()) {
+            if self.stores.borrow().is_probe_due(self.runtime.now_ms()) {
                 self.look_at_stores().await;
                 if self.is_fresh()
                     && let Some(token) = self.holds_list()
@@ -104,7 +104,7 @@
             {
                 self.look_after_voters(token).await;
             }
-            self.runtime.sleep(Duration::from_millis(times::LOOK_AGAIN)).await;
+            self.runtime.sleep(Duration::from_millis(times::PROBE_RETRY_INTERVAL_MS)).await;
         }
     }
 
@@ -116,7 +116,7 @@
         let mut stores = self.stores.borrow_mut();
         stores.observe(now, &state.roster, self.min_storage_nodes());
         let to_bear = self.backend.tolerance();
-        if let Some(borne) = stores.news_of_losses(&state.roster, to_bear) {
+        if let Some(borne) = stores.loss_tolerance_change(&state.roster, to_bear) {
             self.backend.on_event(&ControlEvent::StorageLosses(StorageLosses { to_bear, borne }));
         }
     }
@@ -125,9 +125,10 @@
         let state = self.feed.state();
         let roster = &state.roster;
         let mut members = roster.current.clone();
-        let further = controllers::proposed(roster).iter().filter(|store| !roster.current.contains(store));
+        let further =
+            controllers::proposed_nodes(roster).iter().filter(|store| !roster.current.contains(store));
         members.extend(further.cloned());
-        self.stores.borrow_mut().looks(self.runtime.now_ms());
+        self.stores.borrow_mut().begin_probe_round(self.runtime.now_ms());
         join_all(members.iter().map(|store| self.look_at(store))).await;
     }
 
@@ -137,8 +138,8 @@
         let is_there = matches!(&answer, Some(Answer::View(text)) if text.trim() == store.disk.to_string());
         let mut stores = self.stores.borrow_mut();
         match is_there {
-            true => stores.heard(self.runtime.now_ms(), store.disk),
-            false => stores.missed(store.disk),
+            true => stores.record_response(self.runtime.now_ms(), store.disk),
+            false => stores.record_missed_probe(store.disk),
         }
     }
 
@@ -149,13 +150,13 @@
         let least = self.min_storage_nodes();
         let step = self.stores.borrow().step(self.runtime.now_ms(), &state, self.backend.tolerance());
         // A holder that slept meanwhile may have lost the lease to one that sees better.
-        let still_holds = |state: &ControlState| stands(state, LIST, self.me, token);
-        if let RosterStep::GiveUp { store, silent_ms, .. } = &step {
+        let still_holds = |state: &ControlState| holds_lease(state, LIST, self.me, token);
+        if let RosterStep::RemoveNode { store, silent_ms, .. } = &step {
             self.backend.on_event(&ControlEvent::Evicts { store, silent_ms: *silent_ms });
         }
-        if step != RosterStep::Leave {
+        if step != RosterStep::NoChange {
             let wanted = |state: &ControlState| match still_holds(state) {
-                true => step.applied(state, epoch, least).into(),
+                true => step.apply_to(state, epoch, least).into(),
                 false => Wanted::Nothing,
             };
             self.change(CHANGE, wanted).await;
@@ -163,13 +164,14 @@
     }
 
     async fn look_after_voters(&self, token: u64) {
-        let gone = self.core.borrow().gone(self.runtime.now_ms(), &self.feed.value().voters);
+        let gone = self.core.borrow().voter_to_remove(self.runtime.now_ms(), &self.feed.value().voters);
         let Some((voter, silent_ms)) = gone else { return };
         self.backend.on_event(&ControlEvent::RemovesVoter { voter, silent_ms });
-        let wanted = |state: &ControlState, voters: &[Ipv4Addr]| match stands(state, LIST, self.me, token) {
-            true => VoterController::without(voters, voter).map_or(Wanted::Nothing, Wanted::Voters),
-            false => Wanted::Nothing,
-        };
+        let wanted =
+            |state: &ControlState, voters: &[Ipv4Addr]| match holds_lease(state, LIST, self.me, token) {
+                true => VoterController::without_voter(voters, voter).map_or(Wanted::Nothing, Wanted::Voters),
+                false => Wanted::Nothing,
+            };
         self.propose(CHANGE, wanted).await;
     }
 
--- a/system/controllers/src/discovery_poll.rs
+++ b/system/controllers/src/discovery_poll.rs
@@ -1,4 +1,4 @@
-use crate::times::{EMPTY_BREAK, EMPTY_FOR, READING_MOST};
+use crate::times::{EMPTY_LIST_CONFIRMATION_MS, MAX_EMPTY_POLL_GAP_MS, MAX_POLL_DURATION_MS};
 use fleet_model::{Endpoint, EndpointList, ListVersion};
 
 /// What becomes of the readings of the list, under one fence after another.
@@ -13,7 +13,7 @@
 impl DiscoveryPolls {
     /// The platform was asked at `asked_ms` under `fence` and listed these; the list to spread, if it is another one than
     /// is known. Whoever knows a list of a later fence passes this one over.
-    pub fn take(
+    pub fn accept_poll(
         &mut self,
         now_ms: u64,
         asked_ms: u64,
@@ -24,17 +24,18 @@
         if self.fence != fence {
             *self = Self { fence, ..Self::default() };
         }
-        if now_ms.saturating_sub(asked_ms) > READING_MOST {
+        if now_ms.saturating_sub(asked_ms) > MAX_POLL_DURATION_MS {
             return None;
         }
         if !endpoints.is_empty() {
             self.empty = None;
         } else if !known.endpoints.is_empty() {
             // The platform may have lost its memory; the endpoints live on.
-            let began = self.empty.filter(|(_, last)| asked_ms.saturating_sub(*last) <= EMPTY_BREAK);
+            let began =
+                self.empty.filter(|(_, last)| asked_ms.saturating_sub(*last) <= MAX_EMPTY_POLL_GAP_MS);
             let began = began.map_or(asked_ms, |(began, _)| began);
             self.empty = Some((began, asked_ms));
-            if asked_ms - began < EMPTY_FOR {
+            if asked_ms - began < EMPTY_LIST_CONFIRMATION_MS {
                 return None;
             }
         }
--- a/system/controllers/src/lease_candidate.rs
+++ b/system/controllers/src/lease_candidate.rs
@@ -1,10 +1,10 @@
-use crate::times::{HEAD_START, HOLDER_GONE};
+use crate::times::{LEASE_HOLDER_TIMEOUT_MS, LEASE_RANK_DELAY_MS};
 use crate::voter_controller::VoterController;
 use fleet_model::{ControlState, Lease, rendezvous_rank};
 use std::net::Ipv4Addr;
 
 /// Whether `holder` has `duty` under fence `number` in this state: what a holder does to the state is done only then.
-pub fn stands(state: &ControlState, duty: &str, holder: Ipv4Addr, number: u64) -> bool {
+pub fn holds_lease(state: &ControlState, duty: &str, holder: Ipv4Addr, number: u64) -> bool {
     state.leases.get(duty).is_some_and(|fence| fence.token == number && fence.holder == Some(holder))
 }
 
@@ -26,13 +26,13 @@
     }
 
     /// The fence under which this life holds the duty.
-    pub fn holds(&self, state: &ControlState) -> Option<u64> {
-        self.took.filter(|number| stands(state, self.duty, self.me, *number))
+    pub fn held_token(&self, state: &ControlState) -> Option<u64> {
+        self.took.filter(|number| holds_lease(state, self.duty, self.me, *number))
     }
 
     /// The fence to take the duty over from: its holder is gone, and the live voters that rank before this one have had
     /// their time.
-    pub fn wants(
+    pub fn lease_to_acquire(
         &mut self,
         now_ms: u64,
         state: &ControlState,
@@ -40,17 +40,16 @@
         core: &VoterController,
     ) -> Option<Lease> {
         let fence = state.leases.get(self.duty).cloned().unwrap_or_default();
-        if self.holds(state).is_some() || !voters.contains(&self.me) {
+        if self.held_token(state).is_some() || !voters.contains(&self.me) {
             self.vacant = None;
             return None;
         }
         if fence.holder == Some(self.me) {
             return Some(fence);
         }
-        if fence
-            .holder
-            .is_some_and(|holder| voters.contains(&holder) && core.stands(holder, now_ms, HOLDER_GONE))
-        {
+        if fence.holder.is_some_and(|holder| {
+            voters.contains(&holder) && core.is_presumed_alive(holder, now_ms, LEASE_HOLDER_TIMEOUT_MS)
+        }) {
             self.vacant = None;
             return None;
         }
@@ -60,13 +59,14 @@
         };
         self.vacant = Some((fence.token, since));
         let place = |ip: &Ipv4Addr| (rendezvous_rank(&ip.octets(), fence.token), *ip);
-        let live = |ip: &&Ipv4Addr| **ip != self.me && core.answers(**ip, now_ms, HOLDER_GONE);
+        let live =
+            |ip: &&Ipv4Addr| **ip != self.me && core.responded_within(**ip, now_ms, LEASE_HOLDER_TIMEOUT_MS);
         let before = voters.iter().filter(live).filter(|ip| place(ip) > place(&self.me)).count() as u64;
-        (now_ms.saturating_sub(since) >= before * HEAD_START).then_some(fence)
+        (now_ms.saturating_sub(since) >= before * LEASE_RANK_DELAY_MS).then_some(fence)
     }
 
     /// The state in which this keeper has the duty, if it still stands as in `from`.
-    pub fn taken(&self, state: &ControlState, from: &Lease) -> Option<ControlState> {
+    pub fn acquire(&self, state: &ControlState, from: &Lease) -> Option<ControlState> {
         let mut state = state.clone();
         let standing = state.leases.entry(self.duty.to_owned()).or_default();
         if standing.token != from.token {
@@ -77,11 +77,11 @@
     }
 
     /// The change is chosen, and this is the state now; the fence, if the duty is this life's.
-    pub fn settle(&mut self, state: &ControlState, from: &Lease) -> Option<u64> {
-        if stands(state, self.duty, self.me, from.token + 1) {
+    pub fn change_committed(&mut self, state: &ControlState, from: &Lease) -> Option<u64> {
+        if holds_lease(state, self.duty, self.me, from.token + 1) {
             self.took = Some(from.token + 1);
             self.vacant = None;
         }
-        self.holds(state)
+        self.held_token(state)
     }
 }
--- a/system/controllers/src/lib.rs
+++ b/system/controllers/src/lib.rs
@@ -16,7 +16,9 @@
 
 pub use config::{ConfigVerdict, put_config};
 pub use discovery_poll::DiscoveryPolls;
-pub use lease_candidate::{LeaseCandidate, stands};
-pub use roster::{RetireVerdict, fill, give_up, join, proposed, retire, retire_state};
-pub use storage_controller::{LossesBorne, RosterStep, StorageController, min_storage_nodes};
+pub use lease_candidate::{LeaseCandidate, holds_lease};
+pub use roster::{
+    RetireVerdict, complete_backfill, join, proposed_nodes, remove_node, retire, retire_status,
+};
+pub use storage_controller::{LossTolerance, RosterStep, StorageController, min_storage_nodes};
 pub use voter_controller::VoterController;
--- a/system/controllers/src/replacement.rs
+++ b/system/controllers/src/replacement.rs
@@ -1,4 +1,4 @@
-use crate::times::NEWCOMER;
+use crate::times::REPLACEMENT_WINDOW_MS;
 use std::collections::BTreeSet;
 
 /// Who came to a set lately and who left it: each newcomer replaces at most one.
@@ -83,5 +83,5 @@
 }
 
 fn lately(now_ms: u64, at: u64) -> bool {
-    now_ms.saturating_sub(at) < NEWCOMER
+    now_ms.saturating_sub(at) < REPLACEMENT_WINDOW_MS
 }
--- a/system/controllers/src/roster.rs
+++ b/system/controllers/src/roster.rs
@@ -19,7 +19,7 @@
 }
 
 /// The next set, whether or not a change is under way.
-pub fn proposed(roster: &Roster) -> &[StorageNode] {
+pub fn proposed_nodes(roster: &Roster) -> &[StorageNode] {
     roster.next.as_deref().unwrap_or(&roster.current)
 }
 
@@ -50,7 +50,7 @@
 /// becomes current by [`fill`] like any other, once it has `least` machines or the founding has waited long enough.
 pub fn join(state: &ControlState, store: &StorageNode, least: usize) -> Option<ControlState> {
     let roster = &state.roster;
-    let former = proposed(roster);
+    let former = proposed_nodes(roster);
     if former.contains(store) || roster.retiring.contains(&store.name) {
         return None;
     }
@@ -87,13 +87,13 @@
     let roster = &state.roster;
     let named = |store: &&StorageNode| store.name == name;
     if roster.retiring.iter().any(|other| other == name) {
-        return (None, retire_state(state, name));
+        return (None, retire_status(state, name));
     }
     let marked = |mut state: ControlState| {
         state.roster.retiring.push(name.to_owned());
         (Some(state), RetireVerdict::Active)
     };
-    let Some(store) = proposed(roster).iter().find(named) else {
+    let Some(store) = proposed_nodes(roster).iter().find(named) else {
         // It may be leaving already.
         return match roster.current.iter().any(|store| store.name == name) {
             true => marked(state.clone()),
@@ -101,7 +101,7 @@
         };
     };
     let next: Vec<StorageNode> =
-        proposed(roster).iter().filter(|store| store.name != name).cloned().collect();
+        proposed_nodes(roster).iter().filter(|store| store.name != name).cloned().collect();
     let left = staying(roster, &next);
     if left < least || roster.current.is_empty() {
         return (None, RetireVerdict::TooFew { left });
@@ -113,7 +113,7 @@
 }
 
 /// How far a retire is.
-pub fn retire_state(state: &ControlState, name: &str) -> RetireVerdict {
+pub fn retire_status(state: &ControlState, name: &str) -> RetireVerdict {
     let roster = &state.roster;
     let holds = |stores: &[StorageNode]| stores.iter().any(|store| store.name == name);
     let counts = holds(&roster.current) || roster.next.as_deref().is_some_and(holds);
@@ -127,7 +127,7 @@
 
 /// A member of the next set is full; the last one makes that set current. `waived`: disks that are not waited for. The
 /// first set needs `least` machines.
-pub fn fill(
+pub fn complete_backfill(
     state: &ControlState,
     disk: Option<u64>,
     epoch: u64,
@@ -162,9 +162,14 @@
 
 /// Goes on without a member of the proposed set that is gone, if this is still the roster's epoch and at least `fewest`
 /// are left.
-pub fn give_up(state: &ControlState, gone: &StorageNode, epoch: u64, fewest: usize) -> Option<ControlState> {
+pub fn remove_node(
+    state: &ControlState,
+    gone: &StorageNode,
+    epoch: u64,
+    fewest: usize,
+) -> Option<ControlState> {
     let roster = &state.roster;
-    let former = proposed(roster);
+    let former = proposed_nodes(roster);
     if roster.epoch != epoch || !former.contains(gone) || would_abandon(roster, gone) {
         return None;
     }
--- a/system/controllers/src/voter_controller.rs
+++ b/system/controllers/src/voter_controller.rs
@@ -1,5 +1,7 @@
 use crate::replacement::Replacement;
-use crate::times::{FOUNDING, LEAST_VOTERS, OWN_SLEEP, VOTER_GONE, VOTER_REPLACED};
+use crate::times::{
+    BOOTSTRAP_SETTLE_MS, MAX_REQUEST_GAP_MS, MIN_VOTERS, REPLACED_VOTER_TIMEOUT_MS, VOTER_TIMEOUT_MS,
+};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -31,9 +33,9 @@
 
     /// Somebody is about to be asked, this machine's own acceptor included. If that is the first time after long, this
     /// keeper slept, and nobody's silence counts for that time.
-    pub fn asks(&mut self, now_ms: u64) {
+    pub fn before_request(&mut self, now_ms: u64) {
         let slept = self.asked.map_or(0, |asked| now_ms.saturating_sub(asked));
-        if slept > OWN_SLEEP {
+        if slept > MAX_REQUEST_GAP_MS {
             self.heard
                 .values_mut()
                 .chain(self.known.values_mut())
@@ -43,7 +45,7 @@
     }
 
     /// A machine has answered.
-    pub fn heard(&mut self, now_ms: u64, ip: Ipv4Addr) {
+    pub fn record_response(&mut self, now_ms: u64, ip: Ipv4Addr) {
         self.heard.insert(ip, now_ms);
     }
 
@@ -57,17 +59,17 @@
         for ip in voters {
             self.known.entry(*ip).or_insert(now_ms);
         }
-        let settled = now_ms.saturating_sub(began) >= FOUNDING;
+        let settled = now_ms.saturating_sub(began) >= BOOTSTRAP_SETTLE_MS;
         self.turnover.observe(now_ms, voters.iter().copied().collect(), settled, |_| false);
     }
 
     /// Whether the machine has answered lately.
-    pub fn answers(&self, ip: Ipv4Addr, now_ms: u64, within: u64) -> bool {
+    pub fn responded_within(&self, ip: Ipv4Addr, now_ms: u64, within: u64) -> bool {
         ip == self.me || self.heard.get(&ip).is_some_and(|at| now_ms.saturating_sub(*at) < within)
     }
 
     /// The same, if it has had time to.
-    pub fn stands(&self, ip: Ipv4Addr, now_ms: u64, within: u64) -> bool {
+    pub fn is_presumed_alive(&self, ip: Ipv4Addr, now_ms: u64, within: u64) -> bool {
         ip == self.me || self.silent(ip, now_ms) < within
     }
 
@@ -77,18 +79,19 @@
     }
 
     /// The voter to be removed, if any; and how long it has been silent.
-    pub fn gone(&self, now_ms: u64, voters: &[Ipv4Addr]) -> Option<(Ipv4Addr, u64)> {
-        if voters.len() <= LEAST_VOTERS {
+    pub fn voter_to_remove(&self, now_ms: u64, voters: &[Ipv4Addr]) -> Option<(Ipv4Addr, u64)> {
+        if voters.len() <= MIN_VOTERS {
             return None;
         }
-        let patience = if self.turnover.surplus(now_ms) > 0 { VOTER_REPLACED } else { VOTER_GONE };
+        let patience =
+            if self.turnover.surplus(now_ms) > 0 { REPLACED_VOTER_TIMEOUT_MS } else { VOTER_TIMEOUT_MS };
         let silent = voters.iter().filter(|ip| **ip != self.me).map(|ip| (*ip, self.silent(*ip, now_ms)));
         silent.filter(|(_, silent)| *silent > patience).max_by_key(|(_, silent)| *silent)
     }
 
     /// The voters without one that is gone.
-    pub fn without(voters: &[Ipv4Addr], gone: Ipv4Addr) -> Option<Vec<Ipv4Addr>> {
-        (voters.len() > LEAST_VOTERS && voters.contains(&gone))
+    pub fn without_voter(voters: &[Ipv4Addr], gone: Ipv4Addr) -> Option<Vec<Ipv4Addr>> {
+        (voters.len() > MIN_VOTERS && voters.contains(&gone))
             .then(|| voters.iter().copied().filter(|ip| *ip != gone).collect())
     }
 }
--- a/system/controllers/tests/duties/changes.rs
+++ b/system/controllers/tests/duties/changes.rs
@@ -2,7 +2,8 @@
 
 use bytes::Bytes;
 use controllers::{
-    ConfigVerdict, RetireVerdict, RosterStep, fill, give_up, join, put_config, retire, retire_state,
+    ConfigVerdict, RetireVerdict, RosterStep, complete_backfill, join, put_config, remove_node, retire,
+    retire_status,
 };
 use fleet_model::{CommittedVersion, ControlState, StorageNode};
 use googletest::prelude::*;
@@ -37,7 +38,7 @@
 fn all_fill(mut state: ControlState) -> ControlState {
     let epoch = state.roster.epoch;
     for store in state.roster.next.clone().unwrap_or_default() {
-        state = fill(&state, Some(store.disk), epoch, &[], LEAST).unwrap_or(state);
+        state = complete_backfill(&state, Some(store.disk), epoch, &[], LEAST).unwrap_or(state);
     }
     state
 }
@@ -69,10 +70,10 @@
     expect_that!(state.roster.current.len(), eq(3));
     let epoch = state.roster.epoch;
     for disk in 1..=3 {
-        state = fill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
+        state = complete_backfill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
         expect_that!(state.roster.current.len(), eq(3));
     }
-    state = fill(&state, Some(4), epoch, &[], LEAST).or_fail()?;
+    state = complete_backfill(&state, Some(4), epoch, &[], LEAST).or_fail()?;
     expect_that!(names(&state.roster.current), elements_are![&"s1", &"s2", &"s3", &"s4"]);
     expect_that!(state.roster.next, none());
     expect_that!(state.roster.epoch, eq(epoch + 1));
@@ -83,11 +84,11 @@
 fn fewer_machines_count_only_when_the_founding_has_waited_and_all_of_them_are_full() -> Result<()> {
     let state = gathered(2)?;
     let epoch = state.roster.epoch;
-    expect_that!(RosterStep::Found.applied(&state, epoch, LEAST), none());
+    expect_that!(RosterStep::Bootstrap.apply_to(&state, epoch, LEAST), none());
     let state = all_fill(state);
     expect_that!(state.roster.current, is_empty());
-    expect_that!(RosterStep::Found.applied(&state, epoch + 1, LEAST), none());
-    let founded = RosterStep::Found.applied(&state, epoch, LEAST).or_fail()?;
+    expect_that!(RosterStep::Bootstrap.apply_to(&state, epoch + 1, LEAST), none());
+    let founded = RosterStep::Bootstrap.apply_to(&state, epoch, LEAST).or_fail()?;
     expect_that!(names(&founded.roster.current), elements_are![&"s1", &"s2"]);
     expect_that!(founded.roster.epoch, eq(epoch + 1));
     // and a third is the next set's, and not at once the current one's
@@ -103,7 +104,7 @@
     let mut state = gathered(3)?;
     let epoch = state.roster.epoch;
     for disk in [1, 2] {
-        state = fill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
+        state = complete_backfill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
     }
     // when that one comes with another disk, then all three gather anew
     let state = join(&state, &store("s3", 3, 33), LEAST).or_fail()?;
@@ -116,7 +117,7 @@
 #[gtest]
 fn a_change_to_one_machine_that_loses_its_disk_leaves_the_others_current() -> Result<()> {
     // given two of which the first is given up
-    let state = give_up(&founded(&["a", "b"]), &store("a", 1, 1), 7, 1).or_fail()?;
+    let state = remove_node(&founded(&["a", "b"]), &store("a", 1, 1), 7, 1).or_fail()?;
     // when the second comes back without its disk, before it told that it is full
     let state = join(&state, &store("b", 2, 22), LEAST).or_fail()?;
     // then what counts are still the two: nobody has what they held
@@ -140,7 +141,7 @@
 fn a_wiped_machine_takes_its_own_place_also_while_another_change_is_under_way() -> Result<()> {
     // given that d is being taken in, and two are full for it
     let state = join(&founded(&["a", "b", "c"]), &store("d", 4, 4), LEAST).or_fail()?;
-    let state = fill(&state, Some(1), state.roster.epoch, &[], LEAST).or_fail()?;
+    let state = complete_backfill(&state, Some(1), state.roster.epoch, &[], LEAST).or_fail()?;
     let former = state.roster.epoch;
     // when b comes back without its disk
     let state = join(&state, &store("b", 2, 22), LEAST).or_fail()?;
@@ -150,7 +151,7 @@
     expect_that!(state.roster.in_sync.len(), eq(0));
     expect_that!(state.roster.epoch, eq(former + 1));
     // and what is told for the former epoch counts no more
-    expect_that!(fill(&state, Some(3), former, &[], LEAST), none());
+    expect_that!(complete_backfill(&state, Some(3), former, &[], LEAST), none());
     Ok(())
 }
 
@@ -160,7 +161,7 @@
     let mut state = join(&founded(&["a", "b", "c"]), &store("d", 4, 4), LEAST).or_fail()?;
     let epoch = state.roster.epoch;
     for disk in [1, 3, 4] {
-        state = fill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
+        state = complete_backfill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
     }
     // when b comes back without its disk
     let state = join(&state, &store("b", 2, 22), LEAST).or_fail()?;
@@ -205,7 +206,7 @@
 #[gtest]
 fn a_machine_given_up_that_returns_takes_its_place_again() -> Result<()> {
     let state = founded(&["a", "b", "c", "d"]);
-    let state = give_up(&state, &store("b", 2, 2), 7, LEAST).or_fail()?;
+    let state = remove_node(&state, &store("b", 2, 2), 7, LEAST).or_fail()?;
     let state = join(&state, &store("b", 2, 2), LEAST).or_fail()?;
     expect_that!(state.roster.next, none());
     expect_that!(state.roster.current.len(), eq(4));
@@ -221,21 +222,21 @@
 #[gtest]
 fn a_set_becomes_current_without_those_waived_but_not_without_others() -> Result<()> {
     let state = changing(&["a", "b", "c"], &[&store("a", 1, 1), &store("b", 2, 22), &store("c", 3, 3)]);
-    let state = fill(&state, Some(1), 7, &[], LEAST).or_fail()?;
-    expect_that!(fill(&state, None, 7, &[3], LEAST), none());
-    let state = fill(&state, Some(22), 7, &[], LEAST).or_fail()?;
+    let state = complete_backfill(&state, Some(1), 7, &[], LEAST).or_fail()?;
+    expect_that!(complete_backfill(&state, None, 7, &[3], LEAST), none());
+    let state = complete_backfill(&state, Some(22), 7, &[], LEAST).or_fail()?;
     expect_that!(state.roster.next, some(anything()));
-    let state = fill(&state, None, 7, &[3], LEAST).or_fail()?;
+    let state = complete_backfill(&state, None, 7, &[3], LEAST).or_fail()?;
     expect_that!(state.roster.next, none());
     Ok(())
 }
 
 #[gtest]
 fn none_is_given_up_where_too_few_are_left_or_the_roster_has_moved_on() {
-    expect_that!(give_up(&founded(&["a", "b", "c"]), &store("b", 2, 2), 7, LEAST), none());
+    expect_that!(remove_node(&founded(&["a", "b", "c"]), &store("b", 2, 2), 7, LEAST), none());
     let state = founded(&["a", "b", "c", "d"]);
-    expect_that!(give_up(&state, &store("b", 2, 2), 6, LEAST), none());
-    expect_that!(give_up(&state, &store("e", 5, 5), 7, LEAST), none());
+    expect_that!(remove_node(&state, &store("b", 2, 2), 6, LEAST), none());
+    expect_that!(remove_node(&state, &store("e", 5, 5), 7, LEAST), none());
 }
 
 #[gtest]
@@ -243,14 +244,14 @@
     // given that e is being taken in: turns are kept by it and one other
     let state = join(&founded(&["a", "b", "c"]), &store("e", 5, 5), LEAST).or_fail()?;
     // when it is gone, then the former set does not come back without a filling: those turns have one copy
-    expect_that!(give_up(&state, &store("e", 5, 5), state.roster.epoch, LEAST), none());
+    expect_that!(remove_node(&state, &store("e", 5, 5), state.roster.epoch, LEAST), none());
     // but once the set counts, it leaves like any other
     let mut counted = state.clone();
     for disk in 1..=3 {
-        counted = fill(&counted, Some(disk), state.roster.epoch, &[5], LEAST).or_fail()?;
+        counted = complete_backfill(&counted, Some(disk), state.roster.epoch, &[5], LEAST).or_fail()?;
     }
     expect_that!(counted.roster.next, none());
-    let left = give_up(&counted, &store("e", 5, 5), counted.roster.epoch, LEAST).or_fail()?;
+    let left = remove_node(&counted, &store("e", 5, 5), counted.roster.epoch, LEAST).or_fail()?;
     expect_that!(names(&left.roster.next.or_fail()?), elements_are![&"a", &"b", &"c"]);
     Ok(())
 }
@@ -258,7 +259,7 @@
 #[gtest]
 fn a_retire_is_active_until_the_others_are_full() -> Result<()> {
     let state = founded(&["a", "b", "c", "d"]);
-    expect_that!(retire_state(&state, "d"), eq(RetireVerdict::Serving));
+    expect_that!(retire_status(&state, "d"), eq(RetireVerdict::Serving));
     let (state, verdict) = retire(&state, "d", LEAST);
     expect_that!(verdict, eq(RetireVerdict::Active));
     let state = state.or_fail()?;
@@ -266,7 +267,7 @@
     expect_that!(retire(&state, "d", LEAST), eq(&(None, RetireVerdict::Active)));
     // when the others are full, then it is done, and stays so
     let state = all_fill(state);
-    expect_that!(retire_state(&state, "d"), eq(RetireVerdict::Completed));
+    expect_that!(retire_status(&state, "d"), eq(RetireVerdict::Completed));
     expect_that!(retire(&state, "d", LEAST), eq(&(None, RetireVerdict::Completed)));
     // and a machine of that name, emptied or not, stays out
     expect_that!(join(&state, &store("d", 4, 4), LEAST), none());
@@ -280,10 +281,10 @@
     let mut state = state.or_fail()?;
     let epoch = state.roster.epoch;
     for disk in [1, 2] {
-        state = fill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
+        state = complete_backfill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
     }
-    let state = fill(&state, None, epoch, &[3], LEAST).or_fail()?;
-    expect_that!(retire_state(&state, "d"), eq(RetireVerdict::Completed));
+    let state = complete_backfill(&state, None, epoch, &[3], LEAST).or_fail()?;
+    expect_that!(retire_status(&state, "d"), eq(RetireVerdict::Completed));
     Ok(())
 }
 
@@ -292,19 +293,19 @@
     let state = founded(&["a", "b", "c"]);
     expect_that!(retire(&state, "c", LEAST), eq(&(None, RetireVerdict::TooFew { left: 2 })));
     expect_that!(retire(&state, "z", LEAST), eq(&(None, RetireVerdict::Unknown)));
-    expect_that!(retire_state(&state, "z"), eq(RetireVerdict::Unknown));
+    expect_that!(retire_status(&state, "z"), eq(RetireVerdict::Unknown));
 }
 
 #[gtest]
 fn a_machine_that_is_given_up_already_can_be_retired() -> Result<()> {
     // given that d is down and given up, but counts until the others are full
-    let state = give_up(&founded(&["a", "b", "c", "d"]), &store("d", 4, 4), 7, LEAST).or_fail()?;
+    let state = remove_node(&founded(&["a", "b", "c", "d"]), &store("d", 4, 4), 7, LEAST).or_fail()?;
     // when it is retired, then it is being emptied, and does not come back
     let (retired, verdict) = retire(&state, "d", LEAST);
     expect_that!(verdict, eq(RetireVerdict::Active));
     let retired = retired.or_fail()?;
     expect_that!(join(&retired, &store("d", 4, 4), LEAST), none());
-    expect_that!(retire_state(&all_fill(retired), "d"), eq(RetireVerdict::Completed));
+    expect_that!(retire_status(&all_fill(retired), "d"), eq(RetireVerdict::Completed));
     Ok(())
 }
 
@@ -316,13 +317,13 @@
     let (state, verdict) = retire(&state, "e", LEAST);
     let state = state.or_fail()?;
     expect_that!(verdict, eq(RetireVerdict::Active));
-    expect_that!(retire_state(&state, "e"), eq(RetireVerdict::Active));
+    expect_that!(retire_status(&state, "e"), eq(RetireVerdict::Active));
     // and once all are full, the next change empties it
     let state = all_fill(state);
     expect_that!(names(&state.roster.current), elements_are![&"a", &"b", &"c", &"e"]);
     expect_that!(names(state.roster.next.as_ref().or_fail()?), elements_are![&"a", &"b", &"c"]);
     let state = all_fill(state);
-    expect_that!(retire_state(&state, "e"), eq(RetireVerdict::Completed));
+    expect_that!(retire_status(&state, "e"), eq(RetireVerdict::Completed));
     Ok(())
 }
 
@@ -330,21 +331,21 @@
 fn a_configuration_is_taken_once_on_top_of_the_version_that_its_operator_knows() -> Result<()> {
     let body = Bytes::from_static(b"{}");
     let (state, verdict) = put_config(&ControlState::default(), 0, &version(3), &body);
-    expect_that!(verdict, eq(ConfigVerdict::Taken));
+    expect_that!(verdict, eq(ConfigVerdict::Committed));
     let state = state.or_fail()?;
     expect_that!(state.version(), eq(3));
     // the same again, whatever it goes by
-    expect_that!(put_config(&state, 0, &version(3), &body), eq(&(None, ConfigVerdict::Taken)));
+    expect_that!(put_config(&state, 0, &version(3), &body), eq(&(None, ConfigVerdict::Committed)));
     // other bytes under its number, and a lower number
     let other = CommittedVersion { version: 3, digest: [9; 32] };
-    expect_that!(put_config(&state, 3, &other, &body), eq(&(None, ConfigVerdict::NotAbove)));
-    expect_that!(put_config(&state, 3, &version(2), &body), eq(&(None, ConfigVerdict::NotAbove)));
+    expect_that!(put_config(&state, 3, &other, &body), eq(&(None, ConfigVerdict::NotNewer)));
+    expect_that!(put_config(&state, 3, &version(2), &body), eq(&(None, ConfigVerdict::NotNewer)));
     // another version in the operator's mind comes first
-    expect_that!(put_config(&state, 2, &version(2), &body), eq(&(None, ConfigVerdict::OtherVersion(3))));
-    expect_that!(put_config(&state, 2, &version(4), &body), eq(&(None, ConfigVerdict::OtherVersion(3))));
+    expect_that!(put_config(&state, 2, &version(2), &body), eq(&(None, ConfigVerdict::VersionMismatch(3))));
+    expect_that!(put_config(&state, 2, &version(4), &body), eq(&(None, ConfigVerdict::VersionMismatch(3))));
     // and what was taken before the current one is still known as taken
     let state = put_config(&state, 3, &version(4), &body).0.or_fail()?;
-    expect_that!(put_config(&state, 4, &version(3), &body), eq(&(None, ConfigVerdict::Taken)));
+    expect_that!(put_config(&state, 4, &version(3), &body), eq(&(None, ConfigVerdict::Committed)));
     Ok(())
 }
 
--- a/system/controllers/tests/duties/fleet.rs
+++ b/system/controllers/tests/duties/fleet.rs
@@ -2,8 +2,8 @@
 //! machines that join, fill and tell. Its clock goes in ticks; the history is all that the checks look at.
 
 use controllers::{
-    DiscoveryPolls, LeaseCandidate, RosterStep, StorageController, VoterController, fill, join, proposed,
-    retire, stands, times,
+    DiscoveryPolls, LeaseCandidate, RosterStep, StorageController, VoterController, complete_backfill,
+    holds_lease, join, proposed_nodes, retire, times,
 };
 use fleet_model::{ControlState, EndpointList, ListVersion, QuorumSizes, Roster, StorageNode};
 use rand_chacha::ChaCha8Rng;
@@ -269,7 +269,7 @@
     /// What is to be told where a change leaves fewer than a fleet is founded with. A disk whose place another takes is not
     /// left out.
     fn shrunk(&self, after: &Roster) -> Option<Event> {
-        let (before, left) = (proposed(&self.state.roster), proposed(after));
+        let (before, left) = (proposed_nodes(&self.state.roster), proposed_nodes(after));
         let same = |one: &StorageNode, other: &StorageNode| one.name == other.name || one.ip == other.ip;
         let out: Vec<(u64, u64)> = before
             .iter()
@@ -340,10 +340,10 @@
         }
         if self.keepers[at].next_poll <= now {
             self.keepers[at].next_poll = now + POLL;
-            self.keepers[at].core.asks(now);
+            self.keepers[at].core.before_request(now);
             let voters = self.keepers[at].voters.clone();
             let answering: Vec<Ipv4Addr> = voters.into_iter().filter(|ip| self.answers(at, *ip)).collect();
-            answering.into_iter().for_each(|ip| self.keepers[at].core.heard(now, ip));
+            answering.into_iter().for_each(|ip| self.keepers[at].core.record_response(now, ip));
             if self.reaches_majority(at) {
                 self.learn(at);
             }
@@ -353,7 +353,7 @@
             self.duty(at);
         }
         if self.keepers[at].next_watch <= now {
-            self.keepers[at].next_watch = now + times::LOOK_AGAIN;
+            self.keepers[at].next_watch = now + times::PROBE_RETRY_INTERVAL_MS;
             self.watch(at, fresh);
         }
     }
@@ -361,8 +361,8 @@
     fn duty(&mut self, at: usize) {
         let now = self.now;
         let keeper = &mut self.keepers[at];
-        if let Some(fence) = keeper.claim.holds(&keeper.state) {
-            keeper.next_duty = now + times::READING;
+        if let Some(fence) = keeper.claim.held_token(&keeper.state) {
+            keeper.next_duty = now + times::POLL_INTERVAL_MS;
             // What the platform lists is told by its time here: it is another one each time.
             let mut endpoint = fleet_model::Endpoint {
                 instance_id: now.to_string(),
@@ -373,7 +373,7 @@
                 state: fleet_model::EndpointState::Ready,
             };
             endpoint.zone = "a".into();
-            if let Some(list) = keeper.readings.take(now, now, fence, &keeper.list, vec![endpoint])
+            if let Some(list) = keeper.readings.accept_poll(now, now, fence, &keeper.list, vec![endpoint])
                 && list.version > keeper.list.version
             {
                 self.history.push((now, Event::List(list.version, now)));
@@ -382,11 +382,14 @@
             return;
         }
         keeper.next_duty = now + 200;
-        let Some(from) = keeper.claim.wants(now, &keeper.state, &keeper.voters, &keeper.core) else { return };
+        let Some(from) = keeper.claim.lease_to_acquire(now, &keeper.state, &keeper.voters, &keeper.core)
+        else {
+            return;
+        };
         let claim = keeper.claim.clone();
-        if self.change(at, Vec::new(), |state| claim.taken(state, &from)) {
+        if self.change(at, Vec::new(), |state| claim.acquire(state, &from)) {
             let keeper = &mut self.keepers[at];
-            keeper.claim.settle(&keeper.state, &from);
+            keeper.claim.change_committed(&keeper.state, &from);
             keeper.next_duty = now;
         }
     }
@@ -402,25 +405,27 @@
         let keeper = &mut self.keepers[at];
         keeper.core.observe(now, &keeper.voters);
         keeper.watch.observe(now, &keeper.state.roster, least);
-        let holds = keeper.claim.holds(&keeper.state).filter(|_| fresh);
-        if keeper.watch.is_due(now) {
-            keeper.watch.looks(now);
-            for disk in disks(&keeper.state.roster.current).union(&disks(proposed(&keeper.state.roster))) {
+        let holds = keeper.claim.held_token(&keeper.state).filter(|_| fresh);
+        if keeper.watch.is_probe_due(now) {
+            keeper.watch.begin_probe_round(now);
+            for disk in
+                disks(&keeper.state.roster.current).union(&disks(proposed_nodes(&keeper.state.roster)))
+            {
                 match live.contains(disk) {
-                    true => keeper.watch.heard(now, *disk),
-                    false => keeper.watch.missed(*disk),
+                    true => keeper.watch.record_response(now, *disk),
+                    false => keeper.watch.record_missed_probe(*disk),
                 }
             }
             if let Some(fence) = holds {
                 let epoch = keeper.state.roster.epoch;
                 keeper.pending = match keeper.watch.step(now, &keeper.state, tolerance) {
-                    RosterStep::Leave => None,
+                    RosterStep::NoChange => None,
                     step => Some(Pending::Roster(step, epoch, fence)),
                 };
             }
         }
         if let (Some(fence), None, Some((gone, _))) =
-            (holds, &keeper.pending, keeper.core.gone(now, &keeper.voters))
+            (holds, &keeper.pending, keeper.core.voter_to_remove(now, &keeper.voters))
         {
             keeper.pending = Some(Pending::Remove(gone, fence));
         }
@@ -431,17 +436,17 @@
         match pending {
             Pending::Roster(step, epoch, fence) => {
                 let waived = match &step {
-                    RosterStep::Waive(waived) => waived.clone(),
+                    RosterStep::WaiveBackfill(waived) => waived.clone(),
                     _ => Vec::new(),
                 };
                 self.change(at, waived, |state| {
-                    stands(state, LIST, me, fence).then(|| step.applied(state, epoch, least)).flatten()
+                    holds_lease(state, LIST, me, fence).then(|| step.apply_to(state, epoch, least)).flatten()
                 });
             }
             Pending::Remove(gone, fence) => {
                 if self.reaches_majority(at)
-                    && stands(&self.state, LIST, me, fence)
-                    && let Some(voters) = VoterController::without(&self.voters, gone)
+                    && holds_lease(&self.state, LIST, me, fence)
+                    && let Some(voters) = VoterController::without_voter(&self.voters, gone)
                 {
                     self.voters = voters;
                     self.version += 1;
@@ -481,10 +486,10 @@
             return;
         }
         let (me, roster) = (self.machines[at].store.clone(), self.machines[at].roster.clone());
-        if !proposed(&roster).contains(&me) && !roster.retiring.contains(&me.name) {
+        if !proposed_nodes(&roster).contains(&me) && !roster.retiring.contains(&me.name) {
             self.ask_to_join(keeper, &me);
         }
-        let (here, set) = (disks(&roster.current).contains(&me.disk), disks(proposed(&roster)));
+        let (here, set) = (disks(&roster.current).contains(&me.disk), disks(proposed_nodes(&roster)));
         if !set.contains(&me.disk) {
             return;
         }
@@ -492,7 +497,9 @@
             if roster.next.is_some() && !roster.in_sync.contains(&me.disk) {
                 self.history.push((now, Event::Filled(me.disk, roster.epoch)));
                 let least = self.least();
-                self.change(keeper, Vec::new(), |state| fill(state, Some(me.disk), roster.epoch, &[], least));
+                self.change(keeper, Vec::new(), |state| {
+                    complete_backfill(state, Some(me.disk), roster.epoch, &[], least)
+                });
             }
             return;
         }
@@ -530,11 +537,12 @@
         let (now, least) = (self.now, self.least());
         let keeper = &mut self.keepers[at];
         keeper.watch.observe(now, &keeper.state.roster, least);
-        keeper.watch.heard(now, store.disk);
+        keeper.watch.record_response(now, store.disk);
         if keeper.watch.admits(&keeper.state.roster, store) && join(&keeper.state, store, least).is_some() {
             // Whom it replaces is lost.
             let same = |other: &&StorageNode| other.name == store.name || other.ip == store.ip;
-            let lost = proposed(&self.state.roster).iter().filter(same).map(|other| other.disk).collect();
+            let lost =
+                proposed_nodes(&self.state.roster).iter().filter(same).map(|other| other.disk).collect();
             self.change(at, lost, |state| join(state, store, least));
         }
     }
@@ -574,7 +582,8 @@
                 }
                 Event::Shrunk(left, out) => {
                     // The watch may have heard from a machine a look before it fell silent, not later.
-                    let early = |silent: u64| silent + 2 * times::LOOK < times::STORE_GONE;
+                    let early =
+                        |silent: u64| silent + 2 * times::PROBE_INTERVAL_MS < times::STORAGE_TIMEOUT_MS;
                     if *left <= self.tolerance || out.iter().any(|(_, silent)| early(*silent)) {
                         broken.push(format!("{at}: only {left} are left, without {out:?}"));
                     }
@@ -606,7 +615,7 @@
                         }
                     }
                     let counts = |name: &String| {
-                        roster.current.iter().chain(proposed(roster)).any(|store| store.name == *name)
+                        roster.current.iter().chain(proposed_nodes(roster)).any(|store| store.name == *name)
                     };
                     out.extend(roster.retiring.iter().filter(|name| !counts(name)).cloned());
                     last = roster.clone();
--- a/system/controllers/tests/duties/stories.rs
+++ b/system/controllers/tests/duties/stories.rs
@@ -1,7 +1,7 @@
 //! Stories of the whole fleet: how the roster, the duty and the voters come through one trouble.
 
 use crate::fleet::{Event, Fleet, LIST};
-use controllers::{RetireVerdict, retire_state};
+use controllers::{RetireVerdict, retire_status};
 use googletest::prelude::*;
 
 /// A machine counts as lost until so long after its return: by then full copies stand again.
@@ -239,7 +239,7 @@
         fleet.run(300);
         expect_that!(fleet.retire("s4"), eq(RetireVerdict::Active));
         expect_that!(fleet.retire("s4"), eq(RetireVerdict::Active));
-        let done = |fleet: &Fleet| retire_state(fleet.state(), "s4") == RetireVerdict::Completed;
+        let done = |fleet: &Fleet| retire_status(fleet.state(), "s4") == RetireVerdict::Completed;
         expect_that!(fleet.run_until(8_000, done), some(anything()));
         // and the one that was down fills when it is back
         fleet.come_back(2);
--- a/system/controllers/tests/orders.rs
+++ b/system/controllers/tests/orders.rs
@@ -300,11 +300,11 @@
     fn tell(&mut self, number: usize, verdict: Option<ConfigVerdict>) {
         let Task::Order(order) = self.calls[number].task else { return };
         match verdict {
-            Some(ConfigVerdict::Taken) => self.told.insert(Told::Confirmed(order)),
-            Some(ConfigVerdict::OtherVersion(_) | ConfigVerdict::NotAbove) => {
+            Some(ConfigVerdict::Committed) => self.told.insert(Told::Confirmed(order)),
+            Some(ConfigVerdict::VersionMismatch(_) | ConfigVerdict::NotNewer) => {
                 self.told.insert(Told::Refused(order))
             }
-            Some(ConfigVerdict::Unclear) | None => return,
+            Some(ConfigVerdict::Indeterminate) | None => return,
         };
         self.calls[number].tries = 0;
     }
@@ -439,8 +439,8 @@
     body: &Bytes,
 ) -> Judged {
     match put_config(state, expected, sent, body) {
-        (None, ConfigVerdict::Taken) if state.committed.last() != Some(sent) => {
-            (None, ConfigVerdict::OtherVersion(state.version()))
+        (None, ConfigVerdict::Committed) if state.committed.last() != Some(sent) => {
+            (None, ConfigVerdict::VersionMismatch(state.version()))
         }
         judged => judged,
     }
@@ -449,7 +449,7 @@
 /// Broken: no refusal is kept.
 fn keeps_no_refusal(state: &ControlState, expected: u64, sent: &CommittedVersion, body: &Bytes) -> Judged {
     match put_config(state, expected, sent, body) {
-        (_, verdict @ ConfigVerdict::OtherVersion(_)) => (None, verdict),
+        (_, verdict @ ConfigVerdict::VersionMismatch(_)) => (None, verdict),
         judged => judged,
     }
 }
@@ -573,25 +573,25 @@
         let (next, verdict) = put_config(&state, base, &order, &body);
         state = next.unwrap_or(state);
         match verdict {
-            ConfigVerdict::Taken => taken.push((base, order)),
-            ConfigVerdict::OtherVersion(_) | ConfigVerdict::NotAbove => {
+            ConfigVerdict::Committed => taken.push((base, order)),
+            ConfigVerdict::VersionMismatch(_) | ConfigVerdict::NotNewer => {
                 refused.insert((base, order.version, order.digest));
             }
-            ConfigVerdict::Unclear => unclear += 1,
+            ConfigVerdict::Indeterminate => unclear += 1,
         }
         // When any earlier one is sent again, then it is answered as before, or not clearly.
         for _ in 0..4 {
             let (base, order) = &taken[rng.next_u32() as usize % taken.len().max(1)];
             let (next, verdict) = put_config(&state, *base, order, &body);
             expect_that!(next, none());
-            expect_that!([ConfigVerdict::Taken, ConfigVerdict::Unclear], contains(eq(verdict)));
-            forgotten += usize::from(verdict == ConfigVerdict::Unclear);
+            expect_that!([ConfigVerdict::Committed, ConfigVerdict::Indeterminate], contains(eq(verdict)));
+            forgotten += usize::from(verdict == ConfigVerdict::Indeterminate);
         }
         for (base, version, digest) in
             refused.iter().skip(rng.next_u32() as usize % refused.len().max(1)).take(4)
         {
             let order = CommittedVersion { version: *version, digest: *digest };
-            expect_that!(put_config(&state, *base, &order, &body).1, not(eq(ConfigVerdict::Taken)));
+            expect_that!(put_config(&state, *base, &order, &body).1, not(eq(ConfigVerdict::Committed)));
         }
     }
     expect_that!(taken.len(), gt(1_000));
--- a/system/programs/src/keeper/record/tests.rs
+++ b/system/programs/src/keeper/record/tests.rs
@@ -214,7 +214,7 @@
         let body = Bytes::from(vec![b'c'; 20_000]);
         let taken = CommittedVersion { version, digest: [version as u8; 32] };
         let (next, verdict) = put_config(&state, version - 1, &taken, &body);
-        expect_that!(verdict, eq(ConfigVerdict::Taken));
+        expect_that!(verdict, eq(ConfigVerdict::Committed));
         state = next.unwrap();
         for request in
             [RegisterRequest::Prepare(ballot(version)), RegisterRequest::Accept(accepted(version, &state))]
--- a/system/turn-store/tests/changes/fleet.rs
+++ b/system/turn-store/tests/changes/fleet.rs
@@ -2,7 +2,8 @@
 
 use crate::operations::Operation;
 use controllers::{
-    LossesBorne, RetireVerdict, StorageController, fill, join, proposed, retire, retire_state, times,
+    LossTolerance, RetireVerdict, StorageController, complete_backfill, join, proposed_nodes, retire,
+    retire_status, times,
 };
 use fleet_model::{Answer, Call, ControlState, QuorumSizes, Roster, StorageNode, account_replicas};
 use rand_chacha::ChaCha8Rng;
@@ -196,7 +197,7 @@
 
     /// How many more machines may be hurt now.
     pub fn may_hurt(&self) -> usize {
-        LossesBorne::of(self.roster(), self.tolerance).survived.saturating_sub(self.hurt.len())
+        LossTolerance::from_roster(self.roster(), self.tolerance).survived.saturating_sub(self.hurt.len())
     }
 
     fn hurt(&mut self, name: &str, how: &str) {
@@ -252,7 +253,7 @@
             .machines
             .iter()
             .map(|machine| machine.store.name.clone())
-            .filter(|name| retire_state(&self.control, name) == RetireVerdict::Completed)
+            .filter(|name| retire_status(&self.control, name) == RetireVerdict::Completed)
             .collect();
         for name in done {
             self.tell(format!("{name} is retired and taken away"));
@@ -264,7 +265,7 @@
     /// Names of machines without which the proposed set goes below what a fleet is founded with although they were not gone for
     /// long. One whose place another takes is not left out.
     fn left_out_early(&self, after: &Roster) -> Vec<String> {
-        let (before, left) = (proposed(self.roster()), proposed(after));
+        let (before, left) = (proposed_nodes(self.roster()), proposed_nodes(after));
         if before.len() < self.least() || left.len() >= self.least() {
             return Vec::new();
         }
@@ -277,7 +278,8 @@
     fn is_gone_for_long(&self, store: &StorageNode) -> bool {
         let machine = self.machines.iter().find(|machine| machine.store.disk == store.disk);
         machine.is_none_or(|machine| {
-            !machine.up && self.now - machine.down_since + 2 * times::LOOK >= times::STORE_GONE
+            !machine.up
+                && self.now - machine.down_since + 2 * times::PROBE_INTERVAL_MS >= times::STORAGE_TIMEOUT_MS
         })
     }
 
@@ -308,20 +310,20 @@
         self.now += TICK;
         let (now, least) = (self.now, self.least());
         self.watch.observe(now, &self.control.roster, least);
-        if !self.watch.is_due(now) {
+        if !self.watch.is_probe_due(now) {
             return;
         }
-        self.watch.looks(now);
+        self.watch.begin_probe_round(now);
         let members: BTreeSet<u64> =
-            disks(&self.roster().current).union(&disks(proposed(self.roster()))).copied().collect();
+            disks(&self.roster().current).union(&disks(proposed_nodes(self.roster()))).copied().collect();
         for disk in members {
             match self.by_disk(disk).is_some_and(|machine| machine.up) {
-                true => self.watch.heard(now, disk),
-                false => self.watch.missed(disk),
+                true => self.watch.record_response(now, disk),
+                false => self.watch.record_missed_probe(disk),
             }
         }
         let step = self.watch.step(now, &self.control, self.tolerance);
-        if let Some(state) = step.applied(&self.control, self.roster().epoch, least) {
+        if let Some(state) = step.apply_to(&self.control, self.roster().epoch, least) {
             self.tell(format!("{step:?}"));
             self.choose(state);
         }
@@ -348,11 +350,11 @@
     fn ask_to_join(&mut self, at: usize) -> bool {
         let store = self.machines[at].store.clone();
         let roster = &self.control.roster;
-        if proposed(roster).contains(&store) || roster.retiring.contains(&store.name) {
+        if proposed_nodes(roster).contains(&store) || roster.retiring.contains(&store.name) {
             return false;
         }
         self.watch.observe(self.now, roster, 2 * self.tolerance + 1);
-        self.watch.heard(self.now, store.disk);
+        self.watch.record_response(self.now, store.disk);
         if !self.watch.admits(roster, &store) {
             return false;
         }
@@ -424,7 +426,9 @@
         if !machine.state.is_filled_for_next() || self.control.roster.in_sync.contains(&disk) {
             return false;
         }
-        let Some(state) = fill(&self.control, Some(disk), epoch, &[], self.least()) else { return false };
+        let Some(state) = complete_backfill(&self.control, Some(disk), epoch, &[], self.least()) else {
+            return false;
+        };
         self.tell(format!("disk {disk} is full"));
         self.choose(state);
         true
--- a/testbed/src/system/control.rs
+++ b/testbed/src/system/control.rs
@@ -86,9 +86,9 @@
     /// Takes a configuration on top of the version `expected`; none without a majority.
     pub async fn put_config(&self, expected: u64, body: Bytes) -> Option<ConfigVerdict> {
         match self.node.put_config(Some(expected), body).await {
-            PutConfig::Committed(_) => Some(ConfigVerdict::Taken),
-            PutConfig::OtherVersion(current) => Some(ConfigVerdict::OtherVersion(current)),
-            PutConfig::NotAbove => Some(ConfigVerdict::NotAbove),
+            PutConfig::Committed(_) => Some(ConfigVerdict::Committed),
+            PutConfig::OtherVersion(current) => Some(ConfigVerdict::VersionMismatch(current)),
+            PutConfig::NotAbove => Some(ConfigVerdict::NotNewer),
             PutConfig::Unavailable => None,
             outcome @ (PutConfig::Invalid(_) | PutConfig::NoBase) => unreachable!("{outcome:?}"),
         }
@@ -181,7 +181,7 @@
         from: &Lease,
     ) -> Option<ControlState> {
         if !self.host.breaks(Mutation::FenceNotChecked) {
-            return candidate.taken(state, from);
+            return candidate.acquire(state, from);
         }
         // Broken on purpose: whatever token stands by now.
         let mut state = state.clone();
--- a/testbed/src/system/disk.rs
+++ b/testbed/src/system/disk.rs
@@ -174,7 +174,7 @@
         self.queued.borrow_mut().push(writes);
         let host = host.clone();
         host.clone().spawn(async move {
-            host.sleep_us(host.between(2_000, times::LOOK_AGAIN * 1_000)).await;
+            host.sleep_us(host.between(2_000, times::PROBE_RETRY_INTERVAL_MS * 1_000)).await;
             host.disk().takes_nothing(&host).await;
             host.disk().flush();
         });
--- a/testbed/src/system/operators.rs
+++ b/testbed/src/system/operators.rs
@@ -293,7 +293,7 @@
                 let (host, name, mutation) = (keeper.host().clone(), name.clone(), self.world.mutation);
                 let told = async move {
                     keeper.version().await?;
-                    Some(controllers::retire_state(&keeper.feed.state(), &name))
+                    Some(controllers::retire_status(&keeper.feed.state(), &name))
                 };
                 let verdict = self.at(&host, PATIENCE_MS, told).await.flatten();
                 // Broken on purpose: what is only agreed counts as completed.
@@ -316,7 +316,7 @@
         let taken = CommittedVersion { version: order.number, digest: operator_config::digest(&order.body) };
         let state = keeper.feed.state();
         let (_, verdict) = controllers::put_config(&state, order.on, &taken, &order.body);
-        if verdict != ConfigVerdict::Taken {
+        if verdict != ConfigVerdict::Committed {
             return told(Some(verdict));
         }
     }
@@ -324,7 +324,7 @@
     let current = keeper.feed.state().version();
     match (mutation, verdict) {
         // Broken on purpose: only the newest is known to have been taken.
-        (Some(Mutation::TakenForgotten), Some(ConfigVerdict::Taken)) if current != order.number => {
+        (Some(Mutation::TakenForgotten), Some(ConfigVerdict::Committed)) if current != order.number => {
             OrderAnswer::OtherVersion(current)
         }
         _ => told(verdict),
@@ -333,10 +333,10 @@
 
 fn told(verdict: Option<ConfigVerdict>) -> OrderAnswer {
     match verdict {
-        Some(ConfigVerdict::Taken) => OrderAnswer::Confirmed,
-        Some(ConfigVerdict::OtherVersion(current)) => OrderAnswer::OtherVersion(current),
-        Some(ConfigVerdict::NotAbove) => OrderAnswer::NotAbove,
-        Some(ConfigVerdict::Unclear) | None => OrderAnswer::Unclear,
+        Some(ConfigVerdict::Committed) => OrderAnswer::Confirmed,
+        Some(ConfigVerdict::VersionMismatch(current)) => OrderAnswer::OtherVersion(current),
+        Some(ConfigVerdict::NotNewer) => OrderAnswer::NotAbove,
+        Some(ConfigVerdict::Indeterminate) | None => OrderAnswer::Unclear,
     }
 }
 
--- a/testbed/tests/record_log.rs
+++ b/testbed/tests/record_log.rs
@@ -88,7 +88,7 @@
         assert!(matches!(promised, RegisterReply::Promised(_)), "{promised:?}");
         let sent = CommittedVersion { version, digest: digest(version) };
         let (next, verdict) = put_config(&self.state, version - 1, &sent, &configuration(version));
-        assert_eq!(verdict, ConfigVerdict::Taken);
+        assert_eq!(verdict, ConfigVerdict::Committed);
         self.state = next.expect("another state");
         let payload = self.state.to_payload().expect("plain");
         self.largest_payload = self.largest_payload.max(payload.len());
