--- a/benches/parts.rs
+++ b/benches/parts.rs
@@ -29,10 +29,10 @@
 fn class() -> Class {
     let window = Span(8 * SECOND);
     Class {
-        aim: Span(4 * SECOND),
+        latency_target: Span(4 * SECOND),
         deadline: Span(20 * SECOND),
-        worth: 1.0,
-        late_worth: 0.4,
+        value: 1.0,
+        late_value: 0.4,
         repeat: Repeat::Keyed { group: Group::All, window },
         ordered: false,
     }
@@ -41,29 +41,29 @@
 fn settings(slots: usize) -> Settings {
     Settings {
         classes: vec![class()],
-        kinds: vec![Kind { routes_apart: true, batch: 1 }],
+        kinds: vec![Kind { independent_routes: true, batch: 1 }],
         tenants: vec![],
-        over_share_worth: 1.0,
+        over_share_value: 1.0,
         zone: ZoneId(0),
         senders: 300,
         slots,
-        most_held: 10_000,
+        max_pending: 10_000,
         max_attempts: 8,
         period: Span(5_000),
         connect_timeout: Span(SECOND),
-        decay: Decay::Halves,
+        decay: Decay::Exponential,
         discovery: Discovery::Pushed,
         hints: Hints::CallsPerSecond,
         probes: false,
         cancel: true,
-        ends_noticed: true,
-        calls_expire_whole: true,
+        outcomes_acknowledged: true,
+        batches_expire_together: true,
         rules: Rules {
             drain_grace: Span(SECOND / 4),
-            cold_share: 0.17,
-            ramp: Span(14 * SECOND),
+            slow_start_share: 0.17,
+            slow_start: Span(14 * SECOND),
             overload_factor: 2.5,
-            fall: Span(2 * SECOND),
+            overload_tolerance: Span(2 * SECOND),
             order_settle: Span(0),
             must_ask_in: Span(10 * SECOND),
         },
@@ -112,7 +112,7 @@
         // All within the messages' time, however often this is played.
         now.0 += 1;
         actions.clear();
-        sender.step(now, black_box(&[Event::Woken]), &mut actions);
+        sender.step(now, black_box(&[Event::TimerFired]), &mut actions);
     });
 }
 
@@ -140,7 +140,7 @@
         now.0 += 1;
         actions.clear();
         sender.step(now, &[message(id, 3)], &mut actions);
-        let end = Event::Ended {
+        let end = Event::AttemptCompleted {
             message: MessageId(id),
             attempt: 0,
             outcome: Outcome::Success,
@@ -149,7 +149,7 @@
             report: None,
         };
         sender.step(now, &[end], &mut actions);
-        sender.step(now, &[Event::Withdrawn(MessageId(id))], &mut actions);
+        sender.step(now, &[Event::ClientCancelled(MessageId(id))], &mut actions);
         id += 1;
     });
 }
--- a/src/bin/simulator-adapter/world.rs
+++ b/src/bin/simulator-adapter/world.rs
@@ -121,7 +121,7 @@
                     (None, None) => None,
                     (left, limit) => Some(Report { left: left.unwrap_or(1.0), limit: limit.unwrap_or(0.0) }),
                 };
-                Event::Ended {
+                Event::AttemptCompleted {
                     message: MessageId(job),
                     attempt,
                     outcome: outcome(result, detail),
@@ -130,9 +130,9 @@
                     report,
                 }
             }
-            Input::Vanished { job } => Event::Withdrawn(MessageId(job)),
-            Input::Bell {} => Event::Woken,
-            Input::Checked { endpoint, result } => Event::Checked {
+            Input::Vanished { job } => Event::ClientCancelled(MessageId(job)),
+            Input::Bell {} => Event::TimerFired,
+            Input::Checked { endpoint, result } => Event::HealthCheckCompleted {
                 endpoint: look(&self.endpoints, &endpoint, "endpoint")?,
                 outcome: outcome(result, None),
             },
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -301,7 +301,7 @@
         let mut dt = seconds(now.since(self.tokens_at));
         if let Health::Returning(began) = self.health {
             dt = dt.min(seconds(now.since(began)));
-            if now.since(began) >= s.rules.ramp.0 {
+            if now.since(began) >= s.rules.slow_start.0 {
                 self.health = Health::Up;
             }
         }
@@ -311,7 +311,7 @@
             self.rate *= (-dt / RATE_S).exp();
             self.pace *= (SPEED_UP * dt).exp();
         }
-        self.failing *= (-dt / seconds(s.rules.ramp.0.max(1))).exp(); // what is not seen again is forgotten
+        self.failing *= (-dt / seconds(s.rules.slow_start.0.max(1))).exp(); // what is not seen again is forgotten
         // What the pace adds up to meanwhile, so that it is the same however often this is asked.
         let (gained, depth) = match self.health {
             Health::Returning(began) => {
@@ -327,10 +327,10 @@
     /// before, times what the rule allows at this point of the ramp; at least one a `fall` between senders.
     fn return_rate(&self, now: Time, began: Time, s: &Settings) -> f64 {
         let r = &s.rules;
-        let warm = now.since(began) as f64 / r.ramp.0.max(1) as f64;
-        let share = r.cold_share + (1.0 - r.cold_share) * warm.min(1.0);
+        let warm = now.since(began) as f64 / r.slow_start.0.max(1) as f64;
+        let share = r.slow_start_share + (1.0 - r.slow_start_share) * warm.min(1.0);
         let equal = self.limit / s.senders as f64 * SLOW_DOWN;
-        let usual = self.rate.max(equal).max(1.0 / seconds(r.ramp.0).max(0.1));
+        let usual = self.rate.max(equal).max(1.0 / seconds(r.slow_start.0).max(0.1));
         (usual * share * r.overload_factor * RETURN_SHARE).min(self.pace).max(self.trial_rate(s))
     }
 
@@ -338,16 +338,16 @@
     /// the rule lets all of them send to one that is cold. Where no limit is known that is one a `fall`; but
     /// only those with a message waiting call, so each may send the cold share of one message a ramp.
     fn trial_rate(&self, s: &Settings) -> f64 {
-        let cold = s.rules.cold_share * s.rules.overload_factor * RETURN_SHARE;
-        let equal = 1.0 / (s.senders as f64 * seconds(s.rules.fall.0).max(0.1));
-        equal.max(cold * (self.limit / s.senders as f64).max(1.0 / seconds(s.rules.ramp.0).max(0.1)))
+        let cold = s.rules.slow_start_share * s.rules.overload_factor * RETURN_SHARE;
+        let equal = 1.0 / (s.senders as f64 * seconds(s.rules.overload_tolerance.0).max(0.1));
+        equal.max(cold * (self.limit / s.senders as f64).max(1.0 / seconds(s.rules.slow_start.0).max(0.1)))
     }
 
     /// The pace that refusals never push below: half the known limit's equal part, and half of that with each
     /// further one in a row, down to what chance makes of the parts of so many senders, or to the cold share.
     /// Where no limit is known, the rate of trials.
     fn least_rate(&self, s: &Settings) -> f64 {
-        let chance = (1.0 / s.senders as f64).sqrt().max(s.rules.cold_share).min(0.5);
+        let chance = (1.0 / s.senders as f64).sqrt().max(s.rules.slow_start_share).min(0.5);
         let part = self.limit / s.senders as f64 * 0.5f64.powi(self.fulls.clamp(1, 9) as i32).max(chance);
         if part > 0.0 { part } else { self.trial_rate(s) }
     }
@@ -416,15 +416,15 @@
         match event {
             Event::Message(message) => self.message(*message),
             Event::Resumed(resumed) => self.resumed(resumed),
-            Event::Told { endpoint, wait } => self.told(*endpoint, *wait),
-            Event::Noticed(id) => {
+            Event::RetryAfterReported { endpoint, wait } => self.told(*endpoint, *wait),
+            Event::OutcomeAcknowledged(id) => {
                 if let Some(key) = self.unnoticed.remove(id) {
                     self.leave_key(*id, key);
                 }
             }
-            Event::WindDown(end) => self.ends_at = Some(*end),
-            Event::Ended { .. } => self.ended(event, actions),
-            Event::Withdrawn(id) => self.withdrawn(*id),
+            Event::ShutdownScheduled(end) => self.ends_at = Some(*end),
+            Event::AttemptCompleted { .. } => self.ended(event, actions),
+            Event::ClientCancelled(id) => self.withdrawn(*id),
             Event::FullList(entries) => {
                 for endpoint in self.endpoints.values_mut() {
                     endpoint.listing = Listing::Removed;
@@ -434,7 +434,7 @@
             Event::ListChanges(entries) => self.list(entries),
             Event::Excluded(endpoint) => self.exclude(*endpoint, actions),
             Event::Included(endpoint) => self.include(*endpoint, actions),
-            Event::Retuned(settings) => self.retune((**settings).clone()),
+            Event::SettingsChanged(settings) => self.retune((**settings).clone()),
             Event::ListFailed => {
                 // The list's keeper is short of room itself: ask again ever more slowly, by chance apart.
                 self.list_failures = (self.list_failures + 1).min(4);
@@ -442,8 +442,8 @@
                 let wait = self.settings.connect_timeout.0 as f64 * f64::from(1 << self.list_failures) / 4.0;
                 self.ask_list_at = Some(self.now.after(wait.min(most) * (0.5 + self.chance())));
             }
-            Event::Checked { .. } => {}
-            Event::Woken => self.woken_at = None,
+            Event::HealthCheckCompleted { .. } => {}
+            Event::TimerFired => self.woken_at = None,
         }
     }
 
@@ -470,7 +470,7 @@
             return;
         }
         // All senders that restart with an outage come back together: by chance apart.
-        let wait = message.class.aim.0 as f64 * BACKOFF_OF_AIM * self.chance();
+        let wait = message.class.latency_target.0 as f64 * BACKOFF_OF_AIM * self.chance();
         let at = if attempts > 0 { self.now.after(wait) } else { self.now };
         let Some(held) = self.held.get_mut(&message.id) else { return };
         (held.attempts, held.untried) = (attempts, attempts == 0);
@@ -491,7 +491,7 @@
     /// Whether there is room for one more message beside the `held` ones, and time to deliver it.
     pub fn admits(&self, now: Time, held: usize) -> bool {
         let time = self.ends_at.is_none_or(|end| now.0 + self.settings.connect_timeout.0 < end.0);
-        held < self.settings.most_held && time
+        held < self.settings.max_pending && time
     }
 
     /// Endpoints on the list, and those of them that nothing goes to now: draining, excluded or in an outage.
@@ -504,7 +504,7 @@
     fn list(&mut self, entries: &[Entry]) {
         self.list_failures = 0;
         for entry in entries.iter().filter(|e| e.kind.0 < self.settings.kinds.len()) {
-            let apart = self.settings.kinds[entry.kind.0].routes_apart;
+            let apart = self.settings.kinds[entry.kind.0].independent_routes;
             if let Some(known) = self.endpoints.get_mut(&entry.endpoint) {
                 known.listing = entry.listing;
                 continue;
@@ -574,7 +574,9 @@
     }
 
     fn ended(&mut self, event: &Event, actions: &mut Vec<Action>) {
-        let Event::Ended { message: id, attempt, outcome, last, report, .. } = *event else { return };
+        let Event::AttemptCompleted { message: id, attempt, outcome, last, report, .. } = *event else {
+            return;
+        };
         let Some(held) = self.held.get_mut(&id) else { return };
         let (Stage::Out(tried) | Stage::Over(tried)) = held.stage else { return };
         if attempt + 1 != held.attempts {
@@ -582,7 +584,7 @@
         }
         let over = last || matches!(held.stage, Stage::Over(_));
         held.stage = Stage::Waiting(self.now);
-        let may_run = outcome.may_have_run();
+        let may_run = outcome.may_have_executed();
         let zone = self.endpoints[&tried.endpoint].zone;
         if may_run && held.ran.is_none() {
             held.ran = Some(Ran { sent: self.calls.get(&tried.call).map_or(Time(0), |c| c.sent), zone });
@@ -628,7 +630,7 @@
     /// Forgets a message that ended undelivered; its key is free once that is known to whom it concerns.
     fn leave(&mut self, id: MessageId) {
         let key = self.held.get(&id).and_then(|held| held.message.key);
-        match key.filter(|_| self.settings.ends_noticed) {
+        match key.filter(|_| self.settings.outcomes_acknowledged) {
             Some(key) => {
                 self.held.remove(&id);
                 self.unnoticed.insert(id, key);
@@ -718,7 +720,7 @@
     fn retry(&mut self, id: MessageId, outcome: Outcome, actions: &mut Vec<Action>) {
         let jitter = self.chance();
         let Some(held) = self.held.get_mut(&id) else { return };
-        let base = held.message.class.aim.0 as f64 * BACKOFF_OF_AIM;
+        let base = held.message.class.latency_target.0 as f64 * BACKOFF_OF_AIM;
         let doubled = base * f64::from(1u32 << held.attempts.saturating_sub(1).min(8)).min(BACKOFF_CAP);
         let wait = match outcome {
             // All who were told to wait come back at its end: each by chance its backoff or the wait later.
@@ -809,7 +811,7 @@
 
     /// Whether it was seen lately that an answer got lost for certain.
     fn seen_lost(&self) -> bool {
-        self.lost_at.is_some_and(|at| self.now.since(at) < self.settings.rules.ramp.0)
+        self.lost_at.is_some_and(|at| self.now.since(at) < self.settings.rules.slow_start.0)
     }
 
     fn chance(&mut self) -> f64 {
@@ -833,7 +835,7 @@
             *kept *= if crowded { 0.5 } else { 1.0 + growth };
             *kept = kept.clamp(MOST_KEPT * 0.5f64.powi(halvings), MOST_KEPT);
         }
-        let span = self.kept[kind.0] * seconds(self.settings.rules.fall.0);
+        let span = self.kept[kind.0] * seconds(self.settings.rules.overload_tolerance.0);
         let rare =
             |line: &Line| self.kept[kind.0] < MOST_KEPT && line.rate * span < 1.0 && line.out.len() <= 1;
         if silent || rare(line) {
@@ -921,7 +923,7 @@
         let (now, rules) = (self.now, self.settings.rules);
         let quick = now.since(sent) < self.settings.connect_timeout.0 / 2;
         let line = &mut self.lines[at];
-        let answers = quick && rank > 1 && sent.since(line.last_success) < rules.fall.0;
+        let answers = quick && rank > 1 && sent.since(line.last_success) < rules.overload_tolerance.0;
         match outcome {
             Outcome::NoRoom if line.health != Health::Up => false,
             Outcome::ConnectFailed | Outcome::NoRoom if outcome == Outcome::NoRoom || answers => {
@@ -940,7 +942,7 @@
                 true
             }
             Outcome::Success if line.room > 0 && rank >= line.room => {
-                if now.since(line.room_at) >= rules.fall.0 {
+                if now.since(line.room_at) >= rules.overload_tolerance.0 {
                     (line.room, line.room_at) = (line.room + 1, now);
                 }
                 false
@@ -958,7 +960,7 @@
             line.limit = if report.limit > 0.0 { report.limit } else { line.limit };
         }
         let elapsed = now.since(sent) as f64;
-        let fall = s.rules.fall.0 as f64;
+        let fall = s.rules.overload_tolerance.0 as f64;
         // Calls that began later have been answered: this answer got lost, the endpoint is not slow.
         let overtaken = outcome == Outcome::TimedOut && line.last_success > sent;
         if overtaken && line.endpoint.is_some() {
@@ -1089,7 +1091,7 @@
         let may_repeat = class.repeat != Repeat::Unsafe;
         let aims = if may_repeat { TIMEOUT_OF_AIM } else { UNSAFE_TIMEOUT_OF_AIM };
         // While answers get lost, a repeatable message waits no longer than for the slowest healthy one.
-        let most = 2.0 * class.aim.0 as f64 * aims;
+        let most = 2.0 * class.latency_target.0 as f64 * aims;
         let early = may_repeat && (self.seen_lost() || self.lost > LOST_SHARE) && line.latency > 0.0;
         let least = if early { most * KNOWN_TIMEOUT } else { most / 2.0 };
         let span = line.slowest(GIVE_UP_DEVS).clamp(least, most);
@@ -1100,12 +1102,12 @@
     fn worth(&self, held: &Held, delay: f64) -> f64 {
         let class = &held.message.class;
         let late = self.now.0 as f64 + delay - held.deadline.0 as f64 + class.deadline.0 as f64;
-        class.worth * class.share_left(late, self.settings.decay)
+        class.value * class.share_left(late, self.settings.decay)
     }
 
     /// With the room almost full, the message worth least is refused for the newcomers' sake.
     fn shed(&mut self, actions: &mut Vec<Action>) {
-        let room = (self.settings.most_held - (self.settings.most_held / SPARE_ROOM).max(1)).max(1);
+        let room = (self.settings.max_pending - (self.settings.max_pending / SPARE_ROOM).max(1)).max(1);
         while self.held.len() > room {
             let least = (self.held.iter())
                 .filter(|(_, h)| matches!(h.stage, Stage::Waiting(_)) && h.ran.is_none() && !h.untried)
@@ -1163,7 +1165,7 @@
                 }
                 !joins
             });
-            if self.settings.calls_expire_whole {
+            if self.settings.batches_expire_together {
                 self.expire_together(&mut actions[first..]);
             }
             if queue.is_empty() || !self.open(destination) {
@@ -1207,7 +1209,7 @@
         let destination = self.destinations.get(&held.message.destination)?;
         // An endpoint not yet called counts as fast as the fastest known, faster where many calls follow.
         let lines = || destination.endpoints.iter().map(|e| &self.lines[self.endpoints[e].line]);
-        let calls = lines().map(|l| l.rate).sum::<f64>() * seconds(self.settings.rules.fall.0);
+        let calls = lines().map(|l| l.rate).sum::<f64>() * seconds(self.settings.rules.overload_tolerance.0);
         let known = lines().map(|l| l.latency).filter(|l| *l > 0.0).min_by(f64::total_cmp);
         let new = known.unwrap_or(1.0) / calls.max(1.0);
         let cost = |endpoint: &EndpointId| {
@@ -1229,7 +1231,7 @@
     /// An unsafe message has one try: it waits while failures that may have run would cost it more, by the
     /// learned share, than half a ramp's delay would.
     fn better_held(&self, held: &Held, line: &Line) -> bool {
-        let delay = self.settings.rules.ramp.0 as f64 * PATIENCE;
+        let delay = self.settings.rules.slow_start.0 as f64 * PATIENCE;
         let worth = self.worth(held, 0.0);
         held.message.class.repeat == Repeat::Unsafe
             && line.failing * worth > (worth - self.worth(held, delay)).max(HOLD_SHARE * worth)
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,6 @@
-//! The interface of the decision module: settings, events, actions, and the types of ids and time.
+//! The interface of the sending policy: settings, events, actions, and the types of ids and time.
 //!
-//! Nothing here decides anything. All times are whole microseconds on the host's clock.
+//! Nothing here decides anything. The serialized names are those of the operators' settings and earlier records. All times are whole microseconds on the host's clock.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,18 +9,18 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// So many microseconds later; a negative span counts as none.
+    /// The time `micros` microseconds later; a negative span counts as zero.
     pub fn after(self, micros: f64) -> Time {
         Time(self.0.saturating_add(micros.max(0.0) as u64))
     }
 
-    /// Microseconds since an earlier time; 0 if that is still to come.
+    /// Microseconds since an earlier time; 0 if `then` lies in the future.
     pub fn since(self, then: Time) -> u64 {
         self.0.saturating_sub(then.0)
     }
 }
 
-/// A length of time, in microseconds.
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Span(pub u64);
 
@@ -32,11 +32,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct DestinationId(pub u64);
 
-/// An endpoint, interned by the host in the order in which it first heard of them.
+/// An endpoint, interned by the host in the order in which it first saw them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointId(pub u32);
 
-/// What an ordered message is about: messages of one key go out one at a time.
+/// The ordering key of an ordered message: messages with the same key are sent one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderKey(pub u64);
 
@@ -56,123 +56,132 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ZoneId(pub usize);
 
-/// Which endpoints of a destination drop a repeat of a keyed message.
+/// Which endpoints of a destination deduplicate a keyed message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Group {
     /// All of them.
     All,
-    /// Those in the zone of the endpoint that had it first.
+    /// Those in the zone of the endpoint that received it first.
     Zone,
 }
 
-/// What a repeat of a message would do.
+/// Idempotency of a message: the effect that sending it again would have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
-    /// Nothing: it may be repeated freely.
+    /// Idempotent: it may be retried freely.
     Safe,
-    /// It is dropped by the endpoints of `group`, for `window` from the first attempt that may have run.
+    /// Deduplicated by the endpoints of `group`, for `window` from the first attempt that may have executed.
     Keyed {
-        /// The endpoints that drop it.
+        /// The endpoints that deduplicate it.
         group: Group,
-        /// For how long they do.
+        /// The deduplication window.
         window: Span,
     },
-    /// A second effect: never repeated once it may have run.
+    /// Not idempotent: never retried once it may have executed.
     Unsafe,
 }
 
 /// A class of messages. Journals hold its fields in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Delivered within this time, a message earns its full worth.
-    pub aim: Span,
-    /// Time from first hand-in until the message is given up.
+    /// Latency target: a message delivered within this time earns its full value.
+    #[serde(rename = "aim")]
+    pub latency_target: Span,
+    /// Time from first submission until the message expires.
     pub deadline: Span,
-    /// Worth of one message.
-    pub worth: f64,
-    /// Share of the worth that is left at the deadline.
-    pub late_worth: f64,
-    /// What a repeat does.
+    /// Value of one message delivered within the latency target.
+    #[serde(rename = "worth")]
+    pub value: f64,
+    /// Share of the value that remains at the deadline.
+    #[serde(rename = "late_worth")]
+    pub late_value: f64,
+    /// Whether it may be retried.
     pub repeat: Repeat,
-    /// Messages of one key go one at a time, in the order taken.
+    /// Messages with the same key are sent one at a time, in the order of submission.
     pub ordered: bool,
 }
 
 impl Class {
-    /// Share of the worth that a message earns when it is delivered `age` microseconds after its first hand-in.
+    /// Share of the value that a message earns when it is delivered `age` microseconds after its first submission.
     pub fn share_left(&self, age: f64, decay: Decay) -> f64 {
-        let (aim, end) = (self.aim.0 as f64, self.deadline.0 as f64);
-        let late = (age - aim).max(0.0);
+        let (target, deadline) = (self.latency_target.0 as f64, self.deadline.0 as f64);
+        let late = (age - target).max(0.0);
         match decay {
-            Decay::Even => 1.0 - (1.0 - self.late_worth) * late / (end - aim).max(1.0),
-            Decay::Halves => 0.5f64.powf(late / aim.max(1.0)).max(self.late_worth),
+            Decay::Linear => 1.0 - (1.0 - self.late_value) * late / (deadline - target).max(1.0),
+            Decay::Exponential => 0.5f64.powf(late / target.max(1.0)).max(self.late_value),
         }
     }
 }
 
-/// How worth falls after the aim.
+/// How the value of a message falls after its latency target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decay {
-    /// Evenly, down to the late worth at the deadline.
-    Even,
-    /// By half with each further aim, not below the late worth.
-    Halves,
+    /// Linearly, down to the late value at the deadline.
+    #[serde(rename = "Even")]
+    Linear,
+    /// By half with each further latency target, not below the late value.
+    #[serde(rename = "Halves")]
+    Exponential,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kind {
-    /// Its endpoints are separate routes, each with its own limit, pace and outages.
-    pub routes_apart: bool,
-    /// Messages that one call carries at most.
+    /// Its endpoints are independent routes, each with its own rate limit and outages.
+    #[serde(rename = "routes_apart")]
+    pub independent_routes: bool,
+    /// Maximum number of messages in one call (batch size).
     pub batch: usize,
 }
 
 /// A tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Messages a second, over all senders, that count as within its share.
+    /// Quota in messages per second, over all senders together.
     pub allowance_per_s: f64,
 }
 
-/// How the list of endpoints reaches the sender.
+/// How the sender receives the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Discovery {
-    /// By itself.
+    /// The list is pushed to it.
     Pushed,
-    /// Only when asked for.
+    /// Only on request.
     OnRequest,
 }
 
-/// What the capacity hint of a list entry says.
+/// The meaning of the capacity hint in a list entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Hints {
     /// Nothing.
     None,
-    /// Calls a second that the destination (or route) takes from all senders together.
+    /// Calls per second that the destination (or route) accepts from all senders together.
     CallsPerSecond,
 }
 
-/// Figures of the six rules.
+/// Parameters of the six sending rules.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
-    /// Sends to a draining or removed endpoint stop within this.
+    /// Sending to a draining or removed endpoint stops within this time.
     pub drain_grace: Span,
-    /// A destination returning from an outage has at least this share of its capacity.
-    pub cold_share: f64,
-    /// And all of it after this.
-    pub ramp: Span,
-    /// Sent more than this multiple of its present capacity ...
+    /// Slow start: share of its capacity that a destination has when it returns from an outage.
+    #[serde(rename = "cold_share")]
+    pub slow_start_share: f64,
+    /// Slow start: time until it has its full capacity.
+    #[serde(rename = "ramp")]
+    pub slow_start: Span,
+    /// A destination that is sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
-    /// ... for this long, it falls over.
-    pub fall: Span,
-    /// An ordered key rests this long after an attempt that may still run.
+    /// ... for this long fails from overload.
+    #[serde(rename = "fall")]
+    pub overload_tolerance: Span,
+    /// Time without sends of an ordering key after an attempt that may still execute.
     pub order_settle: Span,
-    /// A sender that neither subscribes nor asks for this long counts as told.
+    /// A sender that has neither subscribed nor polled for this long is taken to know the list.
     pub must_ask_in: Span,
 }
 
-/// Everything a sender is told at its start.
+/// The settings that a sender starts with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// Classes of messages.
@@ -181,41 +190,45 @@
     pub kinds: Vec<Kind>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a message above its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    /// Value of a message above its tenant's quota, as a fraction of the value within it.
+    #[serde(rename = "over_share_worth")]
+    pub over_share_value: f64,
     /// Zone of this sender.
     pub zone: ZoneId,
     /// Senders that share the traffic.
     pub senders: usize,
-    /// Calls out at once at most.
+    /// Maximum number of calls in flight.
     pub slots: usize,
-    /// Messages held at most.
-    pub most_held: usize,
-    /// Attempts for one message at most.
+    /// Maximum number of pending messages.
+    #[serde(rename = "most_held")]
+    pub max_pending: usize,
+    /// Maximum number of attempts for one message.
     pub max_attempts: u32,
-    /// Shortest time between two steps.
+    /// Minimum interval between two steps.
     pub period: Span,
-    /// Connections not made within this are unreachable.
+    /// Connect time-out; an endpoint not connected within it is unreachable.
     pub connect_timeout: Span,
-    /// How worth falls.
+    /// How the value falls after the latency target.
     pub decay: Decay,
-    /// How the list comes.
+    /// How the endpoint list is received.
     pub discovery: Discovery,
-    /// What list hints say.
+    /// The meaning of capacity hints in the list.
     pub hints: Hints,
     /// Health checks are allowed.
     pub probes: bool,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub cancel: bool,
-    /// The end of a message that is not delivered is over only with [`Event::Noticed`], not at once.
-    pub ends_noticed: bool,
-    /// The host can give up a call only with all of its messages, not one by one.
-    pub calls_expire_whole: bool,
-    /// Figures of the rules.
+    /// An undelivered message is released only by [`Event::OutcomeAcknowledged`], not at once.
+    #[serde(rename = "ends_noticed")]
+    pub outcomes_acknowledged: bool,
+    /// The host can time out a call only with all of its messages, not one by one.
+    #[serde(rename = "calls_expire_whole")]
+    pub batches_expire_together: bool,
+    /// Parameters of the sending rules.
     pub rules: Rules,
 }
 
-/// Why settings cannot be acted on; the text names the setting.
+/// Invalid settings; the text names the setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub &'static str);
 
@@ -228,13 +241,19 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Whether they can be acted on; the error names the first setting that cannot.
+    /// Validates the settings.
+    ///
+    /// # Errors
+    /// The first invalid setting, by name.
     pub fn check(&self) -> Result<(), SettingsError> {
         let check = |ok: bool, what| if ok { Ok(()) } else { Err(SettingsError(what)) };
         check(!self.classes.is_empty() && !self.kinds.is_empty(), "classes or kinds: none given")?;
-        check(self.classes.iter().all(|c| c.deadline.0 > 0 && c.aim.0 > 0), "a deadline or aim: 0")?;
+        check(
+            self.classes.iter().all(|c| c.deadline.0 > 0 && c.latency_target.0 > 0),
+            "a deadline or aim: 0",
+        )?;
         check(self.slots > 0, "slots: 0 calls may be out")?;
-        check(self.most_held > 0, "most_held: 0 messages may be held")?;
+        check(self.max_pending > 0, "most_held: 0 messages may be held")?;
         check(self.senders > 0 && self.max_attempts > 0, "senders or max_attempts: 0")
     }
 }
@@ -244,33 +263,33 @@
 pub struct Message {
     /// Its id.
     pub id: MessageId,
-    /// Its class, as it is when the message is taken on: it keeps that, whatever the settings say later.
+    /// Its class as of acceptance: later changes of the settings don't apply to it.
     pub class: Class,
     /// Its tenant, if there are tenants.
     pub tenant: Option<TenantId>,
-    /// Its key, if it keeps order.
+    /// Its ordering key, if it is ordered.
     pub key: Option<OrderKey>,
     /// Where it goes.
     pub destination: DestinationId,
-    /// Time left until it is given up.
+    /// Time left until it expires.
     pub budget: Span,
 }
 
-/// A message that an earlier process of this sender took on.
+/// A message that an earlier process of this sender accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Resumed {
-    /// The message, with the time that is left to it now.
+    /// The message, with its remaining time budget.
     pub message: Message,
     /// Attempts that earlier processes made.
     pub attempts: u32,
-    /// The first attempt that may have run, such as one that was out when its process ended: when it was sent
+    /// The first attempt that may have executed, such as one in flight when its process stopped: when it was sent
     /// on the host's clock, and to which zone.
     pub ran: Option<(Time, ZoneId)>,
-    /// It has ended, and only [`Event::Noticed`] is to come.
+    /// It is complete, and only [`Event::OutcomeAcknowledged`] is to come.
     pub ended: bool,
 }
 
-/// What the list says of an endpoint.
+/// The state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Listing {
     /// In service, as far as the list knows.
@@ -281,7 +300,7 @@
     Removed,
 }
 
-/// One line of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// The endpoint.
@@ -298,115 +317,123 @@
     pub hint: f64,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// Delivered.
     Success,
-    /// The destination answered with an error; may have run.
+    /// The destination answered with an error; may have executed.
     Failure,
-    /// Turned away; never ran. The wait it told, if any.
+    /// Rejected by a rate limit; not executed. The reported `Retry-After`, if any.
     Full(Option<Span>),
-    /// No answer in time; may have run.
+    /// No answer in time; may have executed.
     TimedOut,
-    /// No connection; never ran.
+    /// No connection; not executed.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection broke; may have executed.
     Reset,
-    /// Called off; may have run.
+    /// Cancelled; may have executed.
     Cancelled,
     /// Never sent.
     Void,
-    /// The endpoint answers and holds as many connections as it can; never ran. Only hosts that can tell this
-    /// from an endpoint that is down say so, the others say `ConnectFailed`.
+    /// The endpoint responds but has no free connection; not executed. Hosts that cannot distinguish this
+    /// from an endpoint that is down report `ConnectFailed`.
     NoRoom,
 }
 
 impl Outcome {
-    /// Whether the attempt may have taken effect, or may yet.
-    pub fn may_have_run(self) -> bool {
+    /// Whether the attempt may have executed, or still may.
+    pub fn may_have_executed(self) -> bool {
         matches!(self, Outcome::Failure | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
     }
 }
 
-/// What an answer tells of a limit.
+/// The rate limit that an answer reports.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Share of the limit that is left.
+    /// Share of the limit that remains.
     pub left: f64,
-    /// The limit, in calls a second; 0 for none.
+    /// The limit, in calls per second; 0 for none.
     pub limit: f64,
 }
 
-/// What has happened.
+/// An input of the policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// A message was handed in.
+    /// A message was submitted.
     Message(Message),
-    /// A message goes on after a restart; these come in the order in which they were first taken.
+    /// A message is resumed after a restart; these arrive in the order of their first acceptance.
     Resumed(Resumed),
-    /// An answer told a wait without turning a message away.
-    Told {
-        /// The endpoint that told it.
+    /// An answer reported a `Retry-After` without rejecting a message.
+    #[serde(rename = "Told")]
+    RetryAfterReported {
+        /// The endpoint that reported it.
         endpoint: EndpointId,
-        /// How long.
+        /// The time to wait.
         wait: Span,
     },
-    /// The end of a message is known to whom it concerns; see [`Settings::ends_noticed`].
-    Noticed(MessageId),
-    /// The process ends then: what cannot end before is left for the next one.
-    WindDown(Time),
-    /// An attempt has ended.
-    Ended {
+    /// The client has acknowledged the outcome of a message; see [`Settings::outcomes_acknowledged`].
+    #[serde(rename = "Noticed")]
+    OutcomeAcknowledged(MessageId),
+    /// The process shuts down at this time: what cannot complete before is left to its successor.
+    #[serde(rename = "WindDown")]
+    ShutdownScheduled(Time),
+    /// An attempt has completed.
+    #[serde(rename = "Ended")]
+    AttemptCompleted {
         /// The message.
         message: MessageId,
         /// The number of the attempt, from 0.
         attempt: u32,
-        /// How it ended.
+        /// Its outcome.
         outcome: Outcome,
         /// Time since it was sent.
         elapsed: Span,
-        /// Whether the message is over, through this or before.
+        /// Whether the message is complete, by this attempt or earlier.
         last: bool,
         /// The endpoint's report, if any.
         report: Option<Report>,
     },
-    /// Nobody wants this message any more.
-    Withdrawn(MessageId),
-    /// The whole list, replacing the one before.
+    /// The client no longer wants this message.
+    #[serde(rename = "Withdrawn")]
+    ClientCancelled(MessageId),
+    /// The complete endpoint list, replacing the previous one.
     FullList(Vec<Entry>),
-    /// Changed lines of the list.
+    /// Changed entries of the endpoint list.
     ListChanges(Vec<Entry>),
-    /// Staff take this endpoint out of service for this sender, whatever the list says of it.
+    /// Operators take this endpoint out of service for this sender, whatever its state in the list.
     Excluded(EndpointId),
-    /// And put it back: it may have been restarted meanwhile.
+    /// Operators return it to service: it may have been restarted meanwhile.
     Included(EndpointId),
-    /// New settings: they hold for all decisions from now on, but for the classes of messages under way. Kinds,
-    /// zones and tenants keep their numbers.
-    Retuned(Box<Settings>),
-    /// Asking for the list failed, or the subscription broke.
+    /// New settings: they apply to all decisions from now on, except for the classes of pending messages. Kinds,
+    /// zones and tenants keep their indices.
+    #[serde(rename = "Retuned")]
+    SettingsChanged(Box<Settings>),
+    /// Fetching the list failed, or the subscription broke.
     ListFailed,
-    /// A health check has ended.
-    Checked {
+    /// A health check has completed.
+    #[serde(rename = "Checked")]
+    HealthCheckCompleted {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// Its outcome.
         outcome: Outcome,
     },
-    /// A wake-up that was asked for.
-    Woken,
+    /// The timer set by [`Action::WakeIn`] has fired.
+    #[serde(rename = "Woken")]
+    TimerFired,
 }
 
-/// What the host is to do.
+/// An output of the policy, to be carried out by the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call an endpoint with a message; sends of one step to one endpoint may share a call.
+    /// Send a message to an endpoint; sends of one step to the same endpoint may share a call.
     Send {
         /// The message.
         message: MessageId,
         /// Where to.
         endpoint: EndpointId,
-        /// When the attempt is given up.
+        /// When the attempt times out.
         expires: Time,
     },
     /// Stop waiting for an attempt.
@@ -416,27 +443,27 @@
         /// The attempt.
         attempt: u32,
     },
-    /// End a message undelivered; the client may safely come again.
+    /// Complete a message undelivered; the client may safely submit it again.
     Refuse {
         /// The message.
         message: MessageId,
-        /// When coming again may help; none where nothing is known.
+        /// The time after which submitting again may succeed; `None` if unknown.
         after: Option<Span>,
     },
-    /// End a message undelivered, with no promise about its effect.
+    /// Complete a message undelivered; whether it executed is unknown.
     Fail(MessageId),
     /// Step again after this, even if nothing happens.
     WakeIn(Span),
-    /// Ask for all further changes of the list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Ask for the whole list once.
+    /// Fetch the complete endpoint list once.
     FetchList,
     /// Check an endpoint's health.
     Probe(EndpointId),
     /// Close this sender's idle connections to an endpoint.
     CloseIdle(EndpointId),
-    /// Nothing is remembered of this endpoint any more. Listed again it is a new one, of another number.
+    /// All state of this endpoint is dropped. Listed again, it is a new one with a new id.
     Forget(EndpointId),
-    /// A line for people on call.
+    /// A log line for the operators.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,17 +8,17 @@
 //! let second = 1_000_000;
 //! let settings = Settings {
 //!     classes: vec![Class {
-//!         aim: Span(2 * second), deadline: Span(16 * second), worth: 1.0, late_worth: 0.5,
+//!         latency_target: Span(2 * second), deadline: Span(16 * second), value: 1.0, late_value: 0.5,
 //!         repeat: Repeat::Safe, ordered: false,
 //!     }],
-//!     kinds: vec![Kind { routes_apart: false, batch: 1 }],
-//!     tenants: vec![], over_share_worth: 1.0, zone: ZoneId(0), senders: 1, slots: 4, most_held: 50,
-//!     max_attempts: 6, period: Span(5_000), connect_timeout: Span(second), decay: Decay::Even,
+//!     kinds: vec![Kind { independent_routes: false, batch: 1 }],
+//!     tenants: vec![], over_share_value: 1.0, zone: ZoneId(0), senders: 1, slots: 4, max_pending: 50,
+//!     max_attempts: 6, period: Span(5_000), connect_timeout: Span(second), decay: Decay::Linear,
 //!     discovery: Discovery::Pushed, hints: Hints::None, probes: false, cancel: true,
-//!     ends_noticed: false, calls_expire_whole: false,
+//!     outcomes_acknowledged: false, batches_expire_together: false,
 //!     rules: Rules {
-//!         drain_grace: Span(second), cold_share: 0.2, ramp: Span(10 * second), overload_factor: 2.0,
-//!         fall: Span(second), order_settle: Span(0), must_ask_in: Span(10 * second),
+//!         drain_grace: Span(second), slow_start_share: 0.2, slow_start: Span(10 * second), overload_factor: 2.0,
+//!         overload_tolerance: Span(second), order_settle: Span(0), must_ask_in: Span(10 * second),
 //!     },
 //! };
 //! let class = settings.classes[0];
--- a/src/net/host/calls.rs
+++ b/src/net/host/calls.rs
@@ -100,7 +100,7 @@
     ) {
         let heeded = ends.iter().any(|(_, outcome, _)| matches!(outcome, Outcome::Full(Some(_))));
         if let Some(wait) = wait.filter(|_| !heeded) {
-            self.pending.push((at, Event::Told { endpoint, wait }));
+            self.pending.push((at, Event::RetryAfterReported { endpoint, wait }));
         }
     }
 
@@ -123,9 +123,9 @@
                 );
                 self.over(number);
             } else {
-                log_failure(self.store.outcome(number, outcome.may_have_run()));
+                log_failure(self.store.outcome(number, outcome.may_have_executed()));
             }
-            let event = Event::Ended {
+            let event = Event::AttemptCompleted {
                 message: MessageId(number),
                 attempt: attempts.saturating_sub(1),
                 outcome,
--- a/src/net/host/intake.rs
+++ b/src/net/host/intake.rs
@@ -79,7 +79,14 @@
             tracing::info!("resuming {}: {what}: tried all the same", owed.message.id);
             let left = Span(owed.deadline.saturating_sub(self.now().0));
             let (worth, late_worth, repeat) = (1.0, 1.0, Repeat::Unsafe);
-            let strict = Class { aim: left, deadline: left, worth, late_worth, repeat, ordered: false };
+            let strict = Class {
+                latency_target: left,
+                deadline: left,
+                value: worth,
+                late_value: late_worth,
+                repeat,
+                ordered: false,
+            };
             self.in_terms(number, owed, owed.class.unwrap_or(strict), None)
         })
     }
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -248,7 +248,7 @@
             Input::Noticed(numbers) => {
                 for number in numbers {
                     self.over(number);
-                    self.pending.push((self.now(), Event::Noticed(MessageId(number))));
+                    self.pending.push((self.now(), Event::OutcomeAcknowledged(MessageId(number))));
                 }
             }
             Input::Retune(tuning, done) => drop(done.send(self.retune(*tuning))),
--- a/src/net/host/round.rs
+++ b/src/net/host/round.rs
@@ -18,7 +18,8 @@
             let late = now.0.saturating_sub(happened.0);
             match &mut event {
                 Event::Message(message) => message.budget.0 = message.budget.0.saturating_sub(late),
-                Event::Ended { outcome: Outcome::Full(Some(wait)), .. } | Event::Told { wait, .. } => {
+                Event::AttemptCompleted { outcome: Outcome::Full(Some(wait)), .. }
+                | Event::RetryAfterReported { wait, .. } => {
                     wait.0 = wait.0.saturating_sub(late);
                 }
                 _ => {}
@@ -26,7 +27,7 @@
             events.push(event);
         }
         if self.wake_at.take_if(|wake| *wake <= at).is_some() {
-            events.push(Event::Woken);
+            events.push(Event::TimerFired);
         }
         let mut actions = Vec::new();
         self.sender.step(now, &events, &mut actions);
--- a/src/net/host/staff.rs
+++ b/src/net/host/staff.rs
@@ -96,7 +96,7 @@
         self.calls.pool.keep_for(tuning.idle());
         self.figures.name(tuning.classes());
         self.tuning = tuning;
-        self.pending.push((self.now(), Event::Retuned(Box::new(settings))));
+        self.pending.push((self.now(), Event::SettingsChanged(Box::new(settings))));
         Ok(())
     }
 
@@ -107,7 +107,7 @@
             let wind_down = WindDown { shut: now + STILL_COMING, end: now + WIND_DOWN };
             self.winding_down = Some(wind_down);
             self.doors.send_replace(Doors::Closing);
-            self.pending.push((self.now(), Event::WindDown(self.clock.at(wind_down.end))));
+            self.pending.push((self.now(), Event::ShutdownScheduled(self.clock.at(wind_down.end))));
         }
     }
 }
--- a/src/net/store/tests.rs
+++ b/src/net/store/tests.rs
@@ -15,10 +15,10 @@
     };
     let second = Span(1_000_000);
     let class = Class {
-        aim: second,
+        latency_target: second,
         deadline: Span(u64::MAX),
-        worth: 1.0,
-        late_worth: 0.5,
+        value: 1.0,
+        late_value: 0.5,
         repeat: Repeat::Keyed { group: Group::All, window: second },
         ordered: false,
     };
--- a/src/net/tuning.rs
+++ b/src/net/tuning.rs
@@ -23,7 +23,7 @@
     pub fn new(profile: Profile) -> Result<Self, String> {
         let names = profile.names();
         let told = profile.settings(&names)?;
-        let settings = Settings { ends_noticed: true, calls_expire_whole: true, ..told };
+        let settings = Settings { outcomes_acknowledged: true, batches_expire_together: true, ..told };
         let fields = ReportFields {
             left: profile.report_field("x0").is_some(),
             limit: profile.report_field("x1").is_some(),
--- a/src/profile.rs
+++ b/src/profile.rs
@@ -186,10 +186,10 @@
             },
         };
         Ok(Class {
-            aim: Span(self.aim),
+            latency_target: Span(self.aim),
             deadline: Span(self.hard_limit),
-            worth: self.worth,
-            late_worth: self.late_value,
+            value: self.worth,
+            late_value: self.late_value,
             repeat,
             ordered: self.fifo_by_key.unwrap_or(false),
         })
@@ -238,7 +238,7 @@
         let s = &self.specifics;
         let kinds = (0..self.kinds.len())
             .map(|i| Kind {
-                routes_apart: s.kind_apart.as_ref().and_then(|v| v.get(i)).copied().unwrap_or(false),
+                independent_routes: s.kind_apart.as_ref().and_then(|v| v.get(i)).copied().unwrap_or(false),
                 batch: s.bundle_max.as_ref().and_then(|v| v.get(i)).copied().unwrap_or(1),
             })
             .collect();
@@ -252,15 +252,15 @@
             classes: self.lanes.iter().map(Lane::class).collect::<Result<_, _>>()?,
             kinds,
             tenants: self.tenants.iter().map(|t| Tenant { allowance_per_s: t.allowance_per_s }).collect(),
-            over_share_worth: self.over_share_worth.unwrap_or(1.0),
+            over_share_value: self.over_share_worth.unwrap_or(1.0),
             zone: look(&names.zones, &self.zone, "zone")?,
             senders: self.fleet_size,
             slots: s.max_calls,
-            most_held: self.limits.most_held,
+            max_pending: self.limits.most_held,
             max_attempts: self.limits.max_attempts,
             period: Span(self.period),
             connect_timeout: Span(self.limits.connect_timeout),
-            decay: if s.decay.as_deref() == Some("by_half") { Decay::Halves } else { Decay::Even },
+            decay: if s.decay.as_deref() == Some("by_half") { Decay::Exponential } else { Decay::Linear },
             discovery: match self.discovery {
                 Mode::Pushed => Discovery::Pushed,
                 Mode::OnRequest => Discovery::OnRequest,
@@ -268,14 +268,14 @@
             hints: if self.weights == "none" { Hints::None } else { Hints::CallsPerSecond },
             probes: self.limits.probes,
             cancel: self.limits.cancel,
-            ends_noticed: false,
-            calls_expire_whole: false,
+            outcomes_acknowledged: false,
+            batches_expire_together: false,
             rules: Rules {
                 drain_grace: Span(r.drain_grace),
-                cold_share: r.cold_share,
-                ramp: Span(r.ramp_time),
+                slow_start_share: r.cold_share,
+                slow_start: Span(r.ramp_time),
                 overload_factor: r.overload_factor,
-                fall: Span(r.fall),
+                overload_tolerance: Span(r.fall),
                 order_settle: Span(r.order_settle.unwrap_or(0)),
                 must_ask_in: Span(r.must_ask_in.unwrap_or(0)),
             },
--- a/system/request-routing/tests/properties.rs
+++ b/system/request-routing/tests/properties.rs
@@ -149,7 +149,7 @@
                 let load = load.map(|running| ServerLoad { running, waiting: running / 4, slots: 8 });
                 router.ended(now, target.key, ask, outcome, load, Span(5_000));
                 seen.out = false;
-                seen.ran |= outcome.may_have_run();
+                seen.ran |= outcome.may_have_executed();
                 seen.reached +=
                     u32::from(!matches!(outcome, Outcome::ConnectFailed | Outcome::Void | Outcome::NoRoom));
                 if outcome == Outcome::Success {
--- a/testbed/src/sim.rs
+++ b/testbed/src/sim.rs
@@ -338,7 +338,7 @@
         }
         (node.next_step, node.last_step) = (None, self.now);
         let mut events = std::mem::take(&mut node.pending);
-        events.push(Event::Woken);
+        events.push(Event::TimerFired);
         let mut actions = Vec::new();
         node.sender.step(Time(EPOCH + self.now), &events, &mut actions);
         self.steps += 1;
@@ -461,7 +461,7 @@
         let node = &mut self.nodes[call.sender];
         let Some(holds) = node.held.get_mut(&call.message) else { return };
         holds.out = None;
-        if !outcome.may_have_run()
+        if !outcome.may_have_executed()
             && outcome != Outcome::Success
             && holds.ran == Some(Time(EPOCH + call.began))
         {
@@ -486,7 +486,7 @@
         }
         let elapsed = Span(self.now - call.began);
         let message = MessageId(call.message);
-        node.pending.push(Event::Ended {
+        node.pending.push(Event::AttemptCompleted {
             message,
             attempt: call.attempt,
             outcome,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,10 +12,10 @@
 
 pub fn settings() -> Settings {
     let class = |repeat, ordered| Class {
-        aim: Span(2 * SECOND),
+        latency_target: Span(2 * SECOND),
         deadline: Span(16 * SECOND),
-        worth: 1.0,
-        late_worth: 0.5,
+        value: 1.0,
+        late_value: 0.5,
         repeat,
         ordered,
     };
@@ -28,29 +28,32 @@
             class(Repeat::Unsafe, false),
             class(Repeat::Keyed { group: Group::All, window }, true),
         ],
-        kinds: vec![Kind { routes_apart: false, batch: 1 }, Kind { routes_apart: true, batch: 1 }],
+        kinds: vec![
+            Kind { independent_routes: false, batch: 1 },
+            Kind { independent_routes: true, batch: 1 },
+        ],
         tenants: vec![],
-        over_share_worth: 1.0,
+        over_share_value: 1.0,
         zone: ZoneId(0),
         senders: 2,
         slots: 8,
-        most_held: 100,
+        max_pending: 100,
         max_attempts: 6,
         period: Span(5_000),
         connect_timeout: Span(SECOND),
-        decay: Decay::Even,
+        decay: Decay::Linear,
         discovery: Discovery::Pushed,
         hints: Hints::None,
         probes: false,
         cancel: true,
-        ends_noticed: false,
-        calls_expire_whole: false,
+        outcomes_acknowledged: false,
+        batches_expire_together: false,
         rules: Rules {
             drain_grace: Span(SECOND),
-            cold_share: 0.2,
-            ramp: Span(10 * SECOND),
+            slow_start_share: 0.2,
+            slow_start: Span(10 * SECOND),
             overload_factor: 2.0,
-            fall: Span(1_500_000),
+            overload_tolerance: Span(1_500_000),
             order_settle: Span(2 * SECOND),
             must_ask_in: Span(10 * SECOND),
         },
@@ -104,7 +107,7 @@
         while self.now < end {
             self.now += 20_000;
             let now = self.now;
-            all.extend(self.step(&[Event::Woken]).into_iter().map(|a| (now, a)));
+            all.extend(self.step(&[Event::TimerFired]).into_iter().map(|a| (now, a)));
         }
         all
     }
@@ -122,7 +125,7 @@
 }
 
 pub fn ended(id: u32, attempt: u32, outcome: Outcome) -> Event {
-    Event::Ended {
+    Event::AttemptCompleted {
         message: MessageId(id),
         attempt,
         outcome,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -35,7 +35,7 @@
     {
         host.message(id, KEYED_ALL, 1);
         host.now += 50_000;
-        host.step(&[ended(id, 0, outcome), Event::Withdrawn(MessageId(id))]);
+        host.step(&[ended(id, 0, outcome), Event::ClientCancelled(MessageId(id))]);
     }
     assert!(host.message(40, UNSAFE, 1).is_empty());
     assert_eq!(sent(&host.message(41, SAFE, 1), 41), Some(0));
@@ -104,11 +104,12 @@
     let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0)]);
     host.message(1, SAFE, 1);
     let report = Some(Report { left: 0.0, limit: 20.0 });
-    let Event::Ended { message, attempt, outcome, elapsed, last, .. } = ended(1, 0, Outcome::Full(None))
+    let Event::AttemptCompleted { message, attempt, outcome, elapsed, last, .. } =
+        ended(1, 0, Outcome::Full(None))
     else {
         unreachable!()
     };
-    host.step(&[Event::Ended { message, attempt, outcome, elapsed, last, report }]);
+    host.step(&[Event::AttemptCompleted { message, attempt, outcome, elapsed, last, report }]);
     let run = host.run(SECOND);
     assert!(sent_at(&run, 1).is_some(), "half an equal part of 20 a second is 5 a second");
 }
@@ -233,7 +234,7 @@
     host.message(1, SAFE, 1);
     host.now += 10_000;
     warm_up(&mut host, 120, SAFE, 1, 10);
-    host.step(&[ended(1, 0, Outcome::TimedOut), Event::Withdrawn(MessageId(1))]);
+    host.step(&[ended(1, 0, Outcome::TimedOut), Event::ClientCancelled(MessageId(1))]);
     let span = |host: &mut Host, id: u32| match host.message(id, SAFE, 1)[..] {
         [Action::Send { expires, .. }] => expires.0 - host.now,
         ref other => panic!("{other:?}"),
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -40,7 +40,7 @@
             break;
         }
         assert!(host.now < start + 80 * SECOND, "seed {seed}: a message never ended");
-        let mut events = vec![Event::Woken];
+        let mut events = vec![Event::TimerFired];
         if draw(400) == 0 {
             let e = list[draw(12) as usize];
             let state = [Listing::Active, Listing::Draining, Listing::Removed][draw(3) as usize];
@@ -65,7 +65,7 @@
             let Some((expires, endpoint)) = m.out else {
                 if !m.ended && draw(20_000) == 0 {
                     m.ended = true;
-                    events.push(Event::Withdrawn(MessageId(*id)));
+                    events.push(Event::ClientCancelled(MessageId(*id)));
                 }
                 continue;
             };
@@ -104,7 +104,7 @@
             }
             m.out = None;
             m.ended |= outcome == Outcome::Success;
-            events.push(Event::Ended {
+            events.push(Event::AttemptCompleted {
                 message: MessageId(*id),
                 attempt: m.attempts - 1,
                 outcome,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -188,7 +188,7 @@
     host.step(&[message(1, ORDERED, 9, Some(5)), message(2, ORDERED, 2, Some(5))]);
     let run = host.run(17 * SECOND);
     assert!(refused(&run, 1) && refused(&run, 2), "both end in time");
-    host.step(&[Event::Withdrawn(MessageId(77))]);
+    host.step(&[Event::ClientCancelled(MessageId(77))]);
     assert!(sent(&host.step(&[message(3, ORDERED, 2, Some(5))]), 3).is_some());
 }
 
@@ -196,7 +196,7 @@
 fn a_withdrawn_head_keeps_its_key_while_its_attempt_is_out() {
     let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0)]);
     host.step(&[message(1, ORDERED, 1, Some(5)), message(2, ORDERED, 1, Some(5))]);
-    assert!(host.step(&[Event::Withdrawn(MessageId(1))]).is_empty());
+    assert!(host.step(&[Event::ClientCancelled(MessageId(1))]).is_empty());
     let next = host.ended(1, 0, Outcome::Success);
     assert!(sent(&next, 2).is_some());
 }
@@ -315,7 +315,7 @@
     host.message(7, SAFE, 1);
     host.ended(7, 0, Outcome::Success);
     assert!(host.ended(7, 0, Outcome::Failure).is_empty());
-    assert!(host.step(&[Event::Withdrawn(MessageId(7))]).is_empty());
+    assert!(host.step(&[Event::ClientCancelled(MessageId(7))]).is_empty());
 }
 
 #[test]
@@ -327,7 +327,7 @@
 #[test]
 fn room_for_one_message_is_room() {
     let mut s = settings();
-    s.most_held = 1;
+    s.max_pending = 1;
     let mut host = Host::new(s, vec![entry(1, 0, 0, 0)]);
     assert!(sent(&host.message(7, SAFE, 1), 7).is_some());
 }
@@ -340,7 +340,7 @@
     let first = sent(&host.message(1, KEYED_ALL, 1), 1).unwrap();
     let (id, to) = (MessageId(1), EndpointId(first));
     assert!(host.sender.may_begin(Time(host.now), id, to));
-    host.step(&[Event::Told { endpoint: to, wait: Span(SECOND) }]);
+    host.step(&[Event::RetryAfterReported { endpoint: to, wait: Span(SECOND) }]);
     assert!(!host.sender.may_begin(Time(host.now + SECOND - 1), id, to));
     assert!(host.sender.may_begin(Time(host.now + SECOND), id, to));
     let drains = Entry { listing: Listing::Draining, ..entry(1, first, 0, 0) };
@@ -359,7 +359,7 @@
 /// Guards against taking a restart for a new beginning: attempts, effects and keys of the process before.
 #[test]
 fn a_resumed_message_goes_on_where_it_was() {
-    let mut host = Host::new(Settings { ends_noticed: true, ..settings() }, vec![entry(1, 0, 0, 0)]);
+    let mut host = Host::new(Settings { outcomes_acknowledged: true, ..settings() }, vec![entry(1, 0, 0, 0)]);
     let now = host.now;
     let resumed = |id, class, key, attempts, ran: Option<u64>, ended| {
         let Event::Message(message) = message(id, class, 1, key) else { unreachable!() };
@@ -382,7 +382,7 @@
     assert!(sent_at(&run, 4).is_none(), "the end before it on its key is not noticed yet");
     assert!(sent_at(&run, 5).is_none(), "it has had all its attempts");
     assert!(sent_at(&run, 6).is_some());
-    let mut run = host.step(&[Event::Noticed(MessageId(3))]);
+    let mut run = host.step(&[Event::OutcomeAcknowledged(MessageId(3))]);
     run.extend(host.run(SECOND).into_iter().map(|(_, a)| a));
     assert!(sent(&run, 4).is_some());
 }
@@ -395,7 +395,7 @@
     host.now += SECOND;
     host.ended(1, 0, Outcome::Success);
     let end = Time(host.now + 4 * SECOND);
-    host.step(&[Event::WindDown(end)]);
+    host.step(&[Event::ShutdownScheduled(end)]);
     assert!(sent(&host.message(2, SAFE, 1), 2).is_some());
     assert!(host.sender.admits(Time(host.now), 0) && !host.sender.admits(Time(host.now), 100));
     host.now = end.0 - SECOND / 2;
@@ -442,14 +442,14 @@
     host.now += 100_000;
     let mut new = settings();
     new.classes = vec![new.classes[UNSAFE.0]];
-    host.step(&[Event::Retuned(Box::new(new.clone()))]);
+    host.step(&[Event::SettingsChanged(Box::new(new.clone()))]);
     host.ended(1, 0, Outcome::Reset);
     let run = host.run(4 * SECOND);
     assert!(sent_at(&run, 1).is_some() && !failed(&run, 1), "a safe message is repeated as before");
     // The second one was sent once more meanwhile: it has had what is allowed now.
     host.ended(2, 0, Outcome::Full(Some(Span(2 * SECOND))));
     new.max_attempts = 1;
-    let actions = host.step(&[Event::Retuned(Box::new(new))]);
+    let actions = host.step(&[Event::SettingsChanged(Box::new(new))]);
     assert_eq!(actions, [Action::Refuse { message: MessageId(2), after: Some(Span(2 * SECOND)) }]);
     host.now += 5 * SECOND;
     assert_eq!(sent(&host.message(3, UNSAFE, 1), 3), Some(0));
@@ -482,7 +482,7 @@
     let end = host.now + 2 * SECOND;
     while host.now < end {
         host.now += 20_000;
-        for action in host.step(&[Event::Woken]) {
+        for action in host.step(&[Event::TimerFired]) {
             if let Action::Send { message, .. } = action {
                 calls += 1;
                 host.ended(message.0, 0, Outcome::Success);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -23,8 +23,8 @@
     host.now += elapsed;
     let outcome = Outcome::ConnectFailed;
     let (message, elapsed) = (MessageId(id), Span(elapsed));
-    let failed = Event::Ended { message, attempt: 0, outcome, elapsed, last: false, report: None };
-    raw(host, &[failed, Event::Withdrawn(message)])
+    let failed = Event::AttemptCompleted { message, attempt: 0, outcome, elapsed, last: false, report: None };
+    raw(host, &[failed, Event::ClientCancelled(message)])
 }
 
 /// Hundreds of idle connections fill a small table (parkirni-later, half of all attempts without a connection).
@@ -65,7 +65,7 @@
     let tried = (2..20).find_map(|id| {
         host.message(id, SAFE, 1);
         let run = host.run(4 * SECOND);
-        host.step(&[Event::Withdrawn(MessageId(id))]);
+        host.step(&[Event::ClientCancelled(MessageId(id))]);
         sent_at(&run, id).map(|(at, _)| at - closed)
     });
     let tried = tried.expect("tried at all");
@@ -87,7 +87,7 @@
         step(now, &[message(1, SAFE, 1, None)]);
         let told = now + 2 * SECOND;
         step(now, &[ended(1, 0, Outcome::Full(Some(Span(2 * SECOND))))]);
-        while sent(&step(now, &[Event::Woken]), 1).is_none() {
+        while sent(&step(now, &[Event::TimerFired]), 1).is_none() {
             now += 20_000;
             assert!(now < told + 10 * SECOND);
         }
@@ -110,7 +110,7 @@
             Action::Send { expires, .. } => Some(expires.0 - host.now),
             _ => None,
         });
-        host.step(&[Event::Withdrawn(MessageId(id))]);
+        host.step(&[Event::ClientCancelled(MessageId(id))]);
         host.now += 100_000;
         span.unwrap()
     };
@@ -141,7 +141,7 @@
     let (period, mut host) = (s.period.0, Host::new(s, entries));
     cause(&mut host);
     let (came, mut wake) = (host.now, None::<u64>);
-    let mut events = vec![Event::Woken, message(99, SAFE, 1, None)];
+    let mut events = vec![Event::TimerFired, message(99, SAFE, 1, None)];
     for steps in 1.. {
         let actions = raw(&mut host, &events);
         if sent(&actions, 99).is_some() {
@@ -158,7 +158,7 @@
         }
         host.now = if each_period { host.now + period } else { wake.expect("it waits, with no alarm") };
         wake = wake.filter(|at| *at > host.now);
-        events = vec![Event::Woken];
+        events = vec![Event::TimerFired];
     }
     unreachable!()
 }
@@ -227,7 +227,7 @@
 #[test]
 fn odd_sizes_end_each_message_once() {
     for (senders, slots, zone) in [(1, 1, 0), (1_000, 1, 9), (1_000, 4, 0)] {
-        let s = Settings { senders, slots, zone: ZoneId(zone), most_held: 1, ..settings() };
+        let s = Settings { senders, slots, zone: ZoneId(zone), max_pending: 1, ..settings() };
         let mut host = Host::new(s, vec![]);
         host.message(1, UNSAFE, 77);
         let run = host.run(20 * SECOND);
@@ -253,7 +253,7 @@
 #[test]
 fn a_long_queue_behind_a_wait_is_cheap() {
     let list: Vec<Entry> = (0..4).map(|e| entry(1, e, 0, 0)).collect();
-    let mut host = Host::new(Settings { most_held: 2_000, ..settings() }, list);
+    let mut host = Host::new(Settings { max_pending: 2_000, ..settings() }, list);
     host.message(0, SAFE, 1);
     raw(&mut host, &[ended(0, 0, Outcome::Full(Some(Span(15 * SECOND))))]);
     let waiting: Vec<Event> = (1..1_001).map(|id| message(id, SAFE, 1, None)).collect();
@@ -261,7 +261,7 @@
     let began = std::time::Instant::now();
     for _ in 0..30_000 {
         host.now += 400;
-        raw(&mut host, &[Event::Woken]);
+        raw(&mut host, &[Event::TimerFired]);
     }
     assert!(began.elapsed().as_secs() < 8, "{:?} for 30,000 steps", began.elapsed());
 }
@@ -274,7 +274,7 @@
     for id in 0..8 {
         assert!(sent(&host.message(id, SAFE, 1), id).is_some(), "call {id} goes out");
         host.now += 50_000;
-        host.step(&[ended(id, 0, Outcome::NoRoom), Event::Withdrawn(MessageId(id))]);
+        host.step(&[ended(id, 0, Outcome::NoRoom), Event::ClientCancelled(MessageId(id))]);
     }
     // Nor is it a sign of health: in an outage it is followed by another trial's pause.
     no_connection(&mut host, 20, SECOND);
@@ -284,7 +284,7 @@
         assert!(host.now < 200 * SECOND, "tried at all");
     }
     host.now += 50_000;
-    host.step(&[ended(21, 0, Outcome::NoRoom), Event::Withdrawn(MessageId(21))]);
+    host.step(&[ended(21, 0, Outcome::NoRoom), Event::ClientCancelled(MessageId(21))]);
     assert_eq!(sent(&host.message(22, SAFE, 1), 22), None);
 }
 
@@ -299,7 +299,7 @@
         id += 1;
         assert!(sent(&host.message(id, SAFE, d), id).is_some());
         host.now += 50_000;
-        let actions = raw(host, &[ended(id, 0, outcome), Event::Withdrawn(MessageId(id))]);
+        let actions = raw(host, &[ended(id, 0, outcome), Event::ClientCancelled(MessageId(id))]);
         let closed = |a: &Action| match a {
             Action::CloseIdle(endpoint) => Some(endpoint.0),
             _ => None,
@@ -367,10 +367,11 @@
     let found: std::collections::HashSet<usize> = served.clone().map(|(_, sender, _)| *sender).collect();
     assert!(found.len() >= 80, "{} senders found it back within 8 s", found.len());
     for from in (back..back + 6 * SECOND).step_by(100_000) {
-        let warm = (from - back) as f64 / rules.ramp.0 as f64;
-        let capacity = RATE * (rules.cold_share + (1.0 - rules.cold_share) * warm);
-        let most = rules.overload_factor * capacity * rules.fall.0 as f64 / 1e6;
-        let got = served.clone().filter(|(at, ..)| (from..from + rules.fall.0).contains(at)).count();
+        let warm = (from - back) as f64 / rules.slow_start.0 as f64;
+        let capacity = RATE * (rules.slow_start_share + (1.0 - rules.slow_start_share) * warm);
+        let most = rules.overload_factor * capacity * rules.overload_tolerance.0 as f64 / 1e6;
+        let got =
+            served.clone().filter(|(at, ..)| (from..from + rules.overload_tolerance.0).contains(at)).count();
         assert!(got as f64 <= most, "{got} calls in a fall, {warm} after its return, {most} are allowed");
     }
 }
