--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -36,10 +36,10 @@
 
 fn class(repeat: Repeat) -> Class {
     Class {
-        aim: Span(2_000_000),
+        latency_target: Span(2_000_000),
         deadline: Span(16_000_000),
-        worth: 1.5,
-        late_worth: 0.25,
+        value: 1.5,
+        late_value: 0.25,
         repeat,
         ordered: true,
     }
@@ -54,29 +54,32 @@
             class(Repeat::Keyed { group: Group::All, window }),
             class(Repeat::Keyed { group: Group::Zone, window }),
         ],
-        kinds: vec![Kind { routes_apart: false, batch: 1 }, Kind { routes_apart: true, batch: 3 }],
+        kinds: vec![
+            Kind { independent_routes: false, batch: 1 },
+            Kind { independent_routes: true, batch: 3 },
+        ],
         tenants: vec![Tenant { allowance_per_s: 12.5 }],
-        over_share_worth: 0.125,
+        over_share_value: 0.125,
         zone: ZoneId(1),
         senders: 3,
         slots: 5,
-        most_held: 70,
+        max_pending: 70,
         max_attempts: 6,
         period: Span(5_001),
         connect_timeout: Span(1_000_002),
-        decay: Decay::Even,
+        decay: Decay::Linear,
         discovery: Discovery::Pushed,
         hints: Hints::None,
         probes: false,
         cancel: true,
-        ends_noticed: true,
-        calls_expire_whole: false,
+        outcomes_acknowledged: true,
+        batches_expire_together: false,
         rules: Rules {
             drain_grace: Span(1_000_003),
-            cold_share: 0.2,
-            ramp: Span(10_000_004),
+            slow_start_share: 0.2,
+            slow_start: Span(10_000_004),
             overload_factor: 2.5,
-            fall: Span(1_500_005),
+            overload_tolerance: Span(1_500_005),
             order_settle: Span(2_000_006),
             must_ask_in: Span(10_000_007),
         },
@@ -108,7 +111,7 @@
 fn ended(message: u32, outcome: Outcome) -> Event {
     let report = Some(Report { left: 0.5, limit: 20.0 });
     let (message, elapsed) = (MessageId(message), Span(30_000));
-    Event::Ended { message, attempt: 0, outcome, elapsed, last: false, report }
+    Event::AttemptCompleted { message, attempt: 0, outcome, elapsed, last: false, report }
 }
 
 /// An event of every kind.
@@ -123,26 +126,26 @@
     let mut events = vec![
         Event::Message(message(1, keyed)),
         Event::Resumed(resumed),
-        Event::Told { endpoint: EndpointId(4), wait: Span(5) },
-        Event::Noticed(MessageId(6)),
-        Event::WindDown(Time(7)),
-        Event::Withdrawn(MessageId(8)),
+        Event::RetryAfterReported { endpoint: EndpointId(4), wait: Span(5) },
+        Event::OutcomeAcknowledged(MessageId(6)),
+        Event::ShutdownScheduled(Time(7)),
+        Event::ClientCancelled(MessageId(8)),
         Event::FullList(vec![entry(1, Listing::Active), entry(2, Listing::Draining)]),
         Event::ListChanges(vec![entry(3, Listing::Removed)]),
         Event::Excluded(EndpointId(9)),
         Event::Included(EndpointId(10)),
-        Event::Retuned(Box::new(Settings {
-            decay: Decay::Halves,
+        Event::SettingsChanged(Box::new(Settings {
+            decay: Decay::Exponential,
             discovery: Discovery::OnRequest,
             hints: Hints::CallsPerSecond,
             probes: true,
             cancel: false,
-            calls_expire_whole: true,
+            batches_expire_together: true,
             ..settings()
         })),
         Event::ListFailed,
-        Event::Checked { endpoint: EndpointId(11), outcome: Outcome::Success },
-        Event::Woken,
+        Event::HealthCheckCompleted { endpoint: EndpointId(11), outcome: Outcome::Success },
+        Event::TimerFired,
     ];
     let outcomes = [
         Outcome::Success,
