--- a/system/fleet-model/src/control_state.rs
+++ b/system/fleet-model/src/control_state.rs
@@ -6,58 +6,59 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// A duty's fence: who has it, under which number.
+/// The lease of a singleton role: its holder and the fencing token under which it is held.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Rises with each hand-over.
+    /// Fencing token; it increases with each change of the holder.
     #[serde(rename = "number")]
     pub token: u64,
-    /// The machine that has the duty.
+    /// Address of the control node that holds the role; `None` before the first acquisition.
     pub holder: Option<Ipv4Addr>,
 }
 
-/// A configuration that was taken.
+/// Identity of a committed configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CommittedVersion {
-    /// Its number.
+    /// Version number that the operator gave it.
     pub version: u64,
-    /// SHA-256 of its bytes as sent.
+    /// SHA-256 digest of its bytes as sent.
     pub digest: [u8; 32],
 }
 
-/// A configuration that was refused on top of a version that was not in force yet, and stays refused when it is.
+/// A configuration that was rejected because its expected version was above the current one. It stays rejected when that
+/// version is committed, so that a delayed copy of the same request cannot succeed later.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RejectedConfig {
-    /// The version that it goes by.
+    /// The version that the operator expected to be current.
     pub expected: u64,
-    /// What was sent.
+    /// Version and digest of the rejected configuration.
     pub sent: CommittedVersion,
 }
 
-/// What the register holds.
+/// The replicated control state: the decoded payload of the register's value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ControlState {
-    /// The configuration's bytes as the operator sent them; empty before the first.
+    /// Bytes of the current configuration as the operator sent them; empty before the first one.
     pub config: Bytes,
-    /// Versions taken, oldest first; the last is in force.
+    /// Committed versions, oldest first; the last one is current. Old ones are pruned.
     #[serde(rename = "taken")]
     pub committed: Vec<CommittedVersion>,
-    /// Fences of duties, by duty.
+    /// Leases by the name of their singleton role.
     #[serde(rename = "fences")]
     pub leases: BTreeMap<String, Lease>,
-    /// The storage machines.
+    /// The set of storage nodes.
     pub roster: Roster,
-    /// The highest version that was taken and is not among `taken` any more; 0 while all are.
+    /// The highest committed version that was pruned from `committed`; 0 while none was.
     #[serde(rename = "forgotten")]
     pub highest_pruned: u64,
-    /// Refusals that must be remembered, oldest first.
+    /// Rejections that must be remembered, oldest first.
     #[serde(rename = "refused")]
     pub rejected: Vec<RejectedConfig>,
 }
 
 impl ControlState {
-    /// The number of the configuration in force, 0 before the first.
+    /// Version of the current configuration; 0 before the first one.
     pub fn version(&self) -> u64 {
-        self.committed.last().map_or(0, |taken| taken.version)
+        self.committed.last().map_or(0, |current| current.version)
     }
 }
--- a/system/fleet-model/src/endpoints.rs
+++ b/system/fleet-model/src/endpoints.rs
@@ -3,45 +3,46 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// Whether an endpoint takes new requests.
+/// Whether an endpoint accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It is leaving.
+    /// It is shutting down and finishes only the requests in flight.
     Draining,
 }
 
-/// An endpoint, as the platform lists it.
+/// An endpoint of a service, as the platform's discovery lists it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// This incarnation.
+    /// Identifier of this incarnation of the instance.
     pub instance_id: String,
-    /// Its service.
+    /// Name of the service that it belongs to.
     pub service: String,
-    /// Its address.
+    /// Address on which it accepts requests.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: String,
-    /// How many requests it works on at once.
+    /// Number of requests that it processes concurrently.
     pub capacity_slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: EndpointState,
 }
 
-/// Orders the endpoint lists of a fleet: a later version replaces an earlier one.
+/// Version of an endpoint list, ordered by token, then poll: a later version replaces an earlier one.
+///
 /// Serialized as the pair of its fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct ListVersion {
-    /// The fencing token of the lease under which the platform was polled.
+    /// Fencing token of the lease under which the platform was polled.
     pub token: u64,
-    /// The number of the poll under that token.
+    /// Sequence number of the poll under that token.
     pub poll: u64,
 }
 
 impl ListVersion {
-    /// The version of a poll under a fencing token.
+    /// Version of the list that a poll returned under a fencing token.
     pub const fn new(token: u64, poll: u64) -> Self {
         Self { token, poll }
     }
@@ -59,11 +60,11 @@
     }
 }
 
-/// The list of endpoints, as one asker of the platform read it.
+/// A versioned list of all endpoints, as one lease holder read it from the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list.
     pub version: ListVersion,
-    /// All endpoints.
+    /// All endpoints of all services.
     pub endpoints: Vec<Endpoint>,
 }
--- a/system/fleet-model/src/message.rs
+++ b/system/fleet-model/src/message.rs
@@ -7,177 +7,178 @@
 use bytes::Bytes;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// What a process asks of another; each call gets one [`Answer`].
+/// A request from one process to another; each call gets one [`Answer`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// To an acceptor.
+    /// Request to the acceptor of the register.
     Register(RegisterRequest),
-    /// A core machine that is no voter asks to be one.
+    /// A control node that is not a voter requests to become one.
     JoinCore {
-        /// Its address.
+        /// Address of the control node.
         ip: Ipv4Addr,
     },
-    /// A storage machine tells that it is there.
+    /// A storage node announces itself, to join the roster or to show that it is alive.
     JoinStorage {
-        /// The machine.
+        /// The storage node.
         store: StorageNode,
     },
-    /// A storage machine holds all that it should hold under this roster's epoch.
+    /// A storage node reports that it is in sync: it stores every record that it replicates under this roster epoch.
     InSync {
-        /// Its disk.
+        /// Identifier of its disk.
         disk: u64,
-        /// The epoch.
+        /// Epoch of the roster.
         epoch: u64,
     },
-    /// Open the feed: pushes follow on this connection if the answer is `Done`.
+    /// Subscribe to the state feed: pushes follow on this connection if the answer is [`Answer::Done`].
     Subscribe {
-        /// The subscriber's address.
+        /// Address of the subscriber.
         ip: Ipv4Addr,
-        /// Its zone.
+        /// Zone of the subscriber.
         zone: String,
-        /// Take it on, however many there are.
+        /// Accept the subscriber even if the limit of subscribers is reached.
         urgent: bool,
-        /// Newest value that it has.
+        /// Ballot of the newest value that the subscriber knows.
         value: Ballot,
-        /// Newest list that it has.
+        /// Version of the newest endpoint list that the subscriber knows.
         list: ListVersion,
     },
-    /// Reserve tokens for a try, synced before the answer.
+    /// Reserve tokens for an attempt; the record is synced to disk before the answer.
     Reserve {
-        /// The asker's epoch of the roster.
+        /// Roster epoch that the caller knows.
         epoch: u64,
-        /// The program.
+        /// Program whose account is charged.
         program: String,
-        /// The try and the most it generates.
+        /// The attempt and the maximum number of tokens that it may generate.
         reservation: Reservation,
     },
-    /// What a try has handed out.
+    /// Settle the reservation of an attempt to the tokens that it actually delivered.
     Settle {
-        /// The asker's epoch of the roster.
+        /// Roster epoch that the caller knows.
         epoch: u64,
-        /// The program.
+        /// Program whose account is charged.
         program: String,
-        /// The try and what it handed out.
+        /// The attempt and the number of tokens that it delivered.
         reservation: Reservation,
     },
-    /// The account again, without a change.
+    /// Read an account without changing it.
     ReadAccount {
-        /// The asker's epoch of the roster.
+        /// Roster epoch that the caller knows.
         epoch: u64,
-        /// The program.
+        /// Program whose account is charged.
         program: String,
     },
-    /// Keep a turn, synced before the answer.
+    /// Store a turn; the record is synced to disk before the answer.
     StoreTurn {
-        /// The asker's epoch of the roster.
+        /// Roster epoch that the caller knows.
         epoch: u64,
-        /// The turn.
+        /// The turn to store.
         turn: Turn,
     },
-    /// The inputs and outputs of a turn and those before it.
+    /// Read the inputs and outputs of a turn and of its predecessors.
     ReadChain {
-        /// The asker's epoch of the roster.
+        /// Roster epoch that the caller knows.
         epoch: u64,
-        /// The turn's `Attempt-Id`.
+        /// `Attempt-Id` of the last turn of the chain.
         attempt: String,
     },
-    /// A storage machine asks another for what it should hold under `epoch`, from `cursor` on.
+    /// A storage node requests from another one the records that it replicates under `epoch`, from `cursor` on.
     Backfill {
-        /// The epoch of the roster that the asker fills for.
+        /// Roster epoch for which the caller backfills.
         epoch: u64,
-        /// The asker's disk.
+        /// Identifier of the caller's disk.
         disk: u64,
-        /// Where to go on; empty at the start.
+        /// Position at which to continue; empty at the start.
         cursor: Bytes,
     },
-    /// The asker of `Fill` has synced all that it got.
+    /// The caller of [`Call::Backfill`] has synced all records that it received.
     BackfillDone {
-        /// The epoch.
+        /// Epoch of the roster.
         epoch: u64,
-        /// Its disk.
+        /// Identifier of the caller's disk.
         disk: u64,
     },
-    /// Staff ask for a process's own view, as JSON.
+    /// An operator requests the process's own view of a topic, as JSON.
     Inspect {
-        /// What about: `members`, `config`, `endpoints`, `turns`, `figures` or another topic that the program knows.
+        /// The topic: `members`, `config`, `endpoints`, `turns`, `figures` or another one that the program serves.
         topic: String,
     },
 }
 
-/// What a call is answered.
+/// The answer to a [`Call`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// From an acceptor.
+    /// Reply of the acceptor of the register.
     Register(RegisterReply),
-    /// It is done.
+    /// The call was carried out.
     Done,
-    /// The asked one cannot do it now.
+    /// The callee cannot serve the call at present.
     NotReady,
-    /// Ask one of these.
+    /// The caller should retry at one of these addresses.
     Redirect(Vec<SocketAddrV4>),
-    /// The asked one knows this epoch of the roster, and the asker's is another.
+    /// The roster epochs of caller and callee differ; this is the callee's.
     WrongEpoch(u64),
-    /// All reservations of an account.
+    /// All reservations of the account.
     Account(Vec<Reservation>),
-    /// Part of a chain that ends with the asked turn.
+    /// The part of a chain that ends with the requested turn.
     Chain {
-        /// Inputs and outputs, oldest first.
+        /// Inputs and outputs, oldest turn first.
         text: Bytes,
-        /// The turn before these, where it is not held here.
+        /// `Attempt-Id` of the preceding turn, if the callee does not store it.
         missing: Option<String>,
     },
-    /// No such turn here. `complete`: this machine holds all that it should.
+    /// The callee does not store the turn.
     Absent {
-        /// Whether this machine holds all that it should.
+        /// Whether the callee is in sync, so that the absence counts towards the quorum for it.
         complete: bool,
     },
-    /// Records that the asker should hold.
+    /// A batch of records that the caller replicates, in answer to [`Call::Backfill`].
     Records {
-        /// Turns.
+        /// The turns.
         turns: Vec<Turn>,
-        /// Accounts.
+        /// Reservations by program.
         accounts: Vec<(String, Vec<Reservation>)>,
-        /// Where to go on, if there is more.
+        /// Position at which to continue, if there is more.
         cursor: Option<Bytes>,
     },
-    /// A view for staff, as JSON.
+    /// A view for operators, as JSON.
     View(String),
 }
 
-/// What the feed pushes to a subscriber.
+/// An update that the state feed pushes to a subscriber.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Push {
-    /// The link lives, and what it told is at most so old: a majority of the core had nothing newer then.
+    /// The link is alive, and the state that it delivered has at most this age: that long ago a majority of the voters had
+    /// nothing newer.
     Heartbeat {
-        /// Age in milliseconds.
+        /// Upper bound on the state's age, in milliseconds.
         age_ms: u32,
-        /// How many proxies the feed's source knows.
+        /// Number of proxies that the source of the feed knows; 0 if unknown.
         proxies: u32,
     },
     /// A newer value of the register.
     Value(ChosenValue),
-    /// A newer list.
+    /// A newer endpoint list.
     List(EndpointList),
-    /// Changes on top of the list with the stamp `base`.
+    /// Changes relative to the endpoint list of version `base`.
     ListDelta {
-        /// The list that this changes.
+        /// Version of the list to which the changes apply.
         base: ListVersion,
-        /// The list that it makes.
+        /// Version of the resulting list.
         version: ListVersion,
         /// New or changed endpoints.
         upserted: Vec<Endpoint>,
-        /// Instances that are gone.
+        /// Identifiers of the instances that were removed.
         removed: Vec<String>,
     },
 }
 
-/// Everything that travels between two processes.
+/// A message on a connection between two processes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
-    /// A call under a number of the caller's.
+    /// A call with the number that the caller assigned to it.
     Call(u64, Call),
-    /// The answer to the call of that number.
+    /// The answer to the call with this number.
     Answer(u64, Answer),
-    /// The feed.
+    /// An update of the state feed.
     Push(Push),
 }
--- a/system/fleet-model/src/payload.rs
+++ b/system/fleet-model/src/payload.rs
@@ -1,4 +1,5 @@
-//! The stored and sent form of a [`ControlState`]: a format byte, a length and postcard bytes compressed by LZ4.
+//! The encoding of a [`ControlState`] on disk and on the wire: a format byte, the uncompressed length, and postcard bytes
+//! compressed with LZ4.
 
 use crate::Roster;
 use crate::control_state::{CommittedVersion, ControlState, Lease};
@@ -7,37 +8,37 @@
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 
-/// A payload that is no state.
+/// Why a payload could not be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PayloadError {
-    /// It is in a form that this program does not know.
-    #[error("a payload of form {0}")]
+    /// The format byte is none that this program supports.
+    #[error("unknown payload format {0}")]
     UnknownFormat(u8),
-    /// It says that it is longer than any state.
-    #[error("a payload of {0} bytes")]
+    /// The uncompressed length in bytes exceeds the limit for a control state.
+    #[error("uncompressed payload of {0} bytes exceeds the size limit")]
     TooLong(usize),
-    /// Its compression is damaged.
-    #[error("a payload that cannot be unpacked: {0}")]
+    /// LZ4 decompression failed.
+    #[error("cannot decompress payload: {0}")]
     Decompression(String),
-    /// What it holds cannot be read.
-    #[error("a payload that cannot be read: {0}")]
+    /// The postcard encoding is invalid.
+    #[error("cannot decode control state: {0}")]
     Decoding(postcard::Error),
 }
 
-/// Longest state that is taken from a payload: operators' bodies are shorter by far.
+/// Maximum uncompressed size in bytes of a control state; operators' configurations are far smaller.
 const MAX_STATE_BYTES: usize = 32 << 20;
 
-/// The form of a payload: a [`ControlState`] by postcard, compressed by LZ4 behind its length. Configurations repeat
-/// themselves, and a payload goes to every voter twice and to every sender once.
+/// The current format: a [`ControlState`] encoded by postcard, compressed with LZ4, after its length. Configurations are
+/// repetitive, and a payload is sent to every voter twice and to every sender once.
 const FORMAT_CURRENT: u8 = 2;
 
-/// The first form, packed alike: its states tell of no forgotten and no refused versions. It is read and no longer written.
+/// The first format, compressed in the same way, without pruned and rejected versions. It is read but no longer written.
 const FORMAT_V1: u8 = 1;
 
-/// So many versions taken the first form remembered, without a word of those that it forgot.
+/// Number of committed versions that the first format retained; it did not record that it pruned older ones.
 const V1_MAX_COMMITTED: usize = 512;
 
-/// The state as the first form has it.
+/// The control state in the first format.
 #[derive(Deserialize)]
 struct ControlStateV1 {
     config: Bytes,
@@ -55,7 +56,11 @@
 }
 
 impl ControlState {
-    /// The state as the register holds it.
+    /// Encodes the state as the register stores it.
+    ///
+    /// # Errors
+    ///
+    /// [`PayloadError::Decoding`] if postcard cannot serialize the state.
     pub fn to_payload(&self) -> Result<Bytes, PayloadError> {
         let plain = postcard::to_allocvec(self).map_err(PayloadError::Decoding)?;
         let mut payload = vec![FORMAT_CURRENT];
@@ -63,23 +68,27 @@
         Ok(payload.into())
     }
 
-    /// Reads what the register holds; before the first change that is nothing.
+    /// Decodes what the register stores; an empty payload is the state before the first change.
+    ///
+    /// # Errors
+    ///
+    /// The variant of [`PayloadError`] tells which layer of the encoding is invalid.
     pub fn from_payload(payload: &[u8]) -> Result<Self, PayloadError> {
         match payload {
             [] => Ok(Self::default()),
-            [FORMAT_CURRENT, packed @ ..] => unpack(packed),
-            [FORMAT_V1, packed @ ..] => unpack::<ControlStateV1>(packed).map(Self::from),
-            [form, ..] => Err(PayloadError::UnknownFormat(*form)),
+            [FORMAT_CURRENT, compressed @ ..] => decompress(compressed),
+            [FORMAT_V1, compressed @ ..] => decompress::<ControlStateV1>(compressed).map(Self::from),
+            [format, ..] => Err(PayloadError::UnknownFormat(*format)),
         }
     }
 }
 
-fn unpack<T: DeserializeOwned>(packed: &[u8]) -> Result<T, PayloadError> {
-    let unpacked = |e: lz4_flex::block::DecompressError| PayloadError::Decompression(e.to_string());
-    let (length, packed) = lz4_flex::block::uncompressed_size(packed).map_err(unpacked)?;
+fn decompress<T: DeserializeOwned>(compressed: &[u8]) -> Result<T, PayloadError> {
+    let failed = |error: lz4_flex::block::DecompressError| PayloadError::Decompression(error.to_string());
+    let (length, block) = lz4_flex::block::uncompressed_size(compressed).map_err(failed)?;
     if length > MAX_STATE_BYTES {
         return Err(PayloadError::TooLong(length));
     }
-    let plain = lz4_flex::block::decompress(packed, length).map_err(unpacked)?;
+    let plain = lz4_flex::block::decompress(block, length).map_err(failed)?;
     postcard::from_bytes(&plain).map_err(PayloadError::Decoding)
 }
--- a/system/fleet-model/src/quorum.rs
+++ b/system/fleet-model/src/quorum.rs
@@ -2,7 +2,7 @@
 
 use crate::StorageNode;
 
-/// Rank of a machine for a key by rendezvous hashing: the highest ranks hold it.
+/// Rank of a node for a key by rendezvous hashing: the nodes with the highest ranks replicate the key.
 pub fn rendezvous_rank(key: &[u8], disk: u64) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64 ^ disk.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     for byte in key {
@@ -13,35 +13,35 @@
     hash ^ (hash >> 32)
 }
 
-/// How many storage machines of a set hold a record, write it and are read, so that `losses` are borne as far as there are
-/// machines for it.
+/// Quorum sizes of a set of storage nodes that tolerates a number of losses, as far as the set is large enough for it.
 ///
-/// With `n` machines and `t` losses, a record that was acknowledged is on at least `write = min(t + 1, n)` machines of the
-/// set: an account on so many of its `holders = min(n, 2t + 1)`, a turn on so many of all. It follows:
+/// With `n` nodes and `t` tolerated losses, an acknowledged record is stored by at least `write = min(t + 1, n)` nodes of
+/// the set: an account by that many of its `replicas = min(n, 2t + 1)`, a turn by that many of all nodes. It follows:
 ///
-/// - `write + read = holders + 1`: among an account's holders each read meets each write.
-/// - `write - 1 = min(t, n - 1)` disks may be lost, and one of each record's is left.
-/// - `covering = n - write + 1` machines of the set leave out `write - 1`, fewer than hold any record: together they
-///   know all of them. Who fills reads so many.
-/// - `absent = max(covering, write)` machines that answer "not there" under one epoch prove that nothing is: `absent`
-///   leave out too few to hold it all, and since `absent + covering > n`, no later set has been filled from machines
-///   that go by a later epoch, so that nothing can have been acknowledged there. From 2t + 1 machines on, both are n - t.
+/// - `write + read = replicas + 1`: among an account's replicas each read quorum intersects each write quorum.
+/// - `write - 1 = min(t, n - 1)` disks may be lost, and at least one copy of each record remains.
+/// - `covering = n - write + 1` nodes of the set leave out `write - 1`, fewer than store any record: together they store
+///   all records. A backfill reads from this many.
+/// - `absent = max(covering, write)` nodes that report a record as absent under one epoch prove that it does not exist:
+///   they leave out too few nodes for an acknowledged record, and since `absent + covering > n`, no later set has been
+///   backfilled from nodes of a later epoch, so that nothing can have been acknowledged there. From `2t + 1` nodes on,
+///   both sizes are `n - t`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuorumSizes {
-    /// Machines that hold an account.
+    /// Number of nodes that replicate an account.
     pub replicas: usize,
-    /// Holders that must have synced an account's record; also the copies of a turn.
+    /// Write quorum: replicas that must have synced an account's record; also the number of copies of a turn.
     pub write: usize,
-    /// Holders that are read to meet each write.
+    /// Read quorum: replicas to read so that every write quorum is met.
     pub read: usize,
-    /// Machines of the whole set that together know every record.
+    /// Number of nodes of the whole set that together store every record.
     pub covering: usize,
-    /// Machines of the whole set that must say that a turn is not there.
+    /// Number of nodes of the whole set that must report a turn as absent to prove it.
     pub absent: usize,
 }
 
 impl QuorumSizes {
-    /// For a set of so many machines; none for an empty one, which keeps nothing.
+    /// Sizes for a set of `machines` nodes that is to tolerate `losses`; `None` for an empty set, which stores nothing.
     pub fn for_machines(machines: usize, losses: usize) -> Option<Self> {
         if machines == 0 {
             return None;
@@ -52,18 +52,19 @@
         Some(Self { replicas, write, read: replicas + 1 - write, covering, absent: covering.max(write) })
     }
 
-    /// So many disks may be lost at once, and every record is left.
+    /// Number of disks that may be lost at once without losing an acknowledged record.
     pub fn losses_survived(&self) -> usize {
         self.write - 1
     }
 
-    /// So many machines may be silent at once, and records are still taken and read.
+    /// Number of nodes that may be unresponsive at once while records can still be written and read.
     pub fn losses_served(&self) -> usize {
         self.replicas - self.write
     }
 }
 
-/// The machines among `stores` that hold the account of a program: `2 * losses + 1` of them, or all if there are fewer.
+/// The nodes among `stores` that replicate the account of a program: `2 * losses + 1` of them, or all if there are fewer,
+/// by descending rank.
 pub fn account_replicas<'a>(stores: &'a [StorageNode], program: &str, losses: usize) -> Vec<&'a StorageNode> {
     let mut ranked: Vec<_> =
         stores.iter().map(|store| (rendezvous_rank(program.as_bytes(), store.disk), store)).collect();
--- a/system/fleet-model/src/records.rs
+++ b/system/fleet-model/src/records.rs
@@ -3,30 +3,30 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// A kept turn, written once.
+/// A stored turn of a conversation. It is immutable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
-    /// Its `Attempt-Id`.
+    /// `Attempt-Id` of the attempt that made the turn; its key.
     pub attempt: String,
-    /// The turn it continues from.
+    /// `Attempt-Id` of the turn that it continues.
     pub previous: Option<String>,
     /// The new input, as the client sent it.
     pub input: Bytes,
-    /// The data of its events, each with a line feed after it.
+    /// The data of its output events, each followed by a line feed.
     pub output: Bytes,
-    /// How long it is held, in milliseconds.
+    /// Retention time in milliseconds.
     pub retention_ms: u64,
-    /// The disks on which it was to be kept when it was written.
+    /// Identifiers of the disks that were to replicate it when it was written.
     #[serde(rename = "holders")]
     pub replicas: Vec<u64>,
 }
 
-/// One reservation of an account: the tokens that a try may have handed out, or did. Two records of one try merge to
-/// the lower count.
+/// One reservation of an account: the tokens that an attempt may have delivered, or has. Two records of one attempt merge
+/// to the lower count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The try: a hash of its `Attempt-Id`.
+    /// Hash of the attempt's `Attempt-Id`.
     pub attempt: u64,
-    /// Tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
--- a/system/fleet-model/src/register.rs
+++ b/system/fleet-model/src/register.rs
@@ -5,86 +5,87 @@
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// A ballot of the register, ordered by its fields in turn: rounds rise, the machine's address tells two machines of one
-/// round apart, and the nonce two lives of one machine. `config-register` makes them (`BallotSource`).
+/// A ballot number of the register, ordered by its fields in their order: the round increases, the proposer's address
+/// distinguishes two proposers in one round, and the incarnation two starts of one proposer. `config-register` generates
+/// them (`BallotSource`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// The round.
+    /// Round number.
     pub round: u64,
-    /// The proposer's address as a number.
+    /// IPv4 address of the proposer as a number.
     pub proposer: u32,
-    /// The nonce of the proposer's life; 0 in the founding ballot and in those read from a record of an older form.
+    /// Nonce of the proposer's process incarnation; 0 in the initial ballot and in ballots read from the older record format.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
 
-/// The register's value.
+/// A value of the register: the voters and the payload that they agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RegisterValue {
-    /// Rises by one with each change of the voters.
+    /// Increases by one with each change of the voters.
     pub epoch: u64,
-    /// The core machines whose majority counts.
+    /// Addresses of the control nodes that form the quorums.
     pub voters: Vec<Ipv4Addr>,
-    /// What the register holds: a [`ControlState`], by [`ControlState::to_payload`].
+    /// An encoded [`ControlState`](crate::ControlState), from [`ControlState::to_payload`](crate::ControlState::to_payload).
     pub payload: Bytes,
 }
 
-/// A value that an acceptor has accepted, under its ballot.
+/// A value that an acceptor has accepted, with its ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptedValue {
-    /// The ballot.
+    /// Ballot under which it was accepted.
     pub ballot: Ballot,
-    /// The value.
+    /// The accepted value.
     pub value: RegisterValue,
 }
 
-/// What a proposer asks of an acceptor.
+/// A request from a proposer to an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RegisterRequest {
-    /// Promise to listen to no lower ballot.
+    /// Phase 1: promise to reject all lower ballots.
     Prepare(Ballot),
-    /// Accept this value.
+    /// Phase 2: accept this value under its ballot.
     Accept(AcceptedValue),
-    /// Tell what is held, without a promise; `chosen` is the newest ballot that the asker knows to be chosen.
+    /// Report the accepted ballot without a promise.
     Poll {
-        /// The newest ballot that the asker knows to be chosen.
+        /// Newest ballot that the sender knows to be chosen.
         chosen: Ballot,
     },
-    /// Tell the accepted value.
+    /// Return the accepted value.
     Fetch,
 }
 
-/// What an acceptor answers.
+/// The reply of an acceptor to a [`RegisterRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RegisterReply {
-    /// It promises; here is what it has accepted.
+    /// The promise to [`RegisterRequest::Prepare`], with the value accepted so far.
     Promised(Option<AcceptedValue>),
-    /// It has accepted.
+    /// The value was accepted.
     Accepted,
-    /// It has promised this ballot, or accepted a value of a later epoch, under it.
+    /// The request was rejected: the acceptor has promised this higher ballot, or accepted a value of a later epoch under it.
     #[serde(rename = "Refused")]
     Rejected(Ballot),
-    /// It came back with an empty disk and may not vote yet.
+    /// The acceptor restarted with an empty disk and must not vote yet.
     #[serde(rename = "Unfit")]
     Recovering,
-    /// What it holds.
+    /// The reply to [`RegisterRequest::Poll`].
     Polled {
-        /// Ballot of the accepted value.
+        /// Ballot of the accepted value, if any.
         accepted: Option<Ballot>,
-        /// The newest ballot that it knows to be chosen.
+        /// Newest ballot that the acceptor knows to be chosen.
         chosen: Ballot,
     },
-    /// The accepted value.
+    /// The reply to [`RegisterRequest::Fetch`]: the accepted value, if any.
     Fetched(Option<AcceptedValue>),
 }
 
-/// A chosen value, as it is spread.
+/// A chosen value, as the state feed disseminates it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChosenValue {
-    /// The ballot under which it was chosen: a later one replaces it.
+    /// Ballot under which it was chosen; a value with a higher ballot replaces it.
     pub ballot: Ballot,
-    /// The voters.
+    /// Addresses of the voters.
     pub voters: Vec<Ipv4Addr>,
-    /// A [`ControlState`], by [`ControlState::to_payload`].
+    /// An encoded [`ControlState`](crate::ControlState), from [`ControlState::to_payload`](crate::ControlState::to_payload).
     pub payload: Bytes,
 }
--- a/system/fleet-model/src/roster.rs
+++ b/system/fleet-model/src/roster.rs
@@ -3,31 +3,31 @@
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// A storage machine with its disk: one that lost its disk comes back as another.
+/// A storage node, identified by its disk: a node that lost its disk returns as another one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StorageNode {
-    /// The machine's name.
+    /// Name of the machine.
     pub name: String,
-    /// Its address.
+    /// Address of the machine.
     pub ip: Ipv4Addr,
-    /// Its zone.
+    /// Zone (failure domain) of the machine.
     pub zone: String,
-    /// Drawn when the disk's folder was made.
+    /// Random identifier that was generated when the data directory was created.
     pub disk: u64,
 }
 
-/// The storage machines that count.
+/// The replicated membership of storage nodes, with a change under way if there is one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Roster {
-    /// Rises with every change.
+    /// Increases with every change of the membership.
     pub epoch: u64,
-    /// Those that hold what was kept.
+    /// The nodes that store all acknowledged records.
     pub current: Vec<StorageNode>,
-    /// While a change is under way: those that are to hold it. They fill, and all writes go to both.
+    /// The next membership while a change is under way: its nodes backfill, and writes go to both sets.
     pub next: Option<Vec<StorageNode>>,
-    /// Those of `next` that have told they are full, by disk.
+    /// Disks of the nodes of `next` that have reported to be in sync.
     #[serde(rename = "filled")]
     pub in_sync: Vec<u64>,
-    /// Names of machines that are to be emptied, or were.
+    /// Names of machines that are being retired, or were.
     pub retiring: Vec<String>,
 }
--- a/system/fleet-model/tests/payload.rs
+++ b/system/fleet-model/tests/payload.rs
@@ -1,9 +1,9 @@
-//! The register's payload: what is written is read, and nothing else is taken for a state.
+//! The encoding of the register's payload: round trips, the older format, size, and rejection of invalid bytes.
 
 use fleet_model::{CommittedVersion, ControlState, Lease, PayloadError};
 use googletest::prelude::*;
 
-/// A state with a configuration of so many routes.
+/// A control state whose configuration has the given number of routes.
 fn state(routes: u64) -> ControlState {
     let route = |number: u64| {
         let name = fleet_model::rendezvous_rank(&number.to_le_bytes(), 7);
@@ -21,7 +21,7 @@
 }
 
 #[gtest]
-fn given_a_state_when_it_is_written_then_it_reads_as_it_was() {
+fn a_control_state_survives_encoding_and_decoding() {
     for routes in [0, 1, 400] {
         let state = state(routes);
         let payload = state.to_payload().unwrap();
@@ -31,47 +31,47 @@
     expect_that!(ControlState::from_payload(&[]), ok(eq(&ControlState::default())));
 }
 
-/// The state as programs of the first form wrote it.
-fn first_form(state: &ControlState) -> Vec<u8> {
-    let ControlState { config, committed: taken, leases: fences, roster, .. } = state;
-    let plain = postcard::to_allocvec(&(config, taken, fences, roster)).unwrap();
+/// The state as programs that write the first format encode it.
+fn encode_v1(state: &ControlState) -> Vec<u8> {
+    let ControlState { config, committed, leases, roster, .. } = state;
+    let plain = postcard::to_allocvec(&(config, committed, leases, roster)).unwrap();
     [vec![1], lz4_flex::block::compress_prepend_size(&plain)].concat()
 }
 
 #[gtest]
-fn given_a_state_of_the_first_form_when_it_is_read_then_what_it_has_forgotten_is_known_too() {
-    // Given one that remembers all that was taken.
-    let short = state(40);
-    expect_that!(ControlState::from_payload(&first_form(&short)), ok(eq(&short)));
-    // And one that remembers as much as it could: those before may have been taken too.
-    let taken = (100..612).map(|version| CommittedVersion { version, digest: [3; 32] }).collect();
-    let full = ControlState { committed: taken, ..state(1) };
-    let read = ControlState::from_payload(&first_form(&full)).unwrap();
-    expect_that!(read, eq(&ControlState { highest_pruned: 99, ..full }));
+fn decoding_the_first_format_derives_the_highest_pruned_version() {
+    // A state that still has all its committed versions.
+    let unpruned = state(40);
+    expect_that!(ControlState::from_payload(&encode_v1(&unpruned)), ok(eq(&unpruned)));
+    // A state with as many versions as the first format retained: earlier ones may have been pruned.
+    let committed = (100..612).map(|version| CommittedVersion { version, digest: [3; 32] }).collect();
+    let pruned = ControlState { committed, ..state(1) };
+    let decoded = ControlState::from_payload(&encode_v1(&pruned)).unwrap();
+    expect_that!(decoded, eq(&ControlState { highest_pruned: 99, ..pruned }));
 }
 
 #[gtest]
-fn given_a_long_configuration_when_it_is_written_then_it_takes_a_quarter_at_most() {
+fn a_long_configuration_compresses_to_less_than_a_quarter() {
     let state = state(400);
     expect_that!(state.to_payload().unwrap().len() * 4, lt(state.config.len()));
 }
 
 #[gtest]
-fn given_bytes_that_are_no_payload_when_they_are_read_then_an_error_tells_why() {
+fn decoding_invalid_bytes_reports_the_layer_that_failed() {
     let payload = state(40).to_payload().unwrap().to_vec();
-    let read = |bytes: &[u8]| ControlState::from_payload(bytes);
-    expect_that!(read(&[9, 1, 2]), err(eq(&PayloadError::UnknownFormat(9))));
-    expect_that!(read(&payload[..3]), err(matches_pattern!(PayloadError::Decompression(_))));
-    let mut long = payload.clone();
-    long[1..5].copy_from_slice(&u32::MAX.to_le_bytes());
-    expect_that!(read(&long), err(eq(&PayloadError::TooLong(u32::MAX as usize))));
+    let decode = |bytes: &[u8]| ControlState::from_payload(bytes);
+    expect_that!(decode(&[9, 1, 2]), err(eq(&PayloadError::UnknownFormat(9))));
+    expect_that!(decode(&payload[..3]), err(matches_pattern!(PayloadError::Decompression(_))));
+    let mut too_long = payload.clone();
+    too_long[1..5].copy_from_slice(&u32::MAX.to_le_bytes());
+    expect_that!(decode(&too_long), err(eq(&PayloadError::TooLong(u32::MAX as usize))));
     for end in 1..payload.len() {
-        expect_that!(read(&payload[..end]), err(anything()), "cut at {end}");
+        expect_that!(decode(&payload[..end]), err(anything()), "truncated at {end}");
     }
-    // A flipped bit is told or changes the state; it never ends the process.
-    for at in 0..payload.len() {
+    // A flipped bit causes an error or another state; it never causes a panic.
+    for offset in 0..payload.len() {
         let mut flipped = payload.clone();
-        flipped[at] ^= 0x10;
-        let _ = read(&flipped);
+        flipped[offset] ^= 0x10;
+        let _ = decode(&flipped);
     }
 }
