--- a/system/control-node/src/singleton.rs
+++ b/system/control-node/src/singleton.rs
@@ -4,7 +4,7 @@
 use crate::membership::CHANGE;
 use crate::proposing::Wanted;
 use crate::{ControlBackend, ControlEvent, ControlNode, LIST, StorageLosses};
-use controllers::{DiscoveryPolls, RosterStep, VoterController, holds_lease, times};
+use controllers::{DiscoveryPolls, RosterStep, UnresponsiveVoter, VoterController, holds_lease, times};
 use fleet_model::{Answer, Call, ControlState, Lease, StorageNode};
 use futures_util::future::join_all;
 use node_runtime::{Runtime, follow_lists, timeout};
@@ -151,8 +151,8 @@
         let step = self.stores.borrow().step(self.runtime.now_ms(), &state, self.backend.tolerance());
         // A holder that slept meanwhile may have lost the lease to one that sees better.
         let still_holds = |state: &ControlState| holds_lease(state, LIST, self.me, token);
-        if let RosterStep::RemoveNode { store, silent_ms, .. } = &step {
-            self.backend.on_event(&ControlEvent::Evicts { store, silent_ms: *silent_ms });
+        if let RosterStep::RemoveNode { store, unresponsive_ms, .. } = &step {
+            self.backend.on_event(&ControlEvent::Evicts { store, silent_ms: *unresponsive_ms });
         }
         if step != RosterStep::NoChange {
             let wanted = |state: &ControlState| match still_holds(state) {
@@ -165,7 +165,7 @@
 
     async fn look_after_voters(&self, token: u64) {
         let gone = self.core.borrow().voter_to_remove(self.runtime.now_ms(), &self.feed.value().voters);
-        let Some((voter, silent_ms)) = gone else { return };
+        let Some(UnresponsiveVoter { ip: voter, unresponsive_ms: silent_ms }) = gone else { return };
         self.backend.on_event(&ControlEvent::RemovesVoter { voter, silent_ms });
         let wanted =
             |state: &ControlState, voters: &[Ipv4Addr]| match holds_lease(state, LIST, self.me, token) {
--- a/system/controllers/src/config.rs
+++ b/system/controllers/src/config.rs
@@ -1,38 +1,42 @@
-//! Operators' configurations: which one is taken, and what every other is answered, once and again.
+//! Judgement of operators' configurations: which one is committed, and what the others are answered, also when repeated.
 //!
-//! An order is a configuration's number and bytes with the version that it goes by. It is judged on a state that a run has read
-//! from a majority, and the verdict counts once that run has ended with its value chosen. Then:
+//! A request consists of a configuration's version and bytes and the version that the operator expects to be current. It is
+//! judged on a state that a proposal has read from a majority; the verdict is valid once that proposal's value is chosen.
 //!
-//! - *Taken* stays taken: it is remembered, and where it no longer is, the verdict is [`ConfigVerdict::Indeterminate`].
-//! - *Refused* stays refused. Versions in force only rise. So an order that goes by a lower one than that in force, or whose
-//!   number is not above it, can never be taken later. One that goes by a version *above* that in force could be, by a second
-//!   copy of the call that another machine still works on when that version is taken. So such a refusal is kept in the
-//!   state, and told only once that is chosen.
+//! - A *committed* configuration stays committed. Its version is remembered; once it may have been pruned, the verdict is
+//!   [`ConfigVerdict::Indeterminate`].
+//! - A *rejected* configuration stays rejected. Current versions only increase, so a request that expects a lower version than
+//!   the current one, or whose own version is not above it, can never be committed later. A request that expects a *higher*
+//!   version could be, by a second copy of the call that another node still processes when that version is committed.
+//!   Such a rejection is therefore stored in the state, and reported only once that state is chosen.
 
 use bytes::Bytes;
 use fleet_model::{CommittedVersion, ControlState, RejectedConfig};
 use std::cmp::Ordering;
 
-/// Versions taken that are remembered: an operator repeats a call for some seconds.
+/// Number of committed versions that are remembered: operators repeat a call for some seconds.
 const MAX_COMMITTED_VERSIONS: usize = 512;
-/// Refusals that are kept until the version that their orders go by is passed.
+/// Number of rejections that are stored until the version that their requests expect has been superseded.
 const MAX_REJECTED_CONFIGS: usize = 32;
 
-/// What becomes of a configuration without fault.
+/// The verdict on a valid configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConfigVerdict {
-    /// It is taken, now or before.
+    /// It is committed, now or before.
     Committed,
-    /// The operator goes by another version than the current one, which is this.
+    /// The expected version is not the current one, which is this.
     VersionMismatch(u64),
     /// Its version is not above the current one.
     NotNewer,
-    /// It may have been taken so long ago that this is forgotten, or its refusal cannot be kept: neither is to be told.
+    /// It may have been committed so long ago that its version was pruned, or its rejection cannot be stored: neither outcome
+    /// may be reported.
     Indeterminate,
 }
 
-/// Judges a configuration that an operator sends on top of the version `expected`; with the state that has it, or keeps its
-/// refusal, if that is another. The verdict is told only when that state is chosen, or the one that was read.
+/// Judges a configuration that an operator sent while expecting the version `expected` to be current.
+///
+/// Returns the state that commits it or stores its rejection, if the state has to change, and the verdict. The verdict may be
+/// reported only once that state is chosen or, without a change, the state that was read.
 pub fn put_config(
     state: &ControlState,
     expected: u64,
@@ -40,53 +44,56 @@
     body: &Bytes,
 ) -> (Option<ControlState>, ConfigVerdict) {
     let current = state.version();
-    let refusal = RejectedConfig { expected, sent: sent.clone() };
+    let request = RejectedConfig { expected, sent: sent.clone() };
     if state.committed.contains(sent) {
         return (None, ConfigVerdict::Committed);
     }
-    if may_be_forgotten(state, &refusal) {
+    if may_be_pruned(state, &request) {
         return (None, ConfigVerdict::Indeterminate);
     }
-    if state.rejected.contains(&refusal) {
+    if state.rejected.contains(&request) {
         return (None, ConfigVerdict::VersionMismatch(current));
     }
     match current.cmp(&expected) {
         Ordering::Greater => (None, ConfigVerdict::VersionMismatch(current)),
-        Ordering::Less => refuse_for_good(state, refusal),
+        Ordering::Less => reject_permanently(state, request),
         Ordering::Equal if sent.version <= current => (None, ConfigVerdict::NotNewer),
-        Ordering::Equal => (Some(take(state, sent, body)), ConfigVerdict::Committed),
+        Ordering::Equal => (Some(commit(state, sent, body)), ConfigVerdict::Committed),
     }
 }
 
-/// Whether it can be one of those that were taken and are remembered no more. Whatever was taken is above what it went by.
-fn may_be_forgotten(state: &ControlState, order: &RejectedConfig) -> bool {
-    order.sent.version <= state.highest_pruned && order.expected < order.sent.version
+/// Whether the configuration may be a committed one that was pruned. A committed version is above its expected one.
+fn may_be_pruned(state: &ControlState, request: &RejectedConfig) -> bool {
+    request.sent.version <= state.highest_pruned && request.expected < request.sent.version
 }
 
-/// Refuses an order that goes by a version which may yet come.
-fn refuse_for_good(state: &ControlState, refusal: RejectedConfig) -> (Option<ControlState>, ConfigVerdict) {
+/// Rejects a request that expects a version which may be committed later.
+fn reject_permanently(
+    state: &ControlState,
+    request: RejectedConfig,
+) -> (Option<ControlState>, ConfigVerdict) {
     let verdict = ConfigVerdict::VersionMismatch(state.version());
-    if refusal.sent.version <= refusal.expected {
-        // It is refused on top of that one too.
+    if request.sent.version <= request.expected {
+        // It will be rejected on top of that version too.
         return (None, verdict);
     }
     if state.rejected.len() == MAX_REJECTED_CONFIGS {
         return (None, ConfigVerdict::Indeterminate);
     }
     let mut next = state.clone();
-    next.rejected.push(refusal);
+    next.rejected.push(request);
     (Some(next), verdict)
 }
 
-fn take(state: &ControlState, sent: &CommittedVersion, body: &Bytes) -> ControlState {
+fn commit(state: &ControlState, sent: &CommittedVersion, body: &Bytes) -> ControlState {
     let mut next = state.clone();
     next.config = body.clone();
     next.committed.push(sent.clone());
-    let extra = next.committed.len().saturating_sub(MAX_COMMITTED_VERSIONS);
-    if let Some(last) = next.committed.drain(..extra).next_back() {
+    let excess = next.committed.len().saturating_sub(MAX_COMMITTED_VERSIONS);
+    if let Some(last) = next.committed.drain(..excess).next_back() {
         next.highest_pruned = last.version;
     }
-    // What goes by an earlier version is refused for that.
-    next.rejected.retain(|refused| refused.expected >= sent.version);
+    // Requests that expect an earlier version are rejected for that reason alone.
+    next.rejected.retain(|rejected| rejected.expected >= sent.version);
     next
 }
--- a/system/controllers/src/discovery_poll.rs
+++ b/system/controllers/src/discovery_poll.rs
@@ -1,48 +1,60 @@
+//! Decides which polls of the platform's endpoint list are published.
+
 use crate::times::{EMPTY_LIST_CONFIRMATION_MS, MAX_EMPTY_POLL_GAP_MS, MAX_POLL_DURATION_MS};
 use fleet_model::{Endpoint, EndpointList, ListVersion};
 
-/// What becomes of the readings of the list, under one fence after another.
+/// A series of polls that returned no endpoints.
+#[derive(Clone, Copy, Debug)]
+struct EmptySeries {
+    first_ms: u64,
+    last_ms: u64,
+}
+
+/// The polls of the endpoint list under one fencing token; a poll under another token starts anew.
 #[derive(Clone, Debug, Default)]
 pub struct DiscoveryPolls {
-    fence: u64,
+    token: u64,
+    /// Number of the last list published under the token.
     sequence: u64,
-    /// When a series of empty answers began, and its last one.
-    empty: Option<(u64, u64)>,
+    empty: Option<EmptySeries>,
 }
 
 impl DiscoveryPolls {
-    /// The platform was asked at `asked_ms` under `fence` and listed these; the list to spread, if it is another one than
-    /// is known. Whoever knows a list of a later fence passes this one over.
+    /// Evaluates the result of a poll that was sent at `started_ms` under `token`.
+    ///
+    /// Returns the list to publish, if it differs from `known` in its endpoints or its token. Processes that know a list of
+    /// a later token ignore it. An empty result is published only after [`EMPTY_LIST_CONFIRMATION_MS`], since the platform
+    /// may have lost its registrations while the endpoints still run.
     pub fn accept_poll(
         &mut self,
         now_ms: u64,
-        asked_ms: u64,
-        fence: u64,
+        started_ms: u64,
+        token: u64,
         known: &EndpointList,
         endpoints: Vec<Endpoint>,
     ) -> Option<EndpointList> {
-        if self.fence != fence {
-            *self = Self { fence, ..Self::default() };
+        if self.token != token {
+            *self = Self { token, ..Self::default() };
         }
-        if now_ms.saturating_sub(asked_ms) > MAX_POLL_DURATION_MS {
+        if now_ms.saturating_sub(started_ms) > MAX_POLL_DURATION_MS {
             return None;
         }
         if !endpoints.is_empty() {
             self.empty = None;
         } else if !known.endpoints.is_empty() {
-            // The platform may have lost its memory; the endpoints live on.
-            let began =
-                self.empty.filter(|(_, last)| asked_ms.saturating_sub(*last) <= MAX_EMPTY_POLL_GAP_MS);
-            let began = began.map_or(asked_ms, |(began, _)| began);
-            self.empty = Some((began, asked_ms));
-            if asked_ms - began < EMPTY_LIST_CONFIRMATION_MS {
+            let ongoing = self
+                .empty
+                .filter(|series| started_ms.saturating_sub(series.last_ms) <= MAX_EMPTY_POLL_GAP_MS);
+            let first_ms = ongoing.map_or(started_ms, |series| series.first_ms);
+            self.empty = Some(EmptySeries { first_ms, last_ms: started_ms });
+            if started_ms - first_ms < EMPTY_LIST_CONFIRMATION_MS {
                 return None;
             }
         }
-        if known.endpoints == endpoints && known.version.token == fence {
+        if known.endpoints == endpoints && known.version.token == token {
             return None;
         }
         self.sequence += 1;
-        Some(EndpointList { version: ListVersion::new(fence, self.sequence), endpoints })
+        Some(EndpointList { version: ListVersion::new(token, self.sequence), endpoints })
     }
 }
--- a/system/controllers/src/lib.rs
+++ b/system/controllers/src/lib.rs
@@ -1,15 +1,25 @@
-//! What the control plane decides beside its register, without I/O, clock or randomness.
+//! Decisions of the control plane outside its register: storage roster, leases, voters, configurations and endpoint polls.
 //!
-//! Changes of the [`ControlState`](fleet_model::ControlState) are pure functions: they take the state that was read and
-//! give the one that is wanted, or none. [`StorageController`] and [`VoterController`] are what one keeper knows of the storage and
-//! the core machines; [`LeaseCandidate`] says whether a duty is this keeper's, [`DiscoveryPolls`] what becomes of a reading of the
-//! list. All times are milliseconds of the caller's clock, which only rises.
+//! The register (`config-register`) agrees on one value, the [`ControlState`](fleet_model::ControlState). This crate decides
+//! how that value should change:
+//!
+//! - [`put_config`] judges operators' configurations.
+//! - [`join`], [`complete_backfill`], [`remove_node`] and [`retire`] change the roster of storage nodes. They are pure
+//!   functions: they take the state that was read and return the wanted one, or `None`.
+//! - [`StorageController`] and [`VoterController`] detect failures of storage and control nodes and decide on removals.
+//! - [`LeaseCandidate`] acquires the lease of a singleton role.
+//! - [`DiscoveryPolls`] decides which polls of the platform's endpoint list are published.
+//!
+//! The crate has no I/O, clock or randomness. The host (`control-node`) sends the requests and probes, proposes the wanted
+//! states to the register, and passes in the time in milliseconds of a monotonic clock.
 
 mod config;
 mod discovery_poll;
 mod lease_candidate;
+mod loss_tolerance;
 mod replacement;
 mod roster;
+mod roster_step;
 mod storage_controller;
 pub mod times;
 mod voter_controller;
@@ -17,8 +27,10 @@
 pub use config::{ConfigVerdict, put_config};
 pub use discovery_poll::DiscoveryPolls;
 pub use lease_candidate::{LeaseCandidate, holds_lease};
+pub use loss_tolerance::{LossTolerance, min_storage_nodes};
 pub use roster::{
     RetireVerdict, complete_backfill, join, proposed_nodes, remove_node, retire, retire_status,
 };
-pub use storage_controller::{LossTolerance, RosterStep, StorageController, min_storage_nodes};
-pub use voter_controller::VoterController;
+pub use roster_step::RosterStep;
+pub use storage_controller::StorageController;
+pub use voter_controller::{UnresponsiveVoter, VoterController};
--- a/system/controllers/src/replacement.rs
+++ b/system/controllers/src/replacement.rs
@@ -1,87 +1,111 @@
+//! Pairs members that joined a set recently with those that left it.
+
 use crate::times::REPLACEMENT_WINDOW_MS;
 use std::collections::BTreeSet;
 
-/// Who came to a set lately and who left it: each newcomer replaces at most one.
+/// A member that joined.
+#[derive(Clone, Debug)]
+struct Joined<K> {
+    member: K,
+    at_ms: u64,
+    /// The member that it replaces, if any.
+    replaces: Option<K>,
+}
+
+/// A former member that no other one replaces.
+#[derive(Clone, Debug)]
+struct Departed<K> {
+    member: K,
+    at_ms: u64,
+}
+
+/// Members that joined a set recently and members that left it; each joined member replaces at most one that left.
 #[derive(Clone, Debug)]
 pub(crate) struct Replacement<K> {
     members: Option<BTreeSet<K>>,
-    /// All that ever were members: one of them that returns is no newcomer.
+    /// All members ever observed: one of them that returns does not count as joined.
     former: BTreeSet<K>,
-    /// Who came, when, and whom it replaces.
-    newcomers: Vec<(K, u64, Option<K>)>,
-    /// Who left without one that replaces it, and when.
-    leavers: Vec<(K, u64)>,
+    joined: Vec<Joined<K>>,
+    departed: Vec<Departed<K>>,
 }
 
 impl<K> Default for Replacement<K> {
     fn default() -> Self {
-        Self { members: None, former: BTreeSet::new(), newcomers: Vec::new(), leavers: Vec::new() }
+        Self { members: None, former: BTreeSet::new(), joined: Vec::new(), departed: Vec::new() }
     }
 }
 
 impl<K: Ord + Clone> Replacement<K> {
-    /// These are the members now. `settled`: who is new among them may replace another. `bidden`: who left because it was
-    /// told to, and needs no replacement.
+    /// Compares `members` with those of the call before.
+    ///
+    /// Members that are new count as joined only if the set is `settled`, that is, no longer being bootstrapped. A member
+    /// that left and `is_retired` was removed on an operator's request and needs no replacement.
     pub(crate) fn observe(
         &mut self,
         now_ms: u64,
         members: BTreeSet<K>,
         settled: bool,
-        bidden: impl Fn(&K) -> bool,
+        is_retired: impl Fn(&K) -> bool,
     ) {
         let before = self.members.replace(members.clone()).unwrap_or_else(|| members.clone());
-        for left in before.difference(&members) {
-            self.leaves(now_ms, left, bidden(left));
+        for member in before.difference(&members) {
+            self.record_departure(now_ms, member, is_retired(member));
         }
-        for came in members.difference(&before) {
-            match self.former.contains(came) {
-                true => self.returns(came),
-                false if settled => self.comes(now_ms, came),
+        for member in members.difference(&before) {
+            match self.former.contains(member) {
+                true => self.record_return(member),
+                false if settled => self.record_join(now_ms, member),
                 false => {}
             }
         }
         self.former.extend(members);
     }
 
-    fn leaves(&mut self, now_ms: u64, left: &K, bidden: bool) {
-        if let Some(place) = self.newcomers.iter().position(|(came, _, _)| came == left) {
-            let (_, _, replaced) = self.newcomers.remove(place);
-            // One that was told to leave leaves no place: who comes next may replace another.
-            self.leavers.extend(replaced.filter(|_| !bidden).map(|replaced| (replaced, now_ms)));
+    fn record_departure(&mut self, now_ms: u64, member: &K, is_retired: bool) {
+        if let Some(index) = self.joined.iter().position(|joined| joined.member == *member) {
+            let replaced = self.joined.remove(index).replaces;
+            // A retired replacement leaves nothing to replace: the next member to join may replace another one.
+            let replaced = replaced.filter(|_| !is_retired);
+            self.departed.extend(replaced.map(|member| Departed { member, at_ms: now_ms }));
             return;
         }
-        if bidden {
+        if is_retired {
             return;
         }
-        let free =
-            self.newcomers.iter_mut().find(|(_, at, replaced)| replaced.is_none() && lately(now_ms, *at));
-        match free {
-            Some((_, _, replaced)) => *replaced = Some(left.clone()),
-            None => self.leavers.push((left.clone(), now_ms)),
+        let unpaired = self
+            .joined
+            .iter_mut()
+            .find(|joined| joined.replaces.is_none() && is_recent(now_ms, joined.at_ms));
+        match unpaired {
+            Some(joined) => joined.replaces = Some(member.clone()),
+            None => self.departed.push(Departed { member: member.clone(), at_ms: now_ms }),
         }
     }
 
-    fn returns(&mut self, came: &K) {
-        self.leavers.retain(|(left, _)| left != came);
-        for (_, _, replaced) in &mut self.newcomers {
-            if replaced.as_ref() == Some(came) {
-                *replaced = None;
+    fn record_return(&mut self, member: &K) {
+        self.departed.retain(|departed| departed.member != *member);
+        for joined in &mut self.joined {
+            if joined.replaces.as_ref() == Some(member) {
+                joined.replaces = None;
             }
         }
     }
 
-    fn comes(&mut self, now_ms: u64, came: &K) {
-        let place = self.leavers.iter().position(|(_, at)| lately(now_ms, *at));
-        let replaced = place.map(|place| self.leavers.remove(place).0);
-        self.newcomers.push((came.clone(), now_ms, replaced));
+    fn record_join(&mut self, now_ms: u64, member: &K) {
+        let index = self.departed.iter().position(|departed| is_recent(now_ms, departed.at_ms));
+        let replaces = index.map(|index| self.departed.remove(index).member);
+        self.joined.push(Joined { member: member.clone(), at_ms: now_ms, replaces });
     }
 
-    /// How many came lately that replace nobody yet.
+    /// Number of members that joined recently and replace none yet.
     pub(crate) fn surplus(&self, now_ms: u64) -> usize {
-        self.newcomers.iter().filter(|(_, at, replaced)| replaced.is_none() && lately(now_ms, *at)).count()
+        self.joined
+            .iter()
+            .filter(|joined| joined.replaces.is_none() && is_recent(now_ms, joined.at_ms))
+            .count()
     }
 }
 
-fn lately(now_ms: u64, at: u64) -> bool {
-    now_ms.saturating_sub(at) < REPLACEMENT_WINDOW_MS
+fn is_recent(now_ms: u64, at_ms: u64) -> bool {
+    now_ms.saturating_sub(at_ms) < REPLACEMENT_WINDOW_MS
 }
--- a/system/controllers/src/roster.rs
+++ b/system/controllers/src/roster.rs
@@ -1,34 +1,36 @@
+//! Changes of the roster: nodes join, complete their backfill, are removed and are retired.
+
 use fleet_model::{ControlState, Roster, StorageNode};
 
-/// How far a retire is, or why there is none.
+/// Progress of the retirement of a machine, or why there is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetireVerdict {
-    /// The machine is being emptied.
+    /// The machine is being retired: its records are moved to other nodes.
     Active,
-    /// It is empty and out.
+    /// The machine has left the roster.
     Completed,
-    /// Nobody has asked for it.
+    /// The machine serves, and its retirement was not requested.
     Serving,
-    /// There is no machine of this name.
+    /// The roster has no machine of this name.
     Unknown,
-    /// Too few machines would be left.
+    /// Too few machines would remain.
     TooFew {
-        /// So many.
-        left: usize,
+        /// Number of machines that would remain.
+        remaining: usize,
     },
 }
 
-/// The next set, whether or not a change is under way.
+/// The nodes of the roster once the change under way, if any, is complete.
 pub fn proposed_nodes(roster: &Roster) -> &[StorageNode] {
     roster.next.as_deref().unwrap_or(&roster.current)
 }
 
-/// How many of these are not to be emptied.
-fn staying(roster: &Roster, stores: &[StorageNode]) -> usize {
+/// Number of these nodes that are not being retired.
+fn count_not_retiring(roster: &Roster, stores: &[StorageNode]) -> usize {
     stores.iter().filter(|store| !roster.retiring.contains(&store.name)).count()
 }
 
-/// The roster with another next set: the epoch rises, and nobody is full yet.
+/// The state with another next set: the epoch increases, and no node is in sync yet.
 fn with_next(state: &ControlState, next: Vec<StorageNode>) -> ControlState {
     let mut state = state.clone();
     state.roster.epoch += 1;
@@ -37,87 +39,93 @@
     state
 }
 
-/// Whether the next set without this member would be the current one. Then nobody would fill, and what was meanwhile kept
-/// by the member and one other would have that one copy: such a change is carried through, and the member leaves after.
+/// Whether the next set without this node would be the current one.
+///
+/// Then no node would backfill, and records that were meanwhile written to this node and one other would be left with one
+/// copy. Such a change is completed first, and the node is removed afterwards.
 pub(crate) fn would_abandon(roster: &Roster, store: &StorageNode) -> bool {
     let Some(next) = &roster.next else { return false };
     !roster.current.contains(store) && next.iter().filter(|other| *other != store).eq(roster.current.iter())
 }
 
-/// Takes a storage machine in. One of its name or address with another disk has lost that disk, or is replaced.
+/// Adds a storage node to the next set. A node of the same name or address with another disk has lost that disk, or is
+/// replaced. Returns `None` if the node is a member, is being retired or cannot be added.
 ///
-/// Before the founding there is no current set, and nothing is kept: machines gather in the next set, and the first set
-/// becomes current by [`fill`] like any other, once it has `least` machines or the founding has waited long enough.
-pub fn join(state: &ControlState, store: &StorageNode, least: usize) -> Option<ControlState> {
+/// Before the bootstrap there is no current set, and nothing is stored: nodes gather in the next set, and the first set
+/// becomes current by [`complete_backfill`] like any other, once it has `min_nodes` nodes or the bootstrap has waited long
+/// enough.
+pub fn join(state: &ControlState, store: &StorageNode, min_nodes: usize) -> Option<ControlState> {
     let roster = &state.roster;
     let former = proposed_nodes(roster);
     if former.contains(store) || roster.retiring.contains(&store.name) {
         return None;
     }
     if roster.current.contains(store) && former.iter().any(|other| other.name == store.name) {
-        // Two machines of one name, and this is the earlier one: it hands over, and takes nothing back.
+        // Of two machines of one name this is the earlier one: it hands over to the later one, and does not return.
         return None;
     }
     let mut next: Vec<StorageNode> =
         former.iter().filter(|other| other.name != store.name && other.ip != store.ip).cloned().collect();
     next.push(store.clone());
     next.sort();
-    let founded = !roster.current.is_empty();
-    if founded && next.len() < former.len() && staying(roster, &next) < least {
-        // It has one machine's name and another's address.
+    let bootstrapped = !roster.current.is_empty();
+    if bootstrapped && next.len() < former.len() && count_not_retiring(roster, &next) < min_nodes {
+        // It has one member's name and another member's address, and replaces both.
         return None;
     }
     let mut state = state.clone();
-    // What is full but for the disk that this one replaces counts, as if that were waived: else one machine's loss after
-    // the other could keep all changes from their end. Someone has to be full: a set of that disk alone has nothing.
-    let full = |other: &StorageNode| roster.in_sync.contains(&other.disk) || !next.contains(other);
+    // A set that is in sync except for the disk that this node replaces becomes current, as if that disk were waived:
+    // otherwise one loss after the other could keep every change from completing. At least one node has to be in sync: a set
+    // of the lost disk alone stores nothing.
+    let is_ready = |other: &StorageNode| roster.in_sync.contains(&other.disk) || !next.contains(other);
     if let Some(set) = &roster.next
-        && founded
+        && bootstrapped
         && set.len() > 1
         && set.iter().filter(|other| !next.contains(other)).count() == 1
-        && set.iter().all(full)
+        && set.iter().all(is_ready)
     {
         state.roster.current = set.clone();
     }
     Some(with_next(&state, next))
 }
 
-/// Begins to empty a storage machine.
-pub fn retire(state: &ControlState, name: &str, least: usize) -> (Option<ControlState>, RetireVerdict) {
+/// Starts the retirement of the machine `name`, if at least `min_nodes` remain. Returns the state that does so, if any, and
+/// the progress.
+pub fn retire(state: &ControlState, name: &str, min_nodes: usize) -> (Option<ControlState>, RetireVerdict) {
     let roster = &state.roster;
-    let named = |store: &&StorageNode| store.name == name;
+    let has_name = |store: &&StorageNode| store.name == name;
     if roster.retiring.iter().any(|other| other == name) {
         return (None, retire_status(state, name));
     }
-    let marked = |mut state: ControlState| {
+    let mark_retiring = |mut state: ControlState| {
         state.roster.retiring.push(name.to_owned());
         (Some(state), RetireVerdict::Active)
     };
-    let Some(store) = proposed_nodes(roster).iter().find(named) else {
-        // It may be leaving already.
+    let Some(store) = proposed_nodes(roster).iter().find(has_name) else {
+        // It may be leaving by the change under way.
         return match roster.current.iter().any(|store| store.name == name) {
-            true => marked(state.clone()),
+            true => mark_retiring(state.clone()),
             false => (None, RetireVerdict::Unknown),
         };
     };
     let next: Vec<StorageNode> =
         proposed_nodes(roster).iter().filter(|store| store.name != name).cloned().collect();
-    let left = staying(roster, &next);
-    if left < least || roster.current.is_empty() {
-        return (None, RetireVerdict::TooFew { left });
+    let remaining = count_not_retiring(roster, &next);
+    if remaining < min_nodes || roster.current.is_empty() {
+        return (None, RetireVerdict::TooFew { remaining });
     }
     match would_abandon(roster, store) {
-        true => marked(state.clone()),
-        false => marked(with_next(state, next)),
+        true => mark_retiring(state.clone()),
+        false => mark_retiring(with_next(state, next)),
     }
 }
 
-/// How far a retire is.
+/// Progress of the retirement of the machine `name`.
 pub fn retire_status(state: &ControlState, name: &str) -> RetireVerdict {
     let roster = &state.roster;
-    let holds = |stores: &[StorageNode]| stores.iter().any(|store| store.name == name);
-    let counts = holds(&roster.current) || roster.next.as_deref().is_some_and(holds);
-    match (roster.retiring.iter().any(|other| other == name), counts) {
+    let contains = |stores: &[StorageNode]| stores.iter().any(|store| store.name == name);
+    let is_member = contains(&roster.current) || roster.next.as_deref().is_some_and(contains);
+    match (roster.retiring.iter().any(|other| other == name), is_member) {
         (true, true) => RetireVerdict::Active,
         (true, false) => RetireVerdict::Completed,
         (false, true) => RetireVerdict::Serving,
@@ -125,54 +133,56 @@
     }
 }
 
-/// A member of the next set is full; the last one makes that set current. `waived`: disks that are not waited for. The
-/// first set needs `least` machines.
+/// Records that the node with `disk` is in sync; the last one of the next set makes that set current.
+///
+/// Disks in `waived` are not waited for. The first set needs `min_nodes` nodes. Returns `None` if nothing changes or `epoch`
+/// is not the roster's.
 pub fn complete_backfill(
     state: &ControlState,
     disk: Option<u64>,
     epoch: u64,
     waived: &[u64],
-    least: usize,
+    min_nodes: usize,
 ) -> Option<ControlState> {
     let roster = &state.roster;
     let next = roster.next.clone().filter(|_| roster.epoch == epoch)?;
     let mut state = state.clone();
-    let new =
+    let newly_in_sync =
         disk.filter(|disk| next.iter().any(|store| store.disk == *disk) && !roster.in_sync.contains(disk));
-    state.roster.in_sync.extend(new);
-    let waits =
+    state.roster.in_sync.extend(newly_in_sync);
+    let is_incomplete =
         next.iter().any(|store| !state.roster.in_sync.contains(&store.disk) && !waived.contains(&store.disk));
-    let founds_too_early = roster.current.is_empty() && next.len() < least;
-    if waits || founds_too_early {
-        return new.map(|_| state);
+    let is_bootstrap_too_small = roster.current.is_empty() && next.len() < min_nodes;
+    if is_incomplete || is_bootstrap_too_small {
+        return newly_in_sync.map(|_| state);
     }
     state.roster.epoch += 1;
     state.roster.current = next;
     state.roster.next = None;
     state.roster.in_sync.clear();
-    // Who was to be emptied while this change was under way leaves by the next one.
+    // Nodes whose retirement was requested during this change leave by the next one.
     let roster = &mut state.roster;
-    let stays = |store: &&StorageNode| !roster.retiring.contains(&store.name);
-    let left: Vec<StorageNode> = roster.current.iter().filter(stays).cloned().collect();
-    if left.len() < roster.current.len() && left.len() >= least {
-        roster.next = Some(left);
+    let is_staying = |store: &&StorageNode| !roster.retiring.contains(&store.name);
+    let remaining: Vec<StorageNode> = roster.current.iter().filter(is_staying).cloned().collect();
+    if remaining.len() < roster.current.len() && remaining.len() >= min_nodes {
+        roster.next = Some(remaining);
     }
     Some(state)
 }
 
-/// Goes on without a member of the proposed set that is gone, if this is still the roster's epoch and at least `fewest`
-/// are left.
+/// Removes a node from the proposed set, if `epoch` is still the roster's and at least `min_remaining` nodes remain that are
+/// not being retired.
 pub fn remove_node(
     state: &ControlState,
-    gone: &StorageNode,
+    removed: &StorageNode,
     epoch: u64,
-    fewest: usize,
+    min_remaining: usize,
 ) -> Option<ControlState> {
     let roster = &state.roster;
     let former = proposed_nodes(roster);
-    if roster.epoch != epoch || !former.contains(gone) || would_abandon(roster, gone) {
+    if roster.epoch != epoch || !former.contains(removed) || would_abandon(roster, removed) {
         return None;
     }
-    let left: Vec<StorageNode> = former.iter().filter(|store| *store != gone).cloned().collect();
-    (staying(roster, &left) >= fewest.max(1)).then(|| with_next(state, left))
+    let remaining: Vec<StorageNode> = former.iter().filter(|store| *store != removed).cloned().collect();
+    (count_not_retiring(roster, &remaining) >= min_remaining.max(1)).then(|| with_next(state, remaining))
 }
--- /dev/null
+++ b/system/controllers/src/roster_step.rs
@@ -0,0 +1,38 @@
+//! The changes of the roster that the storage controller decides on.
+
+use crate::roster::{complete_backfill, remove_node};
+use fleet_model::{ControlState, StorageNode};
+
+/// The next change that the holder of the storage controller's lease makes to the roster.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RosterStep {
+    /// Change nothing.
+    NoChange,
+    /// Remove an unresponsive node, by [`remove_node`](crate::remove_node).
+    RemoveNode {
+        /// The node.
+        store: StorageNode,
+        /// For how many milliseconds it has been unresponsive.
+        unresponsive_ms: u64,
+        /// Number of nodes that have to remain.
+        min_remaining: usize,
+    },
+    /// Complete the backfill without waiting for these disks, by [`complete_backfill`](crate::complete_backfill).
+    WaiveBackfill(Vec<u64>),
+    /// Bootstrap the fleet with the nodes that have joined, although its tolerance needs more.
+    Bootstrap,
+}
+
+impl RosterStep {
+    /// The state after the step; `None` if the step changes nothing or `epoch` is no longer the roster's.
+    ///
+    /// `min_nodes` is the number of nodes with which a fleet is bootstrapped at once.
+    pub fn apply_to(&self, state: &ControlState, epoch: u64, min_nodes: usize) -> Option<ControlState> {
+        match self {
+            Self::NoChange => None,
+            Self::RemoveNode { store, min_remaining, .. } => remove_node(state, store, epoch, *min_remaining),
+            Self::WaiveBackfill(waived) => complete_backfill(state, None, epoch, waived, min_nodes),
+            Self::Bootstrap => complete_backfill(state, None, epoch, &[], 1),
+        }
+    }
+}
--- a/system/controllers/src/times.rs
+++ b/system/controllers/src/times.rs
@@ -1,53 +1,53 @@
-//! All times of the duties, in milliseconds, and the counts that go with them.
+//! Intervals and time-outs of the controllers, in milliseconds, and the counts that go with them.
 
-/// Between two readings of the list.
+/// Interval between two polls of the platform's endpoint list.
 pub const POLL_INTERVAL_MS: u64 = 1_000;
-/// A reading that took longer is not taken: its asker may have slept over it.
+/// A poll that took longer than this is discarded: its caller may have been suspended meanwhile.
 pub const MAX_POLL_DURATION_MS: u64 = 3_000;
-/// An empty list counts only after so long.
+/// An empty endpoint list is accepted only after polls have returned nothing else for this time.
 pub const EMPTY_LIST_CONFIRMATION_MS: u64 = 5_000;
-/// Empty answers that are further apart than this begin anew.
+/// Empty results that are further apart than this start a new series.
 pub const MAX_EMPTY_POLL_GAP_MS: u64 = 2_500;
 
-/// A holder that did not answer for so long loses its duty.
+/// A lease holder that has not responded for this time loses its lease.
 pub const LEASE_HOLDER_TIMEOUT_MS: u64 = 1_200;
-/// Each better-ranked live voter has so long to take a vacant duty first.
+/// Delay before acquiring a vacant lease, for each live voter of a higher rank.
 pub const LEASE_RANK_DELAY_MS: u64 = 1_000;
-/// A voter that did not answer for so long is removed, where enough are left.
+/// A voter that has not responded for this time is removed, if enough voters remain.
 pub const VOTER_TIMEOUT_MS: u64 = 5_000;
-/// And after this, once another joined that may replace it.
+/// The same once another control node has joined that may replace it.
 pub const REPLACED_VOTER_TIMEOUT_MS: u64 = 2_000;
-/// The smallest set of voters that removal leaves.
+/// Number of voters below which none is removed.
 pub const MIN_VOTERS: usize = 3;
-/// A keeper that asked nobody for so long slept: nobody's silence counts for that time.
+/// A control node that has sent no request for longer than this was suspended: nobody's silence counts for that time.
 pub const MAX_REQUEST_GAP_MS: u64 = 900;
 
-/// Between two looks at the storage machines.
+/// Interval between two probe rounds of the storage nodes.
 pub const PROBE_INTERVAL_MS: u64 = 1_000;
-/// The same while one of them is silent.
+/// The same while a storage node is unresponsive.
 pub const PROBE_RETRY_INTERVAL_MS: u64 = 250;
-/// After looks further apart than this, silence is counted anew.
+/// After probe rounds that are further apart than this, missed probes are counted anew.
 pub const MAX_PROBE_GAP_MS: u64 = 2_200;
-/// So many looks in a row have to be missed before silence counts.
+/// Number of consecutive probes that a storage node has to miss to count as unresponsive.
 pub const MIN_MISSED_PROBES: u32 = 2;
-/// A storage machine that did not answer for so long is replaced by one that joined meanwhile.
+/// Time after which an unresponsive storage node is removed if another one has joined that may replace it.
 pub const REPLACED_STORAGE_TIMEOUT_MS: u64 = 1_500;
-/// And is given up without one after this, where enough are left.
+/// Time after which an unresponsive storage node is removed without a replacement, if enough nodes remain.
 pub const STORAGE_TIMEOUT_MS: u64 = 10_000;
-/// The same for a keeper that has not been there long enough to know who came lately.
+/// The same for a control node that has not run long enough to know which storage nodes joined recently.
 pub const STORAGE_TIMEOUT_AFTER_START_MS: u64 = 5_000;
-/// A newcomer counts as a replacement for so long.
+/// Time for which a node that joined counts as a replacement of one that left, and the reverse.
 pub const REPLACEMENT_WINDOW_MS: u64 = 30_000;
-/// With fewer machines than the tolerance asks for, a fleet is founded so long after the first one joined.
+/// A fleet with fewer storage nodes than its tolerance needs is bootstrapped this long after the first one joined.
 pub const BOOTSTRAP_WAIT_MS: u64 = 3_000;
-/// Where fewer machines than the tolerance asks for are left, one without which nothing can be written is given up after
-/// it did not answer for so long.
+/// Time after which an unresponsive storage node is removed if nothing can be written without it and the roster has fewer
+/// nodes than its tolerance needs.
 pub const BLOCKING_STORAGE_TIMEOUT_MS: u64 = 2_000;
-/// Who comes within this time of the founding replaces nobody.
+/// A node that joins within this time of the bootstrap replaces none.
 pub const BOOTSTRAP_SETTLE_MS: u64 = 3_000;
-/// A member of the next set that does not answer is not waited for after this.
+/// An unresponsive node of the next set is not waited for after this time.
 pub const BACKFILL_MEMBER_TIMEOUT_MS: u64 = 1_500;
-/// A filling that has gone on for so long is let come to its end before another member is given up.
+/// Age from which a backfill is allowed to complete before another node is removed.
 pub const MIN_BACKFILL_PROTECTED_MS: u64 = 1_000;
-/// But only for so long in all.
+/// Age from which a backfill no longer delays the removal of a node.
 pub const MAX_BACKFILL_PROTECTED_MS: u64 = 3_000;
--- a/system/controllers/tests/duties/changes.rs
+++ b/system/controllers/tests/duties/changes.rs
@@ -127,7 +127,7 @@
 
 #[gtest]
 fn nobody_is_retired_before_the_founding() -> Result<()> {
-    expect_that!(retire(&gathered(4)?, "s4", LEAST), eq(&(None, RetireVerdict::TooFew { left: 3 })));
+    expect_that!(retire(&gathered(4)?, "s4", LEAST), eq(&(None, RetireVerdict::TooFew { remaining: 3 })));
     Ok(())
 }
 
@@ -291,7 +291,7 @@
 #[gtest]
 fn a_retire_that_would_leave_too_few_or_names_nobody_changes_nothing() {
     let state = founded(&["a", "b", "c"]);
-    expect_that!(retire(&state, "c", LEAST), eq(&(None, RetireVerdict::TooFew { left: 2 })));
+    expect_that!(retire(&state, "c", LEAST), eq(&(None, RetireVerdict::TooFew { remaining: 2 })));
     expect_that!(retire(&state, "z", LEAST), eq(&(None, RetireVerdict::Unknown)));
     expect_that!(retire_status(&state, "z"), eq(RetireVerdict::Unknown));
 }
--- a/system/controllers/tests/duties/fleet.rs
+++ b/system/controllers/tests/duties/fleet.rs
@@ -2,8 +2,8 @@
 //! machines that join, fill and tell. Its clock goes in ticks; the history is all that the checks look at.
 
 use controllers::{
-    DiscoveryPolls, LeaseCandidate, RosterStep, StorageController, VoterController, complete_backfill,
-    holds_lease, join, proposed_nodes, retire, times,
+    DiscoveryPolls, LeaseCandidate, RosterStep, StorageController, UnresponsiveVoter, VoterController,
+    complete_backfill, holds_lease, join, proposed_nodes, retire, times,
 };
 use fleet_model::{ControlState, EndpointList, ListVersion, QuorumSizes, Roster, StorageNode};
 use rand_chacha::ChaCha8Rng;
@@ -424,7 +424,7 @@
                 };
             }
         }
-        if let (Some(fence), None, Some((gone, _))) =
+        if let (Some(fence), None, Some(UnresponsiveVoter { ip: gone, .. })) =
             (holds, &keeper.pending, keeper.core.voter_to_remove(now, &keeper.voters))
         {
             keeper.pending = Some(Pending::Remove(gone, fence));
--- a/system/controllers/tests/duties/watches.rs
+++ b/system/controllers/tests/duties/watches.rs
@@ -1,8 +1,8 @@
 //! What one keeper knows and claims.
 
 use controllers::{
-    DiscoveryPolls, LeaseCandidate, LossTolerance, RosterStep, StorageController, VoterController,
-    holds_lease, join, times,
+    DiscoveryPolls, LeaseCandidate, LossTolerance, RosterStep, StorageController, UnresponsiveVoter,
+    VoterController, holds_lease, join, times,
 };
 use fleet_model::{
     ControlState, Endpoint, EndpointList, EndpointState, Lease, ListVersion, StorageNode, rendezvous_rank,
@@ -160,7 +160,7 @@
         [C, D].iter().for_each(|ip| core.record_response(now, *ip));
         now += 250;
     }
-    expect_that!(core.voter_to_remove(now, &[A, B, C, D]), some((eq(B), anything())));
+    expect_that!(core.voter_to_remove(now, &[A, B, C, D]), some(field!(UnresponsiveVoter.ip, eq(B))));
 }
 
 #[gtest]
@@ -196,7 +196,7 @@
     core.observe(21_500, &voters);
     let now = run(&mut core, 20_000 + times::REPLACED_VOTER_TIMEOUT_MS + 250, &[B, D]);
     // then C is removed
-    expect_that!(core.voter_to_remove(now, &voters), some((eq(C), anything())));
+    expect_that!(core.voter_to_remove(now, &voters), some(field!(UnresponsiveVoter.ip, eq(C))));
     expect_that!(VoterController::without_voter(&voters, C), some(eq(&vec![A, B, D])));
     // and of three voters none is
     core.observe(now, &[A, B, D]);
--- a/system/programs/src/keeper/orders.rs
+++ b/system/programs/src/keeper/orders.rs
@@ -56,7 +56,7 @@
         RetireVerdict::Completed => state("completed"),
         RetireVerdict::Serving => state("serving"),
         RetireVerdict::Unknown => Reply::new(StatusCode::NOT_FOUND, r#"{"error":"no such storage machine"}"#),
-        RetireVerdict::TooFew { left } => {
+        RetireVerdict::TooFew { remaining: left } => {
             let body = format!(r#"{{"error":"too few would be left","left":{left},"least":{least}}}"#);
             Reply::new(StatusCode::CONFLICT, body)
         }
--- a/system/turn-store/tests/changes/losses.rs
+++ b/system/turn-store/tests/changes/losses.rs
@@ -211,7 +211,7 @@
 #[test]
 fn a_retire_that_would_leave_too_few_is_refused_and_the_machine_stays() {
     let mut fleet = Fleet::new(1, 3, 1, Mutation::None);
-    assert_eq!(fleet.retire("s1"), RetireVerdict::TooFew { left: 2 });
+    assert_eq!(fleet.retire("s1"), RetireVerdict::TooFew { remaining: 2 });
     write(&mut fleet, "after");
     assert_eq!(fleet.turns.len(), 4);
 }
