--- a/system/programs/src/proxy.rs
+++ b/system/programs/src/proxy.rs
@@ -7,7 +7,7 @@
 use fleet_model::{Answer, Call, ListVersion};
 use operator_config::OperatorConfig;
 use peer_wire::{Handler, PeerServer, Pusher};
-use request_forwarding::{Forwarder, Knowledge, Stage, serve_readiness};
+use request_forwarding::{Forwarder, ShutdownPhase, SystemState, serve_readiness};
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
@@ -38,7 +38,7 @@
         let proxies = if known == 0 { UNTOLD_PROXIES } else { known };
         let config = last.borrow().1.clone();
         let complete = config.is_some() && list.as_ref().is_some_and(|list| !list.endpoints.is_empty());
-        forwarder.learn(Knowledge { config, list, proxies });
+        forwarder.update(SystemState { config, list, proxies });
         // What is there was confirmed since this process began: nothing is kept from an earlier life.
         if complete && feed.fresh_at().is_some() && !ready.replace(true) {
             log::info!("ready with configuration {version}");
@@ -61,7 +61,7 @@
             "endpoints" => self.desk.view(answers::endpoints(&self.forwarder.endpoints())),
             _ => self.desk.answer(&topic, |figures| {
                 // One figure a line; what is open or waits now is no counter.
-                for (name, value) in request_figures(&self.forwarder.figures().to_string()) {
+                for (name, value) in request_figures(&self.forwarder.metrics().to_string()) {
                     match name.as_str() {
                         "clients" | "waiting" => {
                             figures.gauge(&format!("request_proxy_{name}"), value as f64)
@@ -112,7 +112,7 @@
         settings.limits.max_file_descriptors,
     );
     let ready = Rc::new(Cell::new(false));
-    let (stage, stages) = watch::channel(Stage::Serving);
+    let (stage, stages) = watch::channel(ShutdownPhase::Serving);
     let readiness = listen(readiness).await?;
     let clients = listen(front).await?;
     {
@@ -128,13 +128,13 @@
     let serving = spawn_local(forwarder.clone().serve(clients, stages));
     ended(&process).await;
     log::info!("ending");
-    stage.send_replace(Stage::Draining);
+    stage.send_replace(ShutdownPhase::Draining);
     // The platform goes on sending new connections until it has missed two answers of readiness.
     let grace = Duration::from_secs_f64(settings.bounds.grace_period_s.max(1.0));
     sleep(Duration::from_millis(2_600).min(grace / 2)).await;
-    stage.send_replace(Stage::Closing);
+    stage.send_replace(ShutdownPhase::Closing);
     let _ = timeout(grace.mul_f64(0.95).saturating_sub(Duration::from_millis(2_900).min(grace / 2)), serving)
         .await;
-    log::info!("{}", forwarder.figures());
+    log::info!("{}", forwarder.metrics());
     Ok(())
 }
--- a/system/programs/src/staff/answers.rs
+++ b/system/programs/src/staff/answers.rs
@@ -7,7 +7,7 @@
 use crate::start::Process;
 use fleet_membership::{MemberState, Role};
 use fleet_model::{Answer, Reservation, Turn};
-use request_routing::{EndpointView, Unused};
+use request_routing::{EndpointView, UnavailableReason};
 use serde_json::{Value, json};
 use std::rc::Rc;
 
@@ -139,22 +139,22 @@
     let told = views.iter().map(|view| {
         json!({
             "instance_id": &*view.instance_id, "service": view.service, "address": view.address, "zone": view.zone,
-            "out": view.out, "connections": view.connections, "slots": view.slots, "told": view.reported_load,
-            "unused": view.unused.as_ref().map(why),
+            "out": view.in_flight, "connections": view.connections, "slots": view.slots, "told": view.reported_load,
+            "unused": view.unavailable.as_ref().map(why),
         })
     });
     json!({ "endpoints": told.collect::<Vec<_>>() })
 }
 
-fn why(unused: &Unused) -> &'static str {
+fn why(unused: &UnavailableReason) -> &'static str {
     match unused {
-        Unused::Draining => "draining",
-        Unused::Unlisted => "unlisted",
-        Unused::Misdirected => "misdirected",
-        Unused::Ejected { .. } => "ejected",
-        Unused::OnTrial => "on trial",
-        Unused::Closed { .. } => "closed: refused as full",
-        Unused::Full => "full",
+        UnavailableReason::Draining => "draining",
+        UnavailableReason::Unlisted => "unlisted",
+        UnavailableReason::Misdirected => "misdirected",
+        UnavailableReason::Ejected { .. } => "ejected",
+        UnavailableReason::Probing => "on trial",
+        UnavailableReason::BackingOff { .. } => "closed: refused as full",
+        UnavailableReason::AtCapacity => "full",
     }
 }
 
--- a/system/programs/src/turns.rs
+++ b/system/programs/src/turns.rs
@@ -7,7 +7,7 @@
 use fleet_model::{Answer, Call, Reservation, StorageNode, Turn, rendezvous_rank};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use peer_wire::{CallFailure, PeerClient};
-use request_forwarding::{Chain, NewTurn, Reserve, TurnKeeping};
+use request_forwarding::{ChainLookup, CompletedTurn, ReserveOutcome, TurnStorage};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -158,7 +158,12 @@
         }
     }
 
-    async fn reserve_round(&self, program: &str, reservation: Reservation, budget: u32) -> Round<Reserve> {
+    async fn reserve_round(
+        &self,
+        program: &str,
+        reservation: Reservation,
+        budget: u32,
+    ) -> Round<ReserveOutcome> {
         let state = self.feed.state();
         let roster = &state.roster;
         let Some(holders) = AccountHolders::of(roster, program, self.losses()) else { return Round::Again };
@@ -187,7 +192,11 @@
             }
         };
         let sum: u64 = account.values().map(|tokens| u64::from(*tokens)).sum();
-        Round::Done(if sum <= u64::from(budget) { Reserve::Granted } else { Reserve::Spent })
+        Round::Done(if sum <= u64::from(budget) {
+            ReserveOutcome::Granted
+        } else {
+            ReserveOutcome::BudgetExhausted
+        })
     }
 
     /// Calls all holders and waits for a quorum of the current ones and of the next ones; what the current ones know
@@ -256,7 +265,7 @@
         }
     }
 
-    async fn keep_round(&self, turn: &NewTurn) -> Round<()> {
+    async fn keep_round(&self, turn: &CompletedTurn) -> Round<()> {
         let state = self.feed.state();
         let roster = &state.roster;
         let zone = self.process.settings().zone.clone();
@@ -334,11 +343,11 @@
 /// What a proxy's forwarder holds of the storage machines.
 pub struct Turns(pub Rc<TurnClient>);
 
-impl TurnKeeping for Turns {
-    async fn reserve(&self, program: &str, attempt: &str, most: u32, budget: u32) -> Reserve {
+impl TurnStorage for Turns {
+    async fn reserve(&self, program: &str, attempt: &str, most: u32, budget: u32) -> ReserveOutcome {
         let round = async || self.0.reserve_round(program, reservation(attempt, most), budget).await;
-        let reserved = self.0.rounds(TRY_FOR, round).await.unwrap_or(Reserve::Unavailable);
-        if matches!(reserved, Reserve::Spent) {
+        let reserved = self.0.rounds(TRY_FOR, round).await.unwrap_or(ReserveOutcome::Unavailable);
+        if matches!(reserved, ReserveOutcome::BudgetExhausted) {
             // Whatever was written of it stands for nothing; the forwarder says so of the other ends itself.
             self.settle(program, attempt, 0);
         }
@@ -351,7 +360,7 @@
         tokio::task::spawn_local(async move { client.settle_everywhere(&program, reservation).await });
     }
 
-    async fn chain(&self, previous: &str) -> Chain {
+    async fn chain(&self, previous: &str) -> ChainLookup {
         let mut pieces: Vec<Bytes> = Vec::new();
         let mut wanted = previous.to_owned();
         loop {
@@ -370,8 +379,8 @@
                         None => break,
                     }
                 }
-                Some(Found::Nowhere) if pieces.is_empty() => return Chain::NoSuchTurn,
-                _ => return Chain::Unavailable,
+                Some(Found::Nowhere) if pieces.is_empty() => return ChainLookup::NotFound,
+                _ => return ChainLookup::Unavailable,
             }
         }
         let whole = match pieces.as_slice() {
@@ -383,10 +392,10 @@
             }
         };
         self.0.cache.borrow_mut().put(previous, whole.clone());
-        Chain::Text(whole)
+        ChainLookup::Text(whole)
     }
 
-    async fn keep(&self, turn: NewTurn) -> bool {
+    async fn store_turn(&self, turn: CompletedTurn) -> bool {
         let kept = self.0.rounds(KEEP_FOR, async || self.0.keep_round(&turn).await).await.is_some();
         more(if kept { &self.0.figures.kept } else { &self.0.figures.not_kept });
         if kept {
--- a/system/programs/tests/loopback/turns.rs
+++ b/system/programs/tests/loopback/turns.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use fleet_model::ControlState;
 use googletest::prelude::*;
-use request_forwarding::{Chain, NewTurn, Reserve, TurnKeeping};
+use request_forwarding::{ChainLookup, CompletedTurn, ReserveOutcome, TurnStorage};
 use std::net::Ipv4Addr;
 use system_programs::feed::new_feed;
 use system_programs::turns::{TurnClient, Turns};
@@ -34,8 +34,8 @@
     Turns(TurnClient::new(process, feed))
 }
 
-fn turn(attempt: &str, previous: Option<&str>) -> NewTurn {
-    NewTurn {
+fn turn(attempt: &str, previous: Option<&str>) -> CompletedTurn {
+    CompletedTurn {
         attempt: attempt.into(),
         previous: previous.map(Into::into),
         program: PROGRAM.into(),
@@ -47,29 +47,29 @@
 }
 
 /// Reserves; 503 is an answer that may be given at any time, and is asked again after.
-async fn reserve(proxy: &Turns, program: &str, attempt: &str, most: u32, budget: u32) -> Reserve {
+async fn reserve(proxy: &Turns, program: &str, attempt: &str, most: u32, budget: u32) -> ReserveOutcome {
     for _ in 0..MOST_TRIES {
         match proxy.reserve(program, attempt, most, budget).await {
-            Reserve::Unavailable => {}
+            ReserveOutcome::Unavailable => {}
             reserved => return reserved,
         }
     }
-    Reserve::Unavailable
+    ReserveOutcome::Unavailable
 }
 
 /// The turns up to this one, asked for in the same way.
-async fn chain(proxy: &Turns, attempt: &str) -> Chain {
+async fn chain(proxy: &Turns, attempt: &str) -> ChainLookup {
     for _ in 0..MOST_TRIES {
         match proxy.chain(attempt).await {
-            Chain::Unavailable => {}
+            ChainLookup::Unavailable => {}
             chain => return chain,
         }
     }
-    Chain::Unavailable
+    ChainLookup::Unavailable
 }
 
-fn is_text(chain: &Chain, expected: &str) -> bool {
-    matches!(chain, Chain::Text(text) if text == expected)
+fn is_text(chain: &ChainLookup, expected: &str) -> bool {
+    matches!(chain, ChainLookup::Text(text) if text == expected)
 }
 
 #[gtest]
@@ -87,7 +87,7 @@
                 expect_true!(is_text(&chain(proxy, previous).await, &expected), "before turn {place}");
             }
             let attempt = format!("t{place}");
-            expect_true!(proxy.keep(turn(&attempt, previous.as_deref())).await);
+            expect_true!(proxy.store_turn(turn(&attempt, previous.as_deref())).await);
             expected += &format!("in-{attempt};out-{attempt};");
             previous = Some(attempt);
         }
@@ -115,23 +115,29 @@
         // Given a program that has used its budget up, and was told so.
         let (mut storage, port) = storage().await;
         let first = proxy("a", &storage, port);
-        expect_that!(reserve(&first, PROGRAM, "t1", 90, BUDGET).await, eq(Reserve::Granted));
-        expect_that!(reserve(&first, PROGRAM, "t2", 10, BUDGET).await, eq(Reserve::Granted));
-        expect_that!(reserve(&first, PROGRAM, "t3", 1, BUDGET).await, eq(Reserve::Spent));
+        expect_that!(reserve(&first, PROGRAM, "t1", 90, BUDGET).await, eq(ReserveOutcome::Granted));
+        expect_that!(reserve(&first, PROGRAM, "t2", 10, BUDGET).await, eq(ReserveOutcome::Granted));
+        expect_that!(reserve(&first, PROGRAM, "t3", 1, BUDGET).await, eq(ReserveOutcome::BudgetExhausted));
         // When it comes back, by any zone, again and again, before and after all storage machines restarted,
         for round in 0..3 {
             for zone in ZONES {
                 let later = proxy(zone, &storage, port);
                 let attempt = format!("later-{round}-{zone}");
                 // then it is told so each time, and what was refused does not count:
-                expect_that!(reserve(&later, PROGRAM, &attempt, 1, BUDGET).await, eq(Reserve::Spent));
+                expect_that!(
+                    reserve(&later, PROGRAM, &attempt, 1, BUDGET).await,
+                    eq(ReserveOutcome::BudgetExhausted)
+                );
                 // another program is not.
-                expect_that!(reserve(&later, "other", &attempt, 1, BUDGET).await, eq(Reserve::Granted));
+                expect_that!(
+                    reserve(&later, "other", &attempt, 1, BUDGET).await,
+                    eq(ReserveOutcome::Granted)
+                );
             }
             storage.restart_all().await;
         }
         // A budget that was raised lets it go on with exactly what is above what it used.
         let last = proxy("c", &storage, port);
-        expect_that!(reserve(&last, PROGRAM, "t4", 5, BUDGET + 5).await, eq(Reserve::Granted));
+        expect_that!(reserve(&last, PROGRAM, "t4", 5, BUDGET + 5).await, eq(ReserveOutcome::Granted));
     });
 }
--- a/system/request-forwarding/src/answer_pump.rs
+++ b/system/request-forwarding/src/answer_pump.rs
@@ -6,7 +6,7 @@
 use crate::headers::{LAST_EVENT_ID, is_event_stream};
 use crate::pool::{CallOut, Core, Line};
 use crate::turn_under_way::Turn;
-use crate::turns::TurnKeeping;
+use crate::turns::TurnStorage;
 use crate::whole_events::WholeEvents;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -38,7 +38,7 @@
 }
 
 /// Carries an answer from the endpoint to the client.
-pub(crate) struct Pump<T: TurnKeeping> {
+pub(crate) struct Pump<T: TurnStorage> {
     pub(crate) core: Rc<Core>,
     pub(crate) turns: Rc<T>,
     pub(crate) headers: HeaderMap,
@@ -48,7 +48,7 @@
     pub(crate) resumption: Option<Resumption>,
 }
 
-impl<T: TurnKeeping> Pump<T> {
+impl<T: TurnStorage> Pump<T> {
     pub(crate) async fn run(
         mut self,
         answer: Upstream,
@@ -57,9 +57,9 @@
         turn: Turn<T>,
     ) {
         let whole = self.carry(answer, first, &pieces, turn).await;
-        self.core.count(|figures| match whole {
-            true => figures.streams_ended += 1,
-            false => figures.streams_broken += 1,
+        self.core.count(|metrics| match whole {
+            true => metrics.streams_ended += 1,
+            false => metrics.streams_broken += 1,
         });
     }
 
@@ -71,7 +71,7 @@
         pieces: &mpsc::Sender<Piece>,
         mut turn: Turn<T>,
     ) -> bool {
-        let mut scan = EventScan::new(turn.keeping.is_some());
+        let mut scan = EventScan::new(turn.to_store.is_some());
         loop {
             let read = match first.take() {
                 Some(data) => Ok(Some(data)),
@@ -184,7 +184,7 @@
             call.end(Outcome::Failure);
             return None;
         }
-        self.core.count(|figures| figures.streams_resumed += 1);
+        self.core.count(|metrics| metrics.streams_resumed += 1);
         let (head, body) = response.into_parts();
         self.headers = head.headers;
         Some(Upstream { body, line, call })
@@ -192,20 +192,20 @@
 
     /// Keeps the turn, if it is to be kept, and ends the answer.
     async fn end(&self, scan: EventScan, mut turn: Turn<T>, pieces: &mpsc::Sender<Piece>) -> bool {
-        if let Some(mut kept) = turn.keeping.take() {
+        if let Some(mut kept) = turn.to_store.take() {
             if !scan.between_events() {
                 return false;
             }
             kept.tokens = scan.handed().saturating_mul(turn.tokens_per_event);
             kept.output = scan.into_output().into();
-            let keep = timeout_at(self.end, self.turns.keep(kept));
+            let keep = timeout_at(self.end, self.turns.store_turn(kept));
             let is_kept = tokio::select! {
                 biased;
                 kept = keep => kept.unwrap_or(false),
                 () = pieces.closed() => return false,
             };
             if !is_kept {
-                self.core.count(|figures| figures.turns_unkept += 1);
+                self.core.count(|metrics| metrics.turns_unkept += 1);
                 return false;
             }
             turn.forget_reservation();
--- a/system/request-forwarding/src/attempt.rs
+++ b/system/request-forwarding/src/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Response, StatusCode};
 use message_sender::Span;
 use message_sender::net::connection::CallError;
-use request_routing::{SendEnd, ServerLoad, Target, Tried};
+use request_routing::{AttemptHistory, SendOutcome, ServerLoad, Target};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
@@ -27,7 +27,7 @@
     /// No connection is free, and none may be opened.
     NoConnection,
     /// It ended without an answer to pass on.
-    Ended(SendEnd),
+    Ended(SendOutcome),
     /// The head of an answer that belongs to the request.
     Answer(Response<Incoming>, Line),
 }
@@ -38,18 +38,18 @@
         self: &Rc<Self>,
         outgoing: &Outgoing,
         target: &Target,
-        tried: &Tried,
+        history: &AttemptHistory,
         call: &mut CallOut,
         sends: &mut u32,
     ) -> Attempt {
         let core = self;
-        let ask = call.ask().clone();
-        let patience = core.router.borrow().try_timeout(core.now(), &ask, tried);
+        let routing_request = call.routing_request().clone();
+        let patience = core.router.borrow().try_timeout(core.now(), &routing_request, history);
         let whole = outgoing.deadline + GRACE;
         let end =
             patience.map_or(whole, |Span(micros)| whole.min(Instant::now() + Duration::from_micros(micros)));
         let (line, response) = loop {
-            let mut line = match core.idle_line(target, &ask.service, outgoing.number) {
+            let mut line = match core.idle_line(target, &routing_request.service, outgoing.number) {
                 Some(line) => line,
                 None if !target.may_open => return Attempt::NoConnection,
                 None => {
@@ -58,11 +58,11 @@
                     match core.open_line(target, patience, outgoing.number).await {
                         // The process may have stood still meanwhile.
                         Ok(_) if Instant::now() >= outgoing.deadline => {
-                            return Attempt::Ended(SendEnd::HeadUnwritten);
+                            return Attempt::Ended(SendOutcome::HeadUnwritten);
                         }
                         Ok(line) => line,
-                        Err(CallError::Connect(_)) => return Attempt::Ended(SendEnd::NotConnected),
-                        Err(_) => return Attempt::Ended(SendEnd::HeadUnwritten),
+                        Err(CallError::Connect(_)) => return Attempt::Ended(SendOutcome::ConnectFailed),
+                        Err(_) => return Attempt::Ended(SendOutcome::HeadUnwritten),
                     }
                 }
             };
@@ -71,32 +71,32 @@
             match timeout_at(end, send).await {
                 Ok(Ok(response)) => break (line, response),
                 Ok(Err(CallError::Stale(_))) => {}
-                Ok(Err(CallError::Connect(_))) => return Attempt::Ended(SendEnd::NotConnected),
+                Ok(Err(CallError::Connect(_))) => return Attempt::Ended(SendOutcome::ConnectFailed),
                 Ok(Err(CallError::Unsent(_) | CallError::Reset(_))) => {
-                    let end = SendEnd::broken(line.connection.head_written());
-                    if end == SendEnd::Broken {
-                        core.learn_idle(&ask.service, &line, true);
+                    let end = SendOutcome::connection_lost(line.connection.head_written());
+                    if end == SendOutcome::ConnectionLost {
+                        core.learn_idle(&routing_request.service, &line, true);
                         self.count_send(sends);
                     }
                     return Attempt::Ended(end);
                 }
                 Err(_) => {
-                    let end = SendEnd::silent(line.connection.head_written());
-                    if end == SendEnd::Silent {
+                    let end = SendOutcome::timed_out(line.connection.head_written());
+                    if end == SendOutcome::TimedOut {
                         self.count_send(sends);
                     }
                     return Attempt::Ended(end);
                 }
             }
         };
-        core.learn_idle(&ask.service, &line, false);
+        core.learn_idle(&routing_request.service, &line, false);
         self.count_send(sends);
         let head = response.headers();
         let status = response.status();
         if headers::single(head, &ATTEMPT_ID) != Some(&outgoing.attempt) {
             // An answer that belongs to another request: whatever became of this one, the connection is no good.
-            core.count(|figures| figures.unusable += 1);
-            return Attempt::Ended(SendEnd::Unusable);
+            core.count(|metrics| metrics.unusable += 1);
+            return Attempt::Ended(SendOutcome::Unusable);
         }
         call.answered(server_load(head));
         if status == StatusCode::MISDIRECTED_REQUEST || head.contains_key(NOT_EXECUTED) {
@@ -109,10 +109,10 @@
             return match status {
                 // The weights that the client wants may be another version: that is no other incarnation.
                 StatusCode::MISDIRECTED_REQUEST if outgoing.headers.contains_key(EXPECT_VERSION) => {
-                    Attempt::Ended(SendEnd::Declined(wait))
+                    Attempt::Ended(SendOutcome::Declined(wait))
                 }
-                StatusCode::MISDIRECTED_REQUEST => Attempt::Ended(SendEnd::Misdirected),
-                _ => Attempt::Ended(SendEnd::Declined(wait)),
+                StatusCode::MISDIRECTED_REQUEST => Attempt::Ended(SendOutcome::Misdirected),
+                _ => Attempt::Ended(SendOutcome::Declined(wait)),
             };
         }
         let framed = outgoing.method == Method::HEAD
@@ -121,17 +121,17 @@
             || head.contains_key(TRANSFER_ENCODING);
         if !framed || status.is_success() && !head.contains_key(SERVER_SEAL) {
             // It cannot be known to be whole, or is no answer of an endpoint.
-            core.count(|figures| figures.unusable += 1);
-            return Attempt::Ended(SendEnd::Unusable);
+            core.count(|metrics| metrics.unusable += 1);
+            return Attempt::Ended(SendOutcome::Unusable);
         }
         Attempt::Answer(response, line)
     }
 
     fn count_send(&self, sends: &mut u32) {
         *sends += 1;
-        self.count(|figures| {
-            figures.sends += 1;
-            figures.repeats += u64::from(*sends > 1);
+        self.count(|metrics| {
+            metrics.sends += 1;
+            metrics.repeats += u64::from(*sends > 1);
         });
     }
 }
--- a/system/request-forwarding/src/body_reading.rs
+++ b/system/request-forwarding/src/body_reading.rs
@@ -1,6 +1,6 @@
 //! Bodies that are read whole, of requests and of answers.
 
-use crate::own_answer::Own;
+use crate::own_answer::LocalResponse;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::StatusCode;
@@ -11,15 +11,19 @@
 const MOST_UNTOLD: usize = 8 * 1024 * 1024;
 
 /// A request's body, up to so many bytes and until then.
-pub(crate) async fn read_body(mut body: Incoming, most: usize, until: Instant) -> Result<Bytes, Own> {
-    let too_large = || Own::closing(StatusCode::PAYLOAD_TOO_LARGE);
+pub(crate) async fn read_body(
+    mut body: Incoming,
+    most: usize,
+    until: Instant,
+) -> Result<Bytes, LocalResponse> {
+    let too_large = || LocalResponse::closing(StatusCode::PAYLOAD_TOO_LARGE);
     if body.size_hint().lower() > most as u64 {
         return Err(too_large());
     }
     let read = async {
         let mut pieces = Pieces::default();
         while let Some(frame) = body.frame().await {
-            let Ok(frame) = frame else { return Err(Own::closing(StatusCode::BAD_REQUEST)) };
+            let Ok(frame) = frame else { return Err(LocalResponse::closing(StatusCode::BAD_REQUEST)) };
             let data = frame.into_data().unwrap_or_default();
             if pieces.len() + data.len() > most {
                 return Err(too_large());
@@ -28,7 +32,7 @@
         }
         Ok(pieces.whole())
     };
-    timeout_at(until, read).await.unwrap_or_else(|_| Err(Own::closing(StatusCode::REQUEST_TIMEOUT)))
+    timeout_at(until, read).await.unwrap_or_else(|_| Err(LocalResponse::closing(StatusCode::REQUEST_TIMEOUT)))
 }
 
 /// A whole answer, if it is that and not too large.
--- a/system/request-forwarding/src/delivery.rs
+++ b/system/request-forwarding/src/delivery.rs
@@ -7,7 +7,7 @@
 use hyper::Response;
 use hyper::body::Incoming;
 use message_sender::{Outcome, Span};
-use request_routing::{Ask, GiveUp, Next, SendEnd, Tried};
+use request_routing::{AttemptHistory, GiveUp, RetryDecision, RoutingRequest, SendOutcome};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -19,8 +19,8 @@
 pub(crate) struct Delivery {
     core: Rc<Core>,
     pub(crate) outgoing: Outgoing,
-    pub(crate) ask: Rc<Ask>,
-    pub(crate) tried: Tried,
+    pub(crate) routing_request: Rc<RoutingRequest>,
+    pub(crate) history: AttemptHistory,
     sends: u32,
     rank: Rank,
 }
@@ -33,18 +33,22 @@
 }
 
 impl Delivery {
-    pub(crate) fn new(core: Rc<Core>, outgoing: Outgoing, ask: Rc<Ask>) -> Self {
-        let rank = core.queue.rank(ask.arrived.0, ask.priority);
-        Self { core, outgoing, ask, tried: Tried::default(), sends: 0, rank }
+    pub(crate) fn new(core: Rc<Core>, outgoing: Outgoing, routing_request: Rc<RoutingRequest>) -> Self {
+        let rank = core.queue.rank(routing_request.arrived_at.0, routing_request.priority);
+        Self { core, outgoing, routing_request, history: AttemptHistory::default(), sends: 0, rank }
     }
 
     /// Sends until an endpoint answers.
     pub(crate) async fn answer(&mut self) -> Result<Answered, GiveUp> {
         loop {
-            let target = self.core.place(&self.ask, &self.tried, self.rank, self.outgoing.deadline).await?;
+            let target = self
+                .core
+                .place(&self.routing_request, &self.history, self.rank, self.outgoing.deadline)
+                .await?;
             let key = target.key;
-            let mut call = CallOut::new(self.core.clone(), key, self.ask.clone());
-            let attempt = self.core.attempt(&self.outgoing, &target, &self.tried, &mut call, &mut self.sends);
+            let mut call = CallOut::new(self.core.clone(), key, self.routing_request.clone());
+            let attempt =
+                self.core.attempt(&self.outgoing, &target, &self.history, &mut call, &mut self.sends);
             match attempt.await {
                 Attempt::Answer(response, line) => return Ok(Answered { response, line, call }),
                 Attempt::NoConnection => {
@@ -52,9 +56,9 @@
                     self.wait_for_connection(key).await;
                 }
                 Attempt::Ended(end) => {
-                    if end == SendEnd::Misdirected {
-                        self.core.router.borrow_mut().misdirected(self.core.now(), key);
-                        self.core.count(|figures| figures.misdirected += 1);
+                    if end == SendOutcome::Misdirected {
+                        self.core.router.borrow_mut().mark_misdirected(self.core.now(), key);
+                        self.core.count(|metrics| metrics.misdirected += 1);
                     }
                     self.failed(call, end.outcome())?;
                 }
@@ -64,28 +68,34 @@
 
     /// A call ended without an answer to pass on. An error says that the request does not go again.
     pub(crate) fn failed(&mut self, call: CallOut, outcome: Outcome) -> Result<(), GiveUp> {
-        self.core.count(|figures| match outcome {
-            Outcome::Full(_) => figures.full += 1,
-            Outcome::ConnectFailed => figures.connect_failed += 1,
-            Outcome::Reset => figures.reset += 1,
-            Outcome::TimedOut => figures.timed_out += 1,
+        self.core.count(|metrics| match outcome {
+            Outcome::Full(_) => metrics.full += 1,
+            Outcome::ConnectFailed => metrics.connect_failed += 1,
+            Outcome::Reset => metrics.reset += 1,
+            Outcome::TimedOut => metrics.timed_out += 1,
             _ => {}
         });
         let key = call.key();
         call.end(outcome);
-        let next = self.core.router.borrow().next(self.core.now(), &self.ask, &mut self.tried, key, outcome);
+        let next = self.core.router.borrow().decide_retry(
+            self.core.now(),
+            &self.routing_request,
+            &mut self.history,
+            key,
+            outcome,
+        );
         match next {
-            Next::Again => Ok(()),
-            Next::GiveUp(give_up) => Err(give_up),
+            RetryDecision::Retry => Ok(()),
+            RetryDecision::GiveUp(give_up) => Err(give_up),
         }
     }
 
     async fn wait_for_connection(&mut self, key: request_routing::EndpointKey) {
-        if !self.tried.avoid.contains(&key) {
-            self.tried.avoid.push(key);
+        if !self.history.avoided.contains(&key) {
+            self.history.avoided.push(key);
         }
         let wait = self.core.now().after(CONNECTION_WAIT.0 as f64);
-        self.tried.not_before = self.tried.not_before.max(wait);
+        self.history.not_before = self.history.not_before.max(wait);
         tokio::time::sleep(Duration::from_micros(CONNECTION_WAIT.0)).await;
     }
 
--- a/system/request-forwarding/src/forwarder.rs
+++ b/system/request-forwarding/src/forwarder.rs
@@ -5,13 +5,13 @@
 use crate::body::AnswerBody;
 use crate::body_reading::{read_body, read_whole};
 use crate::delivery::{Answered, Delivery};
-use crate::figures::Figures;
 use crate::headers::{self, ATTEMPT_ID, DEADLINE_REMAINING, PRIORITY};
+use crate::metrics::ForwardingMetrics;
 use crate::outgoing::Outgoing;
-use crate::own_answer::{Own, RETRY, own_end};
+use crate::own_answer::{LocalResponse, RETRY, response_after_give_up};
 use crate::pool::Core;
 use crate::turn_under_way::{Reservation, Turn};
-use crate::turns::{Chain, NewTurn, Reserve, TurnKeeping};
+use crate::turns::{ChainLookup, CompletedTurn, ReserveOutcome, TurnStorage};
 use bytes::{Bytes, BytesMut};
 use fleet_model::EndpointList;
 use http_body_util::BodyExt;
@@ -20,7 +20,10 @@
 use hyper::{Method, Request, Response, StatusCode, Version};
 use message_sender::{Outcome, Span};
 use operator_config::{OperatorConfig, Route};
-use request_routing::{Ask, EndpointView, RouteKind, RoutingPolicy, SendEnd, ServiceTerms, promises_not_run};
+use request_routing::{
+    EndpointView, RouteKind, RoutingPolicy, RoutingRequest, SendOutcome, ServiceSettings,
+    status_promises_not_executed,
+};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -43,7 +46,7 @@
 
 /// What a forwarder needs to know of the system; all of it is given again with each change.
 #[derive(Clone, Default)]
-pub struct Knowledge {
+pub struct SystemState {
     /// The configuration in force.
     pub config: Option<Rc<OperatorConfig>>,
     /// The newest list of endpoints.
@@ -53,14 +56,14 @@
 }
 
 /// The data plane of a process.
-pub struct Forwarder<T: TurnKeeping> {
+pub struct Forwarder<T: TurnStorage> {
     pub(crate) core: Rc<Core>,
     pub(crate) most_clients: usize,
     turns: Rc<T>,
-    knowledge: RefCell<Knowledge>,
+    knowledge: RefCell<SystemState>,
 }
 
-impl<T: TurnKeeping> Forwarder<T> {
+impl<T: TurnStorage> Forwarder<T> {
     /// One for a process in this zone that may hold so many descriptors. All chance comes from the seed.
     pub fn new(
         zone: String,
@@ -79,12 +82,12 @@
     }
 
     /// Takes what is known now, in place of what was known before.
-    pub fn learn(&self, knowledge: Knowledge) {
+    pub fn update(&self, knowledge: SystemState) {
         let now = self.core.now();
         let old = self.knowledge.replace(knowledge.clone());
         let mut router = self.core.router.borrow_mut();
         if old.proxies != knowledge.proxies {
-            router.set_proxies(now, knowledge.proxies);
+            router.set_proxy_count(now, knowledge.proxies);
         }
         if let Some(config) = knowledge.config
             && !old.config.is_some_and(|old| Rc::ptr_eq(&old, &config))
@@ -92,7 +95,7 @@
             let terms: Vec<_> = config
                 .services
                 .iter()
-                .map(|service| ServiceTerms {
+                .map(|service| ServiceSettings {
                     name: service.name.clone(),
                     max_connections: service.max_connections,
                     engine: service.engine.is_some(),
@@ -100,25 +103,25 @@
                     cache_tokens: service.engine.as_ref().map(|engine| engine.kv_cache_tokens),
                 })
                 .collect();
-            router.configure(now, &terms);
+            router.update_services(now, &terms);
         }
         if let Some(list) = knowledge.list
             && !old.list.is_some_and(|old| Rc::ptr_eq(&old, &list))
         {
-            router.set_endpoints(now, &list);
+            router.update_endpoints(now, &list);
         }
         drop(router);
         self.core.queue.wake_all();
     }
 
     /// What it has done.
-    pub fn figures(&self) -> Figures {
-        Figures { waiting: self.core.queue.len() as u64, ..self.core.figures.get() }
+    pub fn metrics(&self) -> ForwardingMetrics {
+        ForwardingMetrics { waiting: self.core.queue.len() as u64, ..self.core.metrics.get() }
     }
 
     /// All endpoints as the router sees them, for staff.
     pub fn endpoints(&self) -> Vec<EndpointView> {
-        self.core.router.borrow().view()
+        self.core.router.borrow().endpoint_views()
     }
 
     pub(crate) fn config(&self) -> Option<Rc<OperatorConfig>> {
@@ -130,10 +133,10 @@
         let attempt = headers::single(request.headers(), &ATTEMPT_ID).map(str::to_owned);
         let result = self.try_answer(request, attempt.as_deref(), arrived).await;
         result.unwrap_or_else(|own| {
-            self.core.count(|figures| match own.status.as_u16() {
-                402 | 408 | 503 => figures.refused += 1,
-                502 | 504 => figures.failed += 1,
-                _ => figures.denied += 1,
+            self.core.count(|metrics| match own.status.as_u16() {
+                402 | 408 | 503 => metrics.refused += 1,
+                502 | 504 => metrics.failed += 1,
+                _ => metrics.denied += 1,
             });
             own.response(attempt.as_deref())
         })
@@ -144,10 +147,10 @@
         request: Request<Incoming>,
         attempt: Option<&str>,
         arrived: Instant,
-    ) -> Result<Response<AnswerBody>, Own> {
+    ) -> Result<Response<AnswerBody>, LocalResponse> {
         if request.version() != Version::HTTP_11 {
             // An answer that breaks off could not be told from a whole one.
-            return Err(Own::closing(StatusCode::HTTP_VERSION_NOT_SUPPORTED));
+            return Err(LocalResponse::closing(StatusCode::HTTP_VERSION_NOT_SUPPORTED));
         }
         let config = self.config();
         let (head, body) = request.into_parts();
@@ -162,21 +165,21 @@
         let input = read_body(body, most, deadline).await;
         let Some(config) = &config else {
             // What is allowed is not known yet: whatever came of the body, nothing is denied.
-            self.core.count(|figures| figures.requests += 1);
-            return Err(Own { close: input.is_err(), ..Own::refused(RETRY) });
+            self.core.count(|metrics| metrics.requests += 1);
+            return Err(LocalResponse { close: input.is_err(), ..LocalResponse::refused(RETRY) });
         };
         let input = input?;
-        self.core.count(|figures| figures.requests += 1);
-        let attempt = attempt.ok_or(Own::new(StatusCode::BAD_REQUEST))?;
-        host.ok_or(Own::new(StatusCode::BAD_REQUEST))?;
-        let route = route.ok_or(Own::new(StatusCode::NOT_FOUND))?;
+        self.core.count(|metrics| metrics.requests += 1);
+        let attempt = attempt.ok_or(LocalResponse::new(StatusCode::BAD_REQUEST))?;
+        host.ok_or(LocalResponse::new(StatusCode::BAD_REQUEST))?;
+        let route = route.ok_or(LocalResponse::new(StatusCode::NOT_FOUND))?;
         let service = route.pick_service(draw(attempt));
         let urgency = urgency(&head.headers, route.priority);
-        let ask = Rc::new(self.ask(&head.headers, route, service, arrived, deadline));
+        let routing_request = Rc::new(self.routing_request(&head.headers, route, service, arrived, deadline));
 
-        let mut turn = Turn { reservation: None, keeping: None, tokens_per_event: 1 };
+        let mut turn = Turn { reservation: None, to_store: None, tokens_per_event: 1 };
         let mut whole_input = input.clone();
-        if ask.kind == RouteKind::Streaming {
+        if routing_request.kind == RouteKind::Streaming {
             let engine = config.services.iter().find(|known| known.name == service);
             let engine = engine.and_then(|service| service.engine.as_ref());
             turn.tokens_per_event = engine.map_or(1, |engine| engine.tokens_per_event);
@@ -199,33 +202,33 @@
             attempt: attempt.to_owned(),
             deadline,
         };
-        self.forward(outgoing, ask, turn).await
+        self.forward(outgoing, routing_request, turn).await
     }
 
-    fn ask(
+    fn routing_request(
         &self,
         given: &HeaderMap,
         route: &Route,
         service: &str,
         arrived: Instant,
         deadline: Instant,
-    ) -> Ask {
+    ) -> RoutingRequest {
         let (prompt, most) = headers::token_usage(given).unwrap_or_default();
         let shared = headers::first_prompt_part(given);
-        Ask {
+        RoutingRequest {
             service: service.to_owned(),
             kind: route.kind,
             resumable: route.resumable
                 && route.kind == RouteKind::Streaming
                 && self.core.policy.stream_resumption,
             session: headers::text(given, "session").map(str::to_owned),
-            shared_tokens: shared.map_or(0, |part| part.tokens),
-            shared_part: shared.map(|part| part.id.to_owned()),
-            size: prompt.saturating_add(most),
+            prefix_tokens: shared.map_or(0, |part| part.tokens),
+            prefix_id: shared.map(|part| part.id.to_owned()),
+            total_tokens: prompt.saturating_add(most),
             priority: route.priority,
-            arrived: self.core.at(arrived),
+            arrived_at: self.core.at(arrived),
             deadline: self.core.at(deadline),
-            aim: Span(route.target_latency_ms.saturating_mul(1000)),
+            latency_target: Span(route.target_latency_ms.saturating_mul(1000)),
             max_attempts: route.max_attempts,
         }
     }
@@ -239,12 +242,12 @@
         input: Bytes,
         deadline: Instant,
         turn: &mut Turn<T>,
-    ) -> Result<Bytes, Own> {
+    ) -> Result<Bytes, LocalResponse> {
         let program = headers::text(given, "program");
         let budget = headers::number(given, "budget").map(|budget| u32::try_from(budget).unwrap_or(u32::MAX));
         let previous = headers::text(given, "previous").filter(|_| route.retained);
         let reserve = async {
-            let (Some(program), Some(budget)) = (program, budget) else { return Reserve::Granted };
+            let (Some(program), Some(budget)) = (program, budget) else { return ReserveOutcome::Granted };
             // Without a told size it may generate all that is left.
             let most = headers::token_usage(given).map_or(budget, |(_, most)| most);
             turn.reservation = Some(Reservation {
@@ -259,26 +262,28 @@
         let chain = async {
             match previous {
                 Some(previous) => self.turns.chain(previous).await,
-                None => Chain::Text(Bytes::new()),
+                None => ChainLookup::Text(Bytes::new()),
             }
         };
         let both = async { tokio::join!(reserve, chain) };
-        let Ok((reserved, chain)) = timeout_at(deadline, both).await else { return Err(Own::refused(RETRY)) };
+        let Ok((reserved, chain)) = timeout_at(deadline, both).await else {
+            return Err(LocalResponse::refused(RETRY));
+        };
         match reserved {
-            Reserve::Granted => {}
-            Reserve::Spent => {
+            ReserveOutcome::Granted => {}
+            ReserveOutcome::BudgetExhausted => {
                 turn.forget_reservation();
-                return Err(Own::new(StatusCode::PAYMENT_REQUIRED));
+                return Err(LocalResponse::new(StatusCode::PAYMENT_REQUIRED));
             }
-            Reserve::Unavailable => return Err(Own::refused(RETRY)),
+            ReserveOutcome::Unavailable => return Err(LocalResponse::refused(RETRY)),
         }
         let text = match chain {
-            Chain::Text(text) => text,
-            Chain::NoSuchTurn => return Err(Own::new(StatusCode::NOT_FOUND)),
-            Chain::Unavailable => return Err(Own::refused(RETRY)),
+            ChainLookup::Text(text) => text,
+            ChainLookup::NotFound => return Err(LocalResponse::new(StatusCode::NOT_FOUND)),
+            ChainLookup::Unavailable => return Err(LocalResponse::refused(RETRY)),
         };
         if route.retained {
-            turn.keeping = Some(NewTurn {
+            turn.to_store = Some(CompletedTurn {
                 attempt: attempt.to_owned(),
                 previous: previous.map(str::to_owned),
                 program: program.unwrap_or_default().to_owned(),
@@ -301,22 +306,24 @@
     async fn forward(
         &self,
         outgoing: Outgoing,
-        ask: Rc<Ask>,
+        routing_request: Rc<RoutingRequest>,
         turn: Turn<T>,
-    ) -> Result<Response<AnswerBody>, Own> {
+    ) -> Result<Response<AnswerBody>, LocalResponse> {
         let core = &self.core;
-        let mut delivery = Delivery::new(core.clone(), outgoing, ask.clone());
+        let mut delivery = Delivery::new(core.clone(), outgoing, routing_request.clone());
         loop {
             let answered = delivery.answer().await;
-            let Answered { response, line, call } =
-                answered.map_err(|give_up| own_end(give_up, &delivery.tried, delivery.outgoing.deadline))?;
+            let Answered { response, line, call } = answered.map_err(|give_up| {
+                response_after_give_up(give_up, &delivery.history, delivery.outgoing.deadline)
+            })?;
             let (head, mut body) = response.into_parts();
             let is_events = headers::is_event_stream(&head.headers);
-            let streams = head.status.is_success() && (ask.kind == RouteKind::Streaming || is_events);
+            let streams =
+                head.status.is_success() && (routing_request.kind == RouteKind::Streaming || is_events);
             let length = body.size_hint().exact();
             let bodiless = delivery.outgoing.method == Method::HEAD || body.is_end_stream();
             let outcome = if streams {
-                let may_resume = ask.resumable && is_events && length.is_none();
+                let may_resume = routing_request.resumable && is_events && length.is_none();
                 match first_piece(may_resume, &mut body, delivery.outgoing.deadline + GRACE).await {
                     Ok(first) => {
                         let (method, deadline) =
@@ -329,37 +336,46 @@
                 }
             } else if length.is_some_and(|length| length > MOST_WHOLE) && !bodiless {
                 let Outgoing { method, deadline, .. } = delivery.outgoing;
-                let passing =
-                    Passing { method, deadline, first: None, length, resumption: None, turn: turn.unkept() };
+                let passing = Passing {
+                    method,
+                    deadline,
+                    first: None,
+                    length,
+                    resumption: None,
+                    turn: turn.without_storage(),
+                };
                 return Ok(self.stream(head, Upstream { body, line, call }, passing));
             } else {
                 match timeout_at(delivery.outgoing.deadline + GRACE, read_whole(body)).await {
-                    Err(_) => delivery.failed(call, SendEnd::Silent.outcome()),
+                    Err(_) => delivery.failed(call, SendOutcome::TimedOut.outcome()),
                     Ok(None) => {
-                        core.count(|figures| figures.unusable += 1);
-                        delivery.failed(call, SendEnd::Unusable.outcome())
+                        core.count(|metrics| metrics.unusable += 1);
+                        delivery.failed(call, SendOutcome::Unusable.outcome())
                     }
                     Ok(Some(whole)) => {
                         core.give_back(line, &head.headers);
                         let answer = pass_on(&head, AnswerBody::whole(whole), &delivery.outgoing.method);
-                        let promises = promises_not_run(head.status.as_u16(), ask.kind);
+                        let promises =
+                            status_promises_not_executed(head.status.as_u16(), routing_request.kind);
                         if !head.status.is_server_error() && !promises {
                             call.end(Outcome::Success);
-                            core.count(|figures| figures.passed += 1);
+                            core.count(|metrics| metrics.passed += 1);
                             return Ok(answer);
                         }
                         if delivery.failed(call, Outcome::Failure).is_ok() && delivery.has_time() {
                             continue;
                         }
                         if promises {
-                            return Err(Own::new(StatusCode::BAD_GATEWAY));
+                            return Err(LocalResponse::new(StatusCode::BAD_GATEWAY));
                         }
-                        core.count(|figures| figures.passed += 1);
+                        core.count(|metrics| metrics.passed += 1);
                         return Ok(answer);
                     }
                 }
             };
-            outcome.map_err(|give_up| own_end(give_up, &delivery.tried, delivery.outgoing.deadline))?;
+            outcome.map_err(|give_up| {
+                response_after_give_up(give_up, &delivery.history, delivery.outgoing.deadline)
+            })?;
         }
     }
 
@@ -370,7 +386,7 @@
         answer: Upstream,
         passing: Passing<T>,
     ) -> Response<AnswerBody> {
-        self.core.count(|figures| figures.passed += 1);
+        self.core.count(|metrics| metrics.passed += 1);
         let (pieces, receiver) = mpsc::channel(PIECES);
         let passed = pass_on(&head, AnswerBody::passed(receiver, passing.length), &passing.method);
         let pump = Pump {
@@ -387,7 +403,7 @@
 }
 
 /// How an answer is passed on as it comes.
-struct Passing<T: TurnKeeping> {
+struct Passing<T: TurnStorage> {
     method: Method,
     deadline: Instant,
     /// What of it has come already.
--- a/system/request-forwarding/src/figures.rs
+++ b/system/request-forwarding/src/metrics.rs
@@ -1,16 +1,16 @@
-//! Plain counters.
+//! Counters of the forwarder.
 
 use std::fmt;
 
-macro_rules! figures {
+macro_rules! metrics {
     ($($(#[doc = $doc:literal])* $name:ident,)*) => {
-        /// What a forwarder has done since its start. Its text form is a line for each figure.
+        /// What a forwarder has done since its start. Its text form is one line for each counter.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-        pub struct Figures {
+        pub struct ForwardingMetrics {
             $($(#[doc = $doc])* pub $name: u64,)*
         }
 
-        impl fmt::Display for Figures {
+        impl fmt::Display for ForwardingMetrics {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 $(writeln!(f, "{} {}", stringify!($name), self.$name)?;)*
                 Ok(())
@@ -19,7 +19,7 @@
     };
 }
 
-figures! {
+metrics! {
     /// Requests read whole.
     requests,
     /// Answers of endpoints passed on.
--- a/system/request-forwarding/src/own_answer.rs
+++ b/system/request-forwarding/src/own_answer.rs
@@ -5,20 +5,20 @@
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use message_sender::Span;
-use request_routing::{GiveUp, Tried};
+use request_routing::{AttemptHistory, GiveUp};
 use tokio::time::Instant;
 
 /// What a client is told to wait where nothing better is known.
 pub(crate) const RETRY: Span = Span(250_000);
 
 /// An answer of our own.
-pub(crate) struct Own {
+pub(crate) struct LocalResponse {
     pub(crate) status: StatusCode,
     pub(crate) retry_after: Option<Span>,
     pub(crate) close: bool,
 }
 
-impl Own {
+impl LocalResponse {
     pub(crate) fn new(status: StatusCode) -> Self {
         Self { status, retry_after: None, close: false }
     }
@@ -55,11 +55,17 @@
 }
 
 /// The end of a request that no endpoint answered.
-pub(crate) fn own_end(give_up: GiveUp, tried: &Tried, deadline: Instant) -> Own {
+pub(crate) fn response_after_give_up(
+    give_up: GiveUp,
+    history: &AttemptHistory,
+    deadline: Instant,
+) -> LocalResponse {
     match give_up {
-        GiveUp::Refused { retry_after } if tried.execution.may_promise() => Own::refused(retry_after),
-        GiveUp::Failed if tried.execution.may_promise() => Own::refused(RETRY),
-        _ if Instant::now() >= deadline => Own::new(StatusCode::GATEWAY_TIMEOUT),
-        _ => Own::new(StatusCode::BAD_GATEWAY),
+        GiveUp::Refused { retry_after } if history.execution.may_promise() => {
+            LocalResponse::refused(retry_after)
+        }
+        GiveUp::Failed if history.execution.may_promise() => LocalResponse::refused(RETRY),
+        _ if Instant::now() >= deadline => LocalResponse::new(StatusCode::GATEWAY_TIMEOUT),
+        _ => LocalResponse::new(StatusCode::BAD_GATEWAY),
     }
 }
--- a/system/request-forwarding/src/place.rs
+++ b/system/request-forwarding/src/place.rs
@@ -4,7 +4,7 @@
 use crate::pool::Core;
 use crate::queue::Rank;
 use message_sender::{Span, Time};
-use request_routing::{Ask, GiveUp, Pick, Target, Tried};
+use request_routing::{AttemptHistory, GiveUp, RoutingDecision, RoutingRequest, Target};
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
@@ -19,12 +19,12 @@
     /// Waits for a place in its turn.
     pub(crate) async fn place(
         &self,
-        ask: &Ask,
-        tried: &Tried,
+        routing_request: &RoutingRequest,
+        history: &AttemptHistory,
         rank: Rank,
         deadline: Instant,
     ) -> Result<Target, GiveUp> {
-        let mut behind = self.queue.is_behind(&ask.service, rank);
+        let mut behind = self.queue.is_behind(&routing_request.service, rank);
         let mut waiter = None;
         loop {
             if Instant::now() >= deadline {
@@ -33,21 +33,23 @@
             let wait = if std::mem::take(&mut behind) {
                 BEHIND_WAIT
             } else {
-                let pick = self.router.borrow_mut().pick(self.now(), ask, tried);
+                let pick = self.router.borrow_mut().pick(self.now(), routing_request, history);
                 match pick {
-                    Pick::Send(target) => return Ok(target),
-                    Pick::GiveUp(give_up) => return Err(give_up),
-                    Pick::Wait(wait) => wait.max(LEAST_WAIT),
+                    RoutingDecision::Send(target) => return Ok(target),
+                    RoutingDecision::GiveUp(give_up) => return Err(give_up),
+                    RoutingDecision::Wait(wait) => wait.max(LEAST_WAIT),
                 }
             };
             if waiter.is_none() {
-                waiter = self.queue.enter(&ask.service, rank);
+                waiter = self.queue.enter(&routing_request.service, rank);
             }
             let Some(waiter) = &waiter else { return Err(GiveUp::Refused { retry_after: RETRY }) };
             let wait = if waiter.is_ahead() {
                 wait
             } else {
-                let quarter = Time(ask.arrived.0.saturating_add(ask.aim.0 / 4)).since(self.now());
+                let quarter =
+                    Time(routing_request.arrived_at.0.saturating_add(routing_request.latency_target.0 / 4))
+                        .since(self.now());
                 wait.max(Span(quarter)).max(FAR_BEHIND_WAIT)
             };
             let until = (Instant::now() + Duration::from_micros(wait.0)).min(deadline);
--- a/system/request-forwarding/src/pool.rs
+++ b/system/request-forwarding/src/pool.rs
@@ -1,14 +1,14 @@
 //! What the requests of a process share: the router, the connections to endpoints, the queue and the figures.
 
-use crate::figures::Figures;
 use crate::headers;
+use crate::metrics::ForwardingMetrics;
 use crate::queue::Queue;
 use hyper::HeaderMap;
 use hyper::body::Incoming;
 use message_sender::net::connection::{CallError, Connection};
 use message_sender::net::idle_trust::IdleTrust;
 use message_sender::{Outcome, Span, Time};
-use request_routing::{Ask, EndpointKey, Router, RoutingPolicy, ServerLoad, Target};
+use request_routing::{EndpointKey, Router, RoutingPolicy, RoutingRequest, ServerLoad, Target};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     /// By service: for how long its idle connections can be used.
     idle_trust: RefCell<HashMap<String, IdleTrust>>,
     pub(crate) queue: Rc<Queue>,
-    pub(crate) figures: Cell<Figures>,
+    pub(crate) metrics: Cell<ForwardingMetrics>,
 }
 
 /// A connection to an endpoint. The router hears when it closes.
@@ -82,7 +82,7 @@
             idle: RefCell::default(),
             idle_trust: RefCell::default(),
             queue: Queue::new(most_waiting),
-            figures: Cell::default(),
+            metrics: Cell::default(),
         })
     }
 
@@ -96,10 +96,10 @@
         Time(1_000_000 + u64::try_from(micros).unwrap_or(u64::MAX / 2))
     }
 
-    pub(crate) fn count(&self, change: impl FnOnce(&mut Figures)) {
-        let mut figures = self.figures.get();
-        change(&mut figures);
-        self.figures.set(figures);
+    pub(crate) fn count(&self, change: impl FnOnce(&mut ForwardingMetrics)) {
+        let mut metrics = self.metrics.get();
+        change(&mut metrics);
+        self.metrics.set(metrics);
     }
 
     /// A number for the next request.
@@ -162,8 +162,8 @@
         self.router.borrow_mut().connection_opened(target.key);
         let counted = Counted { core: self, key: Some(target.key) };
         let connection = Connection::open(SocketAddr::V4(target.address), patience).await?;
-        counted.keep();
-        self.count(|figures| figures.connections_opened += 1);
+        counted.disarm();
+        self.count(|metrics| metrics.connections_opened += 1);
         Ok(Line { core: Rc::downgrade(self), key: target.key, connection, carried: request, idled: None })
     }
 
@@ -229,7 +229,7 @@
 }
 
 impl Counted<'_> {
-    fn keep(mut self) {
+    fn disarm(mut self) {
         self.key = None;
     }
 }
@@ -246,7 +246,7 @@
 pub(crate) struct CallOut {
     core: Rc<Core>,
     key: EndpointKey,
-    ask: Rc<Ask>,
+    routing_request: Rc<RoutingRequest>,
     begun: Instant,
     first_byte: Option<Instant>,
     load: Option<ServerLoad>,
@@ -254,9 +254,9 @@
 }
 
 impl CallOut {
-    pub(crate) fn new(core: Rc<Core>, key: EndpointKey, ask: Rc<Ask>) -> Self {
+    pub(crate) fn new(core: Rc<Core>, key: EndpointKey, routing_request: Rc<RoutingRequest>) -> Self {
         let begun = Instant::now();
-        Self { core, key, ask, begun, first_byte: None, load: None, outcome: Outcome::Void }
+        Self { core, key, routing_request, begun, first_byte: None, load: None, outcome: Outcome::Void }
     }
 
     /// Its endpoint.
@@ -265,8 +265,8 @@
     }
 
     /// What it carries.
-    pub(crate) fn ask(&self) -> &Rc<Ask> {
-        &self.ask
+    pub(crate) fn routing_request(&self) -> &Rc<RoutingRequest> {
+        &self.routing_request
     }
 
     /// From now on it may run.
@@ -279,7 +279,7 @@
         self.first_byte = Some(Instant::now());
         self.load = load;
         if let Some(load) = load {
-            self.core.router.borrow_mut().note_load(self.core.now(), self.key, load);
+            self.core.router.borrow_mut().record_load(self.core.now(), self.key, load);
         }
     }
 
@@ -293,7 +293,14 @@
         let elapsed = self.first_byte.unwrap_or_else(Instant::now) - self.begun;
         let elapsed = Span(u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX));
         let now = self.core.now();
-        self.core.router.borrow_mut().ended(now, self.key, &self.ask, self.outcome, self.load, elapsed);
-        self.core.queue.wake_first(&self.ask.service);
+        self.core.router.borrow_mut().record_completion(
+            now,
+            self.key,
+            &self.routing_request,
+            self.outcome,
+            self.load,
+            elapsed,
+        );
+        self.core.queue.wake_first(&self.routing_request.service);
     }
 }
--- a/system/request-forwarding/src/server.rs
+++ b/system/request-forwarding/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::body::AnswerBody;
 use crate::forwarder::Forwarder;
-use crate::turns::TurnKeeping;
+use crate::turns::TurnStorage;
 use futures_util::FutureExt;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
@@ -54,7 +54,7 @@
 
 /// How far the process has wound down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum ShutdownPhase {
     /// Not at all.
     Serving,
     /// New connections are served, and each connection ends with its next answer.
@@ -158,14 +158,14 @@
     }
 }
 
-impl<T: TurnKeeping> Forwarder<T> {
+impl<T: TurnStorage> Forwarder<T> {
     /// Serves clients until `shutdown` says `Closing` and all connections have ended.
-    pub async fn serve(self: Rc<Self>, listener: TcpListener, mut shutdown: watch::Receiver<Stage>) {
+    pub async fn serve(self: Rc<Self>, listener: TcpListener, mut shutdown: watch::Receiver<ShutdownPhase>) {
         let open = Rc::new(Open::default());
         let at_door = Rc::new(Open::default());
         let mut sweep = interval(SWEEP);
         loop {
-            if stage_of(&mut shutdown) == Stage::Closing {
+            if stage_of(&mut shutdown) == ShutdownPhase::Closing {
                 break;
             }
             tokio::select! {
@@ -198,10 +198,10 @@
         stream: TcpStream,
         open: &Rc<Open>,
         at_door: &Rc<Open>,
-        shutdown: &watch::Receiver<Stage>,
+        shutdown: &watch::Receiver<ShutdownPhase>,
     ) {
         if open.count.get() >= self.most_clients {
-            self.core.count(|figures| figures.clients_refused += 1);
+            self.core.count(|metrics| metrics.clients_refused += 1);
             if at_door.count.get() < MOST_AT_DOOR {
                 let place = Place::of(at_door);
                 spawn_local(async move {
@@ -212,17 +212,17 @@
             return;
         }
         let place = Place::of(open);
-        self.core.count(|figures| figures.clients += 1);
+        self.core.count(|metrics| metrics.clients += 1);
         let (forwarder, shutdown) = (self.clone(), shutdown.clone());
         spawn_local(async move {
             forwarder.clone().attend(stream, shutdown).await;
-            forwarder.core.count(|figures| figures.clients -= 1);
+            forwarder.core.count(|metrics| metrics.clients -= 1);
             drop(place);
         });
     }
 
     /// Serves one connection to its end.
-    async fn attend(self: Rc<Self>, stream: TcpStream, mut shutdown: watch::Receiver<Stage>) {
+    async fn attend(self: Rc<Self>, stream: TcpStream, mut shutdown: watch::Receiver<ShutdownPhase>) {
         if let Err(e) = stream.set_nodelay(true) {
             log::debug!("front: {e}");
             return;
@@ -248,7 +248,7 @@
                 let (forwarder, mut stage) = (forwarder.clone(), stage.clone());
                 async move {
                     let mut answer = forwarder.answer(request, arrived).await;
-                    if stage_of(&mut stage) != Stage::Serving {
+                    if stage_of(&mut stage) != ShutdownPhase::Serving {
                         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                     }
                     Ok::<_, Infallible>(answer.map(|body| body.guarded(in_flight)))
@@ -275,7 +275,7 @@
             let stage = stage_of(&mut shutdown);
             let mut look_again = now + header_patience.min(idle_patience);
             if client.in_flight.get() {
-                if stage != Stage::Serving && !leaving {
+                if stage != ShutdownPhase::Serving && !leaving {
                     // What is under way is finished, and is the last.
                     connection.as_mut().graceful_shutdown();
                     leaving = true;
@@ -290,7 +290,7 @@
             } else if now >= client.idle_since.get() + idle_patience {
                 connection.as_mut().graceful_shutdown();
                 leaving = true;
-            } else if stage != Stage::Serving && !leaving {
+            } else if stage != ShutdownPhase::Serving && !leaving {
                 if client.fresh.get() && now < accepted + FIRST_STAY {
                     look_again = accepted + FIRST_STAY;
                 } else {
@@ -370,8 +370,8 @@
 }
 
 /// The stage; nobody to tell it any more is the last one.
-fn stage_of(shutdown: &mut watch::Receiver<Stage>) -> Stage {
-    if shutdown.has_changed().is_err() { Stage::Closing } else { *shutdown.borrow_and_update() }
+fn stage_of(shutdown: &mut watch::Receiver<ShutdownPhase>) -> ShutdownPhase {
+    if shutdown.has_changed().is_err() { ShutdownPhase::Closing } else { *shutdown.borrow_and_update() }
 }
 
 /// Answers a client for whom there is no room.
--- a/system/request-forwarding/src/turns.rs
+++ b/system/request-forwarding/src/turns.rs
@@ -4,29 +4,29 @@
 
 /// What became of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reserve {
+pub enum ReserveOutcome {
     /// The tokens are reserved.
     Granted,
     /// The budget does not hold them.
-    Spent,
+    BudgetExhausted,
     /// Nobody can tell now.
     Unavailable,
 }
 
 /// What came of asking for a chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Chain {
+pub enum ChainLookup {
     /// Inputs and outputs of all turns of the chain, oldest first.
     Text(Bytes),
     /// It is certain that there is no such turn.
-    NoSuchTurn,
+    NotFound,
     /// Nobody can tell now.
     Unavailable,
 }
 
 /// A turn whose answer has come whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NewTurn {
+pub struct CompletedTurn {
     /// Its `Attempt-Id`.
     pub attempt: String,
     /// The turn it continues from.
@@ -45,16 +45,16 @@
 
 /// Storage of turns and budgets.
 ///
-/// `settle` follows every `reserve` that was begun, unless it said `Spent` or `keep` said true for the same attempt:
+/// `settle` follows every `reserve` that was begun, unless it said `BudgetExhausted` or `keep` said true for the same attempt:
 /// also one that was given up half-way.
 #[expect(async_fn_in_trait, reason = "all of it runs on one thread")]
-pub trait TurnKeeping: 'static {
+pub trait TurnStorage: 'static {
     /// Reserves the `most` tokens that an attempt may hand out, out of the program's `budget`.
-    async fn reserve(&self, program: &str, attempt: &str, most: u32, budget: u32) -> Reserve;
+    async fn reserve(&self, program: &str, attempt: &str, most: u32, budget: u32) -> ReserveOutcome;
     /// Tells what an attempt has handed out at last; in the background.
     fn settle(&self, program: &str, attempt: &str, tokens: u32);
     /// The text of the chain that ends with `previous`.
-    async fn chain(&self, previous: &str) -> Chain;
+    async fn chain(&self, previous: &str) -> ChainLookup;
     /// Keeps a turn, and settles its tokens; true once it is synced on enough machines.
-    async fn keep(&self, turn: NewTurn) -> bool;
+    async fn store_turn(&self, turn: CompletedTurn) -> bool;
 }
--- a/system/request-forwarding/tests/frozen.rs
+++ b/system/request-forwarding/tests/frozen.rs
@@ -5,7 +5,7 @@
 use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
 use googletest::prelude::*;
 use operator_config::OperatorConfig;
-use request_forwarding::Knowledge;
+use request_forwarding::SystemState;
 use std::net::{SocketAddr, SocketAddrV4, TcpListener};
 use std::rc::Rc;
 use std::time::Duration;
@@ -61,7 +61,7 @@
         let world = World::unconfigured().await;
         let config = OperatorConfig::read(world::CONFIG.as_bytes()).unwrap();
         let list = EndpointList { version: ListVersion::new(1, 1), endpoints: vec![endpoint] };
-        world.forwarder.learn(Knowledge {
+        world.forwarder.update(SystemState {
             config: Some(Rc::new(config)),
             list: Some(Rc::new(list)),
             proxies: 1,
@@ -100,7 +100,7 @@
             expect_that!(client.message().await.map(|answer| answer.status()), some(eq(503)));
             expect_true!(connection.ends().await);
             expect_false!(endpoint.has_connection_waiting());
-            expect_that!(world.forwarder.figures().sends, eq(0));
+            expect_that!(world.forwarder.metrics().sends, eq(0));
         }
     });
 }
--- a/system/request-forwarding/tests/renewed_rules.rs
+++ b/system/request-forwarding/tests/renewed_rules.rs
@@ -7,7 +7,7 @@
 use fleet_model::EndpointList;
 use googletest::prelude::*;
 use operator_config::OperatorConfig;
-use request_forwarding::{Chain, Knowledge, Reserve};
+use request_forwarding::{ChainLookup, ReserveOutcome, SystemState};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -18,10 +18,10 @@
 const LONG: Duration = Duration::from_secs(1_000);
 
 /// The stand-in's configuration with something in it changed.
-fn changed(from: &str, to: &str) -> Knowledge {
+fn changed(from: &str, to: &str) -> SystemState {
     assert!(world::CONFIG.contains(from));
     let config = OperatorConfig::read(world::CONFIG.replace(from, to).as_bytes()).unwrap();
-    Knowledge { config: Some(Rc::new(config)), list: None, proxies: 1 }
+    SystemState { config: Some(Rc::new(config)), list: None, proxies: 1 }
 }
 
 /// Lets time pass at once.
@@ -38,13 +38,13 @@
         let world = World::start(&[(&server, "s")]).await;
         // Given a connection from before a configuration that raised the idle time from 15 s to 60 s.
         let mut client = world.client().await;
-        expect_that!(client.ask(&get("/plain/", "a")).await.status(), eq(200));
-        world.forwarder.learn(changed(r#""idle_timeout_ms":15000"#, r#""idle_timeout_ms":60000"#));
+        expect_that!(client.routing_request(&get("/plain/", "a")).await.status(), eq(200));
+        world.forwarder.update(changed(r#""idle_timeout_ms":15000"#, r#""idle_timeout_ms":60000"#));
         // When it has rested for four fifths of the new one, then it is still there.
         pass(Duration::from_secs(24)).await;
         expect_that!(timeout(Duration::from_millis(50), client.ends()).await, err(anything()));
         pass(Duration::from_secs(24)).await;
-        expect_that!(client.ask(&get("/plain/", "b")).await.status(), eq(200));
+        expect_that!(client.routing_request(&get("/plain/", "b")).await.status(), eq(200));
         // And beyond the whole of it, it is closed.
         pass(Duration::from_secs(61)).await;
         expect_true!(client.ends().await);
@@ -58,7 +58,7 @@
         let world = World::start(&[(&server, "s")]).await;
         for place in 0..20 {
             let mut client = world.client().await;
-            expect_that!(client.ask(&get("/plain/", "a")).await.status(), eq(200));
+            expect_that!(client.routing_request(&get("/plain/", "a")).await.status(), eq(200));
             // Both are there before the proxy looks again.
             let request = post("/unsafe/", &format!("b{place}"), "", "body").bytes();
             expect_that!(client.stream.try_write(&request).unwrap(), eq(request.len()));
@@ -131,12 +131,12 @@
     run(async {
         let server = Server::start("i-1", |_| Reply::Silence).await;
         let world = World::start(&[(&server, "s")]).await;
-        world.forwarder.learn(changed(
+        world.forwarder.update(changed(
             r#""path_prefix":"/unsafe/","route_type":"non_idempotent","timeout_ms":6000"#,
             r#""path_prefix":"/unsafe/","route_type":"non_idempotent","timeout_ms":100"#,
         ));
         let began = Instant::now();
-        let answer = world.ask(&post("/unsafe/", "a", "", "b")).await;
+        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!(answer.status(), eq(504));
         expect_that!(began.elapsed(), lt(Duration::from_millis(600)));
         let left: u64 = server.seen.borrow()[0].header("deadline-remaining").unwrap().parse().unwrap();
@@ -151,7 +151,7 @@
         let mut receiver = Some(receiver);
         let server = Server::start("i-1", move |_| Reply::Stream(receiver.take().unwrap())).await;
         let world = World::start(&[(&server, "m")]).await;
-        world.forwarder.learn(changed(
+        world.forwarder.update(changed(
             r#""path_prefix":"/events/","route_type":"streaming","timeout_ms":6000"#,
             r#""path_prefix":"/events/","route_type":"streaming","timeout_ms":100"#,
         ));
@@ -239,9 +239,9 @@
         })
         .await;
         let world = World::start(&[(&server, "s")]).await;
-        let refused = world.ask(&post("/unsafe/", "a", "Expect-Version: 2\r\n", "b")).await;
+        let refused = world.routing_request(&post("/unsafe/", "a", "Expect-Version: 2\r\n", "b")).await;
         expect_that!((refused.status(), refused.header("retry-after").is_some()), eq((503, true)));
-        let answer = world.ask(&post("/unsafe/", "b", "", "b")).await;
+        let answer = world.routing_request(&post("/unsafe/", "b", "", "b")).await;
         expect_that!((answer.status(), answer.header("versions")), eq((200, Some("3"))));
     });
 }
@@ -275,11 +275,11 @@
     run(async {
         let server = Server::start("i-1", |_| unreachable!("nothing is sent")).await;
         let world = World::start(&[(&server, "m")]).await;
-        world.turns.reserve.set(Reserve::Spent);
-        *world.turns.chain.borrow_mut() = Chain::Text(Bytes::new());
+        world.turns.reserve.set(ReserveOutcome::BudgetExhausted);
+        *world.turns.chain.borrow_mut() = ChainLookup::Text(Bytes::new());
         for id in ["t1", "t2", "t3"] {
             let headers = "Program: p\r\nBudget: 50\r\nToken-Usage: 4,6\r\n";
-            let answer = world.ask(&post("/turns/", id, headers, "in")).await;
+            let answer = world.routing_request(&post("/turns/", id, headers, "in")).await;
             expect_that!((answer.status(), answer.header("server-seal")), eq((402, None)));
         }
         expect_that!(world.turns.reserved.borrow().len(), eq(3));
@@ -295,15 +295,15 @@
         let stub = Server::start("i-0", |_| unreachable!()).await;
         let server = Server { instance: "i-1", address, ..stub };
         let world = World::start(&[]).await;
-        world.forwarder.learn(changed(r#""max_body_bytes":1000"#, r#""max_body_bytes":8000000"#));
+        world.forwarder.update(changed(r#""max_body_bytes":1000"#, r#""max_body_bytes":8000000"#));
         let list = world::listed(&[(&server, "s")]);
         let config = changed(r#""max_body_bytes":1000"#, r#""max_body_bytes":8000000"#).config;
-        world.forwarder.learn(Knowledge { config, list: Some(Rc::<EndpointList>::new(list)), proxies: 1 });
+        world.forwarder.update(SystemState { config, list: Some(Rc::<EndpointList>::new(list)), proxies: 1 });
         let body = "x".repeat(7_000_000);
         let asked = async {
             let mut client = world.client().await;
-            let first = client.ask(&post("/unsafe/", "a", "", &body)).await;
-            let second = client.ask(&post("/unsafe/", "b", "", "second")).await;
+            let first = client.routing_request(&post("/unsafe/", "a", "", &body)).await;
+            let second = client.routing_request(&post("/unsafe/", "b", "", "second")).await;
             (first.status(), second.status())
         };
         let played = async {
@@ -342,16 +342,16 @@
         let world = World::start(&[]).await;
         let config = changed(r#""max_body_bytes":1000"#, r#""max_body_bytes":8000000"#).config;
         let list = world::listed(&[(&server, "s")]);
-        world.forwarder.learn(Knowledge { config: config.clone(), list: Some(Rc::new(list)), proxies: 1 });
+        world.forwarder.update(SystemState { config: config.clone(), list: Some(Rc::new(list)), proxies: 1 });
         let body = "x".repeat(7_000_000);
         let request = post("/unsafe/", "a", "", &body);
-        let asked = world.ask(&request);
+        let asked = world.routing_request(&request);
         let played = async {
             let (stream, _) = listener.accept().await.unwrap();
             let mut wire = world::Wire::new(stream);
             wire.head().await.unwrap();
             let list = world::listed(&[(&server, "s"), (&other, "s")]);
-            world.forwarder.learn(Knowledge { config, list: Some(Rc::new(list)), proxies: 1 });
+            world.forwarder.update(SystemState { config, list: Some(Rc::new(list)), proxies: 1 });
             wire.stream.set_zero_linger().unwrap();
         };
         let (answer, ()) = tokio::join!(asked, played);
--- a/system/request-forwarding/tests/requests.rs
+++ b/system/request-forwarding/tests/requests.rs
@@ -37,7 +37,7 @@
         let world = World::start(&[(&server, "s")]).await;
         let headers =
             "Connection: keep-alive, x-hop\r\nX-Hop: 1\r\nX-Own: 2\r\nPrevious: p\r\nFinish-Ms: 800\r\n";
-        let answer = world.ask(&post("/unsafe/a%20b?c=d", "id-1", headers, "body")).await;
+        let answer = world.routing_request(&post("/unsafe/a%20b?c=d", "id-1", headers, "body")).await;
         expect_that!(answer.status(), eq(201));
         expect_that!(answer.text(), eq("bytes"));
         expect_that!(answer.header("server-seal"), some(eq("seal-id-1")));
@@ -71,7 +71,7 @@
         expect_that!(answer.status(), eq(200));
         expect_that!(server.seen.borrow()[0].text(), eq("abcdefg"));
         // And the connection goes on.
-        expect_that!(client.ask(&get("/plain/", "d")).await.status(), eq(200));
+        expect_that!(client.routing_request(&get("/plain/", "d")).await.status(), eq(200));
     });
 }
 
@@ -80,12 +80,15 @@
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(200, "", "")).await;
         let world = World::start(&[(&server, "s")]).await;
-        let missing = world.ask(&get("/nowhere/", "a")).await;
+        let missing = world.routing_request(&get("/nowhere/", "a")).await;
         expect_that!((missing.status(), missing.header("attempt-id")), eq((404, Some("a"))));
         let mut client = world.client().await;
         client.write("GET /plain/ HTTP/1.1\r\nHost: a.example\r\n\r\n").await;
         expect_that!(client.message().await.unwrap().status(), eq(400));
-        expect_that!(world.ask(&post("/unsafe/", "b", "", &"x".repeat(1001))).await.status(), eq(413));
+        expect_that!(
+            world.routing_request(&post("/unsafe/", "b", "", &"x".repeat(1001))).await.status(),
+            eq(413)
+        );
         expect_that!(server.seen.borrow().len(), eq(0));
     });
 }
@@ -94,7 +97,7 @@
 fn without_a_configuration_the_client_is_to_come_again() {
     run(async {
         let world = World::unconfigured().await;
-        let answer = world.ask(&post("/unsafe/", "a", "", "b")).await;
+        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!((answer.status(), answer.header("retry-after")), eq((503, Some("0.250"))));
     });
 }
@@ -104,7 +107,7 @@
     run(async {
         let servers = two(|| Reply::Answer(421, "Not-Executed: 1\r\n", "")).await;
         let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.ask(&post("/unsafe/", "a", "", "b")).await;
+        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!((answer.status(), answer.text()), eq((200, "done")));
         expect_that!((servers.0.seen.borrow().len(), servers.1.seen.borrow().len()), eq((1, 1)));
     });
@@ -115,7 +118,7 @@
     run(async {
         let servers = two(|| REFUSAL).await;
         let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.ask(&post("/unsafe/", "a", "", "b")).await;
+        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!(answer.status(), eq(200));
         expect_that!((servers.0.seen.borrow().len(), servers.1.seen.borrow().len()), eq((1, 1)));
     });
@@ -126,7 +129,7 @@
     run(async {
         let server = Server::start("i-1", |_| REFUSAL).await;
         let world = World::start(&[(&server, "s")]).await;
-        let answer = world.ask(&post("/unsafe/", "a", "", "b")).await;
+        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!(answer.status(), eq(503));
         expect_that!(answer.header("retry-after").unwrap().parse::<f64>().unwrap(), gt(0.0));
         expect_that!(answer.header("server-seal"), none());
@@ -138,7 +141,7 @@
     run(async {
         let servers = two(|| Reply::Reset).await;
         let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.ask(&post("/unsafe/", "a", "", "b")).await;
+        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!(answer.status(), eq(502));
         expect_that!(sends(&servers), eq(1));
     });
@@ -153,7 +156,7 @@
         run(async move {
             let servers = two(move || first.map_or(Reply::Reset, Reply::RawClose)).await;
             let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-            let answer = world.ask(&get("/plain/", "a")).await;
+            let answer = world.routing_request(&get("/plain/", "a")).await;
             expect_that!((answer.status(), answer.text()), eq((200, "done")), "after {first:?}");
             expect_that!(sends(&servers), eq(2));
         });
@@ -166,7 +169,7 @@
         let cut = "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf";
         let servers = two(move || Reply::RawClose(cut)).await;
         let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.ask(&post("/unsafe/", "a", "", "b")).await;
+        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!((answer.status(), sends(&servers)), eq((502, 1)));
     });
 }
@@ -181,7 +184,7 @@
         run(async move {
             let servers = two(move || Reply::Raw(first)).await;
             let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-            let answer = world.ask(&post("/unsafe/", "a", "", "b")).await;
+            let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
             expect_that!((answer.status(), answer.text()), eq((502, "Bad Gateway")), "after {first:?}");
             expect_that!(sends(&servers), eq(1));
         });
@@ -195,9 +198,9 @@
         let servers = two(move || Reply::Raw(with_more)).await;
         let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
         let mut client = world.client().await;
-        let answer = client.ask(&get("/plain/", "a")).await;
+        let answer = client.routing_request(&get("/plain/", "a")).await;
         expect_that!((answer.status(), answer.text()), eq((200, "ok")));
-        let answer = client.ask(&post("/unsafe/", "b", "", "b")).await;
+        let answer = client.routing_request(&post("/unsafe/", "b", "", "b")).await;
         expect_that!((answer.status(), answer.text()), eq((200, "done")));
     });
 }
@@ -208,7 +211,7 @@
         run(async move {
             let servers = two(move || Reply::Answer(status, "Retry-After: 1\r\n", "")).await;
             let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-            let answer = world.ask(&post("/unsafe/", "a", "", "b")).await;
+            let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
             expect_that!((answer.status(), sends(&servers)), eq((502, 1)), "after {status}");
         });
     }
@@ -219,7 +222,7 @@
     run(async {
         let servers = two(|| Reply::Silence).await;
         let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.ask(&get("/plain/", "a")).await;
+        let answer = world.routing_request(&get("/plain/", "a")).await;
         expect_that!((answer.status(), answer.text()), eq((200, "done")));
         expect_that!(sends(&servers), eq(2));
     });
@@ -231,7 +234,7 @@
         let servers = two(|| Reply::Silence).await;
         let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
         // Its route's whole time is 150 ms.
-        let answer = world.ask(&post("/short/", "a", "", "b")).await;
+        let answer = world.routing_request(&post("/short/", "a", "", "b")).await;
         expect_that!((answer.status(), sends(&servers)), eq((504, 1)));
     });
 }
@@ -256,14 +259,14 @@
             tokio::time::advance(std::time::Duration::from_millis(120)).await;
             tokio::time::resume();
         };
-        expect_that!(world.ask(&post("/unsafe/", "a", "", "b")).await.status(), eq(200));
+        expect_that!(world.routing_request(&post("/unsafe/", "a", "", "b")).await.status(), eq(200));
         idle().await;
-        expect_that!(world.ask(&post("/unsafe/", "b", "", "b")).await.status(), eq(502));
+        expect_that!(world.routing_request(&post("/unsafe/", "b", "", "b")).await.status(), eq(502));
         // The connection that was reset has ended; the next request opens another, which goes idle as long.
-        expect_that!(world.ask(&post("/unsafe/", "c", "", "b")).await.status(), eq(200));
+        expect_that!(world.routing_request(&post("/unsafe/", "c", "", "b")).await.status(), eq(200));
         idle().await;
-        expect_that!(world.ask(&post("/unsafe/", "d", "", "b")).await.status(), eq(200));
-        expect_that!(world.forwarder.figures().connections_opened, eq(3));
+        expect_that!(world.routing_request(&post("/unsafe/", "d", "", "b")).await.status(), eq(200));
+        expect_that!(world.forwarder.metrics().connections_opened, eq(3));
     });
 }
 
@@ -272,7 +275,7 @@
     run(async {
         let servers = two(|| Reply::Answer(500, "", "own words")).await;
         let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.ask(&post("/unsafe/", "a", "", "b")).await;
+        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!((answer.status(), answer.text()), eq((500, "own words")));
         expect_that!(answer.header("server-seal"), some(eq("seal-a")));
         expect_that!(sends(&servers), eq(1));
@@ -289,7 +292,7 @@
         let gone = Server { address: free, ..gone };
         let world = World::start(&[(&gone, "s"), (&server, "s")]).await;
         for _ in 0..4 {
-            expect_that!(world.ask(&post("/unsafe/", "a", "", "b")).await.status(), eq(200));
+            expect_that!(world.routing_request(&post("/unsafe/", "a", "", "b")).await.status(), eq(200));
         }
     });
 }
@@ -299,7 +302,7 @@
     run(async {
         let server = Server::start("i-1", |_| Reply::Silence).await;
         let world = World::start(&[(&server, "s")]).await;
-        let answer = world.ask(&post("/short/", "a", "", "b")).await;
+        let answer = world.routing_request(&post("/short/", "a", "", "b")).await;
         expect_that!(answer.status(), eq(504));
         server.has_closed(1).await;
         expect_that!(server.seen.borrow().len(), eq(1));
@@ -330,8 +333,8 @@
         let world = World::start(&[(&server, "s")]).await;
         let mut client = world.client().await;
         for (id, opened) in [("a", 1), ("b", 1), ("c", 2)] {
-            expect_that!(client.ask(&get("/plain/", id)).await.status(), eq(200));
-            expect_that!(world.forwarder.figures().connections_opened, eq(opened), "after {id}");
+            expect_that!(client.routing_request(&get("/plain/", id)).await.status(), eq(200));
+            expect_that!(world.forwarder.metrics().connections_opened, eq(opened), "after {id}");
         }
     });
 }
@@ -342,7 +345,7 @@
         let body: &'static str = Box::leak("0123456789abcdef".repeat(100_000).into_boxed_str());
         let server = Server::start("i-1", move |_| Reply::Answer(200, "", body)).await;
         let world = World::start(&[(&server, "s")]).await;
-        let answer = world.ask(&get("/plain/", "a")).await;
+        let answer = world.routing_request(&get("/plain/", "a")).await;
         expect_that!(answer.header("content-length"), some(eq("1600000")));
         expect_true!(answer.whole && answer.text() == body);
     });
--- a/system/request-forwarding/tests/resumption.rs
+++ b/system/request-forwarding/tests/resumption.rs
@@ -86,7 +86,7 @@
         expect_that!(kept.len(), eq(1));
         expect_that!(kept[0].output, eq(&Bytes::from_static(b"one\ntwo\n")));
         expect_that!(kept[0].tokens, eq(4));
-        expect_that!(story.world.forwarder.figures().streams_resumed, eq(1));
+        expect_that!(story.world.forwarder.metrics().streams_resumed, eq(1));
     });
 }
 
--- a/system/request-forwarding/tests/streams.rs
+++ b/system/request-forwarding/tests/streams.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use googletest::prelude::*;
-use request_forwarding::{Chain, Reserve};
+use request_forwarding::{ChainLookup, ReserveOutcome};
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -39,7 +39,7 @@
         let (server, parts) = streaming().await;
         let world = World::start(&[(&server, "m")]).await;
         world.turns.keep.send_replace(None);
-        *world.turns.chain.borrow_mut() = Chain::Text(Bytes::from_static(b"earlier\n"));
+        *world.turns.chain.borrow_mut() = ChainLookup::Text(Bytes::from_static(b"earlier\n"));
         let headers = format!("{TURN}Previous: t0\r\n");
         let (mut client, head) = begun(&world, "/turns/", &headers).await;
         expect_that!((head.status(), head.header("server-seal")), eq((200, Some("seal-t1"))));
@@ -146,13 +146,13 @@
 
 #[gtest]
 fn what_the_keepers_do_not_allow_reaches_no_endpoint() {
-    let text = Chain::Text(Bytes::new());
+    let text = ChainLookup::Text(Bytes::new());
     let stories = [
-        (Reserve::Spent, text.clone(), 402, 0),
-        (Reserve::Unavailable, text, 503, 1),
-        (Reserve::Granted, Chain::NoSuchTurn, 404, 1),
-        (Reserve::Granted, Chain::Unavailable, 503, 1),
-        (Reserve::Spent, Chain::Unavailable, 402, 0),
+        (ReserveOutcome::BudgetExhausted, text.clone(), 402, 0),
+        (ReserveOutcome::Unavailable, text, 503, 1),
+        (ReserveOutcome::Granted, ChainLookup::NotFound, 404, 1),
+        (ReserveOutcome::Granted, ChainLookup::Unavailable, 503, 1),
+        (ReserveOutcome::BudgetExhausted, ChainLookup::Unavailable, 402, 0),
     ];
     for (reserve, chain, status, settles) in stories {
         run(async move {
@@ -160,7 +160,9 @@
             let world = World::start(&[(&server, "m")]).await;
             world.turns.reserve.set(reserve);
             *world.turns.chain.borrow_mut() = chain.clone();
-            let answer = world.ask(&post("/turns/", "t1", &format!("{TURN}Previous: t0\r\n"), "input")).await;
+            let answer = world
+                .routing_request(&post("/turns/", "t1", &format!("{TURN}Previous: t0\r\n"), "input"))
+                .await;
             expect_that!(answer.status(), eq(status), "{reserve:?} {chain:?}");
             expect_that!(answer.header("retry-after").is_some(), eq(status == 503));
             expect_that!(world.turns.settled.borrow().len(), eq(settles), "{reserve:?} {chain:?}");
@@ -174,7 +176,7 @@
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(503, "Not-Executed: 1\r\n", "")).await;
         let world = World::start(&[(&server, "m")]).await;
-        let answer = world.ask(&post("/turns/", "t1", TURN, "input")).await;
+        let answer = world.routing_request(&post("/turns/", "t1", TURN, "input")).await;
         expect_that!(answer.status(), eq(503));
         expect_that!(settled(&world).await, eq(&vec![("p".into(), "t1".into(), 0)]));
     });
@@ -185,7 +187,7 @@
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(402, "", "")).await;
         let world = World::start(&[(&server, "m")]).await;
-        let answer = world.ask(&post("/turns/", "t1", TURN, "input")).await;
+        let answer = world.routing_request(&post("/turns/", "t1", TURN, "input")).await;
         expect_that!(answer.status(), eq(502));
     });
 }
--- a/system/request-forwarding/tests/world/mod.rs
+++ b/system/request-forwarding/tests/world/mod.rs
@@ -4,7 +4,9 @@
 use bytes::Bytes;
 use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
 use operator_config::OperatorConfig;
-use request_forwarding::{Chain, Forwarder, Knowledge, NewTurn, Reserve, Stage, TurnKeeping};
+use request_forwarding::{
+    ChainLookup, CompletedTurn, Forwarder, ReserveOutcome, ShutdownPhase, SystemState, TurnStorage,
+};
 use request_routing::RoutingPolicy;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -160,7 +162,7 @@
     }
 
     /// Sends a request and reads its answer.
-    pub async fn ask(&mut self, request: &Ask<'_>) -> Message {
+    pub async fn routing_request(&mut self, request: &RoutingRequest<'_>) -> Message {
         self.write(request.bytes()).await;
         self.message().await.expect("an answer")
     }
@@ -168,7 +170,7 @@
 
 /// A client's request.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct RoutingRequest<'a> {
     pub method: &'a str,
     pub path: &'a str,
     pub id: &'a str,
@@ -176,9 +178,9 @@
     pub body: &'a str,
 }
 
-impl Ask<'_> {
+impl RoutingRequest<'_> {
     pub fn bytes(&self) -> Vec<u8> {
-        let Ask { method, path, id, headers, body } = self;
+        let RoutingRequest { method, path, id, headers, body } = self;
         let deadline =
             if headers.contains("Deadline-Remaining") { "" } else { "Deadline-Remaining: 5000\r\n" };
         let length =
@@ -191,13 +193,13 @@
 }
 
 /// A request with a body.
-pub fn post<'a>(path: &'a str, id: &'a str, headers: &'a str, body: &'a str) -> Ask<'a> {
-    Ask { method: "POST", path, id, headers, body }
+pub fn post<'a>(path: &'a str, id: &'a str, headers: &'a str, body: &'a str) -> RoutingRequest<'a> {
+    RoutingRequest { method: "POST", path, id, headers, body }
 }
 
 /// One without.
-pub fn get<'a>(path: &'a str, id: &'a str) -> Ask<'a> {
-    Ask { method: "GET", path, id, headers: "", body: "" }
+pub fn get<'a>(path: &'a str, id: &'a str) -> RoutingRequest<'a> {
+    RoutingRequest { method: "GET", path, id, headers: "", body: "" }
 }
 
 /// Parts of a stream, as the test hands them to the endpoint.
@@ -333,23 +335,23 @@
 
 /// A keeper of turns that does as it is told.
 pub struct Turns {
-    pub reserve: Cell<Reserve>,
-    pub chain: RefCell<Chain>,
+    pub reserve: Cell<ReserveOutcome>,
+    pub chain: RefCell<ChainLookup>,
     /// What `keep` says, once it says something.
     pub keep: watch::Sender<Option<bool>>,
     pub reserved: RefCell<Vec<(String, String, u32, u32)>>,
     pub settled: RefCell<Vec<(String, String, u32)>>,
     pub settles: watch::Sender<usize>,
     pub asked: RefCell<Vec<String>>,
-    pub kept: RefCell<Vec<NewTurn>>,
+    pub kept: RefCell<Vec<CompletedTurn>>,
     pub keeps: watch::Sender<usize>,
 }
 
 impl Default for Turns {
     fn default() -> Self {
         Self {
-            reserve: Cell::new(Reserve::Granted),
-            chain: RefCell::new(Chain::Text(Bytes::new())),
+            reserve: Cell::new(ReserveOutcome::Granted),
+            chain: RefCell::new(ChainLookup::Text(Bytes::new())),
             keep: watch::channel(Some(true)).0,
             reserved: RefCell::default(),
             settled: RefCell::default(),
@@ -361,8 +363,8 @@
     }
 }
 
-impl TurnKeeping for Turns {
-    async fn reserve(&self, program: &str, attempt: &str, most: u32, budget: u32) -> Reserve {
+impl TurnStorage for Turns {
+    async fn reserve(&self, program: &str, attempt: &str, most: u32, budget: u32) -> ReserveOutcome {
         self.reserved.borrow_mut().push((program.into(), attempt.into(), most, budget));
         self.reserve.get()
     }
@@ -372,12 +374,12 @@
         self.settles.send_modify(|count| *count += 1);
     }
 
-    async fn chain(&self, previous: &str) -> Chain {
+    async fn chain(&self, previous: &str) -> ChainLookup {
         self.asked.borrow_mut().push(previous.into());
         self.chain.borrow().clone()
     }
 
-    async fn keep(&self, turn: NewTurn) -> bool {
+    async fn store_turn(&self, turn: CompletedTurn) -> bool {
         self.kept.borrow_mut().push(turn);
         self.keeps.send_modify(|count| *count += 1);
         let mut told = self.keep.subscribe();
@@ -390,7 +392,7 @@
     pub forwarder: Rc<Forwarder<Turns>>,
     pub turns: Rc<Turns>,
     pub front: SocketAddr,
-    pub stage: watch::Sender<Stage>,
+    pub stage: watch::Sender<ShutdownPhase>,
     pub serving: JoinHandle<()>,
 }
 
@@ -430,7 +432,7 @@
 impl World {
     pub async fn start(endpoints: &[(&Server, &str)]) -> Self {
         let world = Self::unconfigured().await;
-        world.learn(endpoints);
+        world.update(endpoints);
         world
     }
 
@@ -439,15 +441,15 @@
         let forwarder = Forwarder::new("z".into(), 7, RoutingPolicy::default(), turns.clone(), 300);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let front = listener.local_addr().unwrap();
-        let (stage, shutdown) = watch::channel(Stage::Serving);
+        let (stage, shutdown) = watch::channel(ShutdownPhase::Serving);
         let serving = spawn_local(forwarder.clone().serve(listener, shutdown));
         Self { forwarder, turns, front, stage, serving }
     }
 
-    pub fn learn(&self, endpoints: &[(&Server, &str)]) {
+    pub fn update(&self, endpoints: &[(&Server, &str)]) {
         let list = listed(endpoints);
         let config = OperatorConfig::read(CONFIG.as_bytes()).unwrap();
-        self.forwarder.learn(Knowledge {
+        self.forwarder.update(SystemState {
             config: Some(Rc::new(config)),
             list: Some(Rc::new(list)),
             proxies: 1,
@@ -459,7 +461,7 @@
     }
 
     /// Sends a request on a connection of its own.
-    pub async fn ask(&self, request: &Ask<'_>) -> Message {
-        self.client().await.ask(request).await
+    pub async fn routing_request(&self, request: &RoutingRequest<'_>) -> Message {
+        self.client().await.routing_request(request).await
     }
 }
--- a/system/request-routing/src/admission.rs
+++ b/system/request-routing/src/admission.rs
@@ -16,8 +16,8 @@
 /// Each priority that waits gets at least one in so many of the calls out.
 const LEAST_SHARE: u32 = 8;
 
-pub(crate) fn priority_of(ask: &Ask) -> usize {
-    usize::from(ask.priority).min(PRIORITIES - 1)
+pub(crate) fn priority_of(request: &RoutingRequest) -> usize {
+    usize::from(request.priority).min(PRIORITIES - 1)
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -30,7 +30,7 @@
 /// The calls out and the requests that wait, by priority.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
-    out: [u32; PRIORITIES],
+    in_flight: [u32; PRIORITIES],
     waiting: [u32; PRIORITIES],
     /// By time of arrival.
     waiters: BTreeMap<u64, Waiter>,
@@ -40,7 +40,7 @@
 impl Admission {
     /// Whether no call is out.
     pub fn idle(&self) -> bool {
-        self.out == [0; PRIORITIES]
+        self.in_flight == [0; PRIORITIES]
     }
 
     /// How many wait.
@@ -48,45 +48,46 @@
         self.waiters.len()
     }
 
-    pub fn sent(&mut self, ask: &Ask) {
-        self.out[priority_of(ask)] += 1;
-        self.leave(ask);
+    pub fn sent(&mut self, request: &RoutingRequest) {
+        self.in_flight[priority_of(request)] += 1;
+        self.leave(request);
     }
 
-    pub fn ended(&mut self, ask: &Ask) {
-        let out = &mut self.out[priority_of(ask)];
-        *out = out.saturating_sub(1);
+    pub fn ended(&mut self, request: &RoutingRequest) {
+        let in_flight = &mut self.in_flight[priority_of(request)];
+        *in_flight = in_flight.saturating_sub(1);
     }
 
     /// Whether one of this priority leaves a free place to another: to a more urgent one that waits, once it has its
     /// least share, and to a less urgent one that waits and has not.
     pub fn yields(&self, priority: usize, policy: &RoutingPolicy) -> bool {
-        let total: u32 = self.out.iter().sum();
-        let lacks = |priority: usize| policy.minimum_share && self.out[priority] * LEAST_SHARE < total.max(1);
+        let total: u32 = self.in_flight.iter().sum();
+        let lacks =
+            |priority: usize| policy.minimum_share && self.in_flight[priority] * LEAST_SHARE < total.max(1);
         let urgent_waits = policy.priority_yield && self.waiting[..priority].iter().any(|count| *count > 0);
         let starved = (priority + 1..PRIORITIES).any(|other| self.waiting[other] > 0 && lacks(other));
-        let most = self.out[priority] * LEAST_SHARE > total * (LEAST_SHARE - 1);
+        let most = self.in_flight[priority] * LEAST_SHARE > total * (LEAST_SHARE - 1);
         (urgent_waits && !lacks(priority)) || (starved && most && total >= LEAST_SHARE)
     }
 
     /// One waits, until then; false if there is no room for it.
-    pub fn hold(&mut self, ask: &Ask, until: Time) -> bool {
-        let priority = priority_of(ask);
-        if let Some(waiter) = self.waiters.get_mut(&ask.arrived.0) {
+    pub fn hold(&mut self, request: &RoutingRequest, until: Time) -> bool {
+        let priority = priority_of(request);
+        if let Some(waiter) = self.waiters.get_mut(&request.arrived_at.0) {
             waiter.until = until;
             return true;
         }
         if self.waiters.len() >= MOST_WAITING {
             return false;
         }
-        self.waiters.insert(ask.arrived.0, Waiter { priority, until });
+        self.waiters.insert(request.arrived_at.0, Waiter { priority, until });
         self.waiting[priority] += 1;
         true
     }
 
     /// One waits no more.
-    pub fn leave(&mut self, ask: &Ask) {
-        if let Some(waiter) = self.waiters.remove(&ask.arrived.0) {
+    pub fn leave(&mut self, request: &RoutingRequest) {
+        if let Some(waiter) = self.waiters.remove(&request.arrived_at.0) {
             self.waiting[waiter.priority] -= 1;
         }
     }
--- a/system/request-routing/src/endpoint.rs
+++ b/system/request-routing/src/endpoint.rs
@@ -16,7 +16,7 @@
 /// Chance adds up to this share.
 const CLOSED_JITTER: f64 = 0.25;
 /// Weight of one more time to the first byte in its mean.
-const LEARN: f64 = 0.2;
+const LEARNING_RATE: f64 = 0.2;
 /// What was learned of an endpoint's pace counts half after this, in microseconds.
 const PACE_HALF_LIFE: f64 = 5_000_000.0;
 
@@ -50,7 +50,7 @@
     /// Whether its service can do without the endpoint.
     pub may_eject: bool,
     /// Drawn within 0 and 1.
-    pub chance: f64,
+    pub jitter: f64,
 }
 
 #[derive(Debug)]
@@ -61,7 +61,7 @@
     /// Hash of the incarnation's id, for ranks.
     pub hash: u64,
     pub presence: Presence,
-    pub out: u32,
+    pub in_flight: u32,
     pub connections: u32,
     misdirected: bool,
     outliers: OutlierDetector,
@@ -81,7 +81,7 @@
             hash: crate::hash::hash(listed.instance_id.as_bytes()),
             presence: presence(listed),
             listed: listed.clone(),
-            out: 0,
+            in_flight: 0,
             connections: 0,
             misdirected: false,
             outliers: OutlierDetector::new(),
@@ -109,12 +109,12 @@
 
     /// Calls there: this proxy's, and those of others as far as reported.
     pub fn load(&self, now: Time) -> f64 {
-        f64::from(self.out) + self.others(now)
+        f64::from(self.in_flight) + self.others(now)
     }
 
     fn others(&self, now: Time) -> f64 {
-        let (calls, at) = self.reported;
-        if calls <= 0.0 { 0.0 } else { calls * (-(now.since(at) as f64) / LOAD_HALF_LIFE).exp2() }
+        let (calls, index) = self.reported;
+        if calls <= 0.0 { 0.0 } else { calls * (-(now.since(index) as f64) / LOAD_HALF_LIFE).exp2() }
     }
 
     /// Calls of this proxy that it may have.
@@ -162,23 +162,23 @@
 
     /// Its time to the first byte against its service's mean; 1 unless it is much slower.
     pub fn slowness(&self, now: Time, mean: f64) -> f64 {
-        let (pace, at) = self.pace;
+        let (pace, index) = self.pace;
         if pace <= 0.0 || mean <= 0.0 {
             return 1.0;
         }
-        let kept = (-(now.since(at) as f64) / PACE_HALF_LIFE).exp2();
+        let kept = (-(now.since(index) as f64) / PACE_HALF_LIFE).exp2();
         let ratio = 1.0 + (pace / mean - 1.0) * kept;
         if ratio > 1.5 { ratio.min(3.0) } else { 1.0 }
     }
 
     /// A new connection is within this proxy's share; calls that have none yet are opening theirs.
     pub fn may_open(&self, bounds: &Bounds) -> bool {
-        self.connections.max(self.out) < bounds.connections
+        self.connections.max(self.in_flight) < bounds.connections
     }
 
     /// A call goes there.
     pub fn send(&mut self) {
-        self.out += 1;
+        self.in_flight += 1;
         self.outliers.sent();
     }
 
@@ -187,13 +187,13 @@
     }
 
     pub fn report(&mut self, now: Time, load: ServerLoad) {
-        let calls = load.running.saturating_add(load.waiting).saturating_sub(self.out);
+        let calls = load.running.saturating_add(load.waiting).saturating_sub(self.in_flight);
         self.reported = (f64::from(calls), now);
     }
 
     /// Takes the end of one of its calls.
     pub fn end(&mut self, now: Time, call: &EndedCall, bounds: &Bounds, policy: &RoutingPolicy) {
-        self.out = self.out.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         let may_eject = call.may_eject && policy.outlier_ejection;
         match call.outcome {
             Outcome::Success => {
@@ -203,12 +203,12 @@
             }
             Outcome::Full(wait) => {
                 self.outliers.succeeded();
-                self.refuse(now, wait, policy, call.chance);
+                self.refuse(now, wait, policy, call.jitter);
                 self.assume_full(now, bounds);
             }
             Outcome::NoRoom => {
                 self.outliers.inconclusive(now);
-                self.refuse(now, None, policy, call.chance);
+                self.refuse(now, None, policy, call.jitter);
             }
             Outcome::ConnectFailed => self.outliers.failed(now, Failure::Connect, may_eject),
             Outcome::Reset | Outcome::TimedOut | Outcome::Failure => {
@@ -221,7 +221,7 @@
     fn learn_pace(&mut self, now: Time, elapsed: Span) {
         let (pace, _) = self.pace;
         let took = elapsed.0 as f64;
-        self.pace = (if pace > 0.0 { pace + LEARN * (took - pace) } else { took }, now);
+        self.pace = (if pace > 0.0 { pace + LEARNING_RATE * (took - pace) } else { took }, now);
     }
 
     /// It refused as full: others have what this proxy does not.
@@ -233,12 +233,12 @@
     }
 
     /// Closes it for all messages. Refusals that arrive while it is closed are of calls sent before: they count once.
-    fn refuse(&mut self, now: Time, wait: Option<Span>, policy: &RoutingPolicy, chance: f64) {
+    fn refuse(&mut self, now: Time, wait: Option<Span>, policy: &RoutingPolicy, jitter: f64) {
         if let Some(wait) = wait {
             self.closed_until = self.closed_until.max(now.after(wait.0 as f64));
         } else if !self.closed(now) && policy.refusal_backoff {
             let wait = (CLOSED << self.refusals.min(CLOSED_DOUBLINGS)) as f64;
-            self.closed_until = now.after(wait * (1.0 + CLOSED_JITTER * chance));
+            self.closed_until = now.after(wait * (1.0 + CLOSED_JITTER * jitter));
             self.refusals += 1;
         }
     }
@@ -246,14 +246,18 @@
     /// For staff.
     pub fn view(&self, now: Time, bounds: &Bounds) -> EndpointView {
         let load = self.load(now);
-        let unused = match (self.presence, self.outliers.ejected_until(now)) {
-            (Presence::Draining, _) => Some(Unused::Draining),
-            (Presence::Unlisted, _) => Some(Unused::Unlisted),
-            (Presence::Ready, _) if self.misdirected => Some(Unused::Misdirected),
-            (Presence::Ready, Some(until)) => Some(Unused::Ejected { until }),
-            (Presence::Ready, None) if self.outliers.on_trial() => Some(Unused::OnTrial),
-            (Presence::Ready, None) if self.closed(now) => Some(Unused::Closed { until: self.closed_until }),
-            (Presence::Ready, None) if self.out >= self.limit(bounds, load) => Some(Unused::Full),
+        let unavailable = match (self.presence, self.outliers.ejected_until(now)) {
+            (Presence::Draining, _) => Some(UnavailableReason::Draining),
+            (Presence::Unlisted, _) => Some(UnavailableReason::Unlisted),
+            (Presence::Ready, _) if self.misdirected => Some(UnavailableReason::Misdirected),
+            (Presence::Ready, Some(until)) => Some(UnavailableReason::Ejected { until }),
+            (Presence::Ready, None) if self.outliers.on_trial() => Some(UnavailableReason::Probing),
+            (Presence::Ready, None) if self.closed(now) => {
+                Some(UnavailableReason::BackingOff { until: self.closed_until })
+            }
+            (Presence::Ready, None) if self.in_flight >= self.limit(bounds, load) => {
+                Some(UnavailableReason::AtCapacity)
+            }
             (Presence::Ready, None) => None,
         };
         EndpointView {
@@ -262,11 +266,11 @@
             service: self.listed.service.clone(),
             address: self.listed.address,
             zone: self.listed.zone.clone(),
-            out: self.out,
+            in_flight: self.in_flight,
             connections: self.connections,
             slots: self.slots(bounds),
-            reported_load: load - f64::from(self.out),
-            unused,
+            reported_load: load - f64::from(self.in_flight),
+            unavailable,
         }
     }
 }
--- a/system/request-routing/src/execution.rs
+++ b/system/request-routing/src/execution.rs
@@ -6,17 +6,17 @@
 
 /// How a send ended that brought no answer to pass on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum SendOutcome {
     /// No connection was made.
-    NotConnected,
+    ConnectFailed,
     /// The connection broke, or the time ended, before the last byte of the request's head was written. Without its
     /// head no endpoint begins work.
     HeadUnwritten,
     /// The connection broke after that. An endpoint may begin work before it has read the body, so a body that was
     /// written in part is no excuse.
-    Broken,
+    ConnectionLost,
     /// No answer came in time after that: it may run even later.
-    Silent,
+    TimedOut,
     /// Something came that is no whole answer of the endpoint to this request: another request's answer, one without
     /// a seal, or one whose end cannot be told. It says nothing of whether the request ran.
     Unusable,
@@ -26,24 +26,24 @@
     Misdirected,
 }
 
-impl SendEnd {
+impl SendOutcome {
     /// The end of a connection that broke, by whether the request's head had been written.
-    pub fn broken(head_written: bool) -> Self {
-        if head_written { Self::Broken } else { Self::HeadUnwritten }
+    pub fn connection_lost(head_written: bool) -> Self {
+        if head_written { Self::ConnectionLost } else { Self::HeadUnwritten }
     }
 
     /// The end of a send whose time is over.
-    pub fn silent(head_written: bool) -> Self {
-        if head_written { Self::Silent } else { Self::HeadUnwritten }
+    pub fn timed_out(head_written: bool) -> Self {
+        if head_written { Self::TimedOut } else { Self::HeadUnwritten }
     }
 
     /// What it means to the router.
     pub fn outcome(self) -> Outcome {
         match self {
-            Self::NotConnected => Outcome::ConnectFailed,
+            Self::ConnectFailed => Outcome::ConnectFailed,
             Self::HeadUnwritten | Self::Misdirected => Outcome::Void,
-            Self::Broken | Self::Unusable => Outcome::Reset,
-            Self::Silent => Outcome::TimedOut,
+            Self::ConnectionLost | Self::Unusable => Outcome::Reset,
+            Self::TimedOut => Outcome::TimedOut,
             Self::Declined(wait) => Outcome::Full(wait),
         }
     }
@@ -54,9 +54,9 @@
 pub enum Execution {
     /// Each send ended before its head was written, or with the endpoint's statement that it did not run.
     #[default]
-    NeverRan,
+    NotExecuted,
     /// At least one send may have run, or may run yet. This is final.
-    MayHaveRun,
+    MayHaveExecuted,
 }
 
 impl Execution {
@@ -66,25 +66,25 @@
         match outcome {
             Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Void | Outcome::NoRoom => self,
             Outcome::Success | Outcome::Failure | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
-                Self::MayHaveRun
+                Self::MayHaveExecuted
             }
         }
     }
 
-    /// Whether a request may be sent to an endpoint; `may_run_again` is whether more than one may run it.
-    pub fn may_send(self, may_run_again: bool) -> bool {
-        self == Self::NeverRan || may_run_again
+    /// Whether a request may be sent to an endpoint; `is_repeatable` is whether more than one may run it.
+    pub fn may_send(self, is_repeatable: bool) -> bool {
+        self == Self::NotExecuted || is_repeatable
     }
 
     /// Whether the client may be promised that the request has not run and never will.
     pub fn may_promise(self) -> bool {
-        self == Self::NeverRan
+        self == Self::NotExecuted
     }
 }
 
 /// Whether this status of an endpoint's own would promise the client that a request of this kind has not run. One
 /// that does not come with the endpoint's statement is no such promise and must not be passed on.
-pub fn promises_not_run(status: u16, kind: RouteKind) -> bool {
+pub fn status_promises_not_executed(status: u16, kind: RouteKind) -> bool {
     match kind {
         RouteKind::Idempotent => false,
         RouteKind::NonIdempotent => matches!(status, 408 | 421 | 429 | 503),
--- a/system/request-routing/src/lib.rs
+++ b/system/request-routing/src/lib.rs
@@ -1,5 +1,5 @@
 //! Where a request goes, when, and whether it goes again: decisions only, without I/O or clock. A host asks
-//! [`Router::pick`], carries out the call, tells its end with [`Router::ended`] and asks [`Router::next`] after one
+//! [`Router::pick`], carries out the call, tells its end with [`Router::record_completion`] and asks [`Router::decide_retry`] after one
 //! that did not deliver. The rule is the design's: retry the transport, not the intent.
 
 mod admission;
@@ -16,7 +16,7 @@
 mod sessions;
 mod types;
 
-pub use execution::{Execution, SendEnd, promises_not_run};
+pub use execution::{Execution, SendOutcome, status_promises_not_executed};
 pub use message_sender::{Outcome, Span, Time};
 pub use operator_config::RouteKind;
 pub use policy::{RoutingPolicy, UnknownMechanism};
--- a/system/request-routing/src/outlier.rs
+++ b/system/request-routing/src/outlier.rs
@@ -37,7 +37,7 @@
     /// Out of use until then, for the n-th time; after that one call tries it.
     Ejected { until: Time, times: u32 },
     /// That call is out.
-    OnTrial { times: u32 },
+    Probing { times: u32 },
 }
 
 /// Whether an endpoint's attempts fail.
@@ -58,7 +58,7 @@
         match self.state {
             State::InUse { .. } => false,
             State::Ejected { until, .. } => now < until,
-            State::OnTrial { .. } => true,
+            State::Probing { .. } => true,
         }
     }
 
@@ -71,7 +71,7 @@
     }
 
     pub fn on_trial(&self) -> bool {
-        matches!(self.state, State::OnTrial { .. })
+        matches!(self.state, State::Probing { .. })
     }
 
     /// It has been ejected and has not proved itself since.
@@ -88,14 +88,14 @@
 
     /// Failures, each by how long ago it was.
     fn failures(&self, now: Time) -> f64 {
-        let (failures, at) = self.failures;
-        if failures <= 0.0 { 0.0 } else { failures * (-(now.since(at) as f64) / FAILURE_HALF_LIFE).exp2() }
+        let (failures, index) = self.failures;
+        if failures <= 0.0 { 0.0 } else { failures * (-(now.since(index) as f64) / FAILURE_HALF_LIFE).exp2() }
     }
 
     /// A call goes there.
     pub fn sent(&mut self) {
         if let State::Ejected { times, .. } = self.state {
-            self.state = State::OnTrial { times };
+            self.state = State::Probing { times };
         }
     }
 
@@ -106,7 +106,7 @@
 
     /// A trial that told nothing: another may go.
     pub fn inconclusive(&mut self, now: Time) {
-        if let State::OnTrial { times } = self.state {
+        if let State::Probing { times } = self.state {
             self.state = State::Ejected { until: now, times };
         }
     }
@@ -129,7 +129,7 @@
             }
             // Of calls sent before.
             State::Ejected { until, times } if now < until => State::Ejected { until, times },
-            State::Ejected { times, .. } | State::OnTrial { times } => eject(times + 1),
+            State::Ejected { times, .. } | State::Probing { times } => eject(times + 1),
         };
     }
 }
--- a/system/request-routing/src/placement.rs
+++ b/system/request-routing/src/placement.rs
@@ -27,7 +27,7 @@
 pub(crate) struct Candidates<'a> {
     now: Time,
     policy: &'a RoutingPolicy,
-    tried: &'a Tried,
+    history: &'a AttemptHistory,
     service: &'a Service,
     pub bounds: Bounds,
     endpoints: &'a [Endpoint],
@@ -45,12 +45,12 @@
     pub fn new(
         now: Time,
         policy: &'a RoutingPolicy,
-        tried: &'a Tried,
+        history: &'a AttemptHistory,
         service: &'a Service,
         proxies: u32,
         endpoints: &'a [Endpoint],
     ) -> Self {
-        Self { now, policy, tried, service, bounds: service.bounds(proxies), endpoints }
+        Self { now, policy, history, service, bounds: service.bounds(proxies), endpoints }
     }
 
     /// Whether an endpoint may get a call now.
@@ -59,19 +59,19 @@
         endpoint.in_service()
             && !endpoint.closed(self.now)
             && !endpoint.ejected(self.now)
-            && endpoint.out < endpoint.limit(&self.bounds, load)
+            && endpoint.in_flight < endpoint.limit(&self.bounds, load)
     }
 
     /// The endpoint that ran this session last, unless it is loaded far above its peers.
-    pub fn by_session(&self, last: Option<usize>, service: &str) -> Option<usize> {
-        let at = last.filter(|_| self.policy.session_affinity)?;
-        let endpoint = &self.endpoints[at];
+    pub fn by_session(&self, last_endpoint: Option<usize>, service: &str) -> Option<usize> {
+        let index = last_endpoint.filter(|_| self.policy.session_affinity)?;
+        let endpoint = &self.endpoints[index];
         (endpoint.listed.service == service && self.takes(endpoint, SESSION_BOUND, self.mean_load()))
-            .then_some(at)
+            .then_some(index)
     }
 
     /// The least loaded of the endpoints that are to keep this prefix; none where all endpoints are.
-    pub fn by_prefix(&self, prefix: &str, chance: &mut ChaCha8Rng) -> Option<usize> {
+    pub fn by_prefix(&self, prefix: &str, rng: &mut ChaCha8Rng) -> Option<usize> {
         if !self.policy.prefix_affinity {
             return None;
         }
@@ -84,33 +84,34 @@
         }
         let replicas = ((share * group.len() as f64).ceil() as usize).max(1);
         let mut ranked = group.to_vec();
-        ranked.sort_unstable_by_key(|at| std::cmp::Reverse(mix(prefix ^ self.endpoints[*at].hash)));
+        ranked.sort_unstable_by_key(|index| std::cmp::Reverse(mix(prefix ^ self.endpoints[*index].hash)));
         ranked.truncate(replicas);
         let mean = self.mean_load();
-        ranked.retain(|at| self.takes(&self.endpoints[*at], PREFIX_BOUND, mean));
-        self.least(ranked.into_iter().map(|at| (at, 0)), chance)
+        ranked.retain(|index| self.takes(&self.endpoints[*index], PREFIX_BOUND, mean));
+        self.least(ranked.into_iter().map(|index| (index, 0)), rng)
     }
 
     /// The least loaded one: of those it has not met, before those it has; of those with a free slot in this zone, then
     /// in others, then of those that would queue it. Ties go by chance.
-    pub fn by_load(&self, chance: &mut ChaCha8Rng) -> Option<usize> {
-        let local = self.service.local.iter().map(|at| (*at, true));
-        let all = local.chain(self.service.remote.iter().map(|at| (*at, false)));
-        let usable = all.filter(|(at, _)| self.usable(&self.endpoints[*at]));
-        self.least(usable.map(|(at, is_local)| (at, self.tier(at, is_local))), chance)
+    pub fn by_load(&self, rng: &mut ChaCha8Rng) -> Option<usize> {
+        let local = self.service.local.iter().map(|index| (*index, true));
+        let all = local.chain(self.service.remote.iter().map(|index| (*index, false)));
+        let usable = all.filter(|(index, _)| self.usable(&self.endpoints[*index]));
+        self.least(usable.map(|(index, is_local)| (index, self.tier(index, is_local))), rng)
     }
 
     /// Where all are ejected, the one that would be back first.
     pub fn least_bad(&self) -> Option<usize> {
-        let all = || self.service.all().filter(|at| self.endpoints[*at].in_service());
-        if !all().all(|at| self.endpoints[at].ejected(self.now)) {
+        let all = || self.service.all().filter(|index| self.endpoints[*index].in_service());
+        if !all().all(|index| self.endpoints[index].ejected(self.now)) {
             return None;
         }
-        let free = all().filter(|at| {
-            let endpoint = &self.endpoints[*at];
-            !endpoint.closed(self.now) && endpoint.out < endpoint.limit(&self.bounds, endpoint.load(self.now))
+        let free = all().filter(|index| {
+            let endpoint = &self.endpoints[*index];
+            !endpoint.closed(self.now)
+                && endpoint.in_flight < endpoint.limit(&self.bounds, endpoint.load(self.now))
         });
-        free.min_by_key(|at| self.endpoints[*at].opens(self.now))
+        free.min_by_key(|index| self.endpoints[*index].opens(self.now))
     }
 
     /// The endpoints among which affinity chooses.
@@ -120,7 +121,7 @@
 
     /// Mean load of the home group.
     fn mean_load(&self) -> f64 {
-        let group = self.home_group().iter().map(|at| &self.endpoints[*at]);
+        let group = self.home_group().iter().map(|index| &self.endpoints[*index]);
         let (sum, count) = group
             .filter(|endpoint| endpoint.in_service())
             .fold((0.0, 0.0), |(sum, count), endpoint| (sum + endpoint.load(self.now), count + 1.0));
@@ -134,11 +135,11 @@
             && load < f64::from(endpoint.slots(&self.bounds))
             && (!self.policy.load_bounds || load <= bound.factor * mean + bound.slack)
             && self.penalty(endpoint) == 0.0
-            && !self.tried.avoid.contains(&endpoint.key)
+            && !self.history.avoided.contains(&endpoint.key)
     }
 
-    fn tier(&self, at: usize, is_local: bool) -> u8 {
-        let endpoint = &self.endpoints[at];
+    fn tier(&self, index: usize, is_local: bool) -> u8 {
+        let endpoint = &self.endpoints[index];
         let load = endpoint.load(self.now);
         let slots = f64::from(endpoint.slots(&self.bounds));
         let tier = match is_local || !self.policy.zone_tiers {
@@ -147,12 +148,12 @@
             true => 2,
             false => 3,
         };
-        let met = self.tried.avoid.contains(&endpoint.key);
+        let met = self.history.avoided.contains(&endpoint.key);
         tier + if met { 4 } else { 0 }
     }
 
-    fn score(&self, at: usize) -> f64 {
-        let endpoint = &self.endpoints[at];
+    fn score(&self, index: usize) -> f64 {
+        let endpoint = &self.endpoints[index];
         let load = endpoint.load(self.now);
         let slots = f64::from(endpoint.slots(&self.bounds));
         let slowness =
@@ -165,25 +166,25 @@
     }
 
     /// The best of these endpoints with their tiers; ties go by chance.
-    fn least(&self, all: impl Iterator<Item = (usize, u8)>, chance: &mut ChaCha8Rng) -> Option<usize> {
+    fn least(&self, all: impl Iterator<Item = (usize, u8)>, rng: &mut ChaCha8Rng) -> Option<usize> {
         let mut best: Option<(Rating, usize)> = None;
         let mut ties = 0;
-        for (at, tier) in all {
-            let rating = Rating { tier, score: self.score(at) };
+        for (index, tier) in all {
+            let rating = Rating { tier, score: self.score(index) };
             match best {
                 Some((least, _)) if rating == least => {
                     ties += 1;
-                    if chance.next_u32().is_multiple_of(ties + 1) {
-                        best = Some((rating, at));
+                    if rng.next_u32().is_multiple_of(ties + 1) {
+                        best = Some((rating, index));
                     }
                 }
                 Some((least, _)) if rating > least => {}
                 _ => {
-                    best = Some((rating, at));
+                    best = Some((rating, index));
                     ties = 0;
                 }
             }
         }
-        best.map(|(_, at)| at)
+        best.map(|(_, index)| index)
     }
 }
--- a/system/request-routing/src/retry.rs
+++ b/system/request-routing/src/retry.rs
@@ -41,62 +41,72 @@
 
 /// Whether an attempt that ended so may have run.
 fn ran_or_may(outcome: Outcome) -> bool {
-    Execution::NeverRan.after(outcome) == Execution::MayHaveRun
+    Execution::NotExecuted.after(outcome) == Execution::MayHaveExecuted
 }
 
 /// Notes an attempt's end.
-pub(crate) fn note(tried: &mut Tried, key: EndpointKey, outcome: Outcome) {
-    tried.last = Some(key);
+pub(crate) fn note(history: &mut AttemptHistory, key: EndpointKey, outcome: Outcome) {
+    history.last_endpoint = Some(key);
     // A send that never left tells nothing of its endpoint.
-    if outcome != Outcome::Void && !tried.avoid.contains(&key) {
-        tried.avoid.push(key);
+    if outcome != Outcome::Void && !history.avoided.contains(&key) {
+        history.avoided.push(key);
     }
-    tried.execution = tried.execution.after(outcome);
-    tried.refused += u32::from(!ran_or_may(outcome));
-    tried.attempts += u32::from(reached(outcome));
+    history.execution = history.execution.after(outcome);
+    history.unexecuted += u32::from(!ran_or_may(outcome));
+    history.attempts += u32::from(reached(outcome));
 }
 
 /// Whether it may not be sent again, however much time is left.
-pub(crate) fn spent(ask: &Ask, tried: &Tried) -> bool {
-    !tried.execution.may_send(ask.may_run_again())
-        || tried.attempts >= ask.max_attempts.max(1)
-        || tried.refused.saturating_sub(tried.attempts) >= MOST_UNSENT
+pub(crate) fn spent(request: &RoutingRequest, history: &AttemptHistory) -> bool {
+    !history.execution.may_send(request.is_repeatable())
+        || history.attempts >= request.max_attempts.max(1)
+        || history.unexecuted.saturating_sub(history.attempts) >= MOST_UNSENT
 }
 
 /// How long the next attempt may be silent, if another may follow it and would still have as long itself.
-pub(crate) fn try_timeout(now: Time, ask: &Ask, tried: &Tried, pace: f64) -> Option<Span> {
+pub(crate) fn try_timeout(
+    now: Time,
+    request: &RoutingRequest,
+    history: &AttemptHistory,
+    pace: f64,
+) -> Option<Span> {
     // A stream that is silent may be next in its endpoint's queue: under load, to begin it anew only adds to that.
-    if ask.kind != RouteKind::Idempotent || tried.attempts + 1 >= ask.max_attempts {
+    if request.kind != RouteKind::Idempotent || history.attempts + 1 >= request.max_attempts {
         return None;
     }
-    let timeout = (TRY_OF_PACE * pace).max(TRY_OF_AIM * ask.aim.0 as f64);
-    (now.after(2.0 * timeout) <= last_send(ask)).then_some(Span(timeout as u64))
+    let timeout = (TRY_OF_PACE * pace).max(TRY_OF_AIM * request.latency_target.0 as f64);
+    (now.after(2.0 * timeout) <= last_send(request)).then_some(Span(timeout as u64))
 }
 
 /// The first wait, before doubling and chance.
-pub(crate) fn first_backoff(ask: &Ask) -> f64 {
-    (BASE_OF_AIM * ask.aim.0 as f64).clamp(BASE.0, BASE.1)
+pub(crate) fn first_backoff(request: &RoutingRequest) -> f64 {
+    (BASE_OF_AIM * request.latency_target.0 as f64).clamp(BASE.0, BASE.1)
 }
 
-/// The wait before the next try; `chance` is within 0 and 1.
-pub(crate) fn backoff(ask: &Ask, tried: &Tried, chance: f64) -> f64 {
-    let base = first_backoff(ask);
-    let before = tried.attempts.max(tried.refused).saturating_sub(1).min(16);
-    (base * f64::from(1_u32 << before)).min(CAP * base) + JITTER * base * chance
+/// The wait before the next try; `rng` is within 0 and 1.
+pub(crate) fn backoff(request: &RoutingRequest, history: &AttemptHistory, jitter: f64) -> f64 {
+    let base = first_backoff(request);
+    let before = history.attempts.max(history.unexecuted).saturating_sub(1).min(16);
+    (base * f64::from(1_u32 << before)).min(CAP * base) + JITTER * base * jitter
 }
 
 /// The last moment at which a send is of use.
-pub(crate) fn last_send(ask: &Ask) -> Time {
-    let whole = ask.deadline.since(ask.arrived);
-    Time(ask.deadline.0.saturating_sub((ask.aim.0 / FLOOR_OF_AIM).min(whole / FLOOR_OF_TIME)))
+pub(crate) fn last_send(request: &RoutingRequest) -> Time {
+    let whole = request.deadline.since(request.arrived_at);
+    Time(
+        request
+            .deadline
+            .0
+            .saturating_sub((request.latency_target.0 / FLOOR_OF_AIM).min(whole / FLOOR_OF_TIME)),
+    )
 }
 
 /// Until when it waits for a place if nothing may have run.
-pub(crate) fn patience(ask: &Ask) -> Time {
-    ask.arrived.after(PATIENCE_OF_AIM * ask.aim.0 as f64)
+pub(crate) fn patience(request: &RoutingRequest) -> Time {
+    request.arrived_at.after(PATIENCE_OF_AIM * request.latency_target.0 as f64)
 }
 
 /// The answer to one that is not sent again.
-pub(crate) fn last_answer(tried: &Tried, retry_after: Span) -> GiveUp {
-    if tried.execution.may_promise() { GiveUp::Refused { retry_after } } else { GiveUp::Failed }
+pub(crate) fn last_answer(history: &AttemptHistory, retry_after: Span) -> GiveUp {
+    if history.execution.may_promise() { GiveUp::Refused { retry_after } } else { GiveUp::Failed }
 }
--- a/system/request-routing/src/router.rs
+++ b/system/request-routing/src/router.rs
@@ -30,7 +30,7 @@
     zone: String,
     policy: RoutingPolicy,
     seed: u64,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     proxies: u32,
     now: Time,
     next_key: u32,
@@ -47,7 +47,7 @@
             zone,
             policy,
             seed,
-            chance: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             proxies: 1,
             now: Time(0),
             next_key: 0,
@@ -58,7 +58,7 @@
     }
 
     /// Takes the services of a new configuration, in place of those before.
-    pub fn configure(&mut self, now: Time, services: &[ServiceTerms]) {
+    pub fn update_services(&mut self, now: Time, services: &[ServiceSettings]) {
         self.now = now;
         for service in self.services.values_mut() {
             service.terms = None;
@@ -71,7 +71,7 @@
 
     /// Takes a new list, in place of the one before: which of two is later is for the host to know. An incarnation
     /// that was draining stays so, whatever a list says.
-    pub fn set_endpoints(&mut self, now: Time, list: &EndpointList) {
+    pub fn update_endpoints(&mut self, now: Time, list: &EndpointList) {
         self.now = now;
         for endpoint in &mut self.endpoints {
             if endpoint.presence == Presence::Ready {
@@ -80,15 +80,19 @@
         }
         let name =
             |entry: &fleet_model::Endpoint| (entry.instance_id.clone(), entry.address, entry.service.clone());
-        let mut known: BTreeMap<_, usize> =
-            self.endpoints.iter().enumerate().map(|(at, endpoint)| (name(&endpoint.listed), at)).collect();
+        let mut known: BTreeMap<_, usize> = self
+            .endpoints
+            .iter()
+            .enumerate()
+            .map(|(index, endpoint)| (name(&endpoint.listed), index))
+            .collect();
         let mut listed = vec![false; self.endpoints.len()];
         for entry in &list.endpoints {
             let same = known.get(&name(entry)).copied();
             match same {
-                Some(at) => {
-                    self.endpoints[at].list(entry);
-                    listed[at] = true;
+                Some(index) => {
+                    self.endpoints[index].list(entry);
+                    listed[index] = true;
                 }
                 None => {
                     self.next_key += 1;
@@ -99,71 +103,71 @@
             }
         }
         let mut listed = listed.into_iter();
-        self.endpoints.retain(|endpoint| listed.next() == Some(true) || endpoint.out > 0);
-        self.index();
+        self.endpoints.retain(|endpoint| listed.next() == Some(true) || endpoint.in_flight > 0);
+        self.rebuild_service_index();
     }
 
     /// Sorts the ready endpoints by service and zone.
-    fn index(&mut self) {
+    fn rebuild_service_index(&mut self) {
         for service in self.services.values_mut() {
             service.local.clear();
             service.remote.clear();
         }
-        for (at, endpoint) in self.endpoints.iter().enumerate() {
+        for (index, endpoint) in self.endpoints.iter().enumerate() {
             if endpoint.presence == Presence::Ready {
                 let service =
                     self.services.entry(endpoint.listed.service.clone()).or_insert_with(Service::new);
                 let group =
                     if endpoint.listed.zone == self.zone { &mut service.local } else { &mut service.remote };
-                group.push(at);
+                group.push(index);
             }
         }
         self.services.retain(|_, service| !service.idle());
     }
 
     /// How many proxies there are, this one included.
-    pub fn set_proxies(&mut self, now: Time, count: u32) {
+    pub fn set_proxy_count(&mut self, now: Time, count: u32) {
         self.now = now;
         self.proxies = count.max(1);
     }
 
     /// Where this request goes now. A send is counted as out at once.
-    pub fn pick(&mut self, now: Time, ask: &Ask, tried: &Tried) -> Pick {
+    pub fn pick(&mut self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> RoutingDecision {
         self.now = now;
-        if retry::spent(ask, tried) || now > retry::last_send(ask) {
-            return self.give_up(now, ask, tried);
+        if retry::spent(request, history) || now > retry::last_send(request) {
+            return self.give_up(now, request, history);
         }
-        if now < tried.not_before {
-            return Pick::Wait(Span(tried.not_before.since(now)));
+        if now < history.not_before {
+            return RoutingDecision::Wait(Span(history.not_before.since(now)));
         }
-        if let Some(service) = self.services.get_mut(&ask.service) {
+        if let Some(service) = self.services.get_mut(&request.service) {
             service.admission.sweep(now);
         }
-        match self.choose(now, ask, tried) {
-            Some(at) => self.send(ask, at),
-            None => self.hold(now, ask, tried),
+        match self.choose(now, request, history) {
+            Some(index) => self.send(request, index),
+            None => self.hold(now, request, history),
         }
     }
 
-    fn give_up(&mut self, now: Time, ask: &Ask, tried: &Tried) -> Pick {
-        if let Some(service) = self.services.get_mut(&ask.service) {
-            service.admission.leave(ask);
+    fn give_up(&mut self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> RoutingDecision {
+        if let Some(service) = self.services.get_mut(&request.service) {
+            service.admission.leave(request);
         }
-        Pick::GiveUp(retry::last_answer(tried, self.retry_after(now, ask)))
+        RoutingDecision::GiveUp(retry::last_answer(history, self.retry_after(now, request)))
     }
 
-    fn send(&mut self, ask: &Ask, at: usize) -> Pick {
-        let endpoint = &mut self.endpoints[at];
+    fn send(&mut self, request: &RoutingRequest, index: usize) -> RoutingDecision {
+        let endpoint = &mut self.endpoints[index];
         let mut may_open = true;
-        if let Some(service) = self.services.get_mut(&ask.service) {
+        if let Some(service) = self.services.get_mut(&request.service) {
             may_open = endpoint.may_open(&service.bounds(self.proxies));
-            service.admission.sent(ask);
-            if let Some(prompt) = prompt(ask) {
+            service.admission.sent(request);
+            if let Some(prompt) = prompt(request) {
                 service.prefixes.observe(prompt);
             }
         }
         endpoint.send();
-        Pick::Send(Target {
+        RoutingDecision::Send(Target {
             key: endpoint.key,
             address: endpoint.listed.address,
             instance_id: endpoint.instance_id.clone(),
@@ -172,65 +176,65 @@
     }
 
     /// No endpoint takes it now: it waits, as long as that makes sense.
-    fn hold(&mut self, now: Time, ask: &Ask, tried: &Tried) -> Pick {
-        let mut until = retry::last_send(ask);
-        if tried.execution.may_promise() && self.policy.queue_patience {
-            until = until.min(retry::patience(ask));
+    fn hold(&mut self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> RoutingDecision {
+        let mut until = retry::last_send(request);
+        if history.execution.may_promise() && self.policy.queue_patience {
+            until = until.min(retry::patience(request));
         }
         if now >= until {
-            return self.give_up(now, ask, tried);
+            return self.give_up(now, request, history);
         }
-        let opens = self.opens(now, ask);
+        let opens = self.opens(now, request);
         let left = until.since(now).max(LEAST_WAIT);
-        let Some(service) = self.services.get_mut(&ask.service) else {
-            return Pick::Wait(Span((WAIT.1 as u64).min(left)));
+        let Some(service) = self.services.get_mut(&request.service) else {
+            return RoutingDecision::Wait(Span((WAIT.1 as u64).min(left)));
         };
         let wait = opens.unwrap_or_else(|| service.gap()).clamp(WAIT.0, WAIT.1) as u64;
         let wait = wait.min(left);
-        if service.admission.hold(ask, now.after(wait as f64)) {
-            Pick::Wait(Span(wait))
+        if service.admission.hold(request, now.after(wait as f64)) {
+            RoutingDecision::Wait(Span(wait))
         } else {
-            self.give_up(now, ask, tried)
+            self.give_up(now, request, history)
         }
     }
 
     /// Time until the first of its endpoints opens, if refusals and failures keep all of them closed.
-    fn opens(&self, now: Time, ask: &Ask) -> Option<f64> {
-        let service = self.services.get(&ask.service)?;
-        let all = service.all().map(|at| &self.endpoints[at]);
+    fn opens(&self, now: Time, request: &RoutingRequest) -> Option<f64> {
+        let service = self.services.get(&request.service)?;
+        let all = service.all().map(|index| &self.endpoints[index]);
         let first = all.filter(|endpoint| endpoint.in_service()).map(|endpoint| endpoint.opens(now)).min()?;
         (first > now).then(|| first.since(now) as f64)
     }
 
     /// When a place is expected.
-    fn retry_after(&self, now: Time, ask: &Ask) -> Span {
-        let Some(service) = self.services.get(&ask.service) else { return Span(NO_ENDPOINT) };
-        if !service.all().any(|at| self.endpoints[at].in_service()) {
+    fn retry_after(&self, now: Time, request: &RoutingRequest) -> Span {
+        let Some(service) = self.services.get(&request.service) else { return Span(NO_ENDPOINT) };
+        if !service.all().any(|index| self.endpoints[index].in_service()) {
             return Span(NO_ENDPOINT);
         }
-        let wait = self.opens(now, ask).unwrap_or_else(|| service.turn());
+        let wait = self.opens(now, request).unwrap_or_else(|| service.turn());
         Span(wait.clamp(RETRY_AFTER.0, RETRY_AFTER.1) as u64)
     }
 
-    fn choose(&mut self, now: Time, ask: &Ask, tried: &Tried) -> Option<usize> {
-        let service = self.services.get(&ask.service)?;
-        if service.admission.yields(priority_of(ask), &self.policy) {
+    fn choose(&mut self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> Option<usize> {
+        let service = self.services.get(&request.service)?;
+        if service.admission.yields(priority_of(request), &self.policy) {
             return None;
         }
-        let candidates = Candidates::new(now, &self.policy, tried, service, self.proxies, &self.endpoints);
-        if candidates.bounds.engine || ask.shared_part.is_some() {
-            let last = session_hash(ask).and_then(|session| self.sessions.get(session));
+        let candidates = Candidates::new(now, &self.policy, history, service, self.proxies, &self.endpoints);
+        if candidates.bounds.engine || request.prefix_id.is_some() {
+            let last = session_hash(request).and_then(|session| self.sessions.get(session));
             let last = last.and_then(|key| self.find(key));
-            if let Some(at) = candidates.by_session(last, &ask.service) {
-                return Some(at);
+            if let Some(index) = candidates.by_session(last, &request.service) {
+                return Some(index);
             }
-            if let Some(prefix) = &ask.shared_part
-                && let Some(at) = candidates.by_prefix(prefix, &mut self.chance)
+            if let Some(prefix) = &request.prefix_id
+                && let Some(index) = candidates.by_prefix(prefix, &mut self.rng)
             {
-                return Some(at);
+                return Some(index);
             }
         }
-        candidates.by_load(&mut self.chance).or_else(|| candidates.least_bad())
+        candidates.by_load(&mut self.rng).or_else(|| candidates.least_bad())
     }
 
     fn find(&self, key: EndpointKey) -> Option<usize> {
@@ -238,157 +242,171 @@
     }
 
     /// A call has ended; `elapsed` is the time to its first byte.
-    pub fn ended(
+    pub fn record_completion(
         &mut self,
         now: Time,
         key: EndpointKey,
-        ask: &Ask,
+        request: &RoutingRequest,
         outcome: Outcome,
         load: Option<ServerLoad>,
         elapsed: Span,
     ) {
         self.now = now;
-        if let Some(service) = self.services.get_mut(&ask.service) {
-            service.end(now, ask);
+        if let Some(service) = self.services.get_mut(&request.service) {
+            service.end(now, request);
             if outcome == Outcome::Success {
-                service.learn_pace(ask, elapsed);
+                service.learn_pace(request, elapsed);
             }
         }
-        let Some(at) = self.find(key) else { return };
+        let Some(index) = self.find(key) else { return };
         if let Some(load) = load.filter(|_| self.policy.reported_load) {
-            self.endpoints[at].report(now, load);
+            self.endpoints[index].report(now, load);
         }
-        let bounds = self.bounds(at);
-        let chance = unit(self.chance.next_u64());
-        let call = EndedCall { outcome, elapsed, may_eject: self.may_eject(at), chance };
-        self.endpoints[at].end(now, &call, &bounds, &self.policy);
+        let bounds = self.bounds(index);
+        let jitter = unit_interval(self.rng.next_u64());
+        let call = EndedCall { outcome, elapsed, may_eject: self.may_eject(index), jitter };
+        self.endpoints[index].end(now, &call, &bounds, &self.policy);
         if outcome == Outcome::Success
-            && (bounds.engine || ask.shared_part.is_some())
-            && let Some(session) = session_hash(ask)
+            && (bounds.engine || request.prefix_id.is_some())
+            && let Some(session) = session_hash(request)
         {
             self.sessions.put(session, key);
         }
     }
 
     /// Whether half of its service is left without it.
-    fn may_eject(&self, at: usize) -> bool {
-        let Some(service) = self.services.get(&self.endpoints[at].listed.service) else { return false };
+    fn may_eject(&self, index: usize) -> bool {
+        let Some(service) = self.services.get(&self.endpoints[index].listed.service) else { return false };
         let all = service.all().filter(|other| self.endpoints[*other].in_service());
-        let (mut ready, mut out) = (0, 0);
+        let (mut ready, mut in_flight) = (0, 0);
         for other in all {
             ready += 1;
-            out += usize::from(other != at && self.endpoints[other].unproven());
+            in_flight += usize::from(other != index && self.endpoints[other].unproven());
         }
-        (out + 1) * 2 <= ready
+        (in_flight + 1) * 2 <= ready
     }
 
-    fn bounds(&self, at: usize) -> Bounds {
-        match self.services.get(&self.endpoints[at].listed.service) {
+    fn bounds(&self, index: usize) -> Bounds {
+        match self.services.get(&self.endpoints[index].listed.service) {
             Some(service) => service.bounds(self.proxies),
             None => Service::new().bounds(self.proxies),
         }
     }
 
     /// An endpoint reported its load.
-    pub fn note_load(&mut self, now: Time, key: EndpointKey, load: ServerLoad) {
+    pub fn record_load(&mut self, now: Time, key: EndpointKey, load: ServerLoad) {
         self.now = now;
-        if let Some(at) = self.find(key).filter(|_| self.policy.reported_load) {
-            self.endpoints[at].report(now, load);
+        if let Some(index) = self.find(key).filter(|_| self.policy.reported_load) {
+            self.endpoints[index].report(now, load);
         }
     }
 
     /// A connection was opened.
     pub fn connection_opened(&mut self, key: EndpointKey) {
-        if let Some(at) = self.find(key) {
-            self.endpoints[at].connections += 1;
+        if let Some(index) = self.find(key) {
+            self.endpoints[index].connections += 1;
         }
     }
 
     /// A connection was closed.
     pub fn connection_closed(&mut self, key: EndpointKey) {
-        if let Some(at) = self.find(key) {
-            let connections = &mut self.endpoints[at].connections;
+        if let Some(index) = self.find(key) {
+            let connections = &mut self.endpoints[index].connections;
             *connections = connections.saturating_sub(1);
         }
     }
 
     /// Another incarnation answers at its address: it is closed until the list says something new of it.
-    pub fn misdirected(&mut self, now: Time, key: EndpointKey) {
+    pub fn mark_misdirected(&mut self, now: Time, key: EndpointKey) {
         self.now = now;
-        if let Some(at) = self.find(key) {
-            self.endpoints[at].misdirect();
+        if let Some(index) = self.find(key) {
+            self.endpoints[index].misdirect();
         }
     }
 
-    /// Whether a request goes again after an attempt that ended like this; to be asked after [`Router::ended`]. What
-    /// the attempt was is noted in `tried`.
-    pub fn next(&self, now: Time, ask: &Ask, tried: &mut Tried, key: EndpointKey, outcome: Outcome) -> Next {
-        retry::note(tried, key, outcome);
-        if retry::spent(ask, tried) {
-            return Next::GiveUp(retry::last_answer(tried, self.retry_after(now, ask)));
+    /// Whether a request goes again after an attempt that ended like this; to be asked after [`Router::record_completion`]. What
+    /// the attempt was is noted in `history`.
+    pub fn decide_retry(
+        &self,
+        now: Time,
+        request: &RoutingRequest,
+        history: &mut AttemptHistory,
+        key: EndpointKey,
+        outcome: Outcome,
+    ) -> RetryDecision {
+        retry::note(history, key, outcome);
+        if retry::spent(request, history) {
+            return RetryDecision::GiveUp(retry::last_answer(history, self.retry_after(now, request)));
         }
-        let first = tried.attempts.max(tried.refused) == 1;
-        let elsewhere = self.free_elsewhere(now, ask, tried);
+        let first = history.attempts.max(history.unexecuted) == 1;
+        let elsewhere = self.free_elsewhere(now, request, history);
         let unsent = outcome == Outcome::Void;
-        let wait = if tried.execution.may_promise() && (unsent || (first && elsewhere)) {
+        let wait = if history.execution.may_promise() && (unsent || (first && elsewhere)) {
             0.0
         } else {
-            let draw = mix(self.seed ^ mix(now.0 ^ mix(ask.arrived.0 ^ u64::from(key.0) << 40)));
+            let random = mix(self.seed ^ mix(now.0 ^ mix(request.arrived_at.0 ^ u64::from(key.0) << 40)));
             let told = match outcome {
                 Outcome::Full(Some(told)) if !elsewhere => told.0 as f64,
                 _ => 0.0,
             };
             let backoff = match self.policy.retry_backoff {
-                true => retry::backoff(ask, tried, unit(draw)),
-                false => retry::first_backoff(ask),
+                true => retry::backoff(request, history, unit_interval(random)),
+                false => retry::first_backoff(request),
             };
             backoff.max(told)
         };
-        tried.not_before = now.after(wait);
-        if tried.not_before > retry::last_send(ask) {
-            return Next::GiveUp(retry::last_answer(tried, self.retry_after(now, ask)));
+        history.not_before = now.after(wait);
+        if history.not_before > retry::last_send(request) {
+            return RetryDecision::GiveUp(retry::last_answer(history, self.retry_after(now, request)));
         }
-        Next::Again
+        RetryDecision::Retry
     }
 
     /// How long an attempt that is about to be sent may be silent before another endpoint is tried: only an
-    /// idempotent one is, where there is an attempt left and another endpoint to make it. `tried` is what came before it.
-    pub fn try_timeout(&self, now: Time, ask: &Ask, tried: &Tried) -> Option<Span> {
-        let service = self.services.get(&ask.service).filter(|_| self.policy.try_timeout)?;
-        let timeout = retry::try_timeout(now, ask, tried, service.repeatable_pace())?;
-        let ready = service.all().map(|at| &self.endpoints[at]);
-        let others = ready.filter(|other| other.in_service() && !tried.avoid.contains(&other.key)).count();
+    /// idempotent one is, where there is an attempt left and another endpoint to make it. `history` is what came before it.
+    pub fn try_timeout(&self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> Option<Span> {
+        let service = self.services.get(&request.service).filter(|_| self.policy.try_timeout)?;
+        let timeout = retry::try_timeout(now, request, history, service.repeatable_pace())?;
+        let ready = service.all().map(|index| &self.endpoints[index]);
+        let others =
+            ready.filter(|other| other.in_service() && !history.avoided.contains(&other.key)).count();
         (others > 1).then_some(timeout)
     }
 
     /// Whether an endpoint that it has not met has a place.
-    fn free_elsewhere(&self, now: Time, ask: &Ask, tried: &Tried) -> bool {
-        let Some(service) = self.services.get(&ask.service) else { return false };
-        let candidates = Candidates::new(now, &self.policy, tried, service, self.proxies, &self.endpoints);
+    fn free_elsewhere(&self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> bool {
+        let Some(service) = self.services.get(&request.service) else { return false };
+        let candidates = Candidates::new(now, &self.policy, history, service, self.proxies, &self.endpoints);
         service
             .all()
-            .map(|at| &self.endpoints[at])
-            .any(|endpoint| !tried.avoid.contains(&endpoint.key) && candidates.usable(endpoint))
+            .map(|index| &self.endpoints[index])
+            .any(|endpoint| !history.avoided.contains(&endpoint.key) && candidates.usable(endpoint))
     }
 
     /// All endpoints as they stood at the last event.
-    pub fn view(&self) -> Vec<EndpointView> {
-        (0..self.endpoints.len()).map(|at| self.endpoints[at].view(self.now, &self.bounds(at))).collect()
+    pub fn endpoint_views(&self) -> Vec<EndpointView> {
+        (0..self.endpoints.len())
+            .map(|index| self.endpoints[index].view(self.now, &self.bounds(index)))
+            .collect()
     }
 }
 
-fn session_hash(ask: &Ask) -> Option<u64> {
-    let session = ask.session.as_ref()?;
-    Some(mix(hash(ask.service.as_bytes()) ^ hash(session.as_bytes()).rotate_left(1)))
+fn session_hash(request: &RoutingRequest) -> Option<u64> {
+    let session = request.session.as_ref()?;
+    Some(mix(hash(request.service.as_bytes()) ^ hash(session.as_bytes()).rotate_left(1)))
 }
 
 /// How much of its prompt a request shares with others, where it tells.
-fn prompt(ask: &Ask) -> Option<Prompt> {
-    let prefix = ask.shared_part.as_ref().filter(|_| ask.shared_tokens > 0)?;
-    Some(Prompt { prefix: hash(prefix.as_bytes()), prefix_tokens: ask.shared_tokens, total_tokens: ask.size })
+fn prompt(request: &RoutingRequest) -> Option<Prompt> {
+    let prefix = request.prefix_id.as_ref().filter(|_| request.prefix_tokens > 0)?;
+    Some(Prompt {
+        prefix: hash(prefix.as_bytes()),
+        prefix_tokens: request.prefix_tokens,
+        total_tokens: request.total_tokens,
+    })
 }
 
 /// Within 0 and 1.
-fn unit(draw: u64) -> f64 {
-    (draw >> 11) as f64 / (1_u64 << 53) as f64
+fn unit_interval(random: u64) -> f64 {
+    (random >> 11) as f64 / (1_u64 << 53) as f64
 }
--- a/system/request-routing/src/service.rs
+++ b/system/request-routing/src/service.rs
@@ -8,7 +8,7 @@
 use operator_config::RouteKind;
 
 /// Weight of one more observation in a learned mean.
-const LEARN: f64 = 0.1;
+const LEARNING_RATE: f64 = 0.1;
 /// Time between two ends of calls before any was seen, in microseconds.
 const FIRST_GAP: f64 = 50_000.0;
 /// The longest that counts.
@@ -22,7 +22,7 @@
 
 pub(crate) struct Service {
     /// None once the configuration does not name it.
-    pub terms: Option<ServiceTerms>,
+    pub terms: Option<ServiceSettings>,
     /// Indices of its endpoints in this zone that are listed as ready.
     pub local: Vec<usize>,
     /// The same of the other zones.
@@ -76,21 +76,21 @@
         self.local.iter().chain(&self.remote).copied()
     }
 
-    pub fn end(&mut self, now: Time, ask: &Ask) {
-        self.admission.ended(ask);
+    pub fn end(&mut self, now: Time, request: &RoutingRequest) {
+        self.admission.ended(request);
         if self.ended > Time(0) {
-            self.gap += LEARN * (now.since(self.ended).min(MOST_GAP) as f64 - self.gap);
+            self.gap += LEARNING_RATE * (now.since(self.ended).min(MOST_GAP) as f64 - self.gap);
         }
         self.ended = now;
     }
 
-    pub fn learn_pace(&mut self, ask: &Ask, elapsed: Span) {
+    pub fn learn_pace(&mut self, request: &RoutingRequest, elapsed: Span) {
         let learn = |mean: &mut f64| {
             let took = elapsed.0 as f64;
-            *mean = if *mean > 0.0 { *mean + LEARN * (took - *mean) } else { took };
+            *mean = if *mean > 0.0 { *mean + LEARNING_RATE * (took - *mean) } else { took };
         };
         learn(&mut self.pace);
-        if ask.kind == RouteKind::Idempotent {
+        if request.kind == RouteKind::Idempotent {
             learn(&mut self.repeatable_pace);
         }
     }
--- a/system/request-routing/src/types.rs
+++ b/system/request-routing/src/types.rs
@@ -12,7 +12,7 @@
 
 /// A request that wants an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct RoutingRequest {
     /// The service.
     pub service: String,
     /// What a repeat would do.
@@ -22,26 +22,26 @@
     /// The session that it belongs to.
     pub session: Option<String>,
     /// Id of the first part of its prompt.
-    pub shared_part: Option<String>,
+    pub prefix_id: Option<String>,
     /// Tokens of that part, or 0.
-    pub shared_tokens: u32,
+    pub prefix_tokens: u32,
     /// Tokens of its prompt and the most it generates, or 0.
-    pub size: u32,
+    pub total_tokens: u32,
     /// Its rank, 0 first.
     pub priority: u8,
     /// When it arrived.
-    pub arrived: Time,
+    pub arrived_at: Time,
     /// When it is given up.
     pub deadline: Time,
     /// An answer within this earns its full worth.
-    pub aim: Span,
+    pub latency_target: Span,
     /// Endpoints to which it may be sent at most.
     pub max_attempts: u32,
 }
 
-impl Ask {
+impl RoutingRequest {
     /// Whether more than one endpoint may run it.
-    pub fn may_run_again(&self) -> bool {
+    pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
             RouteKind::Streaming => self.resumable,
@@ -52,24 +52,24 @@
 
 /// What a request has been through.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tried {
+pub struct AttemptHistory {
     /// Sends that reached an endpoint.
     pub attempts: u32,
     /// Whether one of them may have run.
     pub execution: Execution,
     /// Attempts that ended without having run: refusals, and connections not made.
-    pub refused: u32,
+    pub unexecuted: u32,
     /// The endpoint of the last attempt.
-    pub last: Option<EndpointKey>,
+    pub last_endpoint: Option<EndpointKey>,
     /// Endpoints that it is not to meet again while there are others.
-    pub avoid: Vec<EndpointKey>,
+    pub avoided: Vec<EndpointKey>,
     /// It goes again no sooner.
     pub not_before: Time,
 }
 
 /// What to do with a request now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Pick {
+pub enum RoutingDecision {
     /// Send it; the call is counted as out from now on.
     Send(Target),
     /// Ask again after this, or earlier when a place may have become free.
@@ -105,9 +105,9 @@
 
 /// What follows an attempt that did not deliver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Pick again; `not_before` is set.
-    Again,
+    Retry,
     /// End it.
     GiveUp(GiveUp),
 }
@@ -125,7 +125,7 @@
 
 /// What the configuration says of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServiceTerms {
+pub struct ServiceSettings {
     /// Its name.
     pub name: String,
     /// Connections that an endpoint takes from all callers together.
@@ -140,7 +140,7 @@
 
 /// Why an endpoint gets no new requests now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unused {
+pub enum UnavailableReason {
     /// It is leaving.
     Draining,
     /// It is no longer listed.
@@ -153,14 +153,14 @@
         until: Time,
     },
     /// It was, and one call tries it now.
-    OnTrial,
+    Probing,
     /// It refused as full.
-    Closed {
+    BackingOff {
         /// Until then.
         until: Time,
     },
     /// It has as many calls as this proxy may send it.
-    Full,
+    AtCapacity,
 }
 
 /// An endpoint as the router sees it, for staff.
@@ -177,7 +177,7 @@
     /// Its zone.
     pub zone: String,
     /// Calls that are out.
-    pub out: u32,
+    pub in_flight: u32,
     /// Connections that are open.
     pub connections: u32,
     /// Its slots.
@@ -185,5 +185,5 @@
     /// Calls of other proxies there, as far as it reported them, aged.
     pub reported_load: f64,
     /// Why it is not used, if it is not.
-    pub unused: Option<Unused>,
+    pub unavailable: Option<UnavailableReason>,
 }
--- a/system/request-routing/tests/choice.rs
+++ b/system/request-routing/tests/choice.rs
@@ -7,10 +7,10 @@
 use request_routing::*;
 use std::collections::BTreeMap;
 
-fn ids(router: &mut Router, now: Time, ask: &Ask, count: usize) -> BTreeMap<String, usize> {
+fn ids(router: &mut Router, now: Time, request: &RoutingRequest, count: usize) -> BTreeMap<String, usize> {
     let mut ids = BTreeMap::new();
     for _ in 0..count {
-        *ids.entry(send(router, now, ask).instance_id.to_string()).or_insert(0) += 1;
+        *ids.entry(send(router, now, request).instance_id.to_string()).or_insert(0) += 1;
     }
     ids
 }
@@ -18,24 +18,24 @@
 #[gtest]
 fn given_endpoints_in_two_zones_when_the_own_has_slots_then_it_gets_all() {
     let mut router = router(&[entry("near", "tool", "a", 4), entry("far", "tool", "b", 4)]);
-    let ask = ask("tool", RouteKind::Idempotent);
-    expect_that!(ids(&mut router, ms(0), &ask, 4), eq(&BTreeMap::from([("near".to_owned(), 4)])));
+    let request = request("tool", RouteKind::Idempotent);
+    expect_that!(ids(&mut router, ms(0), &request, 4), eq(&BTreeMap::from([("near".to_owned(), 4)])));
 }
 
 #[gtest]
 fn given_the_own_zone_is_full_when_another_has_slots_then_that_one_gets_it() {
     let mut router = router(&[entry("near", "tool", "a", 4), entry("far", "tool", "b", 8)]);
-    let ask = ask("tool", RouteKind::Idempotent);
-    ids(&mut router, ms(0), &ask, 4);
-    expect_that!(&*send(&mut router, ms(0), &ask).instance_id, eq("far"));
+    let request = request("tool", RouteKind::Idempotent);
+    ids(&mut router, ms(0), &request, 4);
+    expect_that!(&*send(&mut router, ms(0), &request).instance_id, eq("far"));
 }
 
 #[gtest]
 fn given_a_plain_service_when_calls_come_then_they_spread_evenly() {
     let mut router = router(&[entry("x", "tool", "a", 8), entry("y", "tool", "a", 8)]);
-    let ask = ask("tool", RouteKind::NonIdempotent);
+    let request = request("tool", RouteKind::NonIdempotent);
     expect_that!(
-        ids(&mut router, ms(0), &ask, 8).into_values().collect::<Vec<_>>(),
+        ids(&mut router, ms(0), &request, 8).into_values().collect::<Vec<_>>(),
         elements_are![eq(&4), eq(&4)]
     );
 }
@@ -43,33 +43,33 @@
 #[gtest]
 fn given_a_told_load_when_calls_come_then_they_go_elsewhere_until_it_is_old() {
     let mut router = router(&[entry("x", "tool", "a", 8), entry("y", "tool", "a", 8)]);
-    let ask = ask("tool", RouteKind::Idempotent);
-    let busy = send(&mut router, ms(0), &ask);
-    router.ended(
+    let request = request("tool", RouteKind::Idempotent);
+    let busy = send(&mut router, ms(0), &request);
+    router.record_completion(
         ms(1),
         busy.key,
-        &ask,
+        &request,
         Outcome::Success,
         Some(ServerLoad { running: 6, waiting: 0, slots: 8 }),
         Span(20 * MS),
     );
-    let other = send(&mut router, ms(1), &ask);
+    let other = send(&mut router, ms(1), &request);
     expect_that!(other.key, not(eq(busy.key)));
-    end(&mut router, ms(2), other.key, &ask, Outcome::Success);
+    end(&mut router, ms(2), other.key, &request, Outcome::Success);
     // Then one call at the other outweighs what is left of it.
-    let ask = Ask { arrived: ms(3_000), deadline: ms(4_500), ..ask };
-    let keys: Vec<_> = (0..2).map(|_| send(&mut router, ms(3_000), &ask).key).collect();
+    let request = RoutingRequest { arrived_at: ms(3_000), deadline: ms(4_500), ..request };
+    let keys: Vec<_> = (0..2).map(|_| send(&mut router, ms(3_000), &request).key).collect();
     expect_that!(keys, unordered_elements_are![eq(&busy.key), eq(&other.key)]);
 }
 
 #[gtest]
 fn given_a_much_slower_endpoint_when_calls_come_then_it_gets_fewer() {
     let mut router = router(&[entry("x", "tool", "a", 20), entry("y", "tool", "a", 20)]);
-    let ask = ask("tool", RouteKind::Idempotent);
-    let (one, two) = (send(&mut router, ms(0), &ask), send(&mut router, ms(0), &ask));
-    router.ended(ms(1), one.key, &ask, Outcome::Success, None, Span(10 * MS));
-    router.ended(ms(1), two.key, &ask, Outcome::Success, None, Span(300 * MS));
-    let got = ids(&mut router, ms(2), &ask, 12);
+    let request = request("tool", RouteKind::Idempotent);
+    let (one, two) = (send(&mut router, ms(0), &request), send(&mut router, ms(0), &request));
+    router.record_completion(ms(1), one.key, &request, Outcome::Success, None, Span(10 * MS));
+    router.record_completion(ms(1), two.key, &request, Outcome::Success, None, Span(300 * MS));
+    let got = ids(&mut router, ms(2), &request, 12);
     expect_that!(got[&*two.instance_id], lt(got[&*one.instance_id]));
     expect_that!(got[&*two.instance_id], gt(0));
 }
@@ -78,25 +78,28 @@
 fn given_a_draining_endpoint_when_calls_come_then_it_gets_none_whatever_a_list_says_later() {
     let (x, y) = (entry("x", "tool", "a", 8), entry("y", "tool", "a", 8));
     let mut router = router(&[x.clone(), y.clone()]);
-    let ask = ask("tool", RouteKind::Idempotent);
-    router.set_endpoints(ms(1), &list(&[draining(x.clone()), y.clone()]));
-    expect_that!(ids(&mut router, ms(1), &ask, 3), eq(&BTreeMap::from([("y".to_owned(), 3)])));
-    router.set_endpoints(ms(2), &list(&[x, y]));
-    expect_that!(ids(&mut router, ms(2), &ask, 3), eq(&BTreeMap::from([("y".to_owned(), 3)])));
+    let request = request("tool", RouteKind::Idempotent);
+    router.update_endpoints(ms(1), &list(&[draining(x.clone()), y.clone()]));
+    expect_that!(ids(&mut router, ms(1), &request, 3), eq(&BTreeMap::from([("y".to_owned(), 3)])));
+    router.update_endpoints(ms(2), &list(&[x, y]));
+    expect_that!(ids(&mut router, ms(2), &request, 3), eq(&BTreeMap::from([("y".to_owned(), 3)])));
 }
 
 #[gtest]
 fn given_an_unlisted_endpoint_when_its_calls_end_then_it_is_forgotten() {
     let x = entry("x", "tool", "a", 8);
     let mut router = router(std::slice::from_ref(&x));
-    let ask = ask("tool", RouteKind::Idempotent);
-    let target = send(&mut router, ms(0), &ask);
-    router.set_endpoints(ms(1), &list(&[]));
-    expect_that!(router.pick(ms(1), &ask, &Tried::default()), matches_pattern!(Pick::Wait(_)));
-    expect_that!(router.view()[0].unused, some(eq(Unused::Unlisted)));
-    end(&mut router, ms(2), target.key, &ask, Outcome::Success);
-    router.set_endpoints(ms(3), &list(&[]));
-    expect_that!(router.view(), is_empty());
+    let request = request("tool", RouteKind::Idempotent);
+    let target = send(&mut router, ms(0), &request);
+    router.update_endpoints(ms(1), &list(&[]));
+    expect_that!(
+        router.pick(ms(1), &request, &AttemptHistory::default()),
+        matches_pattern!(RoutingDecision::Wait(_))
+    );
+    expect_that!(router.endpoint_views()[0].unavailable, some(eq(UnavailableReason::Unlisted)));
+    end(&mut router, ms(2), target.key, &request, Outcome::Success);
+    router.update_endpoints(ms(3), &list(&[]));
+    expect_that!(router.endpoint_views(), is_empty());
 }
 
 #[gtest]
@@ -105,10 +108,10 @@
     let mut reused = entry("z", "tool", "a", 8);
     reused.address = x.address;
     let mut router = router(std::slice::from_ref(&x));
-    let ask = ask("tool", RouteKind::Idempotent);
-    let old = send(&mut router, ms(0), &ask);
-    router.set_endpoints(ms(1), &list(&[reused]));
-    let new = send(&mut router, ms(1), &ask);
+    let request = request("tool", RouteKind::Idempotent);
+    let old = send(&mut router, ms(0), &request);
+    router.update_endpoints(ms(1), &list(&[reused]));
+    let new = send(&mut router, ms(1), &request);
     expect_that!(&*new.instance_id, eq("z"));
     expect_that!(new.key, not(eq(old.key)));
 }
@@ -119,9 +122,12 @@
     let mut router = router(std::slice::from_ref(&x));
     let mut moved = x;
     moved.service = "model".to_owned();
-    router.set_endpoints(ms(1), &list(&[moved]));
-    let tool = ask("tool", RouteKind::Idempotent);
-    expect_that!(router.pick(ms(1), &tool, &Tried::default()), matches_pattern!(Pick::Wait(_)));
+    router.update_endpoints(ms(1), &list(&[moved]));
+    let tool = request("tool", RouteKind::Idempotent);
+    expect_that!(
+        router.pick(ms(1), &tool, &AttemptHistory::default()),
+        matches_pattern!(RoutingDecision::Wait(_))
+    );
     expect_that!(&*send(&mut router, ms(1), &turn("s", "p")).instance_id, eq("x"));
 }
 
@@ -129,15 +135,18 @@
 fn given_a_misdirected_endpoint_when_the_list_changes_it_then_it_is_used_again() {
     let x = entry("x", "tool", "a", 8);
     let mut router = router(std::slice::from_ref(&x));
-    let ask = ask("tool", RouteKind::Idempotent);
-    let target = send(&mut router, ms(0), &ask);
-    end(&mut router, ms(0), target.key, &ask, Outcome::Void);
-    router.misdirected(ms(0), target.key);
-    router.set_endpoints(ms(1), &list(std::slice::from_ref(&x)));
-    expect_that!(router.pick(ms(1), &ask, &Tried::default()), matches_pattern!(Pick::Wait(_)));
-    expect_that!(router.view()[0].unused, some(eq(Unused::Misdirected)));
-    router.set_endpoints(ms(2), &list(&[entry("x", "tool", "a", 9)]));
-    send(&mut router, ms(2), &ask);
+    let request = request("tool", RouteKind::Idempotent);
+    let target = send(&mut router, ms(0), &request);
+    end(&mut router, ms(0), target.key, &request, Outcome::Void);
+    router.mark_misdirected(ms(0), target.key);
+    router.update_endpoints(ms(1), &list(std::slice::from_ref(&x)));
+    expect_that!(
+        router.pick(ms(1), &request, &AttemptHistory::default()),
+        matches_pattern!(RoutingDecision::Wait(_))
+    );
+    expect_that!(router.endpoint_views()[0].unavailable, some(eq(UnavailableReason::Misdirected)));
+    router.update_endpoints(ms(2), &list(&[entry("x", "tool", "a", 9)]));
+    send(&mut router, ms(2), &request);
 }
 
 fn engines(count: usize) -> Vec<fleet_model::Endpoint> {
@@ -163,19 +172,19 @@
     let engines = engines(3);
     let mut router = router(&engines);
     let favourite = send(&mut router, ms(0), &turn("other", "p"));
-    let first = Tried { avoid: vec![favourite.key], ..Tried::default() };
+    let first = AttemptHistory { avoided: vec![favourite.key], ..AttemptHistory::default() };
     let mine = turn("mine", "p");
     let home = sent(router.pick(ms(0), &mine, &first));
     expect_that!(home.key, not(eq(favourite.key)));
     end(&mut router, ms(1), home.key, &mine, Outcome::Success);
     expect_that!(send(&mut router, ms(2), &mine).key, eq(home.key));
     let load = ServerLoad { running: 12, waiting: 0, slots: 16 };
-    router.note_load(ms(3), home.key, load);
+    router.record_load(ms(3), home.key, load);
     expect_that!(send(&mut router, ms(3), &mine).key, not(eq(home.key)));
-    let later = Ask { arrived: ms(9_000), deadline: ms(15_000), ..mine };
+    let later = RoutingRequest { arrived_at: ms(9_000), deadline: ms(15_000), ..mine };
     expect_that!(send(&mut router, ms(9_000), &later).key, eq(home.key));
     let left: Vec<_> = engines.into_iter().filter(|engine| engine.instance_id != *home.instance_id).collect();
-    router.set_endpoints(ms(9_001), &list(&left));
+    router.update_endpoints(ms(9_001), &list(&left));
     expect_that!(send(&mut router, ms(9_001), &later).key, not(eq(home.key)));
 }
 
@@ -185,15 +194,18 @@
     for n in 0..3 {
         send(&mut router, ms(0), &turn(&format!("s{n}"), "p"));
     }
-    expect_that!(router.pick(ms(0), &turn("s", "p"), &Tried::default()), matches_pattern!(Pick::Wait(_)));
+    expect_that!(
+        router.pick(ms(0), &turn("s", "p"), &AttemptHistory::default()),
+        matches_pattern!(RoutingDecision::Wait(_))
+    );
 }
 
 #[gtest]
 fn given_a_plain_endpoint_when_its_slots_are_taken_then_only_a_few_queue_there() {
     let mut router = router(&[entry("x", "tool", "a", 4)]);
-    let ask = ask("tool", RouteKind::Idempotent);
+    let request = request("tool", RouteKind::Idempotent);
     let mut alone = 0;
-    while let Pick::Send(_) = router.pick(ms(0), &ask, &Tried::default()) {
+    while let RoutingDecision::Send(_) = router.pick(ms(0), &request, &AttemptHistory::default()) {
         alone += 1;
     }
     expect_that!(alone, eq(6));
@@ -202,44 +214,56 @@
 #[gtest]
 fn given_many_proxies_when_an_endpoint_told_that_its_slots_are_taken_then_each_sends_its_share() {
     let mut router = router(&[entry("x", "tool", "a", 4)]);
-    router.set_proxies(ms(0), 8);
-    let ask = ask("tool", RouteKind::Idempotent);
-    let first = send(&mut router, ms(0), &ask);
-    router.note_load(ms(0), first.key, ServerLoad { running: 4, waiting: 4, slots: 4 });
-    send(&mut router, ms(0), &ask);
-    expect_that!(router.pick(ms(0), &ask, &Tried::default()), matches_pattern!(Pick::Wait(_)));
+    router.set_proxy_count(ms(0), 8);
+    let request = request("tool", RouteKind::Idempotent);
+    let first = send(&mut router, ms(0), &request);
+    router.record_load(ms(0), first.key, ServerLoad { running: 4, waiting: 4, slots: 4 });
+    send(&mut router, ms(0), &request);
+    expect_that!(
+        router.pick(ms(0), &request, &AttemptHistory::default()),
+        matches_pattern!(RoutingDecision::Wait(_))
+    );
 }
 
 #[gtest]
 fn given_a_connection_limit_when_the_share_is_open_then_no_more_may_be_opened() {
     let mut router = Router::new("a".to_owned(), 1, RoutingPolicy::default());
-    router.configure(ms(0), &[terms("tool", 40, false)]);
-    router.set_proxies(ms(0), 12);
-    router.set_endpoints(ms(0), &list(&[entry("x", "tool", "a", 50)]));
-    let ask = ask("tool", RouteKind::Idempotent);
+    router.update_services(ms(0), &[terms("tool", 40, false)]);
+    router.set_proxy_count(ms(0), 12);
+    router.update_endpoints(ms(0), &list(&[entry("x", "tool", "a", 50)]));
+    let request = request("tool", RouteKind::Idempotent);
     // floor(0.9 x 40 / 12) = 3
-    let first = send(&mut router, ms(0), &ask);
+    let first = send(&mut router, ms(0), &request);
     expect_that!(first.may_open, eq(true));
     for _ in 0..3 {
         router.connection_opened(first.key);
     }
-    expect_that!(send(&mut router, ms(0), &ask).may_open, eq(false));
+    expect_that!(send(&mut router, ms(0), &request).may_open, eq(false));
     router.connection_closed(first.key);
-    expect_that!(send(&mut router, ms(0), &ask).may_open, eq(true));
-    expect_that!(router.pick(ms(0), &ask, &Tried::default()), matches_pattern!(Pick::Wait(_)));
+    expect_that!(send(&mut router, ms(0), &request).may_open, eq(true));
+    expect_that!(
+        router.pick(ms(0), &request, &AttemptHistory::default()),
+        matches_pattern!(RoutingDecision::Wait(_))
+    );
 }
 
 #[gtest]
 fn given_one_that_waits_when_a_less_urgent_one_comes_then_that_leaves_it_the_place_but_for_its_least_share() {
     let mut router = router(&[entry("e", "model", "a", 10)]);
     let (urgent, plain) = (
-        Ask { priority: 0, arrived: Time(ms(0).0 + 1), ..turn("u", "p") },
-        Ask { priority: 3, arrived: Time(ms(0).0 + 2), ..turn("v", "p") },
+        RoutingRequest { priority: 0, arrived_at: Time(ms(0).0 + 1), ..turn("u", "p") },
+        RoutingRequest { priority: 3, arrived_at: Time(ms(0).0 + 2), ..turn("v", "p") },
     );
     let targets: Vec<_> = (0..10).map(|_| send(&mut router, ms(0), &plain)).collect();
-    expect_that!(router.pick(ms(0), &urgent, &Tried::default()), matches_pattern!(Pick::Wait(_)));
+    expect_that!(
+        router.pick(ms(0), &urgent, &AttemptHistory::default()),
+        matches_pattern!(RoutingDecision::Wait(_))
+    );
     end(&mut router, ms(1), targets[0].key, &plain, Outcome::Success);
-    expect_that!(router.pick(ms(1), &plain, &Tried::default()), matches_pattern!(Pick::Wait(_)));
+    expect_that!(
+        router.pick(ms(1), &plain, &AttemptHistory::default()),
+        matches_pattern!(RoutingDecision::Wait(_))
+    );
     send(&mut router, ms(1), &urgent);
 }
 
@@ -247,25 +271,34 @@
 fn given_urgent_ones_with_all_places_when_a_less_urgent_one_waits_then_the_next_place_is_left_to_it() {
     let mut router = router(&[entry("e", "model", "a", 10)]);
     let (urgent, plain) = (
-        Ask { priority: 0, arrived: Time(ms(0).0 + 1), ..turn("u", "p") },
-        Ask { priority: 3, arrived: Time(ms(0).0 + 2), ..turn("v", "p") },
+        RoutingRequest { priority: 0, arrived_at: Time(ms(0).0 + 1), ..turn("u", "p") },
+        RoutingRequest { priority: 3, arrived_at: Time(ms(0).0 + 2), ..turn("v", "p") },
     );
     let targets: Vec<_> = (0..10).map(|_| send(&mut router, ms(0), &urgent)).collect();
-    expect_that!(router.pick(ms(0), &plain, &Tried::default()), matches_pattern!(Pick::Wait(_)));
+    expect_that!(
+        router.pick(ms(0), &plain, &AttemptHistory::default()),
+        matches_pattern!(RoutingDecision::Wait(_))
+    );
     end(&mut router, ms(1), targets[0].key, &urgent, Outcome::Success);
-    expect_that!(router.pick(ms(1), &urgent, &Tried::default()), matches_pattern!(Pick::Wait(_)));
+    expect_that!(
+        router.pick(ms(1), &urgent, &AttemptHistory::default()),
+        matches_pattern!(RoutingDecision::Wait(_))
+    );
     send(&mut router, ms(1), &plain);
 }
 
 #[gtest]
 fn given_a_waiter_that_left_when_its_time_is_over_then_nobody_yields_to_it() {
     let mut router = router(&[entry("e", "model", "a", 10)]);
-    let urgent = Ask { priority: 0, arrived: Time(ms(0).0 + 1), ..turn("u", "p") };
-    let plain = Ask { priority: 3, arrived: Time(ms(0).0 + 2), ..turn("v", "p") };
+    let urgent = RoutingRequest { priority: 0, arrived_at: Time(ms(0).0 + 1), ..turn("u", "p") };
+    let plain = RoutingRequest { priority: 3, arrived_at: Time(ms(0).0 + 2), ..turn("v", "p") };
     let targets: Vec<_> = (0..10).map(|_| send(&mut router, ms(0), &plain)).collect();
-    router.pick(ms(0), &urgent, &Tried::default());
+    router.pick(ms(0), &urgent, &AttemptHistory::default());
     end(&mut router, ms(1), targets[0].key, &plain, Outcome::Success);
-    expect_that!(router.pick(ms(1), &plain, &Tried::default()), matches_pattern!(Pick::Wait(_)));
-    let later = Ask { arrived: ms(200), ..plain };
+    expect_that!(
+        router.pick(ms(1), &plain, &AttemptHistory::default()),
+        matches_pattern!(RoutingDecision::Wait(_))
+    );
+    let later = RoutingRequest { arrived_at: ms(200), ..plain };
     send(&mut router, ms(200), &later);
 }
--- a/system/request-routing/tests/common/mod.rs
+++ b/system/request-routing/tests/common/mod.rs
@@ -31,71 +31,71 @@
     EndpointList { version: ListVersion::new(1, 1), endpoints: endpoints.to_vec() }
 }
 
-pub fn terms(name: &str, max_connections: u32, engine: bool) -> ServiceTerms {
-    ServiceTerms { name: name.to_owned(), max_connections, engine, slots: None, cache_tokens: None }
+pub fn terms(name: &str, max_connections: u32, engine: bool) -> ServiceSettings {
+    ServiceSettings { name: name.to_owned(), max_connections, engine, slots: None, cache_tokens: None }
 }
 
 /// In zone `a`, with the plain service `tool` and the model service `model`.
 pub fn router(endpoints: &[Endpoint]) -> Router {
     let mut router = Router::new("a".to_owned(), 7, RoutingPolicy::default());
-    router.configure(ms(0), &[terms("tool", 1_000, false), terms("model", 1_000, true)]);
-    router.set_endpoints(ms(0), &list(endpoints));
+    router.update_services(ms(0), &[terms("tool", 1_000, false), terms("model", 1_000, true)]);
+    router.update_endpoints(ms(0), &list(endpoints));
     router
 }
 
-pub fn ask(service: &str, kind: RouteKind) -> Ask {
-    Ask {
+pub fn request(service: &str, kind: RouteKind) -> RoutingRequest {
+    RoutingRequest {
         service: service.to_owned(),
         kind,
         resumable: false,
         session: None,
-        shared_part: None,
-        shared_tokens: 0,
-        size: 0,
+        prefix_id: None,
+        prefix_tokens: 0,
+        total_tokens: 0,
         priority: 1,
-        arrived: ms(0),
+        arrived_at: ms(0),
         deadline: ms(1_500),
-        aim: Span(250 * MS),
+        latency_target: Span(250 * MS),
         max_attempts: 3,
     }
 }
 
-pub fn turn(session: &str, part: &str) -> Ask {
-    Ask {
+pub fn turn(session: &str, part: &str) -> RoutingRequest {
+    RoutingRequest {
         session: Some(session.to_owned()),
-        shared_part: Some(part.to_owned()),
-        shared_tokens: 2_000,
-        size: 3_000,
-        ..ask("model", RouteKind::Streaming)
+        prefix_id: Some(part.to_owned()),
+        prefix_tokens: 2_000,
+        total_tokens: 3_000,
+        ..request("model", RouteKind::Streaming)
     }
 }
 
-pub fn sent(pick: Pick) -> Target {
+pub fn sent(pick: RoutingDecision) -> Target {
     match pick {
-        Pick::Send(target) => target,
+        RoutingDecision::Send(target) => target,
         other => panic!("not sent: {other:?}"),
     }
 }
 
 /// Sends a request and says where it went.
-pub fn send(router: &mut Router, now: Time, ask: &Ask) -> Target {
-    sent(router.pick(now, ask, &Tried::default()))
+pub fn send(router: &mut Router, now: Time, request: &RoutingRequest) -> Target {
+    sent(router.pick(now, request, &AttemptHistory::default()))
 }
 
-pub fn end(router: &mut Router, now: Time, key: EndpointKey, ask: &Ask, outcome: Outcome) {
-    router.ended(now, key, ask, outcome, None, Span(20 * MS));
+pub fn end(router: &mut Router, now: Time, key: EndpointKey, request: &RoutingRequest, outcome: Outcome) {
+    router.record_completion(now, key, request, outcome, None, Span(20 * MS));
 }
 
 /// Sends a request, ends it so and says where it was.
 pub fn attempt(
     router: &mut Router,
     now: Time,
-    ask: &Ask,
-    tried: &mut Tried,
+    request: &RoutingRequest,
+    history: &mut AttemptHistory,
     outcome: Outcome,
-) -> (Target, Next) {
-    let target = sent(router.pick(now, ask, tried));
-    end(router, now, target.key, ask, outcome);
-    let next = router.next(now, ask, tried, target.key, outcome);
+) -> (Target, RetryDecision) {
+    let target = sent(router.pick(now, request, history));
+    end(router, now, target.key, request, outcome);
+    let next = router.decide_retry(now, request, history, target.key, outcome);
     (target, next)
 }
--- a/system/request-routing/tests/execution.rs
+++ b/system/request-routing/tests/execution.rs
@@ -65,17 +65,17 @@
     /// What the proxy sees.
     fn outcome(self) -> Outcome {
         let end = match self {
-            Self::ConnectionRefused => SendEnd::NotConnected,
-            Self::BrokenInTheHead => SendEnd::broken(false),
+            Self::ConnectionRefused => SendOutcome::ConnectFailed,
+            Self::BrokenInTheHead => SendOutcome::connection_lost(false),
             Self::BrokenInTheBodyUnrun
             | Self::BrokenInTheBodyRun
             | Self::ResetUnrun
-            | Self::ResetAfterItRan => SendEnd::broken(true),
-            Self::SilentUnrun | Self::SilentAndRunsLater => SendEnd::silent(true),
-            Self::ForeignAnswer | Self::AnswerCutShort => SendEnd::Unusable,
-            Self::Declined => SendEnd::Declined(None),
-            Self::DeclinedWithTime => SendEnd::Declined(Some(Span(20 * MS))),
-            Self::AnotherIncarnation => SendEnd::Misdirected,
+            | Self::ResetAfterItRan => SendOutcome::connection_lost(true),
+            Self::SilentUnrun | Self::SilentAndRunsLater => SendOutcome::timed_out(true),
+            Self::ForeignAnswer | Self::AnswerCutShort => SendOutcome::Unusable,
+            Self::Declined => SendOutcome::Declined(None),
+            Self::DeclinedWithTime => SendOutcome::Declined(Some(Span(20 * MS))),
+            Self::AnotherIncarnation => SendOutcome::Misdirected,
             Self::OwnFailure => return Outcome::Failure,
         };
         end.outcome()
@@ -85,16 +85,21 @@
 /// Sends one request with these fates in turn; the error says which promise was broken.
 fn play(kind: RouteKind, fates: &[Fate]) -> std::result::Result<(), String> {
     let mut router = router(&["x", "y", "z"].map(|id| entry(id, "tool", "a", 8)));
-    let ask = Ask { max_attempts: 3, deadline: ms(20_000), aim: Span(4_000 * MS), ..ask("tool", kind) };
-    let (mut tried, mut now) = (Tried::default(), ms(0));
+    let request = RoutingRequest {
+        max_attempts: 3,
+        deadline: ms(20_000),
+        latency_target: Span(4_000 * MS),
+        ..request("tool", kind)
+    };
+    let (mut history, mut now) = (AttemptHistory::default(), ms(0));
     let mut ran = 0_u32;
     let mut fates = fates.iter();
     let end = 'over: loop {
         let target = loop {
-            match router.pick(now, &ask, &tried) {
-                Pick::Send(target) => break target,
-                Pick::Wait(Span(wait)) => now = now.after(wait as f64),
-                Pick::GiveUp(end) => break 'over end,
+            match router.pick(now, &request, &history) {
+                RoutingDecision::Send(target) => break target,
+                RoutingDecision::Wait(Span(wait)) => now = now.after(wait as f64),
+                RoutingDecision::GiveUp(end) => break 'over end,
             }
         };
         // Whatever is not fated is answered, which is the end of it.
@@ -104,19 +109,21 @@
         };
         ran += u32::from(fate.runs());
         let outcome = fate.outcome();
-        router.ended(now, target.key, &ask, outcome, None, Span(5 * MS));
+        router.record_completion(now, target.key, &request, outcome, None, Span(5 * MS));
         if *fate == Fate::AnotherIncarnation {
-            router.misdirected(now, target.key);
+            router.mark_misdirected(now, target.key);
         }
-        if let Next::GiveUp(end) = router.next(now, &ask, &mut tried, target.key, outcome) {
+        if let RetryDecision::GiveUp(end) =
+            router.decide_retry(now, &request, &mut history, target.key, outcome)
+        {
             break 'over end;
         }
     };
     if kind != RouteKind::Idempotent && ran > 1 {
         return Err(format!("{kind:?} ran {ran} times"));
     }
-    if ran > ask.max_attempts {
-        return Err(format!("ran {ran} times, with {} attempts", ask.max_attempts));
+    if ran > request.max_attempts {
+        return Err(format!("ran {ran} times, with {} attempts", request.max_attempts));
     }
     if ran > 0 && matches!(end, GiveUp::Refused { .. }) {
         return Err(format!("{kind:?} was refused and ran"));
@@ -143,10 +150,10 @@
 fn given_any_end_after_it_may_have_run_then_it_may_have_run_for_good() {
     for first in FATES.map(Fate::outcome) {
         for second in FATES.map(Fate::outcome) {
-            let both = Execution::NeverRan.after(first).after(second);
-            expect_that!(both, eq(Execution::NeverRan.after(second).after(first)), "{first:?} {second:?}");
-            if Execution::NeverRan.after(first) == Execution::MayHaveRun {
-                expect_that!(both, eq(Execution::MayHaveRun), "{first:?} {second:?}");
+            let both = Execution::NotExecuted.after(first).after(second);
+            expect_that!(both, eq(Execution::NotExecuted.after(second).after(first)), "{first:?} {second:?}");
+            if Execution::NotExecuted.after(first) == Execution::MayHaveExecuted {
+                expect_that!(both, eq(Execution::MayHaveExecuted), "{first:?} {second:?}");
             }
         }
     }
@@ -155,10 +162,14 @@
 #[gtest]
 fn given_a_status_without_the_endpoints_statement_then_only_a_repeatable_request_gets_it() {
     for status in 200..=599 {
-        expect_that!(promises_not_run(status, RouteKind::Idempotent), eq(false));
+        expect_that!(status_promises_not_executed(status, RouteKind::Idempotent), eq(false));
         let plain = matches!(status, 408 | 421 | 429 | 503);
-        expect_that!(promises_not_run(status, RouteKind::NonIdempotent), eq(plain), "{status}");
-        expect_that!(promises_not_run(status, RouteKind::Streaming), eq(plain || status == 402), "{status}");
+        expect_that!(status_promises_not_executed(status, RouteKind::NonIdempotent), eq(plain), "{status}");
+        expect_that!(
+            status_promises_not_executed(status, RouteKind::Streaming),
+            eq(plain || status == 402),
+            "{status}"
+        );
     }
 }
 
--- a/system/request-routing/tests/outliers.rs
+++ b/system/request-routing/tests/outliers.rs
@@ -16,14 +16,18 @@
 ) -> BTreeMap<String, u64> {
     let mut got = BTreeMap::new();
     for n in 0..count {
-        let at = from_ms + n * 20;
-        let ask = Ask { arrived: ms(at), deadline: ms(at + 1_500), ..ask("tool", RouteKind::Idempotent) };
-        let target = send(router, ms(at), &ask);
+        let at_ms = from_ms + n * 20;
+        let request = RoutingRequest {
+            arrived_at: ms(at_ms),
+            deadline: ms(at_ms + 1_500),
+            ..request("tool", RouteKind::Idempotent)
+        };
+        let target = send(router, ms(at_ms), &request);
         let id = target.instance_id.to_string();
         let nth = got.entry(id.clone()).or_insert(0);
         *nth += 1;
         let outcome = outcome(&id, *nth);
-        end(router, ms(at + 10), target.key, &ask, outcome);
+        end(router, ms(at_ms + 10), target.key, &request, outcome);
     }
     got
 }
@@ -64,20 +68,20 @@
 #[gtest]
 fn given_a_session_whose_endpoint_failed_when_it_goes_on_then_it_goes_elsewhere_for_a_while() {
     let mut router = router(&["x", "y"].map(|id| entry(id, "model", "a", 8)));
-    let ask = turn("mine", "p");
-    let home = send(&mut router, ms(0), &ask);
-    end(&mut router, ms(1), home.key, &ask, Outcome::Success);
-    expect_that!(send(&mut router, ms(2), &ask).key, eq(home.key));
-    end(&mut router, ms(3), home.key, &ask, Outcome::Reset);
-    expect_that!(send(&mut router, ms(4), &ask).key, not(eq(home.key)));
+    let request = turn("mine", "p");
+    let home = send(&mut router, ms(0), &request);
+    end(&mut router, ms(1), home.key, &request, Outcome::Success);
+    expect_that!(send(&mut router, ms(2), &request).key, eq(home.key));
+    end(&mut router, ms(3), home.key, &request, Outcome::Reset);
+    expect_that!(send(&mut router, ms(4), &request).key, not(eq(home.key)));
 }
 
 #[gtest]
 fn given_the_failure_penalty_is_switched_off_then_a_grey_endpoint_gets_its_share() {
     let policy = RoutingPolicy { failure_penalty: false, ..RoutingPolicy::default() };
     let mut router = Router::new("a".to_owned(), 7, policy);
-    router.configure(ms(0), &[terms("tool", 1_000, false)]);
-    router.set_endpoints(ms(0), &list(&["grey", "x", "y"].map(|id| entry(id, "tool", "a", 8))));
+    router.update_services(ms(0), &[terms("tool", 1_000, false)]);
+    router.update_endpoints(ms(0), &list(&["grey", "x", "y"].map(|id| entry(id, "tool", "a", 8))));
     let got = calls(&mut router, 0, 300, half_fail);
     expect_that!(got["grey"], ge(70));
 }
--- a/system/request-routing/tests/placement.rs
+++ b/system/request-routing/tests/placement.rs
@@ -20,19 +20,19 @@
 /// A proxy whose engines have memory for so many tokens.
 fn proxy(seed: u64, engines: &[Endpoint], cache_tokens: u64) -> Router {
     let mut router = Router::new("a".to_owned(), seed, RoutingPolicy::default());
-    let model = ServiceTerms { cache_tokens: Some(cache_tokens), ..terms("model", 10_000, true) };
-    router.configure(ms(0), &[model]);
-    router.set_endpoints(ms(0), &list(engines));
+    let model = ServiceSettings { cache_tokens: Some(cache_tokens), ..terms("model", 10_000, true) };
+    router.update_services(ms(0), &[model]);
+    router.update_endpoints(ms(0), &list(engines));
     router
 }
 
 /// A prompt of a session of its own.
-fn prompt(session: usize, prefix: usize, at: u64) -> Ask {
-    Ask {
-        shared_tokens: PREFIX_TOKENS,
-        size: PREFIX_TOKENS + OWN_TOKENS,
-        arrived: Time(ms(at).0 + session as u64),
-        deadline: ms(at + 3_000),
+fn prompt(session: usize, prefix: usize, at_ms: u64) -> RoutingRequest {
+    RoutingRequest {
+        prefix_tokens: PREFIX_TOKENS,
+        total_tokens: PREFIX_TOKENS + OWN_TOKENS,
+        arrived_at: Time(ms(at_ms).0 + session as u64),
+        deadline: ms(at_ms + 3_000),
         ..turn(&format!("s{session}"), &format!("p{prefix}"))
     }
 }
@@ -47,13 +47,13 @@
 ) -> BTreeMap<usize, BTreeSet<String>> {
     let mut met: BTreeMap<usize, BTreeSet<String>> = BTreeMap::new();
     for n in 0..prompts {
-        let (at, prefix) = (n as u64 * 50, prefix_of(n));
-        let ask = prompt(n, prefix, at);
-        let target = send(router, ms(at), &ask);
+        let (at_ms, prefix) = (n as u64 * 50, prefix_of(n));
+        let request = prompt(n, prefix, at_ms);
+        let target = send(router, ms(at_ms), &request);
         if n >= warm_up {
             met.entry(prefix).or_default().insert(target.instance_id.to_string());
         }
-        end(router, ms(at + 20), target.key, &ask, Outcome::Success);
+        end(router, ms(at_ms + 20), target.key, &request, Outcome::Success);
     }
     met
 }
@@ -137,7 +137,7 @@
 /// A fleet of proxies over the same engines: each gets its share of the arrivals and knows its own calls only.
 struct Fleet {
     proxies: Vec<Router>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 /// Most calls out at one engine at once, and the mean over engines and arrivals.
@@ -153,33 +153,33 @@
         let proxies = (0..proxies)
             .map(|seed| {
                 let mut router = proxy(seed as u64, engines, cache_tokens);
-                router.set_proxies(ms(0), proxies as u32);
+                router.set_proxy_count(ms(0), proxies as u32);
                 router
             })
             .collect();
-        Self { proxies, chance: ChaCha8Rng::seed_from_u64(5) }
+        Self { proxies, rng: ChaCha8Rng::seed_from_u64(5) }
     }
 
     /// Arrivals every `gap_ms`, each of which runs for `hold_ms`, with eight prefixes.
     fn play(&mut self, engines: usize, arrivals: u64, gap_ms: u64, hold_ms: u64) -> Spread {
-        let mut out: Vec<(u64, usize, EndpointKey, String, Ask)> = Vec::new();
+        let mut in_flight: Vec<(u64, usize, EndpointKey, String, RoutingRequest)> = Vec::new();
         let (mut now_out, mut total) = (BTreeMap::<String, usize>::new(), BTreeMap::<String, usize>::new());
         let mut busiest = 0;
         for n in 0..arrivals {
-            let at = n * gap_ms;
-            for (_, proxy, key, id, ask) in out.extract_if(.., |call| call.0 <= at) {
-                end(&mut self.proxies[proxy], ms(at), key, &ask, Outcome::Success);
+            let at_ms = n * gap_ms;
+            for (_, proxy, key, id, request) in in_flight.extract_if(.., |call| call.0 <= at_ms) {
+                end(&mut self.proxies[proxy], ms(at_ms), key, &request, Outcome::Success);
                 *now_out.get_mut(&id).unwrap() -= 1;
             }
-            let proxy = self.chance.next_u32() as usize % self.proxies.len();
-            let ask = prompt(n as usize, self.chance.next_u32() as usize % 8, at);
-            let target = send(&mut self.proxies[proxy], ms(at), &ask);
+            let proxy = self.rng.next_u32() as usize % self.proxies.len();
+            let request = prompt(n as usize, self.rng.next_u32() as usize % 8, at_ms);
+            let target = send(&mut self.proxies[proxy], ms(at_ms), &request);
             let id = target.instance_id.to_string();
             *total.entry(id.clone()).or_default() += 1;
             let there = now_out.entry(id.clone()).or_default();
             *there += 1;
             busiest = busiest.max(*there);
-            out.push((at + hold_ms, proxy, target.key, id, ask));
+            in_flight.push((at_ms + hold_ms, proxy, target.key, id, request));
         }
         let mean = arrivals as f64 / engines as f64;
         let most = total.values().max().copied().unwrap_or(0) as f64;
@@ -249,14 +249,14 @@
     engines_by_prefix(&mut router, 200, 0, |n| n % 8);
     let mut replaced = old[..4].to_vec();
     replaced.extend((0..4).map(|n| entry(&format!("n{n}"), "model", "a", 12)));
-    router.set_endpoints(ms(10_000), &list(&replaced));
+    router.update_endpoints(ms(10_000), &list(&replaced));
     let mut fresh = 0;
     for n in 0..400 {
-        let at = 10_000 + n as u64 * 50;
-        let ask = prompt(10_000 + n, n % 8, at);
-        let target = send(&mut router, ms(at), &ask);
+        let at_ms = 10_000 + n as u64 * 50;
+        let request = prompt(10_000 + n, n % 8, at_ms);
+        let target = send(&mut router, ms(at_ms), &request);
         fresh += usize::from(target.instance_id.starts_with('n'));
-        end(&mut router, ms(at + 20), target.key, &ask, Outcome::Success);
+        end(&mut router, ms(at_ms + 20), target.key, &request, Outcome::Success);
     }
     expect_that!(fresh, ge(150));
     expect_that!(fresh, le(250));
