--- a/system/request-routing/tests/properties.rs
+++ b/system/request-routing/tests/properties.rs
@@ -11,8 +11,8 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// A new request, or the next pick of one.
-    Pick {
-        request: usize,
+    Route {
+        request_index: usize,
     },
     /// One of the calls out ends.
     End {
@@ -43,7 +43,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0_usize..REQUESTS).prop_map(|request| Step::Pick { request }),
+        6 => (0_usize..REQUESTS).prop_map(|request_index| Step::Route { request_index }),
         4 => (0_usize..64, outcome(), proptest::option::of(0_u32..20))
             .prop_map(|(call, outcome, load)| Step::End { call, outcome, load }),
         1 => proptest::collection::vec((any::<bool>(), any::<bool>()), ENDPOINTS).prop_map(Step::List),
@@ -64,27 +64,27 @@
         .collect()
 }
 
-fn requests() -> Vec<Ask> {
+fn requests() -> Vec<RoutingRequest> {
     (0..REQUESTS)
-        .map(|n| Ask {
+        .map(|n| RoutingRequest {
             kind: [RouteKind::Idempotent, RouteKind::NonIdempotent, RouteKind::Streaming][n % 3],
             service: if n % 2 == 0 { "tool".to_owned() } else { "model".to_owned() },
             session: (n % 4 == 1).then(|| format!("s{}", n % 8)),
-            shared_part: (n % 2 == 1).then(|| "p".to_owned()),
+            prefix_id: (n % 2 == 1).then(|| "p".to_owned()),
             priority: (n % 3) as u8,
-            arrived: Time(ms(0).0 + n as u64),
+            arrived_at: Time(ms(0).0 + n as u64),
             max_attempts: 1 + (n % 4) as u32,
-            ..ask("tool", RouteKind::Idempotent)
+            ..request("tool", RouteKind::Idempotent)
         })
         .collect()
 }
 
 #[derive(Default)]
 struct Seen {
-    tried: Tried,
+    history: AttemptHistory,
     reached: u32,
     ran: bool,
-    out: bool,
+    in_flight: bool,
     over: bool,
 }
 
@@ -97,8 +97,8 @@
     let mut calls: Vec<(usize, Target)> = Vec::new();
     let mut ready: BTreeSet<String> = fleet.iter().map(|e| e.instance_id.clone()).collect();
     let mut shut: BTreeSet<EndpointKey> = BTreeSet::new();
-    let check_end = |ask: &Ask, seen: &Seen, end: GiveUp| {
-        if seen.ran && ask.kind != RouteKind::Idempotent {
+    let check_end = |request: &RoutingRequest, seen: &Seen, end: GiveUp| {
+        if seen.ran && request.kind != RouteKind::Idempotent {
             prop_assert_eq!(end, GiveUp::Failed);
         }
         if !seen.ran {
@@ -108,13 +108,13 @@
     };
     for step in steps {
         match step {
-            Step::Pick { request } => {
-                let (ask, seen) = (&requests[request], &mut seen[request]);
-                if seen.out || seen.over {
+            Step::Route { request_index } => {
+                let (request, seen) = (&requests[request_index], &mut seen[request_index]);
+                if seen.in_flight || seen.over {
                     continue;
                 }
-                match router.pick(now, ask, &seen.tried) {
-                    Pick::Send(target) => {
+                match router.pick(now, request, &seen.history) {
+                    RoutingDecision::Send(target) => {
                         prop_assert!(
                             ready.contains(&*target.instance_id),
                             "{} is not ready",
@@ -122,20 +122,23 @@
                         );
                         prop_assert!(!shut.contains(&target.key), "{} is another's", target.instance_id);
                         let listed = fleet.iter().find(|e| e.instance_id == *target.instance_id).unwrap();
-                        prop_assert_eq!(&listed.service, &ask.service);
+                        prop_assert_eq!(&listed.service, &request.service);
                         prop_assert_eq!(listed.address, target.address);
-                        prop_assert!(!(seen.ran && ask.kind != RouteKind::Idempotent), "it may run twice");
-                        prop_assert!(seen.reached < ask.max_attempts, "one send too many");
-                        prop_assert!(now <= ask.deadline && now >= seen.tried.not_before);
-                        seen.out = true;
-                        calls.push((request, target));
+                        prop_assert!(
+                            !(seen.ran && request.kind != RouteKind::Idempotent),
+                            "it may run twice"
+                        );
+                        prop_assert!(seen.reached < request.max_attempts, "one send too many");
+                        prop_assert!(now <= request.deadline && now >= seen.history.not_before);
+                        seen.in_flight = true;
+                        calls.push((request_index, target));
                     }
-                    Pick::Wait(Span(span)) => {
+                    RoutingDecision::Wait(Span(span)) => {
                         prop_assert!(span > 0);
-                        prop_assert!(now.after(span as f64) <= ask.deadline, "it waits past its end");
+                        prop_assert!(now.after(span as f64) <= request.deadline, "it waits past its end");
                     }
-                    Pick::GiveUp(end) => {
-                        check_end(ask, seen, end)?;
+                    RoutingDecision::GiveUp(end) => {
+                        check_end(request, seen, end)?;
                         seen.over = true;
                     }
                 }
@@ -144,19 +147,20 @@
                 if calls.is_empty() {
                     continue;
                 }
-                let (request, target) = calls.swap_remove(call % calls.len());
-                let (ask, seen) = (&requests[request], &mut seen[request]);
+                let (request_index, target) = calls.swap_remove(call % calls.len());
+                let (request, seen) = (&requests[request_index], &mut seen[request_index]);
                 let load = load.map(|running| ServerLoad { running, waiting: running / 4, slots: 8 });
-                router.ended(now, target.key, ask, outcome, load, Span(5_000));
-                seen.out = false;
+                router.record_completion(now, target.key, request, outcome, load, Span(5_000));
+                seen.in_flight = false;
                 seen.ran |= outcome.may_have_run();
                 seen.reached +=
                     u32::from(!matches!(outcome, Outcome::ConnectFailed | Outcome::Void | Outcome::NoRoom));
                 if outcome == Outcome::Success {
                     seen.over = true;
-                } else if let Next::GiveUp(end) = router.next(now, ask, &mut seen.tried, target.key, outcome)
+                } else if let RetryDecision::GiveUp(end) =
+                    router.decide_retry(now, request, &mut seen.history, target.key, outcome)
                 {
-                    check_end(ask, seen, end)?;
+                    check_end(request, seen, end)?;
                     seen.over = true;
                 }
             }
@@ -172,13 +176,13 @@
                         ready.insert(endpoint.instance_id.clone());
                     }
                 }
-                router.set_endpoints(now, &list(&listed));
+                router.update_endpoints(now, &list(&listed));
                 // What a list says of an entry anew may open it again.
                 shut.clear();
             }
             Step::Misdirected(n) => {
-                if let Some(view) = router.view().get(n) {
-                    router.misdirected(now, view.key);
+                if let Some(view) = router.endpoint_views().get(n) {
+                    router.mark_misdirected(now, view.key);
                     shut.insert(view.key);
                 }
             }
@@ -186,14 +190,14 @@
         }
     }
     // Calls out are counted as they are.
-    let mut out: BTreeMap<EndpointKey, u32> = BTreeMap::new();
+    let mut in_flight: BTreeMap<EndpointKey, u32> = BTreeMap::new();
     for (_, target) in &calls {
-        *out.entry(target.key).or_default() += 1;
+        *in_flight.entry(target.key).or_default() += 1;
     }
-    for view in router.view() {
-        prop_assert_eq!(view.out, out.remove(&view.key).unwrap_or(0));
+    for view in router.endpoint_views() {
+        prop_assert_eq!(view.in_flight, in_flight.remove(&view.key).unwrap_or(0));
     }
-    prop_assert!(out.is_empty(), "calls at endpoints that are forgotten");
+    prop_assert!(in_flight.is_empty(), "calls at endpoints that are forgotten");
     Ok(())
 }
 
