--- a/system/config-fields/src/findings.rs
+++ b/system/config-fields/src/findings.rs
@@ -3,7 +3,7 @@
 use crate::Field;
 
 /// A place within `base`; `base` is empty for the document as a whole.
-pub fn within(base: &str, name: &str) -> String {
+pub fn field_path(base: &str, name: &str) -> String {
     if base.is_empty() { name.to_owned() } else { format!("{base}.{name}") }
 }
 
@@ -18,7 +18,7 @@
             Field::Read(value) => Some(value),
             Field::Absent => None,
             Field::Wrong(what) => {
-                self.add(within(base, name), what);
+                self.add(field_path(base, name), what);
                 None
             }
         }
@@ -27,7 +27,7 @@
     /// The field's value, or `None` with a finding.
     fn required<T>(&mut self, base: &str, name: &str, field: Field<T>) -> Option<T> {
         if matches!(field, Field::Absent) {
-            self.add(within(base, name), "is missing");
+            self.add(field_path(base, name), "is missing");
         }
         self.optional(base, name, field)
     }
--- a/system/config-fields/src/lib.rs
+++ b/system/config-fields/src/lib.rs
@@ -7,7 +7,7 @@
 mod findings;
 mod number;
 
-pub use findings::{CollectFindings, within};
+pub use findings::{CollectFindings, field_path};
 pub use number::Number;
 
 use serde::de::{Deserialize, Deserializer};
--- a/system/config-fields/src/number.rs
+++ b/system/config-fields/src/number.rs
@@ -7,17 +7,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Number {
     /// Written without a fraction.
-    Whole(u64),
+    Integer(u64),
     /// Written with one.
-    Fraction(f64),
+    Float(f64),
 }
 
 impl Number {
     /// As a whole number: fractions are rounded up, what is too large becomes the largest.
     pub fn rounded_up(self) -> u64 {
         match self {
-            Self::Whole(number) => number,
-            Self::Fraction(number) => number.ceil() as u64,
+            Self::Integer(number) => number,
+            Self::Float(number) => number.ceil() as u64,
         }
     }
 
@@ -29,17 +29,17 @@
     /// As a whole number, if it is exactly one.
     pub fn exact(self) -> Option<u64> {
         match self {
-            Self::Whole(number) => Some(number),
-            Self::Fraction(number) if number.fract() == 0.0 && number < 2_f64.powi(64) => Some(number as u64),
-            Self::Fraction(_) => None,
+            Self::Integer(number) => Some(number),
+            Self::Float(number) if number.fract() == 0.0 && number < 2_f64.powi(64) => Some(number as u64),
+            Self::Float(_) => None,
         }
     }
 
     /// As a fraction.
     pub fn as_f64(self) -> f64 {
         match self {
-            Self::Whole(number) => number as f64,
-            Self::Fraction(number) => number,
+            Self::Integer(number) => number as f64,
+            Self::Float(number) => number,
         }
     }
 }
@@ -60,19 +60,19 @@
     }
 
     fn visit_u64<E: Error>(self, number: u64) -> Result<Number, E> {
-        Ok(Number::Whole(number))
+        Ok(Number::Integer(number))
     }
 
     fn visit_i64<E: Error>(self, number: i64) -> Result<Number, E> {
         match u64::try_from(number) {
-            Ok(number) => Ok(Number::Whole(number)),
+            Ok(number) => Ok(Number::Integer(number)),
             Err(_) => Err(E::invalid_value(Unexpected::Signed(number), &self)),
         }
     }
 
     fn visit_f64<E: Error>(self, number: f64) -> Result<Number, E> {
         if number >= 0.0 {
-            Ok(Number::Fraction(number))
+            Ok(Number::Float(number))
         } else {
             Err(E::invalid_value(Unexpected::Float(number), &self))
         }
--- a/system/config-fields/tests/fields.rs
+++ b/system/config-fields/tests/fields.rs
@@ -1,6 +1,6 @@
 //! Lenient fields: what they take, and what is noted about those that are missing or wrong.
 
-use config_fields::{CollectFindings, Field, Number, within};
+use config_fields::{CollectFindings, Field, Number, field_path};
 use googletest::prelude::*;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -42,7 +42,7 @@
     let mut findings = Findings::default();
 
     expect_that!(findings.required("", "name", form.name), some(eq("a")));
-    expect_that!(findings.optional("", "time_ms", form.time_ms), some(eq(Number::Whole(5))));
+    expect_that!(findings.optional("", "time_ms", form.time_ms), some(eq(Number::Integer(5))));
     expect_that!(findings.list("", "zones", form.zones), elements_are![eq("x"), eq("y")]);
     expect_that!(findings.0, is_empty());
 }
@@ -103,6 +103,6 @@
 
 #[gtest]
 fn a_place_names_its_base_unless_that_is_the_document() {
-    expect_that!(within("", "name"), eq("name"));
-    expect_that!(within("limits", "name"), eq("limits.name"));
+    expect_that!(field_path("", "name"), eq("name"));
+    expect_that!(field_path("limits", "name"), eq("limits.name"));
 }
--- a/system/fleet-membership/src/config.rs
+++ b/system/fleet-membership/src/config.rs
@@ -4,52 +4,52 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
     /// The fleet's number: datagrams of another one are dropped.
-    pub fleet: u32,
+    pub fleet_id: u32,
     /// Between two probes.
-    pub period_ms: u64,
+    pub probe_interval_ms: u64,
     /// In every so many periods one more member is probed, in shuffled round robin.
-    pub extra_probe_every: u64,
+    pub round_robin_every_periods: u64,
     /// How long a probe waits before indirect ones are asked for.
     pub ack_timeout_ms: u64,
     /// How long it then waits before it suspects.
-    pub indirect_timeout_ms: u64,
+    pub indirect_ack_timeout_ms: u64,
     /// How many members are asked for an indirect probe.
-    pub indirect_probes: usize,
+    pub indirect_probe_count: usize,
     /// How long a suspected member has to refute; two in a hundred longer with each doubling of the fleet.
-    pub suspicion_ms: u64,
+    pub suspicion_timeout_ms: u64,
     /// Between two rounds of gossip.
     pub gossip_interval_ms: u64,
     /// How many members get a round of gossip.
     pub gossip_fanout: usize,
     /// A tick that comes later than due by more than this tells that this process had no time.
-    pub late_ms: u64,
+    pub stall_threshold_ms: u64,
     /// How long it is remembered that a life has ended.
-    pub dead_memory_ms: u64,
+    pub dead_retention_ms: u64,
     /// Between two tries to rejoin removed members and absent seeds, on average.
     pub rejoin_interval_ms: u64,
     /// The same while no other member is known.
-    pub alone_interval_ms: u64,
+    pub isolated_rejoin_interval_ms: u64,
     /// How long the address of a removed member is tried.
-    pub lost_memory_ms: u64,
+    pub lost_address_retention_ms: u64,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Self {
-            fleet: 0,
-            period_ms: 1_000,
-            extra_probe_every: 4,
+            fleet_id: 0,
+            probe_interval_ms: 1_000,
+            round_robin_every_periods: 4,
             ack_timeout_ms: 200,
-            indirect_timeout_ms: 400,
-            indirect_probes: 2,
-            suspicion_ms: 1_500,
+            indirect_ack_timeout_ms: 400,
+            indirect_probe_count: 2,
+            suspicion_timeout_ms: 1_500,
             gossip_interval_ms: 100,
             gossip_fanout: 3,
-            late_ms: 100,
-            dead_memory_ms: 60_000,
+            stall_threshold_ms: 100,
+            dead_retention_ms: 60_000,
             rejoin_interval_ms: 5_000,
-            alone_interval_ms: 1_000,
-            lost_memory_ms: 24 * 3_600_000,
+            isolated_rejoin_interval_ms: 1_000,
+            lost_address_retention_ms: 24 * 3_600_000,
         }
     }
 }
@@ -57,7 +57,7 @@
 impl Config {
     /// How long a suspected member has to refute in a fleet of `members`.
     pub(crate) fn suspicion_for(&self, members: usize) -> u64 {
-        self.suspicion_ms + self.suspicion_ms * u64::from(log2(members)) / 50
+        self.suspicion_timeout_ms + self.suspicion_timeout_ms * u64::from(log2(members)) / 50
     }
 
     /// How often a member gossips one change in a fleet of `members`.
--- a/system/fleet-membership/src/effects.rs
+++ b/system/fleet-membership/src/effects.rs
@@ -16,25 +16,25 @@
         bytes: Vec<u8>,
     },
     /// Take note: a member's state has changed.
-    Changed(Change),
+    Event(MemberEvent),
 }
 
 /// A change of a member's state. A restart is told as `Removed` of the former life and `Joined` of the new one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum MemberEvent {
     /// It is there.
     Joined(Member),
     /// It doesn't answer.
     Suspected(Member),
     /// It has refuted the suspicion.
-    Cleared(Member),
+    Refuted(Member),
     /// It went by itself.
     Left(Member),
     /// It is gone.
     Removed(Member),
 }
 
-impl Change {
+impl MemberEvent {
     /// What becomes known when an entry of the table is replaced.
     pub(crate) fn between(before: Option<&Entry>, after: &Entry) -> Vec<Self> {
         let mut changes = Self::of_liveness(before, after);
@@ -56,7 +56,7 @@
                 vec![Self::Removed(former), Self::Joined(member)]
             }
             (Some(Status::Suspect), _, Some(member)) if after.status == Status::Alive => {
-                vec![Self::Cleared(member)]
+                vec![Self::Refuted(member)]
             }
             (Some(_), Some(former), _) if after.status == Status::Removed => vec![Self::Removed(former)],
             (Some(_), Some(former), _) if after.status == Status::Left => vec![Self::Left(former)],
@@ -73,15 +73,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Dropped datagrams of another fleet or version.
-    pub strangers: u64,
+    pub foreign_datagrams: u64,
     /// Dropped datagrams that could not be read.
-    pub malformed: u64,
+    pub malformed_datagrams: u64,
     /// Datagrams sent.
     pub datagrams_sent: u64,
     /// Their bytes, without headers of UDP and IP.
     pub bytes_sent: u64,
     /// Times that this process noticed it had had no time.
-    pub gaps: u64,
+    pub stalls: u64,
     /// Times that this process refuted a suspicion or its removal.
     pub refutations: u64,
 }
--- a/system/fleet-membership/src/lib.rs
+++ b/system/fleet-membership/src/lib.rs
@@ -24,7 +24,7 @@
 mod wire;
 
 pub use config::Config;
-pub use effects::{Change, Counters, Effect};
-pub use member::{Member, MemberError, MemberState, Role, start_number};
+pub use effects::{Counters, Effect, MemberEvent};
+pub use member::{Member, MemberError, MemberState, Role, new_incarnation};
 pub use membership::Membership;
 pub use wire::MAX_DATAGRAM;
--- a/system/fleet-membership/src/member.rs
+++ b/system/fleet-membership/src/member.rs
@@ -28,7 +28,7 @@
     pub zone: String,
     /// Its name.
     pub name: String,
-    /// The number of this life, see [`start_number`]: a later life at the address has a higher one.
+    /// The number of this life, see [`new_incarnation`]: a later life at the address has a higher one.
     pub incarnation: u64,
     /// What else it tells of itself.
     pub tags: Vec<u8>,
@@ -53,7 +53,7 @@
 }
 
 /// The number of a life that starts now: a later start has a higher one, and chance tells two of one millisecond apart.
-pub fn start_number(unix_ms: u64, random: u16) -> u64 {
+pub fn new_incarnation(unix_ms: u64, random: u16) -> u64 {
     (unix_ms << 16) | u64::from(random)
 }
 
--- a/system/fleet-membership/src/membership.rs
+++ b/system/fleet-membership/src/membership.rs
@@ -27,7 +27,7 @@
 
 /// One member's view of the fleet.
 pub struct Membership {
-    me: Member,
+    local_member: Member,
     /// How often this life has refuted what was said of it.
     refutation: u32,
     config: Config,
@@ -62,9 +62,9 @@
     pub fn new(me: Member, config: Config, seed: u64, now_ms: u64) -> Result<Self, MemberError> {
         me.check()?;
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let next_probe = now_ms + random.next_u64() % config.period_ms.max(1);
+        let next_probe = now_ms + random.next_u64() % config.probe_interval_ms.max(1);
         Ok(Self {
-            me,
+            local_member: me,
             refutation: 0,
             config,
             random,
@@ -98,7 +98,7 @@
             return Vec::new();
         }
         self.notice_gap(now_ms);
-        self.seeds = seeds.iter().copied().filter(|ip| *ip != self.me.ip).collect();
+        self.seeds = seeds.iter().copied().filter(|ip| *ip != self.local_member.ip).collect();
         self.seeds.sort_unstable();
         self.seeds.dedup();
         self.join_seeds(now_ms);
@@ -118,15 +118,15 @@
     }
 
     /// A datagram came.
-    pub fn datagram(&mut self, now_ms: u64, from: Ipv4Addr, bytes: &[u8]) -> Vec<Effect> {
+    pub fn receive_datagram(&mut self, now_ms: u64, from: Ipv4Addr, bytes: &[u8]) -> Vec<Effect> {
         if self.left {
             return Vec::new();
         }
         self.notice_gap(now_ms);
-        match decode(self.config.fleet, bytes) {
-            Err(DecodeError::Stranger) => self.counters.strangers += 1,
-            Err(DecodeError::Malformed) => self.counters.malformed += 1,
-            Ok(_) if from == self.me.ip || !is_usable(from) => self.counters.strangers += 1,
+        match decode(self.config.fleet_id, bytes) {
+            Err(DecodeError::Stranger) => self.counters.foreign_datagrams += 1,
+            Err(DecodeError::Malformed) => self.counters.malformed_datagrams += 1,
+            Ok(_) if from == self.local_member.ip || !is_usable(from) => self.counters.foreign_datagrams += 1,
             Ok((head, claims)) => self.message(now_ms, from, head, claims),
         }
         self.take_effects()
@@ -182,13 +182,13 @@
     // Questions.
 
     /// This member.
-    pub fn me(&self) -> &Member {
-        &self.me
+    pub fn local_member(&self) -> &Member {
+        &self.local_member
     }
 
     /// All members with their state, this one first.
     pub fn members(&self) -> impl Iterator<Item = (&Member, MemberState)> {
-        let me = (!self.left).then_some((&self.me, MemberState::Alive));
+        let me = (!self.left).then_some((&self.local_member, MemberState::Alive));
         me.into_iter().chain(self.table.iter().filter_map(|(_, entry)| match entry.status {
             Status::Alive => Some((entry.member.as_ref()?, MemberState::Alive)),
             Status::Suspect => Some((entry.member.as_ref()?, MemberState::Suspect)),
@@ -197,20 +197,20 @@
     }
 
     /// The members of a role that count as living, suspected ones among them.
-    pub fn alive(&self, role: Role) -> impl Iterator<Item = &Member> {
+    pub fn live_members(&self, role: Role) -> impl Iterator<Item = &Member> {
         self.members().map(|(member, _)| member).filter(move |member| member.role == role)
     }
 
     /// The living member at an address.
-    pub fn get(&self, ip: Ipv4Addr) -> Option<&Member> {
-        if ip == self.me.ip {
-            return (!self.left).then_some(&self.me);
+    pub fn member_at(&self, ip: Ipv4Addr) -> Option<&Member> {
+        if ip == self.local_member.ip {
+            return (!self.left).then_some(&self.local_member);
         }
         self.table.live(ip)?.member.as_ref()
     }
 
     /// How many members there are, this one included.
-    pub fn count(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.table.addresses().len() + usize::from(!self.left)
     }
 
--- a/system/fleet-membership/src/membership/claims.rs
+++ b/system/fleet-membership/src/membership/claims.rs
@@ -1,7 +1,7 @@
 //! Merging what others claim into the table. Every change of another member's state is made here.
 
 use super::Membership;
-use crate::effects::{Change, Effect};
+use crate::effects::{Effect, MemberEvent};
 use crate::table::Entry;
 use crate::wire::{Claim, Status, Version};
 use rand_chacha::rand_core::RngCore;
@@ -63,7 +63,7 @@
 
     /// Takes a claim in if it outranks what is known.
     pub(super) fn learn(&mut self, now_ms: u64, claim: Claim, source: Source) -> Outcome {
-        if claim.ip() == self.me.ip {
+        if claim.ip() == self.local_member.ip {
             self.refute(now_ms, claim.version(), claim.status());
             return Outcome::Settled;
         }
@@ -117,15 +117,15 @@
         if (version, status) <= (self.my_version(), Status::Alive) {
             return;
         }
-        if version.incarnation > self.me.incarnation {
-            self.me.incarnation = version.incarnation.saturating_add(1);
+        if version.incarnation > self.local_member.incarnation {
+            self.local_member.incarnation = version.incarnation.saturating_add(1);
             self.refutation = 0;
         } else {
             self.refutation = version.refutation.saturating_add(1);
         }
         self.counters.refutations += 1;
         self.last_change = now_ms;
-        self.disseminate(now_ms, self.me.ip);
+        self.disseminate(now_ms, self.local_member.ip);
     }
 
     /// Makes every change of another member's state.
@@ -151,7 +151,7 @@
         if was_live || after.status.is_live() {
             self.disseminate(now_ms, ip);
         }
-        self.effects.extend(Change::between(before.as_ref(), &after).into_iter().map(Effect::Changed));
+        self.effects.extend(MemberEvent::between(before.as_ref(), &after).into_iter().map(Effect::Event));
     }
 
     /// The table's entry after a claim; what is known of a member outlasts claims that don't tell it.
@@ -164,15 +164,15 @@
         };
         let deadline = match status {
             Status::Alive => u64::MAX,
-            Status::Suspect => now_ms + self.config.suspicion_for(self.count()),
-            Status::Removed | Status::Left => now_ms + self.config.dead_memory_ms,
+            Status::Suspect => now_ms + self.config.suspicion_for(self.member_count()),
+            Status::Removed | Status::Left => now_ms + self.config.dead_retention_ms,
         };
         Entry { member, version, status, deadline }
     }
 
     /// Nothing was due while there was nobody to send to.
     fn start_timers(&mut self, now_ms: u64) {
-        let first_probe = now_ms + self.random.next_u64() % self.config.period_ms.max(1);
+        let first_probe = now_ms + self.random.next_u64() % self.config.probe_interval_ms.max(1);
         self.next_probe = self.next_probe.max(first_probe);
         self.next_gossip = self.next_gossip.max(now_ms);
     }
--- a/system/fleet-membership/src/membership/failure_detector.rs
+++ b/system/fleet-membership/src/membership/failure_detector.rs
@@ -16,13 +16,14 @@
 impl Membership {
     /// A new period: the successor on the ring is probed, and now and then another.
     pub(super) fn begin_period(&mut self, now_ms: u64) {
-        self.next_probe = (self.next_probe + self.config.period_ms).max(now_ms + self.config.period_ms / 2);
+        self.next_probe =
+            (self.next_probe + self.config.probe_interval_ms).max(now_ms + self.config.probe_interval_ms / 2);
         self.periods += 1;
         self.table.forget(now_ms);
-        if let Some(successor) = self.table.successor(self.me.ip) {
+        if let Some(successor) = self.table.successor(self.local_member.ip) {
             self.probe(now_ms, successor);
         }
-        if self.periods.is_multiple_of(self.config.extra_probe_every.max(1)) {
+        if self.periods.is_multiple_of(self.config.round_robin_every_periods.max(1)) {
             self.probe_in_turn(now_ms);
         }
     }
@@ -52,11 +53,11 @@
 
     /// Probes a member on behalf of another.
     pub(super) fn probe_for(&mut self, now_ms: u64, requester: Ipv4Addr, number: u32, target: Ipv4Addr) {
-        if target == self.me.ip {
+        if target == self.local_member.ip {
             return;
         }
         let own_number = self.probes.next_number();
-        let deadline = now_ms + self.config.indirect_timeout_ms;
+        let deadline = now_ms + self.config.indirect_ack_timeout_ms;
         let probe =
             IndirectProbe { number: own_number, target, requester, requester_number: number, deadline };
         self.probes.put_indirect(now_ms, probe);
@@ -103,13 +104,13 @@
     fn probe_indirectly(&mut self, now_ms: u64, mut probe: Probe) {
         let Probe { number, target, .. } = probe;
         let others = self.table.addresses().iter().copied().filter(|ip| *ip != target).collect();
-        let relays = self.choose(others, self.config.indirect_probes);
+        let relays = self.choose(others, self.config.indirect_probe_count);
         for relay in &relays {
             self.send(*relay, Body::PingRequest { number, target }, &[]);
         }
         self.send(target, Body::Ping { number }, &[]);
         probe.relays = Some(relays);
-        probe.deadline = now_ms + self.config.indirect_timeout_ms;
+        probe.deadline = now_ms + self.config.indirect_ack_timeout_ms;
         self.probes.waiting.push(probe);
     }
 
@@ -117,10 +118,10 @@
     /// others: it probes again, and gives suspected ones more time. It probes some others, too, to hear how they see it.
     pub(super) fn notice_gap(&mut self, now_ms: u64) {
         let due = self.next_tick_ms();
-        if now_ms <= due.saturating_add(self.config.late_ms) {
+        if now_ms <= due.saturating_add(self.config.stall_threshold_ms) {
             return;
         }
-        self.counters.gaps += 1;
+        self.counters.stalls += 1;
         self.table.extend_suspicions(now_ms - due);
         self.restart_probes(now_ms);
         if let Some(fetch) = &mut self.fetch {
--- a/system/fleet-membership/src/membership/messages.rs
+++ b/system/fleet-membership/src/membership/messages.rs
@@ -27,7 +27,7 @@
                 }
             }
             Body::Page { next, claims } => self.learn_page(now_ms, from, next, claims),
-            Body::Unknown => self.send(from, Body::Gossip, &[self.me.ip]),
+            Body::Unknown => self.send(from, Body::Gossip, &[self.local_member.ip]),
             Body::Leave => return self.learn_leave(now_ms, from, head.version),
         }
         if is_unknown {
--- a/system/fleet-membership/src/membership/rejoin.rs
+++ b/system/fleet-membership/src/membership/rejoin.rs
@@ -24,7 +24,7 @@
 
     pub(super) fn send_join(&mut self, to: Ipv4Addr) {
         let alone = self.table.addresses().is_empty();
-        self.send(to, Body::Join { after: None, alone }, &[self.me.ip]);
+        self.send(to, Body::Join { after: None, alone }, &[self.local_member.ip]);
     }
 
     /// Keeps the address of a removed member, to find it again.
@@ -38,7 +38,7 @@
 
     pub(super) fn rejoin_soon(&mut self, now_ms: u64) {
         let soon = if self.table.addresses().is_empty() {
-            self.config.alone_interval_ms
+            self.config.isolated_rejoin_interval_ms
         } else {
             self.random.next_u64() % self.config.rejoin_interval_ms.max(1)
         };
@@ -47,7 +47,7 @@
 
     fn rejoin_interval(&mut self) -> u64 {
         if self.table.addresses().is_empty() {
-            return self.config.alone_interval_ms;
+            return self.config.isolated_rejoin_interval_ms;
         }
         let interval = self.config.rejoin_interval_ms;
         interval / 2 + self.random.next_u64() % interval.max(1)
@@ -56,7 +56,7 @@
     /// Asks removed members and absent seeds, by chance, so that a big part doesn't ask more in all than a small one.
     pub(super) fn rejoin(&mut self, now_ms: u64) {
         self.table.forget(now_ms);
-        let oldest = now_ms.saturating_sub(self.config.lost_memory_ms);
+        let oldest = now_ms.saturating_sub(self.config.lost_address_retention_ms);
         self.lost.retain(|_, at| *at >= oldest);
         let absent = |ip: &Ipv4Addr| self.table.live(*ip).is_none();
         let seeds: Vec<Ipv4Addr> = self.seeds.iter().copied().filter(absent).collect();
@@ -83,7 +83,7 @@
     }
 
     fn rejoin_tries(&mut self) -> usize {
-        match self.count() {
+        match self.member_count() {
             1 => JOINED_AT_ONCE,
             members => (JOINED_BY_ALL + (self.random.next_u64() % members as u64) as usize) / members,
         }
--- a/system/fleet-membership/src/membership/sending.rs
+++ b/system/fleet-membership/src/membership/sending.rs
@@ -12,9 +12,9 @@
     /// about `first`, then gossip as there is room.
     pub(super) fn send(&mut self, to: Ipv4Addr, body: Body, first: &[Ipv4Addr]) {
         let head = Head { version: self.my_version(), digest: self.digest().to_le_bytes(), body };
-        let mut writer = Writer::new(self.config.fleet, &head);
+        let mut writer = Writer::new(self.config.fleet_id, &head);
         let told = self.write_claims(&mut writer, to, first);
-        let limit = self.config.sends_per_change(self.count());
+        let limit = self.config.sends_per_change(self.member_count());
         for ip in told {
             self.gossip_queue.count(ip, limit);
         }
@@ -44,20 +44,20 @@
     }
 
     fn claim(&self, ip: Ipv4Addr) -> Option<Claim> {
-        if ip == self.me.ip { Some(self.my_claim()) } else { self.table.get(ip)?.claim(ip) }
+        if ip == self.local_member.ip { Some(self.my_claim()) } else { self.table.get(ip)?.claim(ip) }
     }
 
     pub(super) fn my_claim(&self) -> Claim {
-        Claim::Alive { member: self.me.clone(), refutation: self.refutation }
+        Claim::Alive { member: self.local_member.clone(), refutation: self.refutation }
     }
 
     pub(super) fn my_version(&self) -> Version {
-        Version { incarnation: self.me.incarnation, refutation: self.refutation }
+        Version { incarnation: self.local_member.incarnation, refutation: self.refutation }
     }
 
     /// The digest of this member's view.
     pub(super) fn digest(&self) -> u64 {
-        self.table.digest() ^ digest_of(self.me.ip, self.my_version())
+        self.table.digest() ^ digest_of(self.local_member.ip, self.my_version())
     }
 
     /// Draws `count` of these, in random order.
--- a/system/fleet-membership/src/membership/state_exchange.rs
+++ b/system/fleet-membership/src/membership/state_exchange.rs
@@ -54,7 +54,7 @@
 
     /// Since when views differ. Some others may be as wrong as this one, so that only every now and then one differs.
     fn diverged_since(&self, now_ms: u64) -> u64 {
-        let forgotten_after = DIVERGENCE_PERIODS * self.config.period_ms;
+        let forgotten_after = DIVERGENCE_PERIODS * self.config.probe_interval_ms;
         let ongoing = self.divergence.filter(|divergence| now_ms <= divergence.last_seen + forgotten_after);
         ongoing.map_or(now_ms, |divergence| divergence.since)
     }
--- a/system/fleet-membership/tests/datagrams.rs
+++ b/system/fleet-membership/tests/datagrams.rs
@@ -1,6 +1,6 @@
 //! What a process does with datagrams that no member has sent.
 
-use fleet_membership::{Config, Effect, Member, MemberError, Membership, Role, start_number};
+use fleet_membership::{Config, Effect, Member, MemberError, Membership, Role, new_incarnation};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::net::Ipv4Addr;
@@ -10,12 +10,13 @@
 const FLEET: u32 = 7;
 
 fn member(ip: Ipv4Addr) -> Member {
-    let incarnation = start_number(1_000, 0);
+    let incarnation = new_incarnation(1_000, 0);
     Member { ip, role: Role::Core, zone: "a".into(), name: ip.to_string(), incarnation, tags: Vec::new() }
 }
 
 fn membership(ip: Ipv4Addr, fleet: u32) -> Membership {
-    Membership::new(member(ip), Config { fleet, ..Config::default() }, 1, 0).expect("a sound member")
+    Membership::new(member(ip), Config { fleet_id: fleet, ..Config::default() }, 1, 0)
+        .expect("a sound member")
 }
 
 fn datagrams(effects: Vec<Effect>) -> Vec<Vec<u8>> {
@@ -36,17 +37,17 @@
     let mut membership = membership(ME, FLEET);
 
     // When one of another fleet asks to be let in.
-    let effects = membership.datagram(1, OTHER, &join_of(FLEET + 1));
+    let effects = membership.receive_datagram(1, OTHER, &join_of(FLEET + 1));
 
     // Then nothing comes of it.
     expect_that!(effects, is_empty());
-    expect_that!(membership.count(), eq(1));
-    expect_that!(membership.counters().strangers, eq(1));
+    expect_that!(membership.member_count(), eq(1));
+    expect_that!(membership.counters().foreign_datagrams, eq(1));
 
     // But one of its own is let in.
-    expect_that!(membership.datagram(2, OTHER, &join_of(FLEET)), not(is_empty()));
-    expect_that!(membership.count(), eq(2));
-    expect_that!(membership.counters().strangers, eq(1));
+    expect_that!(membership.receive_datagram(2, OTHER, &join_of(FLEET)), not(is_empty()));
+    expect_that!(membership.member_count(), eq(2));
+    expect_that!(membership.counters().foreign_datagrams, eq(1));
 }
 
 #[googletest::test]
@@ -54,9 +55,9 @@
     let mut membership = membership(ME, FLEET);
     let mut bytes = join_of(FLEET);
     bytes[0] += 1;
-    expect_that!(membership.datagram(1, OTHER, &bytes), is_empty());
-    expect_that!(membership.counters().strangers, eq(1));
-    expect_that!(membership.count(), eq(1));
+    expect_that!(membership.receive_datagram(1, OTHER, &bytes), is_empty());
+    expect_that!(membership.counters().foreign_datagrams, eq(1));
+    expect_that!(membership.member_count(), eq(1));
 }
 
 #[googletest::test]
@@ -67,21 +68,21 @@
 
     // When it comes cut off, or with more behind it.
     for length in 0..bytes.len() {
-        expect_that!(membership.datagram(1, OTHER, &bytes[..length]), is_empty(), "{length} bytes");
+        expect_that!(membership.receive_datagram(1, OTHER, &bytes[..length]), is_empty(), "{length} bytes");
     }
     let longer = [&bytes[..], &[0]].concat();
-    expect_that!(membership.datagram(1, OTHER, &longer), is_empty());
+    expect_that!(membership.receive_datagram(1, OTHER, &longer), is_empty());
 
     // Then all were dropped.
-    expect_that!(membership.count(), eq(1));
-    expect_that!(membership.counters().malformed, eq(bytes.len() as u64 + 1));
+    expect_that!(membership.member_count(), eq(1));
+    expect_that!(membership.counters().malformed_datagrams, eq(bytes.len() as u64 + 1));
 }
 
 #[googletest::test]
 fn datagrams_from_ones_own_address_are_dropped_and_counted() {
     let mut membership = membership(ME, FLEET);
-    expect_that!(membership.datagram(1, ME, &join_of(FLEET)), is_empty());
-    expect_that!(membership.counters().strangers, eq(1));
+    expect_that!(membership.receive_datagram(1, ME, &join_of(FLEET)), is_empty());
+    expect_that!(membership.counters().foreign_datagrams, eq(1));
 }
 
 #[googletest::test]
@@ -99,9 +100,9 @@
 #[googletest::test]
 fn one_that_has_left_answers_nothing() {
     let mut membership = membership(ME, FLEET);
-    membership.datagram(1, OTHER, &join_of(FLEET));
+    membership.receive_datagram(1, OTHER, &join_of(FLEET));
     expect_that!(datagrams(membership.leave(2)), len(eq(1)));
-    expect_that!(membership.datagram(3, OTHER, &join_of(FLEET)), is_empty());
+    expect_that!(membership.receive_datagram(3, OTHER, &join_of(FLEET)), is_empty());
     expect_that!(membership.tick(10_000), is_empty());
     expect_that!(membership.join(10_000, &[OTHER]), is_empty());
     expect_that!(membership.next_tick_ms(), eq(u64::MAX));
@@ -111,10 +112,10 @@
 fn feed(all: &[Vec<u8>]) {
     let mut membership = membership(ME, FLEET);
     let mut now = 1;
-    membership.datagram(now, OTHER, &join_of(FLEET));
+    membership.receive_datagram(now, OTHER, &join_of(FLEET));
     for bytes in all {
         now += 10;
-        for bytes in datagrams(membership.datagram(now, OTHER, bytes)) {
+        for bytes in datagrams(membership.receive_datagram(now, OTHER, bytes)) {
             assert!(bytes.len() <= fleet_membership::MAX_DATAGRAM);
         }
         now = now.max(membership.next_tick_ms().min(now + 10_000));
--- a/system/fleet-membership/tests/fleet/simulator.rs
+++ b/system/fleet-membership/tests/fleet/simulator.rs
@@ -1,7 +1,7 @@
 //! A fleet in one process: its network delays, loses and cuts, its members freeze, die and restart. All that happens
 //! follows from a seed.
 
-use fleet_membership::{Change, Config, Counters, Effect, Member, Membership, Role, start_number};
+use fleet_membership::{Config, Counters, Effect, Member, MemberEvent, Membership, Role, new_incarnation};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,7 +26,7 @@
 /// The fleet and its network.
 pub struct Simulator {
     pub now: u64,
-    pub changes: Vec<(u64, Ipv4Addr, Change)>,
+    pub changes: Vec<(u64, Ipv4Addr, MemberEvent)>,
     /// Of a thousand datagrams so many are lost.
     pub loss_per_mille: u64,
     config: Config,
@@ -49,7 +49,7 @@
             now: 1_000,
             changes: Vec::new(),
             loss_per_mille: 0,
-            config: Config { fleet: 7, ..Config::default() },
+            config: Config { fleet_id: 7, ..Config::default() },
             random: ChaCha8Rng::seed_from_u64(seed),
             nodes: BTreeMap::new(),
             events: BTreeMap::new(),
@@ -89,7 +89,7 @@
             role: Role::Edge,
             zone: format!("zone-{}", at.octets()[3] % 3),
             name: format!("edge-{at}"),
-            incarnation: start_number(unix_ms, self.random.next_u64() as u16),
+            incarnation: new_incarnation(unix_ms, self.random.next_u64() as u16),
             tags: vec![1, 2, 3],
         };
         self.lives += 1;
@@ -199,7 +199,7 @@
     /// What one sees other than it is, if any does.
     pub fn disagreement(&self) -> Option<String> {
         let living: BTreeMap<_, _> =
-            self.nodes.iter().map(|(ip, node)| (*ip, node.membership.me().incarnation)).collect();
+            self.nodes.iter().map(|(ip, node)| (*ip, node.membership.local_member().incarnation)).collect();
         self.nodes.iter().find_map(|(at, node)| {
             let seen: BTreeMap<_, _> =
                 node.membership.members().map(|(member, _)| (member.ip, member.incarnation)).collect();
@@ -228,7 +228,7 @@
 
     /// How many processes list this address.
     pub fn seen_by(&self, ip: Ipv4Addr) -> usize {
-        self.nodes.values().filter(|node| node.membership.get(ip).is_some()).count()
+        self.nodes.values().filter(|node| node.membership.member_at(ip).is_some()).count()
     }
 
     /// How many processes list this address and suspect it.
@@ -242,8 +242,8 @@
     }
 
     /// All removals that any process has told.
-    pub fn removals(&self) -> Vec<&(u64, Ipv4Addr, Change)> {
-        self.changes.iter().filter(|(_, _, change)| matches!(change, Change::Removed(_))).collect()
+    pub fn removals(&self) -> Vec<&(u64, Ipv4Addr, MemberEvent)> {
+        self.changes.iter().filter(|(_, _, change)| matches!(change, MemberEvent::Removed(_))).collect()
     }
 
     fn tick(&mut self, at: Ipv4Addr) {
@@ -260,14 +260,14 @@
             node.waiting.push((from, bytes));
             return;
         }
-        let effects = node.membership.datagram(now, from, &bytes);
+        let effects = node.membership.receive_datagram(now, from, &bytes);
         self.carry_out(to, effects);
     }
 
     fn carry_out(&mut self, at: Ipv4Addr, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Changed(change) => self.changes.push((self.now, at, change)),
+                Effect::Event(change) => self.changes.push((self.now, at, change)),
                 Effect::Send { to, bytes } => {
                     assert!(
                         bytes.len() <= fleet_membership::MAX_DATAGRAM,
--- a/system/fleet-membership/tests/fleet/stories.rs
+++ b/system/fleet-membership/tests/fleet/stories.rs
@@ -1,7 +1,7 @@
 //! What a fleet does when its members die, freeze, restart and are cut off.
 
 use crate::simulator::{Simulator, ip};
-use fleet_membership::{Change, Role, start_number};
+use fleet_membership::{MemberEvent, Role, new_incarnation};
 use googletest::prelude::*;
 
 fn members(numbers: std::ops::Range<usize>) -> Vec<std::net::Ipv4Addr> {
@@ -24,8 +24,11 @@
             // Then all others have removed it, after a suspicion, and nobody else.
             expect_that!(took, some(le(4_000)), "{count} members, seed {seed}");
             expect_that!(fleet.removals().len(), eq(count - 1), "{count} members, seed {seed}");
-            let suspected =
-                fleet.changes.iter().filter(|(_, _, change)| matches!(change, Change::Suspected(_))).count();
+            let suspected = fleet
+                .changes
+                .iter()
+                .filter(|(_, _, change)| matches!(change, MemberEvent::Suspected(_)))
+                .count();
             expect_that!(suspected, eq(count - 1), "{count} members, seed {seed}");
         }
     }
@@ -55,7 +58,7 @@
                 .changes
                 .iter()
                 .filter(|(_, _, change)| match change {
-                    Change::Suspected(member) | Change::Removed(member) => member.ip != ip(1),
+                    MemberEvent::Suspected(member) | MemberEvent::Removed(member) => member.ip != ip(1),
                     _ => false,
                 })
                 .collect();
@@ -79,12 +82,12 @@
         fleet.run(5_000);
 
         // Then it has noticed, and suspects nobody; nobody was removed.
-        expect_that!(fleet.view(ip(4)).counters().gaps, ge(1), "seed {seed}");
+        expect_that!(fleet.view(ip(4)).counters().stalls, ge(1), "seed {seed}");
         let suspects: Vec<_> = fleet
             .changes
             .iter()
             .filter(|(_, by, change)| {
-                *by == ip(4) && matches!(change, Change::Suspected(member) if member.ip != ip(4))
+                *by == ip(4) && matches!(change, MemberEvent::Suspected(member) if member.ip != ip(4))
             })
             .collect();
         expect_that!(suspects, is_empty(), "seed {seed}");
@@ -123,7 +126,11 @@
             fleet.run(cut_ms);
             for part in &parts {
                 for at in part {
-                    expect_that!(fleet.view(*at).count(), eq(part.len()), "{count} members, seed {seed}");
+                    expect_that!(
+                        fleet.view(*at).member_count(),
+                        eq(part.len()),
+                        "{count} members, seed {seed}"
+                    );
                 }
             }
 
@@ -161,7 +168,7 @@
     for (count, seed) in [(3, 0), (3, 1), (30, 0), (30, 1), (30, 2), (150, 0)] {
         // Given one that died.
         let mut fleet = Simulator::settled(seed, count);
-        let former = fleet.view(ip(5 % count)).me().incarnation;
+        let former = fleet.view(ip(5 % count)).local_member().incarnation;
         let at = ip(5 % count);
         fleet.kill(at);
         let down_ms = 1 + fleet.draw(500);
@@ -173,9 +180,12 @@
 
         // Then all know the new life within 2 s, each having been told that the old one is over, and it stays.
         expect_that!(took, some(le(2_000)), "{count} members, seed {seed}");
-        expect_that!(fleet.view(ip(4 % count)).get(at).map(|member| member.incarnation), some(gt(former)));
-        let of_it = |change: &Change| match change {
-            Change::Joined(member) => member.ip == at && member.incarnation > former,
+        expect_that!(
+            fleet.view(ip(4 % count)).member_at(at).map(|member| member.incarnation),
+            some(gt(former))
+        );
+        let of_it = |change: &MemberEvent| match change {
+            MemberEvent::Joined(member) => member.ip == at && member.incarnation > former,
             _ => false,
         };
         let joined = fleet.changes.iter().filter(|(_, by, change)| *by != at && of_it(change)).count();
@@ -192,7 +202,7 @@
     for seed in 0..10 {
         // Given one that died.
         let mut fleet = Simulator::settled(seed, 10);
-        let former = fleet.view(ip(5)).me().incarnation;
+        let former = fleet.view(ip(5)).local_member().incarnation;
         fleet.kill(ip(5));
         let down_ms = fleet.draw(10_000);
         fleet.run(down_ms);
@@ -203,8 +213,8 @@
 
         // Then its number is higher all the same.
         expect_that!(took, some(le(3_000)), "seed {seed}: {:?}", fleet.disagreement());
-        expect_that!(fleet.view(ip(5)).me().incarnation, gt(former), "seed {seed}");
-        expect_that!(fleet.view(ip(0)).get(ip(5)).map(|member| member.incarnation), some(gt(former)));
+        expect_that!(fleet.view(ip(5)).local_member().incarnation, gt(former), "seed {seed}");
+        expect_that!(fleet.view(ip(0)).member_at(ip(5)).map(|member| member.incarnation), some(gt(former)));
     }
 }
 
@@ -225,7 +235,7 @@
             fleet
                 .changes
                 .iter()
-                .all(|(_, _, change)| matches!(change, Change::Left(member) if member.ip == ip(1))),
+                .all(|(_, _, change)| matches!(change, MemberEvent::Left(member) if member.ip == ip(1))),
             eq(true)
         );
     }
@@ -252,7 +262,7 @@
     // When one that nobody knows starts, it stays alone, and asks.
     fleet.start(ip(50), &members(0..3));
     fleet.run(120_000);
-    expect_that!(fleet.view(ip(50)).count(), eq(1));
+    expect_that!(fleet.view(ip(50)).member_count(), eq(1));
 
     // Then it joins as soon as one of its seeds is back.
     fleet.start(ip(2), &[ip(5)]);
@@ -265,7 +275,7 @@
     let mut fleet = Simulator::settled(1, 10);
     fleet.start(ip(50), &[ip(200), ip(201)]);
     fleet.run(20_000);
-    expect_that!(fleet.view(ip(50)).count(), eq(1));
+    expect_that!(fleet.view(ip(50)).member_count(), eq(1));
 
     // When it is given others.
     fleet.join(ip(50), &[ip(7)]);
@@ -308,7 +318,7 @@
             .removals()
             .into_iter()
             .filter(|(_, by, change)| {
-                *by != ip(3) && matches!(change, Change::Removed(member) if member.ip != ip(3))
+                *by != ip(3) && matches!(change, MemberEvent::Removed(member) if member.ip != ip(3))
             })
             .collect();
         expect_that!(others, is_empty(), "seed {seed}");
@@ -342,7 +352,7 @@
             .removals()
             .into_iter()
             .filter(
-                |(_, _, change)| matches!(change, Change::Removed(member) if member.ip.octets()[3] % 3 != 0),
+                |(_, _, change)| matches!(change, MemberEvent::Removed(member) if member.ip.octets()[3] % 3 != 0),
             )
             .collect();
         expect_that!(wronged, is_empty(), "seed {seed}");
@@ -404,16 +414,19 @@
     let view = fleet.view(ip(0));
 
     // Then each view has all of them, itself first.
-    expect_that!(view.count(), eq(3));
-    expect_that!(view.alive(Role::Edge).map(|member| member.ip).collect::<Vec<_>>(), eq(&members(0..3)));
-    expect_that!(view.alive(Role::Core).count(), eq(0));
-    expect_that!(view.get(ip(2)).map(|member| member.name.as_str()), some(eq("edge-10.0.0.2")));
-    expect_that!(view.get(ip(9)), none());
+    expect_that!(view.member_count(), eq(3));
+    expect_that!(
+        view.live_members(Role::Edge).map(|member| member.ip).collect::<Vec<_>>(),
+        eq(&members(0..3))
+    );
+    expect_that!(view.live_members(Role::Core).count(), eq(0));
+    expect_that!(view.member_at(ip(2)).map(|member| member.name.as_str()), some(eq("edge-10.0.0.2")));
+    expect_that!(view.member_at(ip(9)), none());
     expect_that!(view.is_suspect(ip(2)), eq(false));
 }
 
 #[googletest::test]
 fn a_later_start_has_a_higher_number() {
-    expect_that!(start_number(1_001, 0), gt(start_number(1_000, u16::MAX)));
-    expect_that!(start_number(1_000, 8), gt(start_number(1_000, 7)));
+    expect_that!(new_incarnation(1_001, 0), gt(new_incarnation(1_000, u16::MAX)));
+    expect_that!(new_incarnation(1_000, 8), gt(new_incarnation(1_000, 7)));
 }
--- a/system/node-settings/src/form.rs
+++ b/system/node-settings/src/form.rs
@@ -1,7 +1,7 @@
 //! The file as it is written, before any check. Fields that are not named here are passed over.
 
 use crate::findings::Findings;
-use crate::{Figure, ListenAddresses};
+use crate::{BoundValue, ListenAddresses};
 use config_fields::{CollectFindings, Field, Number};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
@@ -86,6 +86,6 @@
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub(crate) enum BoundForm {
-    Figure(Figure),
+    Figure(BoundValue),
     Other(IgnoredAny),
 }
--- a/system/node-settings/src/lib.rs
+++ b/system/node-settings/src/lib.rs
@@ -148,7 +148,7 @@
     /// How long accounts may take to settle.
     pub settle_ms: u64,
     /// Figures under other names.
-    pub others: BTreeMap<String, Figure>,
+    pub others: BTreeMap<String, BoundValue>,
 }
 
 impl Default for Bounds {
@@ -178,13 +178,13 @@
 /// A figure of the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
-pub enum Figure {
+pub enum BoundValue {
     /// True or false.
-    Switch(bool),
+    Flag(bool),
     /// A whole number.
-    Whole(i64),
+    Integer(i64),
     /// A fraction.
-    Fraction(f64),
+    Float(f64),
 }
 
 /// The platform's list of endpoints.
@@ -195,7 +195,7 @@
     /// Calls per second that it accepts from all processes together.
     pub rate_per_s: f64,
     /// What else the platform leaves to the system.
-    pub duties: Vec<String>,
+    pub singleton_roles: Vec<String>,
     /// How far the list runs behind at most.
     pub max_lag_ms: f64,
 }
@@ -268,7 +268,7 @@
     }
 
     /// The port for staff: the fourth of the range.
-    pub fn staff_port(&self) -> u16 {
+    pub fn admin_port(&self) -> u16 {
         self.internal_port_range.0 + 3
     }
 
--- a/system/node-settings/src/read.rs
+++ b/system/node-settings/src/read.rs
@@ -2,8 +2,8 @@
 
 use crate::findings::Findings;
 use crate::form::{BoundForm, CloudApiForm, FaultToleranceForm, LimitsForm, SettingsForm};
-use crate::{Bounds, CloudApi, FaultTolerance, Figure, Finding, Limits, Settings};
-use config_fields::{CollectFindings, Field, Number, within};
+use crate::{BoundValue, Bounds, CloudApi, FaultTolerance, Finding, Limits, Settings};
+use config_fields::{CollectFindings, Field, Number, field_path};
 use figment::Figment;
 use figment::providers::{Format, Yaml};
 use std::collections::BTreeMap;
@@ -132,7 +132,7 @@
     Some(CloudApi {
         address: address?,
         rate_per_s: rate_per_s.map_or(10.0, Number::as_f64),
-        duties,
+        singleton_roles: duties,
         max_lag_ms: max_lag_ms.map_or(1_000.0, Number::as_f64),
     })
 }
@@ -142,11 +142,11 @@
     let mut figure = |name: &str| match form.remove(name)? {
         BoundForm::Figure(figure) if figure.as_f64() >= 0.0 => Some(figure.as_f64()),
         BoundForm::Figure(figure) => {
-            findings.add(within("bounds", name), format!("{} is below 0", figure.as_f64()));
+            findings.add(field_path("bounds", name), format!("{} is below 0", figure.as_f64()));
             None
         }
         BoundForm::Other(_) => {
-            findings.add(within("bounds", name), "is no figure");
+            findings.add(field_path("bounds", name), "is no figure");
             None
         }
     };
@@ -169,13 +169,13 @@
     bounds
 }
 
-impl Figure {
+impl BoundValue {
     /// As a number: true is 1, false 0.
     pub fn as_f64(self) -> f64 {
         match self {
-            Self::Switch(on) => f64::from(u8::from(on)),
-            Self::Whole(number) => number as f64,
-            Self::Fraction(number) => number,
+            Self::Flag(on) => f64::from(u8::from(on)),
+            Self::Integer(number) => number as f64,
+            Self::Float(number) => number,
         }
     }
 }
--- a/system/node-settings/tests/fuzz.rs
+++ b/system/node-settings/tests/fuzz.rs
@@ -1,6 +1,6 @@
 //! Settings that were changed in many ways: they are whole, or what is wrong is told; nothing breaks.
 
-use byte_mutation::changed;
+use byte_mutation::mutated;
 use googletest::prelude::*;
 use node_settings::Settings;
 use proptest::prelude::*;
@@ -49,7 +49,7 @@
 
     #[test]
     fn given_changed_settings_when_read_then_they_are_whole_or_told(
-        bytes in changed(SAMPLES.iter().map(|sample| sample.as_bytes().to_vec()).collect()),
+        bytes in mutated(SAMPLES.iter().map(|sample| sample.as_bytes().to_vec()).collect()),
     ) {
         read_and_check(&String::from_utf8_lossy(&bytes));
     }
--- a/system/node-settings/tests/settings.rs
+++ b/system/node-settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file of a process.
 
 use googletest::prelude::*;
-use node_settings::{Figure, Settings};
+use node_settings::{BoundValue, Settings};
 use std::path::PathBuf;
 
 const EDGE: &str = include_str!("edge.yaml");
@@ -50,7 +50,7 @@
     let cloud_api = settings.cloud_api.unwrap();
     expect_eq!(cloud_api.address.to_string(), "10.200.0.100:8142");
     expect_eq!(cloud_api.rate_per_s, 40.0);
-    expect_that!(cloud_api.duties, is_empty());
+    expect_that!(cloud_api.singleton_roles, is_empty());
     expect_eq!(cloud_api.max_lag_ms, 800.0);
 }
 
@@ -66,7 +66,7 @@
 #[gtest]
 fn given_settings_when_ports_and_zones_are_asked_then_they_follow_from_the_fields() {
     let settings = Settings::parse(&EDGE.replace("centurion: \"gauteng\"", "centurion: \"karoo\"")).unwrap();
-    let ports = [settings.peer_port(), settings.feed_port(), settings.probe_port(), settings.staff_port()];
+    let ports = [settings.peer_port(), settings.feed_port(), settings.probe_port(), settings.admin_port()];
     expect_eq!(ports, [7380, 7381, 7382, 7383]);
     expect_eq!(settings.zones_of_region("gauteng"), ["isando", "midrand-a", "midrand-b"]);
     expect_eq!(settings.zones_of_region("karoo"), ["centurion"]);
@@ -82,13 +82,13 @@
     let known = Settings::parse(EDGE).unwrap();
     expect_eq!(settings.limits, known.limits);
     expect_eq!(settings.bounds.ack_ms, known.bounds.ack_ms);
-    let others: Vec<(String, Figure)> = settings.bounds.others.into_iter().collect();
+    let others: Vec<(String, BoundValue)> = settings.bounds.others.into_iter().collect();
     expect_eq!(
         others,
         [
-            ("later_ms".to_owned(), Figure::Whole(7)),
-            ("later_on".to_owned(), Figure::Switch(true)),
-            ("later_s".to_owned(), Figure::Fraction(2.5)),
+            ("later_ms".to_owned(), BoundValue::Integer(7)),
+            ("later_on".to_owned(), BoundValue::Flag(true)),
+            ("later_s".to_owned(), BoundValue::Float(2.5)),
         ]
     );
 }
--- a/system/operator-config/src/difference.rs
+++ b/system/operator-config/src/difference.rs
@@ -1,6 +1,6 @@
 //! What one configuration changes in another, for staff.
 
-use crate::{OperatorConfig, Route, Share};
+use crate::{OperatorConfig, Route, WeightedService};
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
@@ -75,8 +75,8 @@
     fn shown(value: impl Debug) -> String {
         format!("{value:?}")
     }
-    let share = |share: &Share| format!("{} {}", share.service, share.weight);
-    let gap_aim_ms = route.gap_aim_ms.map_or("none".to_owned(), |gap_aim_ms| gap_aim_ms.to_string());
+    let share = |share: &WeightedService| format!("{} {}", share.service, share.weight);
+    let gap_aim_ms = route.max_event_gap_ms.map_or("none".to_owned(), |gap_aim_ms| gap_aim_ms.to_string());
     vec![
         ("name", route.name.clone()),
         ("route_type", shown(route.kind)),
--- a/system/operator-config/src/lib.rs
+++ b/system/operator-config/src/lib.rs
@@ -56,7 +56,7 @@
     /// Its rank, 0 being highest.
     pub priority: u8,
     /// Its services by weight; their sum is above 0.
-    pub split: Vec<Share>,
+    pub split: Vec<WeightedService>,
     /// The largest number of endpoints to which one try may be sent, at least 1.
     pub max_attempts: u32,
     /// Whether its turns are kept.
@@ -68,12 +68,12 @@
     /// Whether its streams can be resumed.
     pub resumable: bool,
     /// The longest pause between events for which an answer remains in time.
-    pub gap_aim_ms: Option<u64>,
+    pub max_event_gap_ms: Option<u64>,
 }
 
 /// A service's share of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct WeightedService {
     /// The service.
     pub service: String,
     /// Its weight against the route's others.
--- a/system/operator-config/src/read.rs
+++ b/system/operator-config/src/read.rs
@@ -2,8 +2,8 @@
 
 use crate::form::{ConfigForm, EngineForm, LimitsForm, RouteForm, ServiceForm, ShareForm};
 use crate::table::{RouteTable, normal_host};
-use crate::{Engine, Findings, Limits, OperatorConfig, Route, RouteKind, Service, Share};
-use config_fields::{CollectFindings, Field, Number, within};
+use crate::{Engine, Findings, Limits, OperatorConfig, Route, RouteKind, Service, WeightedService};
+use config_fields::{CollectFindings, Field, Number, field_path};
 use figment::Provider;
 use figment::providers::{Format, Json};
 use figment::value::{Dict, Value};
@@ -49,7 +49,7 @@
     if !findings.0.is_empty() {
         return Err(findings);
     }
-    let table = RouteTable::of(&routes);
+    let table = RouteTable::new(&routes);
     Ok(OperatorConfig { version, routes, services, limits, table })
 }
 
@@ -70,7 +70,7 @@
         let service = read_service(&base, form, findings);
         let Some(service) = service else { continue };
         if let Some(other) = places.insert(service.name.clone(), index) {
-            findings.add(within(&base, "name"), format!("{:?} is also services[{other}]", service.name));
+            findings.add(field_path(&base, "name"), format!("{:?} is also services[{other}]", service.name));
         }
         services.push(service);
     }
@@ -82,7 +82,7 @@
     let health_check_path = findings.optional(base, "health_check_path", form.health_check_path);
     let max_connections = findings.optional(base, "max_connections", form.max_connections);
     let engine = findings.optional(base, "engine", form.engine);
-    let engine = engine.map(|engine| read_engine(&within(base, "engine"), engine, findings));
+    let engine = engine.map(|engine| read_engine(&field_path(base, "engine"), engine, findings));
     Some(Service {
         name: name?,
         health_check_path: health_check_path.unwrap_or_else(|| DEFAULT_HEALTH_CHECK_PATH.to_owned()),
@@ -130,7 +130,7 @@
         let place = (normal_host(&route.hostname).into_owned(), route.path_prefix.clone());
         if let Some(other) = places.insert(place, index) {
             let what = format!("{}{} is also that of routes[{other}]", route.hostname, route.path_prefix);
-            findings.add(within(&base, "path_prefix"), what);
+            findings.add(field_path(&base, "path_prefix"), what);
         }
         routes.push(route);
     }
@@ -155,13 +155,13 @@
         Some("non_idempotent") | None => RouteKind::NonIdempotent,
         Some("streaming") => RouteKind::Streaming,
         Some(other) => {
-            findings.add(within(base, "route_type"), format!("{other:?} is not known"));
+            findings.add(field_path(base, "route_type"), format!("{other:?} is not known"));
             RouteKind::NonIdempotent
         }
     };
     let timeout_ms = findings.required(base, "timeout_ms", form.timeout_ms).map(Number::rounded_up);
     if timeout_ms == Some(0) {
-        findings.add(within(base, "timeout_ms"), "is 0");
+        findings.add(field_path(base, "timeout_ms"), "is 0");
     }
     let timeout_ms = timeout_ms.unwrap_or(0);
     let split = read_split(base, form.service, form.traffic_split, known, findings);
@@ -190,17 +190,18 @@
             .map_or(default_retention_ms, |seconds| (seconds.as_f64() * 1000.0).ceil() as u64),
         session_affinity: flag("session_affinity", form.session_affinity),
         resumable: flag("resumable", form.resumable),
-        gap_aim_ms,
+        max_event_gap_ms: gap_aim_ms,
     })
 }
 
 fn check_path_prefix(base: &str, prefix: &str, findings: &mut Findings) {
     if !(prefix.starts_with('/') && prefix.ends_with('/')) {
-        findings.add(within(base, "path_prefix"), format!("{prefix:?} does not start and end with a slash"));
+        findings
+            .add(field_path(base, "path_prefix"), format!("{prefix:?} does not start and end with a slash"));
     }
     if let Some(end) = prefix.chars().find(|character| PATH_ENDS.contains(character)) {
         let what = format!("{prefix:?} contains {end:?}, at which the path of a request ends");
-        findings.add(within(base, "path_prefix"), what);
+        findings.add(field_path(base, "path_prefix"), what);
     }
 }
 
@@ -211,7 +212,7 @@
     traffic_split: Field<Vec<Field<ShareForm>>>,
     known: Option<&HashSet<&str>>,
     findings: &mut Findings,
-) -> Vec<Share> {
+) -> Vec<WeightedService> {
     let before = findings.0.len();
     let check = |place: String, service: &str, findings: &mut Findings| {
         if known.is_some_and(|known| !known.contains(service)) {
@@ -220,7 +221,7 @@
     };
     let service = findings.optional(base, "service", service);
     if let Some(service) = &service {
-        check(within(base, "service"), service, findings);
+        check(field_path(base, "service"), service, findings);
     }
     let shares = findings.optional(base, "traffic_split", traffic_split).unwrap_or_default();
     let mut weighted: Vec<(String, Number)> = Vec::with_capacity(shares.len());
@@ -228,27 +229,27 @@
         let place = format!("{base}.traffic_split[{index}]");
         let Some(share) = findings.required("", &place, share) else { continue };
         let service = findings.required(&place, "service", share.service);
-        let weight = findings.optional(&place, "weight", share.weight).unwrap_or(Number::Whole(0));
+        let weight = findings.optional(&place, "weight", share.weight).unwrap_or(Number::Integer(0));
         let Some(service) = service else { continue };
-        check(within(&place, "service"), &service, findings);
+        check(field_path(&place, "service"), &service, findings);
         weighted.push((service, weight));
     }
     if let (true, Some(service)) = (weighted.is_empty(), service) {
-        weighted.push((service, Number::Whole(1)));
+        weighted.push((service, Number::Integer(1)));
     }
     // Wrong fields may hide weights: their findings stand alone.
     if findings.0.len() == before {
         if weighted.is_empty() {
             findings.add(base.to_owned(), "names no service");
         } else if weighted.iter().all(|(_, weight)| weight.as_f64() == 0.0) {
-            findings.add(within(base, "traffic_split"), "its weights sum to 0");
+            findings.add(field_path(base, "traffic_split"), "its weights sum to 0");
         }
     }
     whole_weights(weighted)
 }
 
 /// Whole numbers of 32 bits in the ratio of these weights; a weight above 0 stays above 0.
-fn whole_weights(weighted: Vec<(String, Number)>) -> Vec<Share> {
+fn whole_weights(weighted: Vec<(String, Number)>) -> Vec<WeightedService> {
     let narrow = |weight: Number| weight.exact().and_then(|weight| u32::try_from(weight).ok());
     let exact = weighted.iter().all(|(_, weight)| narrow(*weight).is_some());
     let largest = weighted.iter().map(|(_, weight)| weight.as_f64()).fold(0.0, f64::max);
@@ -257,7 +258,7 @@
         .map(|(service, weight)| {
             let scaled = || (weight.as_f64() / largest * SCALED_WEIGHT).ceil() as u32;
             let weight = if exact { narrow(weight).unwrap_or(0) } else { scaled() };
-            Share { service, weight }
+            WeightedService { service, weight }
         })
         .collect()
 }
--- a/system/operator-config/src/table.rs
+++ b/system/operator-config/src/table.rs
@@ -17,7 +17,7 @@
 }
 
 impl RouteTable {
-    pub(crate) fn of(routes: &[Route]) -> Self {
+    pub(crate) fn new(routes: &[Route]) -> Self {
         let mut table = Self::default();
         for (index, route) in routes.iter().enumerate() {
             let host = table.hosts.entry(normal_host(&route.hostname).into_owned()).or_default();
--- a/system/operator-config/tests/config/properties.rs
+++ b/system/operator-config/tests/config/properties.rs
@@ -1,7 +1,7 @@
 //! Properties of reading and routing.
 
 use crate::samples::VALID;
-use byte_mutation::changed;
+use byte_mutation::mutated;
 use operator_config::{OperatorConfig, Route};
 use proptest::prelude::*;
 
@@ -52,7 +52,7 @@
 
     #[test]
     fn given_a_valid_document_that_is_cut_repeated_and_spliced_when_read_then_it_is_whole_or_told(
-        bytes in changed(vec![VALID.as_bytes().to_vec(), br#"{"version":1,"routes":[],"services":[]}"#.to_vec()]),
+        bytes in mutated(vec![VALID.as_bytes().to_vec(), br#"{"version":1,"routes":[],"services":[]}"#.to_vec()]),
     ) {
         read_and_check(&bytes);
     }
--- a/system/operator-config/tests/config/reading.rs
+++ b/system/operator-config/tests/config/reading.rs
@@ -2,7 +2,7 @@
 
 use crate::samples::{VALID, with};
 use googletest::prelude::*;
-use operator_config::{Engine, Findings, Limits, OperatorConfig, RouteKind, Share, digest};
+use operator_config::{Engine, Findings, Limits, OperatorConfig, RouteKind, WeightedService, digest};
 
 fn read(text: &str) -> std::result::Result<OperatorConfig, Findings> {
     OperatorConfig::read(text.as_bytes())
@@ -12,8 +12,8 @@
     read(text).expect_err("a finding").0.into_iter().map(|finding| finding.place).collect()
 }
 
-fn share(service: &str, weight: u32) -> Share {
-    Share { service: service.to_owned(), weight }
+fn share(service: &str, weight: u32) -> WeightedService {
+    WeightedService { service: service.to_owned(), weight }
 }
 
 #[gtest]
@@ -34,7 +34,7 @@
     expect_eq!(streaming.retention_ms, 60_000);
     expect_true!(streaming.session_affinity);
     expect_false!(streaming.resumable);
-    expect_eq!(streaming.gap_aim_ms, Some(400));
+    expect_eq!(streaming.max_event_gap_ms, Some(400));
 
     expect_eq!(idempotent.kind, RouteKind::Idempotent);
     expect_eq!(idempotent.split.len(), 1);
@@ -46,7 +46,7 @@
     expect_eq!(plain.target_latency_ms, 1500);
     expect_eq!(plain.max_attempts, 1);
     expect_false!(plain.retained);
-    expect_eq!(plain.gap_aim_ms, None);
+    expect_eq!(plain.max_event_gap_ms, None);
 
     let engine = Engine { capacity_slots: 96, kv_cache_tokens: 257_309, tokens_per_event: 2 };
     expect_eq!(config.service("huvo11a").unwrap().engine, Some(engine));
--- a/system/peer-wire/src/client.rs
+++ b/system/peer-wire/src/client.rs
@@ -43,22 +43,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallLimits {
     /// How long an attempt to connect lasts at most, hellos included.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// The pause after the first failed attempt, doubled with each further one.
-    pub first_pause: Duration,
+    pub initial_backoff: Duration,
     /// The longest pause.
-    pub longest_pause: Duration,
+    pub max_backoff: Duration,
     /// Calls time out and nothing is received since they were sent: after so long the connection is closed.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
 }
 
 impl Default for CallLimits {
     fn default() -> Self {
         Self {
-            connect: Duration::from_millis(300),
-            first_pause: Duration::from_millis(50),
-            longest_pause: Duration::from_millis(500),
-            silence: Duration::from_millis(600),
+            connect_timeout: Duration::from_millis(300),
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_millis(500),
+            silence_timeout: Duration::from_millis(600),
         }
     }
 }
@@ -173,7 +173,7 @@
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(_)) => Err(CallFailure::Lost),
             Err(_) => {
-                link.heard_nothing_since(sent, self.shared.limits.silence);
+                link.heard_nothing_since(sent, self.shared.limits.silence_timeout);
                 Err(CallFailure::TimedOut)
             }
         }
@@ -252,15 +252,15 @@
 impl Shared {
     /// A connection on which both hellos were said.
     async fn connect(&self) -> io::Result<TcpStream> {
-        dial(self.address, self.fleet, self.local, self.limits.connect).await
+        dial(self.address, self.fleet, self.local, self.limits.connect_timeout).await
     }
 
     /// Until when nothing is tried after one more failure.
     fn pause(&self) -> Option<Instant> {
         let failures = self.failures.get();
         self.failures.set(failures.saturating_add(1));
-        let pause = self.limits.first_pause.saturating_mul(1 << failures.min(16));
-        Some(Instant::now() + pause.min(self.limits.longest_pause))
+        let pause = self.limits.initial_backoff.saturating_mul(1 << failures.min(16));
+        Some(Instant::now() + pause.min(self.limits.max_backoff))
     }
 
     /// A connection that brought something may be opened again at once, another one is a failure.
@@ -297,7 +297,8 @@
 
 /// Opens the connection and tells those who wait for it. Does not keep the client alive.
 async fn open(shared: Weak<Shared>) {
-    let Some(attempt) = shared.upgrade().map(|s| (s.address, s.fleet, s.local, s.limits.connect)) else {
+    let Some(attempt) = shared.upgrade().map(|s| (s.address, s.fleet, s.local, s.limits.connect_timeout))
+    else {
         return;
     };
     let (address, fleet, local, patience) = attempt;
--- a/system/peer-wire/tests/answers.rs
+++ b/system/peer-wire/tests/answers.rs
@@ -120,8 +120,12 @@
             spawn_local(async move { peer.converse(stream).await });
         }
     });
-    let limits =
-        CallLimits { connect: PATIENCE, silence: PATIENCE, first_pause: PAUSE, longest_pause: PAUSE };
+    let limits = CallLimits {
+        connect_timeout: PATIENCE,
+        silence_timeout: PATIENCE,
+        initial_backoff: PAUSE,
+        max_backoff: PAUSE,
+    };
     let client = PeerClient::with_limits(address, FLEET, None, limits);
     let mut told = Ok(());
     for (place, act) in acts.iter().enumerate() {
--- a/system/peer-wire/tests/calls.rs
+++ b/system/peer-wire/tests/calls.rs
@@ -2,7 +2,7 @@
 
 mod samples;
 
-use byte_mutation::changed;
+use byte_mutation::mutated;
 use fleet_model::{Answer, Ballot, Call, Frame, ListVersion, Push};
 use googletest::prelude::*;
 use peer_wire::{
@@ -59,7 +59,7 @@
 
 /// A busy machine may take long to connect.
 fn limits() -> CallLimits {
-    CallLimits { connect: PATIENCE, ..CallLimits::default() }
+    CallLimits { connect_timeout: PATIENCE, ..CallLimits::default() }
 }
 
 struct Served {
@@ -162,7 +162,7 @@
 fn given_a_call_that_timed_out_when_its_answer_comes_then_no_other_call_gets_it() {
     local(async {
         let served = serve().await;
-        let limits = CallLimits { silence: PATIENCE, ..limits() };
+        let limits = CallLimits { silence_timeout: PATIENCE, ..limits() };
         let client = PeerClient::with_limits(served.address, FLEET, None, limits);
         client.call(inspect("open"), PATIENCE).await.unwrap();
         let late = client.call(inspect("hold"), Duration::from_millis(20)).await;
@@ -189,7 +189,7 @@
     local(async {
         let (listener, address) = listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).await;
         drop(listener);
-        let limits = CallLimits { first_pause: PATIENCE, longest_pause: PATIENCE, ..limits() };
+        let limits = CallLimits { initial_backoff: PATIENCE, max_backoff: PATIENCE, ..limits() };
         let client = PeerClient::with_limits(address, FLEET, None, limits);
         assert_that!(client.call(inspect("x"), PATIENCE).await, err(eq(&CallFailure::Unreachable)));
 
@@ -253,7 +253,7 @@
                 accepted.send(stream).unwrap();
             }
         });
-        let limits = CallLimits { silence: Duration::from_millis(60), ..limits() };
+        let limits = CallLimits { silence_timeout: Duration::from_millis(60), ..limits() };
         let client = PeerClient::with_limits(address, FLEET, None, limits);
         assert_that!(client.call(inspect("x"), PATIENCE).await, ok(eq(&Answer::Done)));
         let mut first = connections.recv().await.unwrap();
@@ -368,7 +368,7 @@
         // Given changed frames that are no calls, and frames that are none.
         let samples: Vec<Vec<u8>> =
             samples::frames().iter().map(|frame| encode(frame).unwrap().to_vec()).collect();
-        let strategy = changed(samples.clone());
+        let strategy = mutated(samples.clone());
         let mut runner = TestRunner::deterministic();
         let mut strange = samples;
         strange.extend((0..300).map(|_| strategy.new_tree(&mut runner).unwrap().current()));
--- a/system/peer-wire/tests/fuzz.rs
+++ b/system/peer-wire/tests/fuzz.rs
@@ -3,7 +3,7 @@
 // One test only: what is asked for is counted for the whole process.
 mod samples;
 
-use byte_mutation::changed;
+use byte_mutation::mutated;
 use googletest::prelude::*;
 use peer_wire::{MAX_FRAME_LEN, WireError, decode, encode};
 use proptest::test_runner::{Config, TestRunner};
@@ -111,7 +111,7 @@
     let config = Config { cases: 30_000, failure_persistence: None, ..Config::default() };
     let (decoded, refused) = (Cell::new(0), Cell::new(0));
     TestRunner::new(config)
-        .run(&changed(samples), |bytes| {
+        .run(&mutated(samples), |bytes| {
             let count = if check(&bytes) { &decoded } else { &refused };
             count.set(count.get() + 1);
             Ok(())
--- a/system/programs/src/bin/fleetctl.rs
+++ b/system/programs/src/bin/fleetctl.rs
@@ -51,7 +51,7 @@
     Ok(Fleet {
         number: options.fleet.unwrap_or_else(|| fleet_number(&settings)),
         entries,
-        staff_offset: settings.staff_port() - port,
+        staff_offset: settings.admin_port() - port,
     })
 }
 
--- a/system/programs/src/keeper.rs
+++ b/system/programs/src/keeper.rs
@@ -13,7 +13,7 @@
 use backend::Backend;
 use config_register::BallotSource;
 use control_node::ControlNode;
-use fleet_membership::{Change, Role};
+use fleet_membership::{MemberEvent, Role};
 use fleet_model::{Answer, Call};
 use peer_wire::{Handler, PeerServer, Pusher};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -36,8 +36,8 @@
 /// Takes part in the membership, which tells the node of core machines.
 fn take_part(process: &Rc<Process>, node: &Rc<Node>) -> Result<Rc<Members>, StartError> {
     let weak = Rc::downgrade(node);
-    let hear = move |change: &Change| {
-        if let (Change::Joined(member), Some(node)) = (change, weak.upgrade())
+    let hear = move |change: &MemberEvent| {
+        if let (MemberEvent::Joined(member), Some(node)) = (change, weak.upgrade())
             && member.role == Role::Core
         {
             node.hear_of(member.ip);
--- a/system/programs/src/members.rs
+++ b/system/programs/src/members.rs
@@ -4,7 +4,7 @@
 use crate::feed::Feed;
 use crate::start::{Process, StartError, drawn};
 use fleet_membership::{
-    Change, Config, Counters, Effect, Member, MemberState, Membership, Role, start_number,
+    Config, Counters, Effect, Member, MemberEvent, MemberState, Membership, Role, new_incarnation,
 };
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -32,14 +32,14 @@
 /// Times of the protocol: a probe each 1.25 s, more rarely asked again than by default, and few rounds of rumours.
 pub fn config(fleet: u16) -> Config {
     Config {
-        fleet: u32::from(fleet),
-        period_ms: PERIOD_MS,
+        fleet_id: u32::from(fleet),
+        probe_interval_ms: PERIOD_MS,
         ack_timeout_ms: 300,
-        indirect_timeout_ms: 500,
-        suspicion_ms: 2_000,
+        indirect_ack_timeout_ms: 500,
+        suspicion_timeout_ms: 2_000,
         gossip_interval_ms: 200,
-        late_ms: 250,
-        alone_interval_ms: 500,
+        stall_threshold_ms: 250,
+        isolated_rejoin_interval_ms: 500,
         ..Config::default()
     }
 }
@@ -84,7 +84,7 @@
     voters: RefCell<Vec<Ipv4Addr>>,
     /// When a datagram of the fleet came last.
     heard_ms: Cell<Option<u64>>,
-    on_change: Box<dyn Fn(&Change)>,
+    on_change: Box<dyn Fn(&MemberEvent)>,
 }
 
 impl Members {
@@ -93,7 +93,7 @@
         process: Rc<Process>,
         feed: Rc<Feed>,
         role: Role,
-        on_change: impl Fn(&Change) + 'static,
+        on_change: impl Fn(&MemberEvent) + 'static,
     ) -> Result<Rc<Self>, StartError> {
         let settings = process.settings();
         let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis());
@@ -104,7 +104,7 @@
             role,
             zone: cut(&settings.zone),
             name: cut(&settings.node_name),
-            incarnation: start_number(
+            incarnation: new_incarnation(
                 u64::try_from(unix_ms).unwrap_or_default(),
                 u16::from_le_bytes([low, high]),
             ),
@@ -128,7 +128,7 @@
 
     /// The members of a role that count as living.
     pub fn alive(&self, role: Role) -> Vec<Ipv4Addr> {
-        self.membership.borrow().alive(role).map(|member| member.ip).collect()
+        self.membership.borrow().live_members(role).map(|member| member.ip).collect()
     }
 
     /// All members with their state, this one first.
@@ -189,9 +189,11 @@
     fn received(&self, socket: &UdpSocket, port: u16, from: Ipv4Addr, bytes: &[u8]) {
         let now = self.process.now_ms();
         let before = self.counters();
-        let effects = self.membership.borrow_mut().datagram(now, from, bytes);
+        let effects = self.membership.borrow_mut().receive_datagram(now, from, bytes);
         let after = self.counters();
-        if (before.strangers, before.malformed) == (after.strangers, after.malformed) {
+        if (before.foreign_datagrams, before.malformed_datagrams)
+            == (after.foreign_datagrams, after.malformed_datagrams)
+        {
             self.heard_ms.set(Some(now));
         }
         self.carry_out(socket, port, effects);
@@ -225,7 +227,7 @@
                         log::debug!("no datagram to {to}: {e}");
                     }
                 }
-                Effect::Changed(change) => changes.push(change),
+                Effect::Event(change) => changes.push(change),
             }
         }
         for line in described(&changes) {
@@ -237,7 +239,7 @@
     fn tell_proxies(&self, now_ms: u64) {
         let (members, count) = {
             let membership = self.membership.borrow();
-            (membership.count(), membership.alive(Role::Edge).count())
+            (membership.member_count(), membership.live_members(Role::Edge).count())
         };
         let count = u32::try_from(count).unwrap_or(u32::MAX);
         let told = self.proxies.borrow_mut().note(now_ms, members, count);
@@ -263,7 +265,7 @@
 }
 
 /// One line for all changes of a kind.
-fn described(changes: &[Change]) -> Vec<String> {
+fn described(changes: &[MemberEvent]) -> Vec<String> {
     let mut kinds: [(&str, Vec<String>); 5] = [
         ("joined", Vec::new()),
         ("suspected", Vec::new()),
@@ -273,11 +275,11 @@
     ];
     for change in changes {
         let (kind, member) = match change {
-            Change::Joined(member) => (0, member),
-            Change::Suspected(member) => (1, member),
-            Change::Cleared(member) => (2, member),
-            Change::Left(member) => (3, member),
-            Change::Removed(member) => (4, member),
+            MemberEvent::Joined(member) => (0, member),
+            MemberEvent::Suspected(member) => (1, member),
+            MemberEvent::Refuted(member) => (2, member),
+            MemberEvent::Left(member) => (3, member),
+            MemberEvent::Removed(member) => (4, member),
         };
         if let Some((_, names)) = kinds.get_mut(kind) {
             names.push(format!("{} ({})", member.name, member.ip));
--- a/system/programs/src/proxy.rs
+++ b/system/programs/src/proxy.rs
@@ -86,7 +86,7 @@
 /// Answers staff for good; without its port the proxy goes on.
 async fn serve_staff(process: Rc<Process>, desk: ProxyDesk) {
     let settings = process.settings();
-    match listen(SocketAddrV4::new(settings.ip_address, settings.staff_port())).await {
+    match listen(SocketAddrV4::new(settings.ip_address, settings.admin_port())).await {
         Ok(listener) => PeerServer::new(process.fleet(), Rc::new(desk)).serve(listener).await,
         Err(e) => log::warn!("staff are not answered: {e}"),
     }
--- a/system/programs/src/staff/answers.rs
+++ b/system/programs/src/staff/answers.rs
@@ -126,9 +126,9 @@
             figures.gauge("members_suspected", suspected as f64);
             figures.counter("membership_datagrams_sent", counters.datagrams_sent);
             figures.counter("membership_bytes_sent", counters.bytes_sent);
-            figures.counter("membership_strangers", counters.strangers);
-            figures.counter("membership_malformed", counters.malformed);
-            figures.counter("membership_gaps", counters.gaps);
+            figures.counter("membership_strangers", counters.foreign_datagrams);
+            figures.counter("membership_malformed", counters.malformed_datagrams);
+            figures.counter("membership_gaps", counters.stalls);
             figures.counter("membership_refutations", counters.refutations);
         }
     }
--- a/system/request-forwarding/tests/fuzz.rs
+++ b/system/request-forwarding/tests/fuzz.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use byte_mutation::changed;
+use byte_mutation::mutated;
 use googletest::prelude::*;
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::TestRunner;
@@ -22,7 +22,7 @@
 /// Changed answers, the same in every run.
 fn answers(count: usize) -> Vec<&'static str> {
     let samples: Vec<Vec<u8>> = SAMPLES.iter().map(|sample| sample.as_bytes().to_vec()).collect();
-    let strategy = changed(samples);
+    let strategy = mutated(samples);
     let mut runner = TestRunner::deterministic();
     let changed = (0..count).map(|_| strategy.new_tree(&mut runner).unwrap().current());
     let texts = changed.map(|bytes| &*String::from_utf8_lossy(&bytes).into_owned().leak());
--- a/system/turn-store/src/records/tests.rs
+++ b/system/turn-store/src/records/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use byte_mutation::changed;
+use byte_mutation::mutated;
 use proptest::prelude::*;
 
 fn samples() -> Vec<Vec<u8>> {
@@ -27,7 +27,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(20_000) })]
 
     #[test]
-    fn given_changed_records_when_decoded_then_they_are_refused_or_the_same_again(bytes in changed(samples())) {
+    fn given_changed_records_when_decoded_then_they_are_refused_or_the_same_again(bytes in mutated(samples())) {
         check::<Turn>(&bytes);
         check::<FillRecord>(&bytes);
         check::<Vec<u64>>(&bytes);
