--- a/system/programs/src/staff.rs
+++ b/system/programs/src/admin.rs
@@ -1,15 +1,15 @@
 //! What staff ask of running processes, and what these answer: each from its own memory, also when it has lost the
 //! majority, with the age of what it says.
 
-pub mod answers;
-pub mod asking;
 pub mod commands;
-pub mod figures;
+pub mod metrics;
+pub mod query;
 pub mod table;
+pub mod views;
 
-pub use answers::Desk;
-pub use asking::Fleet;
 pub use commands::{Command, Report, Verdict, carry_out};
+pub use query::Fleet;
+pub use views::Desk;
 
 /// What is asked: a name, and an argument after a space where the name takes one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/system/programs/src/staff/commands.rs
+++ b/system/programs/src/admin/commands.rs
@@ -9,7 +9,7 @@
 mod roster;
 mod turn;
 
-use super::asking::Fleet;
+use super::query::Fleet;
 use super::table::age;
 use super::{Origin, View};
 use bpaf::Bpaf;
--- a/system/programs/src/staff/commands/account.rs
+++ b/system/programs/src/admin/commands/account.rs
@@ -2,9 +2,9 @@
 
 use super::roster::newest_roster;
 use super::{Report, Verdict};
-use crate::staff::View;
-use crate::staff::asking::Fleet;
-use crate::staff::table::table;
+use crate::admin::View;
+use crate::admin::query::Fleet;
+use crate::admin::table::table;
 use fleet_model::{Reservation, StorageNode, account_replicas};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/system/programs/src/staff/commands/config.rs
+++ b/system/programs/src/admin/commands/config.rs
@@ -1,9 +1,9 @@
 //! `config`: the operator's configuration, in force and as a file that may become the next.
 
 use super::{ConfigCommand, Report, Verdict, is_stale, newest, provenance};
-use crate::staff::asking::Fleet;
-use crate::staff::table::table;
-use crate::staff::{Origin, View};
+use crate::admin::query::Fleet;
+use crate::admin::table::table;
+use crate::admin::{Origin, View};
 use operator_config::{Finding, Findings, OperatorConfig, difference};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
--- a/system/programs/src/staff/commands/endpoints.rs
+++ b/system/programs/src/admin/commands/endpoints.rs
@@ -1,9 +1,9 @@
 //! `endpoints`: the endpoints as a proxy sees them, or as the platform's list has them if no proxy answers.
 
 use super::{Report, Verdict, is_stale, provenance};
-use crate::staff::View;
-use crate::staff::asking::{Fleet, places};
-use crate::staff::table::{age, table};
+use crate::admin::View;
+use crate::admin::query::{Fleet, places};
+use crate::admin::table::{age, table};
 use fleet_model::{Endpoint, EndpointState, ListVersion};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/system/programs/src/staff/commands/members.rs
+++ b/system/programs/src/admin/commands/members.rs
@@ -1,9 +1,9 @@
 //! `members`: the machines of the fleet as several of them see it.
 
 use super::{Report, Verdict, joined};
-use crate::staff::asking::{Fleet, Place, SeenMembers, places};
-use crate::staff::table::table;
-use crate::staff::{Origin, View};
+use crate::admin::query::{Fleet, Place, SeenMembers, places};
+use crate::admin::table::table;
+use crate::admin::{Origin, View};
 use serde::Serialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
--- a/system/programs/src/staff/commands/processes.rs
+++ b/system/programs/src/admin/commands/processes.rs
@@ -1,10 +1,10 @@
 //! `versions` and `figures`: what every process of the fleet says of itself.
 
 use super::{Report, Verdict, is_stale};
-use crate::staff::View;
-use crate::staff::asking::{Fleet, Place, places};
-use crate::staff::figures::{Figures, exposition};
-use crate::staff::table::{age, table};
+use crate::admin::View;
+use crate::admin::metrics::{Figures, exposition};
+use crate::admin::query::{Fleet, Place, places};
+use crate::admin::table::{age, table};
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/system/programs/src/staff/commands/roster.rs
+++ b/system/programs/src/admin/commands/roster.rs
@@ -1,9 +1,9 @@
 //! `roster`: the storage machines that count, a change of them under way, and who holds the control side's tasks.
 
 use super::{Report, Verdict, is_stale, newest, provenance};
-use crate::staff::View;
-use crate::staff::asking::{Fleet, Place, places};
-use crate::staff::table::table;
+use crate::admin::View;
+use crate::admin::query::{Fleet, Place, places};
+use crate::admin::table::table;
 use fleet_model::{Lease, Roster, StorageNode};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/system/programs/src/staff/commands/turn.rs
+++ b/system/programs/src/admin/commands/turn.rs
@@ -2,9 +2,9 @@
 
 use super::roster::{newest_roster, stores};
 use super::{Report, Verdict};
-use crate::staff::View;
-use crate::staff::asking::{Fleet, places};
-use crate::staff::table::table;
+use crate::admin::View;
+use crate::admin::query::{Fleet, places};
+use crate::admin::table::table;
 use fleet_model::Roster;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/system/programs/src/staff/answers.rs
+++ b/system/programs/src/admin/views.rs
@@ -1,6 +1,6 @@
 //! The asked process's side.
 
-use super::figures::Figures;
+use super::metrics::Figures;
 use super::{Origin, Topic};
 use crate::feed::Feed;
 use crate::members::Members;
--- a/system/programs/src/agent.rs
+++ b/system/programs/src/agent.rs
@@ -1,8 +1,8 @@
 //! The agent beside each proxy: it follows the feed, feeds the proxy over loopback, and other agents below it in the tree.
 
+use crate::admin::Desk;
 use crate::feed::{Feed, SubscriberLink, follow, new_feed, run_heartbeats};
 use crate::members::Members;
-use crate::staff::Desk;
 use crate::start::{Process, StartError, ended, listen};
 use fleet_membership::Role;
 use fleet_model::{Answer, Call};
--- a/system/programs/src/bin/fleetctl.rs
+++ b/system/programs/src/bin/fleetctl.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use system_programs::staff::commands::command;
-use system_programs::staff::{Command, Fleet, Verdict, carry_out};
+use system_programs::admin::commands::command;
+use system_programs::admin::{Command, Fleet, Verdict, carry_out};
 use system_programs::start::fleet_number;
 
 /// Asks the running system; each process answers from its own memory, also when the core is cut off.
--- a/system/programs/src/keeper.rs
+++ b/system/programs/src/control.rs
@@ -2,13 +2,13 @@
 //! log, and operators and staff are served.
 
 mod backend;
-mod orders;
+mod operator_requests;
 mod record;
 
+use crate::admin::Desk;
 use crate::feed::{NodeProcess, SubscriberLink, new_feed};
 use crate::members::Members;
-use crate::operator;
-use crate::staff::Desk;
+use crate::operator_api;
 use crate::start::{Process, StartError, drawn, ended, life_nonce, listen};
 use backend::Backend;
 use config_register::BallotSource;
@@ -110,7 +110,7 @@
     spawn_local(async move { server.serve(peers).await });
     node.run();
     let operators = listen(control).await?;
-    spawn_local(operator::serve(operators, keeper));
+    spawn_local(operator_api::serve(operators, keeper));
     ended(&process).await;
     // What is half way ends; nothing else depends on this process.
     sleep(Duration::from_millis(300 + drawn() % 50)).await;
--- a/system/programs/src/keeper/orders.rs
+++ b/system/programs/src/control/operator_requests.rs
@@ -1,7 +1,7 @@
 //! What becomes of operators' orders, as HTTP.
 
 use super::Keeper;
-use crate::operator::{Operations, Reply};
+use crate::operator_api::{Operations, Reply};
 use bytes::Bytes;
 use control_node::{CurrentConfig, PutConfig, Retire};
 use controllers::RetireVerdict;
--- a/system/programs/src/proxy.rs
+++ b/system/programs/src/proxy.rs
@@ -1,7 +1,7 @@
 //! The proxy: it carries requests, with what its agent told it.
 
+use crate::admin::{Desk, Topic, views};
 use crate::feed::{Feed, follow_one, new_feed, run_heartbeats};
-use crate::staff::{Desk, Topic, answers};
 use crate::start::{Process, StartError, ended, listen};
 use crate::turns::{TurnClient, Turns};
 use fleet_model::{Answer, Call, ListVersion};
@@ -58,7 +58,7 @@
     async fn call(&self, _from: SocketAddr, call: Call, _pusher: Pusher) -> Answer {
         let Call::Inspect { topic } = call else { return Answer::NotReady };
         match Topic::read(&topic).name {
-            "endpoints" => self.desk.view(answers::endpoints(&self.forwarder.endpoints())),
+            "endpoints" => self.desk.view(views::endpoints(&self.forwarder.endpoints())),
             _ => self.desk.answer(&topic, |figures| {
                 // One figure a line; what is open or waits now is no counter.
                 for (name, value) in request_figures(&self.forwarder.figures().to_string()) {
--- a/system/programs/src/storage.rs
+++ b/system/programs/src/storage.rs
@@ -1,14 +1,14 @@
 //! A storage machine: it keeps turns and accounts, tells the core that it is there, and catches up from others with what it
 //! should hold.
 
-mod catch_up;
+mod backfill;
 mod recovery;
 mod replica;
 
+use crate::admin::metrics::Figures;
+use crate::admin::{Desk, Topic, views};
 use crate::feed::{Feed, follow, new_feed};
 use crate::members::Members;
-use crate::staff::figures::Figures;
-use crate::staff::{Desk, Topic, answers};
 use crate::start::{Process, StartError, drawn, ended, listen};
 use fleet_membership::Role;
 use fleet_model::{Answer, Call, Roster, StorageNode};
@@ -197,7 +197,7 @@
                     Body::Pending => ("not here yet", None),
                 };
                 let losses = self.process.settings().fault_tolerance.machines;
-                self.desk.view(answers::turn(disk, losses, state, turn.as_ref()))
+                self.desk.view(views::turn(disk, losses, state, turn.as_ref()))
             }
             ("account", Some(program)) => {
                 let call = Call::ReadAccount { epoch: replica.state.epoch(), program: program.to_owned() };
@@ -206,7 +206,7 @@
                     Answer::Account(reservations) => Some(reservations.as_slice()),
                     _ => None,
                 };
-                self.desk.view(answers::account(disk, reservations))
+                self.desk.view(views::account(disk, reservations))
             }
             _ => return None,
         };
--- a/system/programs/tests/staff.rs
+++ b/system/programs/tests/admin_commands.rs
@@ -9,11 +9,11 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::PathBuf;
 use std::rc::Rc;
-use system_programs::staff::asking::{SeenMembers, places};
-use system_programs::staff::commands::{Command, ConfigCommand, Verdict, carry_out, command};
-use system_programs::staff::figures::{Figures, exposition};
-use system_programs::staff::table::{age, table};
-use system_programs::staff::{Fleet, Origin, Report, Topic, View};
+use system_programs::admin::commands::{Command, ConfigCommand, Verdict, carry_out, command};
+use system_programs::admin::metrics::{Figures, exposition};
+use system_programs::admin::query::{SeenMembers, places};
+use system_programs::admin::table::{age, table};
+use system_programs::admin::{Fleet, Origin, Report, Topic, View};
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
--- a/system/programs/tests/loopback/turns.rs
+++ b/system/programs/tests/loopback/chains_and_budgets.rs
@@ -1,7 +1,7 @@
 //! Proxies of several zones over the same storage machines.
 
 use crate::machines::{Machine, chosen, own_address, run};
-use crate::storage::Storage;
+use crate::storage_cluster::Storage;
 use bytes::Bytes;
 use fleet_model::ControlState;
 use googletest::prelude::*;
