--- a/system/peer-wire/tests/recorded.rs
+++ b/system/peer-wire/tests/recorded.rs
@@ -94,7 +94,7 @@
             (hello, call, stream)
         });
         // When a client calls, then it is answered.
-        let limits = CallLimits { connect: PATIENCE, ..CallLimits::default() };
+        let limits = CallLimits { connect_timeout: PATIENCE, ..CallLimits::default() };
         let client = PeerClient::with_limits(address, FLEET, None, limits);
         let answered = client.call(Call::Inspect { topic: TOPIC.into() }, PATIENCE).await;
         assert_that!(answered, ok(eq(&Answer::View(VIEW.into()))));
