--- a/system/programs/src/disk/tests.rs
+++ b/system/programs/src/disk/tests.rs
@@ -46,5 +46,8 @@
     expect_that!(durable.is_failing(), eq(false));
     drop(durable);
     let found = RecordLog::open(&folder).unwrap().found;
-    expect_that!(found, eq(&turn_store::Found::Kept(postcard::to_allocvec(&7_u32).unwrap().into())));
+    expect_that!(
+        found,
+        eq(&turn_store::RecoveredRecord::Stored(postcard::to_allocvec(&7_u32).unwrap().into()))
+    );
 }
--- a/system/programs/src/keeper/record.rs
+++ b/system/programs/src/keeper/record.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::Duration;
 use tokio::time::sleep;
-use turn_store::{DiskError, Found, RecordLog};
+use turn_store::{DiskError, RecordLog, RecoveredRecord};
 
 #[cfg(test)]
 mod tests;
@@ -74,11 +74,11 @@
         log::error!("set aside: {damage}");
     }
     let beginning = match opened.found {
-        Found::Kept(record) => Beginning::Kept(read_record(folder, &record)?),
+        RecoveredRecord::Stored(record) => Beginning::Kept(read_record(folder, &record)?),
         // It has never voted, so there is nothing that it may have forgotten.
-        Found::Never if first_start => Beginning::never_voted(me, seeds),
+        RecoveredRecord::NeverWritten if first_start => Beginning::never_voted(me, seeds),
         // A promise that cannot be read is as good as forgotten.
-        Found::Never | Found::Lost => Beginning::Unfit,
+        RecoveredRecord::NeverWritten | RecoveredRecord::Lost => Beginning::Unfit,
     };
     let damages = opened.damages.len() as u64;
     Ok(Opened { durable: Durable::over_log(opened.log)?, beginning, damages })
--- a/system/programs/src/storage.rs
+++ b/system/programs/src/storage.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use turn_store::{Bodies, Body, Disk, Room};
+use turn_store::{Disk, DiskCapacity, Payload, Payloads};
 
 /// Longest time for one call to the core.
 const CORE_PATIENCE: Duration = Duration::from_millis(700);
@@ -63,8 +63,8 @@
     fn of(replica: &Replica, roster: Rc<Roster>) -> Self {
         let me = replica.me.clone();
         let is_placed = roster.next.as_ref().unwrap_or(&roster.current).contains(&me);
-        let in_sync = replica.state.is_filled_for_next();
-        Self { me, is_placed, in_sync, is_behind: replica.state.filling().is_some(), roster }
+        let in_sync = replica.state.is_in_sync_for_next();
+        Self { me, is_placed, in_sync, is_behind: replica.state.backfill().is_some(), roster }
     }
 
     /// It is to ask for being taken in.
@@ -98,12 +98,12 @@
         let settings = self.process.settings();
         let limit = (settings.limits.disk_mb * 1e6) as u64;
         let news = self.replica.with(|replica| {
-            let room = Room::of(replica.disk.table_bytes(), limit);
-            replica.state.set_room(room).then_some(room)
+            let room = DiskCapacity::from_usage(replica.disk.table_bytes(), limit);
+            replica.state.set_capacity(room).then_some(room)
         });
         let Some(room) = news.flatten() else { return };
         log::warn!("the disk's room: {room:?}");
-        if let (true, Some(folder)) = (room != Room::Ample, &settings.data_directory)
+        if let (true, Some(folder)) = (room != DiskCapacity::Ample, &settings.data_directory)
             && let Err(e) = Disk::remove_aside(folder)
         {
             log::error!("what was set aside stays: {e}");
@@ -152,7 +152,7 @@
         if self.feed.fresh_at().is_some() && before.must_join() {
             self.tell_core(Call::JoinStorage { store: before.me }).await;
         }
-        if let Some(filling) = self.replica.with(|replica| replica.state.filling()).flatten() {
+        if let Some(filling) = self.replica.with(|replica| replica.state.backfill()).flatten() {
             self.catch_up(filling).await;
         }
         let Some(after) = place() else { return BUSY_PAUSE_MS };
@@ -178,7 +178,7 @@
 
     /// What staff ask of the replica itself.
     fn inspect_replica(&self, replica: &mut Replica, asked: Topic<'_>) -> Option<Answer> {
-        let in_sync = replica.state.is_full();
+        let in_sync = replica.state.is_in_sync();
         let disk = replica.me.disk;
         let answer = match (asked.name, asked.argument) {
             ("disk", _) => Answer::View(disk.to_string()),
@@ -190,11 +190,11 @@
                 }))
             }
             ("turn", Some(attempt)) => {
-                let (state, turn) = match Bodies::get(&*replica.disk, attempt) {
-                    Body::Held(turn) => ("held", Some(turn)),
-                    Body::Lost => ("unreadable", None),
-                    Body::Pending if in_sync => ("absent", None),
-                    Body::Pending => ("not here yet", None),
+                let (state, turn) = match Payloads::get(&*replica.disk, attempt) {
+                    Payload::Present(turn) => ("held", Some(turn)),
+                    Payload::Lost => ("unreadable", None),
+                    Payload::Pending if in_sync => ("absent", None),
+                    Payload::Pending => ("not here yet", None),
                 };
                 let losses = self.process.settings().fault_tolerance.machines;
                 self.desk.view(answers::turn(disk, losses, state, turn.as_ref()))
@@ -224,8 +224,8 @@
             figures.gauge("storage_node_turn_bytes", bytes as f64);
             figures.gauge("storage_node_damages_found", replica.damages as f64);
             figures.gauge("storage_node_table_bytes", replica.disk.table_bytes() as f64);
-            figures.gauge("storage_node_room_scarce", flag(replica.state.room() != Room::Ample));
-            figures.gauge("storage_node_full", flag(replica.state.is_full()));
+            figures.gauge("storage_node_room_scarce", flag(replica.state.capacity() != DiskCapacity::Ample));
+            figures.gauge("storage_node_full", flag(replica.state.is_in_sync()));
         });
     }
 }
--- a/system/programs/src/storage/catch_up.rs
+++ b/system/programs/src/storage/catch_up.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 use tokio::time::sleep;
-use turn_store::{Filling, WriteFailed};
+use turn_store::{Backfill, WriteFailed};
 
 /// Longest time for one call to another storage machine.
 const PATIENCE: Duration = Duration::from_millis(600);
@@ -22,7 +22,7 @@
 struct CatchUp {
     epoch: u64,
     generation: u64,
-    filling: RefCell<Filling>,
+    filling: RefCell<Backfill>,
     /// Told once enough sources are drained: the others need not be waited for.
     enough: Notify,
 }
@@ -35,7 +35,7 @@
 
 impl TurnKeeper {
     /// One catch-up, as long as the roster stays as it is and the replica is the same.
-    pub(super) async fn catch_up(&self, filling: Filling) {
+    pub(super) async fn catch_up(&self, filling: Backfill) {
         let generation = self.replica.generation();
         let catch_up = CatchUp {
             epoch: filling.epoch(),
@@ -86,7 +86,7 @@
         });
         join_all(told).await;
         let marked = self.replica.with_generation(catch_up.generation, |replica| {
-            let writes = replica.state.mark_filled(&catch_up.filling.borrow())?;
+            let writes = replica.state.mark_in_sync(&catch_up.filling.borrow())?;
             Some(replica.write(writes))
         });
         match marked.flatten() {
@@ -117,7 +117,7 @@
                     answered = Instant::now();
                     let now = self.process.now_ms();
                     let absorbed = self.replica.with_generation(catch_up.generation, |replica| {
-                        let writes = replica.state.absorb(now, turns, accounts);
+                        let writes = replica.state.apply_page(now, turns, accounts);
                         replica.write(writes)
                     });
                     // Also without writes it waits for the earlier ones, which may have brought the same.
@@ -128,7 +128,7 @@
                     if !synced {
                         return catch_up.give_up(source);
                     }
-                    catch_up.filling.borrow_mut().absorbed(source.disk, cursor);
+                    catch_up.filling.borrow_mut().page_applied(source.disk, cursor);
                 }
                 _ if answered.elapsed() > SOURCE_GONE => return catch_up.give_up(source),
                 // It may not know the epoch yet, or not be there yet.
--- a/system/programs/src/storage/recovery/tests.rs
+++ b/system/programs/src/storage/recovery/tests.rs
@@ -120,8 +120,8 @@
         let me: StorageNode = self.replica.with(|replica| replica.me.clone()).unwrap();
         let gathering = Roster { epoch: GATHERED, next: Some(vec![me.clone()]), ..Roster::default() };
         self.replica.set_roster(&gathering);
-        let filling = self.replica.with(|replica| replica.state.filling()).unwrap().unwrap();
-        let writes = self.replica.with(|replica| replica.state.mark_filled(&filling)).unwrap().unwrap();
+        let filling = self.replica.with(|replica| replica.state.backfill()).unwrap().unwrap();
+        let writes = self.replica.with(|replica| replica.state.mark_in_sync(&filling)).unwrap().unwrap();
         self.replica.write(self.replica.generation(), writes).await.unwrap();
         let founded = Roster { epoch: FOUNDED, current: vec![me], ..Roster::default() };
         self.replica.set_roster(&founded);
--- a/system/programs/src/storage/replica.rs
+++ b/system/programs/src/storage/replica.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use turn_store::{
-    Disk, DiskError, Durability, Kept, Outcome, Replaced, SPACES, StoreState, Write, WriteFailed, Writer,
+    Disk, DiskError, Durability, Outcome, Replaced, ReplicaState, SPACES, Stored, Write, WriteFailed, Writer,
     load,
 };
 
@@ -22,7 +22,7 @@
     /// Writes to it.
     pub writer: std::io::Result<Writer>,
     /// What it keeps.
-    pub kept: Kept,
+    pub kept: Stored,
     /// How many damages were found and set aside.
     pub damages: usize,
 }
@@ -71,7 +71,7 @@
 /// A replica over an open engine. When the engine fails it is dropped as a whole, and another one is built from the disk.
 pub struct Replica {
     /// The state in memory.
-    pub state: StoreState,
+    pub state: ReplicaState,
     /// The engine, to read from.
     pub disk: Arc<Disk>,
     /// Damages on disk that the opening has found.
@@ -100,7 +100,7 @@
             zone: machine.zone.clone(),
             disk: number,
         };
-        let state = StoreState::new(now_ms, number, machine.losses, kept);
+        let state = ReplicaState::new(now_ms, number, machine.losses, kept);
         let (turns, accounts, bytes) = state.counts();
         log::info!("disk {number} with {turns} turns, {accounts} accounts, {bytes} bytes");
         Ok(Self { state, disk, damages, me, durable: Durable::over(writer)? })
--- a/system/programs/src/turns.rs
+++ b/system/programs/src/turns.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 use turn_store::{
-    AccountHolders, copies_needed, copy_order, has_copies, is_surely_absent, merge_reservations,
+    AccountReplicas, copies_needed, copy_order, has_copies, is_surely_absent, merge_reservations,
 };
 
 /// Longest time for one call.
@@ -161,7 +161,9 @@
     async fn reserve_round(&self, program: &str, reservation: Reservation, budget: u32) -> Round<Reserve> {
         let state = self.feed.state();
         let roster = &state.roster;
-        let Some(holders) = AccountHolders::of(roster, program, self.losses()) else { return Round::Again };
+        let Some(holders) = AccountReplicas::for_program(roster, program, self.losses()) else {
+            return Round::Again;
+        };
         let write =
             |_: &StorageNode| Call::Reserve { epoch: roster.epoch, program: program.to_owned(), reservation };
         let Some((written, all)) = self.at_quorum(&holders, write, true).await else { return Round::Again };
@@ -194,7 +196,7 @@
     /// of the account, and whether all of them answered.
     async fn at_quorum(
         &self,
-        holders: &AccountHolders<'_>,
+        holders: &AccountReplicas<'_>,
         call: impl Fn(&StorageNode) -> Call,
         wait_for_all: bool,
     ) -> Option<(BTreeMap<u64, u32>, bool)> {
@@ -313,7 +315,9 @@
         // A count that gets lost leaves the try at its most: the account holds all the same. Twice is enough.
         for _ in 0..2 {
             let state = self.feed.state();
-            let Some(holders) = AccountHolders::of(&state.roster, program, self.losses()) else { return };
+            let Some(holders) = AccountReplicas::for_program(&state.roster, program, self.losses()) else {
+                return;
+            };
             let epoch = state.roster.epoch;
             let call = |_: &StorageNode| Call::Settle { epoch, program: program.to_owned(), reservation };
             let calls: FuturesUnordered<_> =
--- a/system/programs/tests/loopback/storage.rs
+++ b/system/programs/tests/loopback/storage.rs
@@ -10,7 +10,7 @@
 use tempfile::TempDir;
 use tokio::net::TcpListener;
 use tokio::task::{AbortHandle, spawn_local};
-use turn_store::{Disk, FillRecord, SPACES, StoreState, load};
+use turn_store::{BackfillRecord, Disk, ReplicaState, SPACES, load};
 
 /// Losses that are to be borne.
 const LOSSES: usize = 1;
@@ -18,7 +18,7 @@
 /// What a life of the process has in memory.
 struct Replica {
     disk: Disk,
-    state: StoreState,
+    state: ReplicaState,
 }
 
 impl Replica {
@@ -28,8 +28,8 @@
         let (mut kept, damages) = load(&disk).unwrap();
         assert!(damages.is_empty());
         let members = roster.current.iter().map(|store| store.disk).collect();
-        kept.fill = FillRecord { filled: vec![(0, members)], damaged: false };
-        let mut state = StoreState::new(0, disk.number(), LOSSES, kept);
+        kept.backfill = BackfillRecord { in_sync: vec![(0, members)], damaged: false };
+        let mut state = ReplicaState::new(0, disk.number(), LOSSES, kept);
         disk.write(&state.set_roster(roster)).unwrap();
         Self { disk, state }
     }
--- a/system/turn-store/src/filling.rs
+++ b/system/turn-store/src/backfill.rs
@@ -6,11 +6,11 @@
 
 /// One filling of a store: whom to ask, how far each has come, and whether it is enough.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Filling {
+pub struct Backfill {
     epoch: u64,
     disk: u64,
     needed: usize,
-    counts_itself: bool,
+    relies_on_local_records: bool,
     sources: BTreeMap<u64, Source>,
 }
 
@@ -27,24 +27,24 @@
     GivenUp,
 }
 
-impl Filling {
-    /// From so many full stores, of which the one that fills is one if it `counts_itself`.
+impl Backfill {
+    /// From so many full stores, of which the one that fills is one if it `relies_on_local_records`.
     pub(crate) fn new(
         epoch: u64,
         disk: u64,
         sources: impl Iterator<Item = StorageNode>,
         covering: usize,
-        counts_itself: bool,
+        relies_on_local_records: bool,
     ) -> Self {
         let source = |store| Source { store, progress: Progress::Asking(Bytes::new()) };
         let sources = sources.map(|store: StorageNode| (store.disk, source(store))).collect();
-        let needed = covering.saturating_sub(usize::from(counts_itself));
-        Self { epoch, disk, needed, counts_itself, sources }
+        let needed = covering.saturating_sub(usize::from(relies_on_local_records));
+        Self { epoch, disk, needed, relies_on_local_records, sources }
     }
 
     /// Whether it relies on what the one that fills holds itself.
-    pub(crate) fn counts_itself(&self) -> bool {
-        self.counts_itself
+    pub(crate) fn relies_on_local_records(&self) -> bool {
+        self.relies_on_local_records
     }
 
     /// The epoch that it fills for: under another it is worth nothing.
@@ -69,7 +69,7 @@
     }
 
     /// A page of this source has been absorbed; `cursor` came with it.
-    pub fn absorbed(&mut self, source: u64, cursor: Option<Bytes>) {
+    pub fn page_applied(&mut self, source: u64, cursor: Option<Bytes>) {
         if let Some(source) = self.sources.get_mut(&source) {
             source.progress = cursor.map_or(Progress::Drained, Progress::Asking);
         }
--- a/system/turn-store/src/disk.rs
+++ b/system/turn-store/src/disk.rs
@@ -224,16 +224,16 @@
 }
 
 impl Disk {
-    /// Open the folder, or make it: then it gets the number that `draw` gives. It is made under another name and renamed
+    /// Open the folder, or make it: then it gets the number that `random_u64` gives. It is made under another name and renamed
     /// when all is synced, so that a half-made one is never taken for a disk.
-    pub fn open(dir: &Path, spaces: &[Space], draw: impl FnOnce() -> u64) -> Result<Self, DiskError> {
+    pub fn open(dir: &Path, spaces: &[Space], random_u64: impl FnOnce() -> u64) -> Result<Self, DiskError> {
         let (made, half) = (dir.join("records"), dir.join("records.new"));
         if !made.try_exists().map_err(at(&made))? {
             fs::create_dir_all(dir).map_err(at(dir))?;
             if half.try_exists().map_err(at(&half))? {
                 fs::remove_dir_all(&half).map_err(at(&half))?;
             }
-            Self::create(&half, spaces, draw())?;
+            Self::create(&half, spaces, random_u64())?;
             fs::rename(&half, &made).map_err(at(&made))?;
             sync_folder(dir)?;
             if let Some(parent) = dir.canonicalize().map_err(at(dir))?.parent() {
@@ -268,13 +268,13 @@
     pub fn open_or_replace<T>(
         dir: &Path,
         spaces: &[Space],
-        draw: impl Fn() -> u64,
+        random_u64: impl Fn() -> u64,
         read: impl Fn(&Self) -> Result<T, DiskError>,
     ) -> Result<Replaced<T>, DiskError> {
         let open = || {
             // What the engine does with bytes that it never wrote is its own affair: it may break off.
             let opened = AssertUnwindSafe(|| {
-                let disk = Self::open(dir, spaces, &draw)?;
+                let disk = Self::open(dir, spaces, &random_u64)?;
                 let read = read(&disk)?;
                 Ok((disk, read))
             });
--- a/system/turn-store/src/disk/journal.rs
+++ b/system/turn-store/src/disk/journal.rs
@@ -86,7 +86,7 @@
             return Ok(Some(torn.clone()));
         }
         match found.end {
-            JournalEnd::Whole => {}
+            JournalEnd::Complete => {}
             JournalEnd::Damaged => return Ok(Some(Broken { path, byte: found.end_byte })),
             JournalEnd::Torn => torn = Some(Broken { path, byte: found.end_byte }),
         }
@@ -101,19 +101,19 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JournalEnd {
-    Whole,
+    Complete,
     Torn,
     Damaged,
 }
 
-struct Found {
+struct RecoveredRecord {
     holds_any: bool,
     /// After the last batch in a row that is whole.
     end_byte: u64,
     end: JournalEnd,
 }
 
-fn examine(path: &Path) -> io::Result<Found> {
+fn examine(path: &Path) -> io::Result<RecoveredRecord> {
     let file = File::open(path)?;
     let length = file.metadata()?.len();
     let mut reader = Reader { inner: BufReader::with_capacity(BUFFER, file), at: 0, length };
@@ -121,12 +121,12 @@
     while let Some(next) = reader.batch()? {
         // Numbers are outside the checksum. In their order, what they are does not matter.
         if next < number || next > MOST_NUMBER {
-            return Ok(Found { holds_any: true, end_byte, end: JournalEnd::Damaged });
+            return Ok(RecoveredRecord { holds_any: true, end_byte, end: JournalEnd::Damaged });
         }
         (end_byte, number) = (reader.at, next);
     }
     let end = reader.end_after(end_byte)?;
-    Ok(Found { holds_any: end_byte > 0, end_byte, end })
+    Ok(RecoveredRecord { holds_any: end_byte > 0, end_byte, end })
 }
 
 struct Reader {
@@ -204,7 +204,7 @@
     /// What follows the last whole batch: a batch further on, or the end of one, was synced.
     fn end_after(&mut self, begin: u64) -> io::Result<JournalEnd> {
         if begin == self.length {
-            return Ok(JournalEnd::Whole);
+            return Ok(JournalEnd::Complete);
         }
         self.seek(begin)?;
         let (mut buffer, mut zeros) = (vec![0; BUFFER], 0);
@@ -239,7 +239,7 @@
             place += (part.saturating_sub(START_BYTES)).max(1) as u64;
         }
         match written - begin {
-            0 => Ok(JournalEnd::Whole),
+            0 => Ok(JournalEnd::Complete),
             long if long > LONGEST_END => Ok(JournalEnd::Torn),
             long => {
                 self.seek(begin)?;
--- a/system/turn-store/src/disk/tests.rs
+++ b/system/turn-store/src/disk/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::{ACCOUNTS, Bodies, Body, FillRecord, SPACES, STATE, StoreState, TURNS, load};
+use crate::{ACCOUNTS, BackfillRecord, Payload, Payloads, ReplicaState, SPACES, STATE, TURNS, load};
 use fleet_model::{Call, Reservation, Turn};
 use googletest::prelude::*;
 
@@ -49,8 +49,8 @@
     expect_that!(damages, is_empty());
     expect_that!(kept.turns.len(), eq(1));
     expect_that!(kept.accounts, eq(&vec![("program".to_owned(), Reservation { attempt: 5, tokens: 40 })]));
-    expect_that!(Bodies::get(&disk, "a"), eq(&Body::Held(turn("a"))));
-    expect_that!(Bodies::get(&disk, "b"), eq(&Body::Pending));
+    expect_that!(Payloads::get(&disk, "a"), eq(&Payload::Present(turn("a"))));
+    expect_that!(Payloads::get(&disk, "b"), eq(&Payload::Pending));
 }
 
 #[gtest]
@@ -85,7 +85,7 @@
     // Given good records, and one each that is cut, flipped, moved to another key, and of another version.
     let dir = tempfile::tempdir().unwrap();
     let disk = open(dir.path());
-    let full = FillRecord { filled: vec![(1, [7, 8, 9].into())], damaged: false };
+    let full = BackfillRecord { in_sync: vec![(1, [7, 8, 9].into())], damaged: false };
     disk.write(&[put_turn("good"), put_turn("flipped"), put_turn("cut"), full.write()]).unwrap();
     let mut flipped = raw(&disk, TURNS, b"flipped").unwrap();
     *flipped.last_mut().unwrap() ^= 1;
@@ -96,7 +96,7 @@
     put_raw(&disk, TURNS, b"other", &[2, 0, 0, 0, 0, 1]);
     put_raw(&disk, ACCOUNTS, b"short", &frame(b"short", b"1234"));
     // When it is loaded.
-    expect_that!(Bodies::get(&disk, "flipped"), eq(&Body::Lost));
+    expect_that!(Payloads::get(&disk, "flipped"), eq(&Payload::Lost));
     let (kept, damages) = load(&disk).unwrap();
     // Then the good one is there, the others are told.
     let told: Vec<_> = damages.iter().map(|damage| (&damage.key[..], damage.what.as_str())).collect();
@@ -111,14 +111,14 @@
             (b"short", "a key too short"),
         ])
     );
-    expect_that!(kept.fill, eq(&FillRecord { filled: vec![], damaged: true }));
+    expect_that!(kept.backfill, eq(&BackfillRecord { in_sync: vec![], damaged: true }));
     // And they are kept aside as they were, and the store stays not full over a reopening.
     expect_that!(raw(&disk, ASIDE, b"turns/flipped"), eq(&Some(flipped)));
     drop(disk);
     let disk = open(dir.path());
     let (kept, damages) = load(&disk).unwrap();
     expect_that!(damages, is_empty());
-    expect_that!(kept.fill.damaged, eq(true));
+    expect_that!(kept.backfill.damaged, eq(true));
     expect_that!(raw(&disk, STATE, b"fill").is_some(), eq(true));
 }
 
@@ -180,22 +180,22 @@
     // Given a lone store that is full and holds a turn.
     let dir = tempfile::tempdir().unwrap();
     let disk = open(dir.path());
-    let full = FillRecord { filled: vec![(1, [7].into())], damaged: false };
+    let full = BackfillRecord { in_sync: vec![(1, [7].into())], damaged: false };
     disk.write(&[put_turn("a"), full.write()]).unwrap();
     let (kept, _) = load(&disk).unwrap();
-    let mut state = StoreState::new(0, 7, 0, kept);
+    let mut state = ReplicaState::new(0, 7, 0, kept);
     let me =
         fleet_model::StorageNode { name: "s".into(), ip: [127, 0, 0, 1].into(), zone: "z".into(), disk: 7 };
     state.set_roster(&fleet_model::Roster { epoch: 1, current: vec![me], ..Default::default() });
-    expect_that!(state.is_full(), eq(true));
+    expect_that!(state.is_in_sync(), eq(true));
     // When its record is found flipped.
     put_raw(&disk, TURNS, b"a", b"nonsense");
     let outcome = state.handle(1, &Call::ReadChain { epoch: 1, attempt: "a".into() }, &disk);
     // Then the store never says that there is no such turn, and keeps that it has to fill.
     expect_that!(outcome.answer, eq(&fleet_model::Answer::Absent { complete: false }));
-    expect_that!(state.is_full(), eq(false));
+    expect_that!(state.is_in_sync(), eq(false));
     disk.write(&outcome.writes).unwrap();
-    expect_that!(load(&disk).unwrap().0.fill.damaged, eq(true));
+    expect_that!(load(&disk).unwrap().0.backfill.damaged, eq(true));
 }
 
 #[gtest]
@@ -209,7 +209,7 @@
     disk.space(TURNS).unwrap().rotate_memtable_and_wait().unwrap();
     // When one is removed, and the bytes of another change in its file.
     disk.write(&[Write::remove(TURNS, "a")]).unwrap();
-    expect_that!(Bodies::get(&disk, "b"), eq(&Body::Held(large("b"))));
+    expect_that!(Payloads::get(&disk, "b"), eq(&Payload::Present(large("b"))));
     drop(disk);
     let changed = change_value(&dir.path().join("records/keyspaces"), b"\x01b");
     expect_that!(changed, eq(1));
@@ -217,9 +217,9 @@
     let disk = open(dir.path());
     let (_, damages) = load(&disk).unwrap();
     expect_that!(damages.iter().map(|damage| damage.space).collect::<Vec<_>>(), eq(&vec![TURNS]));
-    expect_that!(Bodies::get(&disk, "a"), eq(&Body::Pending));
-    expect_that!(Bodies::get(&disk, "b"), eq(&Body::Lost));
-    expect_that!(Bodies::get(&disk, "c"), eq(&Body::Held(large("c"))));
+    expect_that!(Payloads::get(&disk, "a"), eq(&Payload::Pending));
+    expect_that!(Payloads::get(&disk, "b"), eq(&Payload::Lost));
+    expect_that!(Payloads::get(&disk, "c"), eq(&Payload::Present(large("c"))));
 }
 
 /// Change a byte of the large turn whose record begins so, wherever a file under `dir` has it.
@@ -260,7 +260,7 @@
     (dir, path, bytes, end)
 }
 
-type Loaded = Replaced<(crate::Kept, Vec<Damage>)>;
+type Loaded = Replaced<(crate::Stored, Vec<Damage>)>;
 
 fn open_or_replace(dir: &Path) -> std::result::Result<Loaded, DiskError> {
     Disk::open_or_replace(dir, SPACES, || 8, load)
@@ -377,7 +377,7 @@
     let written: Vec<Turn> = vec![turn("a"), large("b"), turn("c"), large("d")];
     {
         let disk = open(dir.path());
-        let full = FillRecord { filled: vec![(1, [7].into())], damaged: false };
+        let full = BackfillRecord { in_sync: vec![(1, [7].into())], damaged: false };
         disk.write(&written.iter().map(crate::records::turn_write).collect::<Vec<_>>()).unwrap();
         disk.write(&[full.write()]).unwrap();
         disk.space(TURNS).unwrap().rotate_memtable_and_wait().unwrap();
@@ -421,11 +421,11 @@
             if !damaged {
                 expect_that!(attempts(&loaded), eq(&all.to_vec()), "{told_where}");
             } else if loaded.lost.is_none() {
-                expect_that!(loaded.read.0.fill.damaged, eq(true), "{told_where}");
+                expect_that!(loaded.read.0.backfill.damaged, eq(true), "{told_where}");
             }
             // And no turn has another text than it was given.
             for attempt in all {
-                if let Body::Held(held) = Bodies::get(&loaded.disk, attempt) {
+                if let Payload::Present(held) = Payloads::get(&loaded.disk, attempt) {
                     let given = written.iter().find(|turn| turn.attempt == attempt).cloned();
                     expect_that!(held, eq(&given.unwrap_or_else(|| turn("late"))), "{told_where}");
                 }
--- a/system/turn-store/src/disk/tests/recorded.rs
+++ b/system/turn-store/src/disk/tests/recorded.rs
@@ -1,8 +1,8 @@
 //! A storage machine's folder that an earlier program wrote is read as it meant it, and written on by the same bytes.
 
 use super::*;
-use crate::records::{account_write, holders_write};
-use crate::{HOLDERS, Kept, KeptTurn};
+use crate::records::{account_write, replicas_write};
+use crate::{REPLICAS, Stored, StoredTurn};
 
 fn recorded_text(name: &str) -> String {
     let path = format!("{}/tests/recorded/{name}", env!("CARGO_MANIFEST_DIR"));
@@ -51,8 +51,8 @@
     }
 }
 
-fn full() -> FillRecord {
-    FillRecord { filled: vec![(3, [7, 8].into()), (300, [7, 9, u64::MAX].into())], damaged: false }
+fn full() -> BackfillRecord {
+    BackfillRecord { in_sync: vec![(3, [7, 8].into()), (300, [7, 9, u64::MAX].into())], damaged: false }
 }
 
 /// Writes a record of each kind, in batches as a machine does.
@@ -60,28 +60,28 @@
     disk.write(&[full().write()]).unwrap();
     disk.write(&[put_turn("attempt-1"), account_write("chat", 5, 40)]).unwrap();
     disk.write(&[crate::records::turn_write(&long_turn()), put_turn("attempt-3"), put_turn("gone")]).unwrap();
-    disk.write(&[holders_write("attempt-1", &[8, 9]), account_write("chat", u64::MAX, 800)]).unwrap();
+    disk.write(&[replicas_write("attempt-1", &[8, 9]), account_write("chat", u64::MAX, 800)]).unwrap();
     disk.write(&crate::records::turn_removal("gone")).unwrap();
 }
 
 /// What [`write_all`] has written.
-fn kept() -> Kept {
-    let kept = |turn: &Turn| KeptTurn {
+fn kept() -> Stored {
+    let kept = |turn: &Turn| StoredTurn {
         attempt: turn.attempt.clone(),
         previous: turn.previous.clone(),
         retention_ms: turn.retention_ms,
         length: (turn.input.len() + turn.output.len()) as u32,
-        holders: turn.replicas.clone(),
+        replicas: turn.replicas.clone(),
     };
     let account = |attempt, tokens| ("chat".to_owned(), Reservation { attempt, tokens });
-    Kept {
+    Stored {
         turns: vec![
-            KeptTurn { holders: vec![8, 9], ..kept(&turn("attempt-1")) },
+            StoredTurn { replicas: vec![8, 9], ..kept(&turn("attempt-1")) },
             kept(&long_turn()),
             kept(&turn("attempt-3")),
         ],
         accounts: vec![account(5, 40), account(u64::MAX, 800)],
-        fill: full(),
+        backfill: full(),
     }
 }
 
@@ -95,9 +95,9 @@
     let (read, damages) = load(&disk).unwrap();
     expect_that!(read, eq(&kept()));
     expect_that!(damages, is_empty());
-    expect_that!(Bodies::get(&disk, "attempt-1"), eq(&Body::Held(turn("attempt-1"))));
-    expect_that!(Bodies::get(&disk, "attempt-2"), eq(&Body::Held(long_turn())));
-    expect_that!(Bodies::get(&disk, "gone"), eq(&Body::Pending));
+    expect_that!(Payloads::get(&disk, "attempt-1"), eq(&Payload::Present(turn("attempt-1"))));
+    expect_that!(Payloads::get(&disk, "attempt-2"), eq(&Payload::Present(long_turn())));
+    expect_that!(Payloads::get(&disk, "gone"), eq(&Payload::Pending));
     expect_that!(listing(&disk), eq(&recorded_text("storage-records.txt")));
     // And a new folder with the same records holds the same bytes.
     let fresh = tempfile::tempdir().unwrap();
@@ -112,7 +112,7 @@
     let dir = recorded("storage-folder.txt");
     // When one turn more is written with its holders, and the folder is opened again.
     let disk = open(dir.path());
-    disk.write(&[put_turn("attempt-4"), holders_write("attempt-4", &[9])]).unwrap();
+    disk.write(&[put_turn("attempt-4"), replicas_write("attempt-4", &[9])]).unwrap();
     drop(disk);
     let disk = open(dir.path());
     // Then these were added, in the bytes that were recorded, and nothing else changed.
@@ -124,7 +124,7 @@
     };
     expect_that!(more.lines().count(), eq(2));
     expect_that!(sorted(listing(&disk)), eq(&sorted(recorded_text("storage-records.txt") + &more)));
-    expect_that!(disk.get(HOLDERS, b"attempt-4").unwrap(), some(eq(&vec![1, 9])));
+    expect_that!(disk.get(REPLICAS, b"attempt-4").unwrap(), some(eq(&vec![1, 9])));
 }
 
 /// Spoils one turn past its frame.
@@ -137,10 +137,10 @@
     // Given a folder in which a damaged turn was set aside.
     let dir = recorded("storage-folder-quarantined.txt");
     let disk = open(dir.path());
-    let damaged = FillRecord { filled: vec![], damaged: true };
+    let damaged = BackfillRecord { in_sync: vec![], damaged: true };
     let (read, damages) = load(&disk).unwrap();
     expect_that!(damages, is_empty());
-    expect_that!(read, eq(&Kept { fill: damaged, ..kept() }));
+    expect_that!(read, eq(&Stored { backfill: damaged, ..kept() }));
     expect_that!(raw(&disk, ASIDE, b"turns/spoilt"), some(eq(&vec![1, 0xde, 0xad, 0xbe, 0xef, 1, 2, 3])));
     expect_that!(listing(&disk), eq(&recorded_text("storage-records-quarantined.txt")));
     // When the same turn is damaged in the other folder, then it is set aside in the same bytes.
--- a/system/turn-store/src/placement.rs
+++ b/system/turn-store/src/placement.rs
@@ -58,7 +58,7 @@
 }
 
 /// Who holds an account: among the current machines, and among the next ones while a change is under way.
-pub struct AccountHolders<'a> {
+pub struct AccountReplicas<'a> {
     /// Among the current machines.
     pub current: Vec<&'a StorageNode>,
     /// Among the next ones.
@@ -67,9 +67,9 @@
     access: Access,
 }
 
-impl<'a> AccountHolders<'a> {
+impl<'a> AccountReplicas<'a> {
     /// Those of a program, to be written; none before the roster is founded.
-    pub fn of(roster: &'a Roster, program: &str, losses: usize) -> Option<Self> {
+    pub fn for_program(roster: &'a Roster, program: &str, losses: usize) -> Option<Self> {
         if roster.current.is_empty() {
             return None;
         }
@@ -98,14 +98,14 @@
         self.answers_suffice(&self.current, answered) && self.answers_suffice(&self.next, answered)
     }
 
-    fn answers_suffice(&self, holders: &[&StorageNode], answered: &BTreeSet<u64>) -> bool {
+    fn answers_suffice(&self, replicas: &[&StorageNode], answered: &BTreeSet<u64>) -> bool {
         // Of a set's machines its holders are as many as they may be: their sizes are the set's.
-        let Some(sizes) = QuorumSizes::for_machines(holders.len(), self.losses) else { return true };
+        let Some(sizes) = QuorumSizes::for_machines(replicas.len(), self.losses) else { return true };
         let needed = match self.access {
             Access::Write => sizes.write,
             Access::Read => sizes.read,
         };
-        holders.iter().filter(|store| answered.contains(&store.disk)).count() >= needed
+        replicas.iter().filter(|store| answered.contains(&store.disk)).count() >= needed
     }
 }
 
--- a/system/turn-store/src/record_log.rs
+++ b/system/turn-store/src/record_log.rs
@@ -38,11 +38,11 @@
 
 /// What a folder was found to hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum RecoveredRecord {
     /// Nothing was ever kept here.
-    Never,
+    NeverWritten,
     /// The record as it was kept last.
-    Kept(Bytes),
+    Stored(Bytes),
     /// A record was kept here, and it cannot be read.
     Lost,
 }
@@ -53,7 +53,7 @@
     /// Where the record is kept from now on.
     pub log: RecordLog,
     /// What was found.
-    pub found: Found,
+    pub found: RecoveredRecord,
     /// What was damaged and set aside, each with its place.
     pub damages: Vec<String>,
 }
@@ -107,8 +107,8 @@
         };
         let mut damages = Vec::new();
         let found = match numbers.split_last() {
-            None if was_damaged => Found::Lost,
-            None => Found::Never,
+            None if was_damaged => RecoveredRecord::Lost,
+            None => RecoveredRecord::NeverWritten,
             Some((_, older)) => {
                 log.outdated = older.iter().map(|number| log.path(*number)).collect();
                 log.read_newest(&mut damages)?
@@ -124,7 +124,7 @@
         self.folder.join(file_name(number))
     }
 
-    fn read_newest(&mut self, damages: &mut Vec<String>) -> Result<Found, DiskError> {
+    fn read_newest(&mut self, damages: &mut Vec<String>) -> Result<RecoveredRecord, DiskError> {
         let path = self.path(self.number);
         let bytes = fs::read(&path).map_err(at(&path))?;
         let told = |what: &str| format!("{}: {what}", path.display());
@@ -136,7 +136,7 @@
         let contents = contents(&bytes);
         damages.extend(contents.broken.iter().map(|place| told(&format!("damaged at byte {place}"))));
         match (contents.last, contents.end) {
-            (Some(last), End::Whole | End::Torn) => {
+            (Some(last), End::Complete | End::Torn) => {
                 self.content = last.number;
                 let whole_file = damages.is_empty();
                 let kept = if whole_file {
@@ -155,7 +155,7 @@
                     self.unsynced = Some(record.clone());
                     self.outdated.push(path);
                 }
-                Ok(Found::Kept(record))
+                Ok(RecoveredRecord::Stored(record))
             }
             (None, _) | (_, End::Damaged) => {
                 damages.push(told("the newest record is damaged"));
@@ -165,7 +165,7 @@
                 }
                 self.files.sync_folder(&self.folder).map_err(at(&self.folder))?;
                 self.set_aside(&path)?;
-                Ok(Found::Lost)
+                Ok(RecoveredRecord::Lost)
             }
         }
     }
@@ -364,7 +364,7 @@
 /// How a file ends after its last whole content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
-    Whole,
+    Complete,
     /// With an append that was never synced.
     Torn,
     /// With one that was.
@@ -402,7 +402,7 @@
     let tail = &bytes[at..];
     let written = tail.iter().rposition(|byte| *byte != 0).map_or(0, |place| place + 1);
     let end = match &tail[..written] {
-        [] => End::Whole,
+        [] => End::Complete,
         tail if lacks_nothing(tail, END) => End::Damaged,
         _ => End::Torn,
     };
--- a/system/turn-store/src/record_log/faults.rs
+++ b/system/turn-store/src/record_log/faults.rs
@@ -23,14 +23,14 @@
     format!("record {number} of the story").into()
 }
 
-fn number(found: &Found) -> usize {
+fn number(found: &RecoveredRecord) -> usize {
     match found {
-        Found::Never => 0,
-        Found::Kept(record) => {
+        RecoveredRecord::NeverWritten => 0,
+        RecoveredRecord::Stored(record) => {
             let text = std::str::from_utf8(record).unwrap();
             text.split(' ').nth(1).unwrap().parse().unwrap()
         }
-        Found::Lost => panic!("a record that was told synced is lost"),
+        RecoveredRecord::Lost => panic!("a record that was told synced is lost"),
     }
 }
 
@@ -263,6 +263,6 @@
     };
     // When it is opened, and again, then the record is lost, and at no time the older one.
     expect_that!(open().is_err(), eq(true));
-    expect_that!(open().unwrap(), eq(&Found::Lost));
-    expect_that!(open().unwrap(), eq(&Found::Lost));
+    expect_that!(open().unwrap(), eq(&RecoveredRecord::Lost));
+    expect_that!(open().unwrap(), eq(&RecoveredRecord::Lost));
 }
--- a/system/turn-store/src/record_log/tests.rs
+++ b/system/turn-store/src/record_log/tests.rs
@@ -30,11 +30,11 @@
 fn a_folder_that_was_never_used_tells_so_and_keeps_what_is_put() {
     let folder = tempfile::tempdir().unwrap();
     let mut opened = open(folder.path());
-    expect_that!(opened.found, eq(&Found::Never));
+    expect_that!(opened.found, eq(&RecoveredRecord::NeverWritten));
     opened.log.put(b"first").unwrap();
     opened.log.put(b"second").unwrap();
     let opened = open(folder.path());
-    expect_that!(opened.found, eq(&Found::Kept("second".into())));
+    expect_that!(opened.found, eq(&RecoveredRecord::Stored("second".into())));
     expect_that!(opened.damages, is_empty());
 }
 
@@ -43,7 +43,7 @@
     // Given what a loss of power left before the first record was synced.
     let folder = tempfile::tempdir().unwrap();
     fs::write(folder.path().join("record.new"), &header()[..9]).unwrap();
-    expect_that!(open(folder.path()).found, eq(&Found::Never));
+    expect_that!(open(folder.path()).found, eq(&RecoveredRecord::NeverWritten));
 }
 
 #[gtest]
@@ -61,11 +61,15 @@
             fs::write(&path, bytes).unwrap();
             // Then the second one counts, and nothing is told: an append that was never synced was never told of.
             let mut opened = open(folder.path());
-            expect_that!(opened.found, eq(&Found::Kept(record(2))), "cut at {cut}, {zeros} zeros");
+            expect_that!(
+                opened.found,
+                eq(&RecoveredRecord::Stored(record(2))),
+                "cut at {cut}, {zeros} zeros"
+            );
             expect_that!(opened.damages, is_empty());
             // And what is put next is found.
             opened.log.put(b"next").unwrap();
-            expect_that!(open(folder.path()).found, eq(&Found::Kept("next".into())));
+            expect_that!(open(folder.path()).found, eq(&RecoveredRecord::Stored("next".into())));
         }
     }
 }
@@ -79,7 +83,7 @@
     long[8_192..16_384].fill(0);
     bytes.extend(long);
     fs::write(&path, bytes).unwrap();
-    expect_that!(open(folder.path()).found, eq(&Found::Kept(record(2))));
+    expect_that!(open(folder.path()).found, eq(&RecoveredRecord::Stored(record(2))));
 }
 
 #[gtest]
@@ -94,14 +98,14 @@
             fs::write(&path, &bytes).unwrap();
             // Then it is lost, not what it was before and not never there; in the next life too.
             let opened = open(folder.path());
-            expect_that!(opened.found, eq(&Found::Lost), "byte {place} ^ {change}");
+            expect_that!(opened.found, eq(&RecoveredRecord::Lost), "byte {place} ^ {change}");
             expect_that!(opened.damages, not(is_empty()));
             expect_that!(fs::read(folder.path().join("damaged")).unwrap(), eq(&bytes));
             let mut again = open(folder.path());
-            expect_that!(again.found, eq(&Found::Lost));
+            expect_that!(again.found, eq(&RecoveredRecord::Lost));
             // And once it is restored, it is kept as any other.
             again.log.put(b"restored").unwrap();
-            expect_that!(open(folder.path()).found, eq(&Found::Kept("restored".into())));
+            expect_that!(open(folder.path()).found, eq(&RecoveredRecord::Stored("restored".into())));
         }
     }
 }
@@ -116,13 +120,13 @@
         bytes[place] ^= 0x10;
         fs::write(&path, &bytes).unwrap();
         let opened = open(folder.path());
-        expect_that!(opened.found, eq(&Found::Kept(record(3))), "byte {place}");
+        expect_that!(opened.found, eq(&RecoveredRecord::Stored(record(3))), "byte {place}");
         expect_that!(opened.damages.len(), eq(1));
         expect_that!(opened.damages[0], contains_substring(path.display().to_string()));
         expect_that!(folder.path().join("damaged").exists(), eq(true));
         // And it is told once.
         let opened = open(folder.path());
-        expect_that!(opened.found, eq(&Found::Kept(record(3))));
+        expect_that!(opened.found, eq(&RecoveredRecord::Stored(record(3))));
         expect_that!(opened.damages, is_empty());
     }
 }
@@ -134,7 +138,7 @@
     for cut in 0..ends[0] {
         let (folder, path, _) = kept(1);
         fs::write(&path, &whole[..cut]).unwrap();
-        expect_that!(open(folder.path()).found, eq(&Found::Lost), "cut at {cut}");
+        expect_that!(open(folder.path()).found, eq(&RecoveredRecord::Lost), "cut at {cut}");
     }
 }
 
@@ -149,7 +153,7 @@
         fs::write(&path, spliced).unwrap();
         let opened = open(folder.path());
         // Then nothing is found but what was once put.
-        if let Found::Kept(found) = &opened.found {
+        if let RecoveredRecord::Stored(found) = &opened.found {
             expect_that!((1..=3).map(record).collect::<Vec<_>>().contains(found), eq(true));
         }
     }
@@ -195,6 +199,6 @@
     // When a loss of power brings the removed file back.
     fs::write(folder.path().join("record.1"), first).unwrap();
     let opened = open(folder.path());
-    expect_that!(opened.found, eq(&Found::Kept("newest".into())));
+    expect_that!(opened.found, eq(&RecoveredRecord::Stored("newest".into())));
     expect_that!(names(), eq(&vec![2]));
 }
--- a/system/turn-store/src/record_log/tests/recorded.rs
+++ b/system/turn-store/src/record_log/tests/recorded.rs
@@ -15,7 +15,7 @@
     fs::write(&path, recorded("two-records")).unwrap();
     // When it is opened, then the second is there.
     let mut opened = open(folder.path());
-    expect_that!(opened.found, eq(&Found::Kept(record(2))));
+    expect_that!(opened.found, eq(&RecoveredRecord::Stored(record(2))));
     expect_that!(opened.damages, is_empty());
     expect_that!(fs::read(&path).unwrap(), eq(&recorded("two-records")));
     // And with a third one it is as it was with that.
@@ -35,7 +35,7 @@
     fs::write(folder.path().join("record.1"), &bytes).unwrap();
     // When it is opened, then the third is there, in a file of its own beside the damaged one.
     let opened = open(folder.path());
-    expect_that!(opened.found, eq(&Found::Kept(record(3))));
+    expect_that!(opened.found, eq(&RecoveredRecord::Stored(record(3))));
     expect_that!(fs::read(folder.path().join("record.2")).unwrap(), eq(&recorded("after-damage")));
     expect_that!(fs::read(folder.path().join("damaged")).unwrap(), eq(&bytes));
 }
--- a/system/turn-store/src/records.rs
+++ b/system/turn-store/src/records.rs
@@ -1,7 +1,7 @@
 //! The records of a store: which keyspaces there are, and how keys and values look.
 
 use crate::disk::{Damage, Disk, DiskError, Space, Write};
-use crate::state::{Bodies, Body};
+use crate::state::{Payload, Payloads};
 use bytes::Bytes;
 use fleet_model::{Reservation, Turn};
 use serde::{Deserialize, Serialize};
@@ -13,7 +13,7 @@
 /// Turns by `Attempt-Id`, written once.
 pub const TURNS: &str = "turns";
 /// Disks that hold a turn, by `Attempt-Id`, where they are no longer those of the turn's own record.
-pub const HOLDERS: &str = "holders";
+pub const REPLICAS: &str = "holders";
 /// Tokens by program and try.
 pub const ACCOUNTS: &str = "accounts";
 /// What the store knows of itself.
@@ -21,31 +21,31 @@
 /// The keyspaces of a store.
 pub const SPACES: &[Space] = &[
     Space { name: TURNS, memtable_bytes: 2 << 20 },
-    Space { name: HOLDERS, memtable_bytes: 256 << 10 },
+    Space { name: REPLICAS, memtable_bytes: 256 << 10 },
     Space { name: ACCOUNTS, memtable_bytes: 1 << 20 },
     Space { name: STATE, memtable_bytes: 64 << 10 },
 ];
 
-const FILL_KEY: &[u8] = b"fill";
+const BACKFILL_KEY: &[u8] = b"fill";
 
 /// What a store knows of its own completeness.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FillRecord {
+pub struct BackfillRecord {
     /// Epochs of filling, with the disks of the set that was filled for.
-    pub filled: Vec<(u64, BTreeSet<u64>)>,
+    pub in_sync: Vec<(u64, BTreeSet<u64>)>,
     /// A record was lost, and the store has not filled since.
     pub damaged: bool,
 }
 
-impl FillRecord {
+impl BackfillRecord {
     pub(crate) fn write(&self) -> Write {
-        Write::put(STATE, FILL_KEY.to_vec(), encode(self))
+        Write::put(STATE, BACKFILL_KEY.to_vec(), encode(self))
     }
 }
 
 /// A turn without its text.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptTurn {
+pub struct StoredTurn {
     /// Its `Attempt-Id`.
     pub attempt: String,
     /// The turn it continues from.
@@ -55,36 +55,36 @@
     /// Bytes of input and output.
     pub length: u32,
     /// Disks that hold it.
-    pub holders: Vec<u64>,
+    pub replicas: Vec<u64>,
 }
 
-impl KeptTurn {
-    pub(crate) fn of(turn: &Turn) -> Self {
+impl From<&Turn> for StoredTurn {
+    fn from(turn: &Turn) -> Self {
         Self {
             attempt: turn.attempt.clone(),
             previous: turn.previous.clone(),
             retention_ms: turn.retention_ms,
             length: u32::try_from(turn.input.len() + turn.output.len()).unwrap_or(u32::MAX),
-            holders: turn.replicas.clone(),
+            replicas: turn.replicas.clone(),
         }
     }
 }
 
 /// What was found on the disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct Stored {
     /// Turns.
-    pub turns: Vec<KeptTurn>,
+    pub turns: Vec<StoredTurn>,
     /// Reservations with their programs.
     pub accounts: Vec<(String, Reservation)>,
     /// The store's completeness.
-    pub fill: FillRecord,
+    pub backfill: BackfillRecord,
 }
 
 /// Read what a disk holds. Damaged records are set aside and told; a store that lost one has to fill again, and that is
 /// kept before they go.
-pub fn load(disk: &Disk) -> Result<(Kept, Vec<Damage>), DiskError> {
-    let mut kept = Kept::default();
+pub fn load(disk: &Disk) -> Result<(Stored, Vec<Damage>), DiskError> {
+    let mut kept = Stored::default();
     let mut damages = Vec::new();
     let mut turns = BTreeMap::new();
     damages.extend(disk.scan(TURNS, |key, value| {
@@ -92,15 +92,15 @@
         if turn.attempt.as_bytes() != key {
             return Err("another turn's record".into());
         }
-        turns.insert(turn.attempt.clone(), KeptTurn::of(&turn));
+        turns.insert(turn.attempt.clone(), StoredTurn::from(&turn));
         Ok(())
     })?);
     let mut orphans = Vec::new();
-    damages.extend(disk.scan(HOLDERS, |key, value| {
-        let holders: Vec<u64> = decode(value)?;
+    damages.extend(disk.scan(REPLICAS, |key, value| {
+        let replicas: Vec<u64> = decode(value)?;
         match std::str::from_utf8(key).ok().and_then(|attempt| turns.get_mut(attempt)) {
-            Some(turn) => turn.holders = holders,
-            None => orphans.push(Write::remove(HOLDERS, key.to_vec())),
+            Some(turn) => turn.replicas = replicas,
+            None => orphans.push(Write::remove(REPLICAS, key.to_vec())),
         }
         Ok(())
     })?);
@@ -109,15 +109,15 @@
         Ok(())
     })?);
     damages.extend(disk.scan(STATE, |key, value| {
-        if key == FILL_KEY {
-            kept.fill = decode(value)?;
+        if key == BACKFILL_KEY {
+            kept.backfill = decode(value)?;
         }
         Ok(())
     })?);
     kept.turns = turns.into_values().collect();
     if !damages.is_empty() {
-        kept.fill = FillRecord { filled: Vec::new(), damaged: true };
-        orphans.push(kept.fill.write());
+        kept.backfill = BackfillRecord { in_sync: Vec::new(), damaged: true };
+        orphans.push(kept.backfill.write());
         disk.set_aside(&damages, &orphans)?;
     } else if !orphans.is_empty() {
         disk.write(&orphans)?;
@@ -125,17 +125,17 @@
     Ok((kept, damages))
 }
 
-impl Bodies for Disk {
-    fn get(&self, attempt: &str) -> Body {
+impl Payloads for Disk {
+    fn get(&self, attempt: &str) -> Payload {
         match self.get(TURNS, attempt.as_bytes()) {
-            Ok(None) => Body::Pending,
+            Ok(None) => Payload::Pending,
             Ok(Some(value)) => match decode::<Turn>(&value) {
-                Ok(turn) => Body::Held(turn),
-                Err(_) => Body::Lost,
+                Ok(turn) => Payload::Present(turn),
+                Err(_) => Payload::Lost,
             },
             Err(error) => {
                 log::error!("turn {attempt} cannot be read: {error}");
-                Body::Lost
+                Payload::Lost
             }
         }
     }
@@ -145,13 +145,13 @@
     Write::put(TURNS, turn.attempt.as_bytes().to_vec(), encode(turn))
 }
 
-pub(crate) fn holders_write(attempt: &str, holders: &[u64]) -> Write {
-    Write::put(HOLDERS, attempt.as_bytes().to_vec(), encode(holders))
+pub(crate) fn replicas_write(attempt: &str, replicas: &[u64]) -> Write {
+    Write::put(REPLICAS, attempt.as_bytes().to_vec(), encode(replicas))
 }
 
 pub(crate) fn turn_removal(attempt: &str) -> [Write; 2] {
     let key = attempt.as_bytes();
-    [Write::remove(TURNS, key.to_vec()), Write::remove(HOLDERS, key.to_vec())]
+    [Write::remove(TURNS, key.to_vec()), Write::remove(REPLICAS, key.to_vec())]
 }
 
 fn account_key(program: &str, attempt: u64) -> Vec<u8> {
--- a/system/turn-store/src/records/tests.rs
+++ b/system/turn-store/src/records/tests.rs
@@ -11,8 +11,9 @@
         retention_ms: 86_400_000,
         replicas: vec![u64::MAX, 0, 5],
     };
-    let fill = FillRecord { filled: vec![(7, [1, 2, u64::MAX].into()), (8, [3].into())], damaged: true };
-    let mut samples = vec![encode(&turn(None)), encode(&turn(Some("before"))), encode(&fill)];
+    let backfill =
+        BackfillRecord { in_sync: vec![(7, [1, 2, u64::MAX].into()), (8, [3].into())], damaged: true };
+    let mut samples = vec![encode(&turn(None)), encode(&turn(Some("before"))), encode(&backfill)];
     samples.extend([encode(&[1_u64, 2, 3][..]), Bytes::from_static(&[0, 0, 2, 1])]);
     samples.into_iter().map(|sample| sample.to_vec()).collect()
 }
@@ -29,7 +30,7 @@
     #[test]
     fn given_changed_records_when_decoded_then_they_are_refused_or_the_same_again(bytes in changed(samples())) {
         check::<Turn>(&bytes);
-        check::<FillRecord>(&bytes);
+        check::<BackfillRecord>(&bytes);
         check::<Vec<u64>>(&bytes);
         if let Ok((program, reservation)) = account_entry(&bytes, &bytes[..bytes.len().min(4)]) {
             let write = account_write(&program, reservation.attempt, reservation.tokens);
--- a/system/turn-store/src/state.rs
+++ b/system/turn-store/src/state.rs
@@ -1,10 +1,10 @@
 //! What a store decides, without I/O and clock.
 
+use crate::backfill::Backfill;
 use crate::disk::Write;
-use crate::filling::Filling;
 use crate::records::{
-    FillRecord, Kept, KeptTurn, account_removal, account_write, decode, encode, holders_write, turn_removal,
-    turn_write,
+    BackfillRecord, Stored, StoredTurn, account_removal, account_write, decode, encode, replicas_write,
+    turn_removal, turn_write,
 };
 use bytes::{Bytes, BytesMut};
 use fleet_model::{
@@ -14,19 +14,19 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::ops::Bound::{Excluded, Included, Unbounded};
 
-const PAGE_BYTES: usize = 256 << 10;
+const TARGET_PAGE_BYTES: usize = 256 << 10;
 /// What a record takes in a page beyond its text.
-const ENTRY_BYTES: usize = 64;
-const RESERVATION_BYTES: usize = 16;
-const LEAST_RETENTION_MS: u64 = 60_000;
-const ACCOUNT_MS: u64 = 600_000;
-const NAME_BYTES: usize = 4096;
+const PAGE_ENTRY_OVERHEAD_BYTES: usize = 64;
+const PAGE_RESERVATION_BYTES: usize = 16;
+const MIN_RETENTION_MS: u64 = 60_000;
+const ACCOUNT_RETENTION_MS: u64 = 600_000;
+const MAX_NAME_BYTES: usize = 4096;
 
 /// A turn's text, as it can be had now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Body {
+pub enum Payload {
     /// Here it is.
-    Held(Turn),
+    Present(Turn),
     /// It is not written yet.
     Pending,
     /// It cannot be read, and never will.
@@ -34,14 +34,14 @@
 }
 
 /// Where the text of turns is had from.
-pub trait Bodies {
+pub trait Payloads {
     /// The turn of this `Attempt-Id`, which the store has kept.
-    fn get(&self, attempt: &str) -> Body;
+    fn get(&self, attempt: &str) -> Payload;
 }
 
 /// How much room a store's disk has for more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Room {
+pub enum DiskCapacity {
     /// Enough.
     #[default]
     Ample,
@@ -54,14 +54,14 @@
 /// What the engine may need at once beside its tables: a journal that is full, and the next one at its whole length.
 const JOURNALS_BYTES: u64 = 2 * (64 << 20);
 
-impl Room {
-    /// With so many bytes in tables on a disk of `limit` bytes; 0 is a disk without a limit.
-    pub fn of(tables: u64, limit: u64) -> Self {
-        let room = limit.saturating_sub(JOURNALS_BYTES).max(limit / 2);
-        match tables {
-            _ if limit == 0 => Self::Ample,
-            _ if tables < room / 100 * 90 => Self::Ample,
-            _ if tables < room / 100 * 97 => Self::Scarce,
+impl DiskCapacity {
+    /// With `table_bytes` in tables on a disk of `limit_bytes`; 0 is a disk without a limit.
+    pub fn from_usage(table_bytes: u64, limit_bytes: u64) -> Self {
+        let capacity = limit_bytes.saturating_sub(JOURNALS_BYTES).max(limit_bytes / 2);
+        match table_bytes {
+            _ if limit_bytes == 0 => Self::Ample,
+            _ if table_bytes < capacity / 100 * 90 => Self::Ample,
+            _ if table_bytes < capacity / 100 * 97 => Self::Scarce,
             _ => Self::Full,
         }
     }
@@ -110,12 +110,12 @@
     retention_ms: u64,
     expiry_ms: u64,
     length: u32,
-    holders: Vec<u64>,
+    replicas: Vec<u64>,
 }
 
 impl Entry {
     fn touch(&mut self, now_ms: u64) {
-        let held_ms = self.retention_ms.max(LEAST_RETENTION_MS).saturating_mul(2);
+        let held_ms = self.retention_ms.max(MIN_RETENTION_MS).saturating_mul(2);
         self.expiry_ms = self.expiry_ms.max(now_ms.saturating_add(held_ms));
     }
 }
@@ -146,27 +146,27 @@
 /// A store: the turns and accounts it holds, its place in the roster, and how it answers.
 ///
 /// It relies on the keeper of the roster for this: a set of stores becomes `current` only when each of them has told, for
-/// the epoch under which it was `next`, that it is filled; and `filled` is emptied whenever `next` changes.
+/// the epoch under which it was `next`, that it is filled; and `in_sync` is emptied whenever `next` changes.
 #[derive(Debug)]
-pub struct StoreState {
+pub struct ReplicaState {
     disk: u64,
     losses: usize,
     roster: Roster,
-    fill: FillRecord,
-    room: Room,
+    backfill: BackfillRecord,
+    capacity: DiskCapacity,
     turns: BTreeMap<Box<str>, Entry>,
     accounts: BTreeMap<Box<str>, Account>,
 }
 
-impl StoreState {
+impl ReplicaState {
     /// A store with what its disk holds. All of it gets a fresh expiry.
-    pub fn new(now_ms: u64, disk: u64, losses: usize, kept: Kept) -> Self {
+    pub fn new(now_ms: u64, disk: u64, losses: usize, kept: Stored) -> Self {
         let mut state = Self {
             disk,
             losses,
             roster: Roster::default(),
-            fill: kept.fill,
-            room: Room::default(),
+            backfill: kept.backfill,
+            capacity: DiskCapacity::default(),
             turns: BTreeMap::new(),
             accounts: BTreeMap::new(),
         };
@@ -200,14 +200,14 @@
         if roster.epoch <= self.roster.epoch {
             return Vec::new();
         }
-        let before = self.fill.clone();
+        let before = self.backfill.clone();
         let next = roster.next.as_deref().map(disks);
         if next.is_some()
             && roster.epoch == self.roster.epoch + 1
             && next == self.roster.next.as_deref().map(disks)
         {
             // The same change goes on, with no epoch between: what was filled still holds.
-            for (epoch, set) in &mut self.fill.filled {
+            for (epoch, set) in &mut self.backfill.in_sync {
                 if *epoch == self.roster.epoch && Some(&*set) == next.as_ref() {
                     *epoch = roster.epoch;
                 }
@@ -216,20 +216,20 @@
         self.roster = roster.clone();
         let current = disks(&roster.current);
         let told = roster.in_sync.contains(&self.disk);
-        self.fill.filled.retain(|(epoch, set)| {
+        self.backfill.in_sync.retain(|(epoch, set)| {
             *set == current || (Some(set) == next.as_ref() && (*epoch == roster.epoch || told))
         });
-        if self.fill == before { Vec::new() } else { vec![self.fill.write()] }
+        if self.backfill == before { Vec::new() } else { vec![self.backfill.write()] }
     }
 
     /// Take note of the disk's room; tells whether that is news.
-    pub fn set_room(&mut self, room: Room) -> bool {
-        std::mem::replace(&mut self.room, room) != room
+    pub fn set_capacity(&mut self, capacity: DiskCapacity) -> bool {
+        std::mem::replace(&mut self.capacity, capacity) != capacity
     }
 
     /// The room that the disk has.
-    pub fn room(&self) -> Room {
-        self.room
+    pub fn capacity(&self) -> DiskCapacity {
+        self.capacity
     }
 
     fn in_current(&self) -> bool {
@@ -240,14 +240,14 @@
         self.roster.next.as_ref().is_some_and(|next| contains(next, self.disk))
     }
 
-    fn filled_for(&self, stores: &[StorageNode]) -> bool {
+    fn is_in_sync_for(&self, stores: &[StorageNode]) -> bool {
         let set = disks(stores);
-        self.fill.filled.iter().any(|(_, filled)| *filled == set)
+        self.backfill.in_sync.iter().any(|(_, in_sync)| *in_sync == set)
     }
 
     /// Whether it is one of the current stores and holds all that they kept, as far as it should.
-    pub fn is_full(&self) -> bool {
-        self.in_current() && self.filled_for(&self.roster.current)
+    pub fn is_in_sync(&self) -> bool {
+        self.in_current() && self.is_in_sync_for(&self.roster.current)
     }
 
     /// Before there is a current set, nothing is kept: the founding ends only when its members are full without sources.
@@ -255,35 +255,35 @@
         !self.roster.current.is_empty()
     }
 
-    fn takes_writes(&self) -> bool {
-        self.is_founded() && if self.in_current() { self.is_full() } else { self.in_next() }
+    fn accepts_writes(&self) -> bool {
+        self.is_founded() && if self.in_current() { self.is_in_sync() } else { self.in_next() }
     }
 
     /// The filling that this store has to do under its roster, if any. It needs as many full current stores, itself
     /// counted if it is one, as together know every record ([`QuorumSizes::covering`]). That holds also where some were
     /// not waited for when the set became current: with `w` of those, a record is on `write - w` full ones or more, and
     /// of the `n - w` full ones `covering` leave out only `write - 1 - w`. A founding has no sources and needs none.
-    pub fn filling(&self) -> Option<Filling> {
+    pub fn backfill(&self) -> Option<Backfill> {
         let due = match &self.roster.next {
-            Some(next) if self.in_next() => !self.filled_for(next),
-            _ => self.in_current() && !self.is_full(),
+            Some(next) if self.in_next() => !self.is_in_sync_for(next),
+            _ => self.in_current() && !self.is_in_sync(),
         };
         due.then(|| {
             let sources = self.roster.current.iter().filter(|store| store.disk != self.disk).cloned();
             let covering = QuorumSizes::for_machines(self.roster.current.len(), self.losses)
                 .map_or(0, |sizes| sizes.covering);
-            Filling::new(self.roster.epoch, self.disk, sources, covering, self.is_source())
+            Backfill::new(self.roster.epoch, self.disk, sources, covering, self.is_source())
         })
     }
 
-    /// A [`Filling`] is done and all that it brought is synced. Once the writes are synced too, `Filled` is told, if the
+    /// A [`Backfill`] is done and all that it brought is synced. Once the writes are synced too, `Filled` is told, if the
     /// store is in `next`. `None` if the roster has moved on, or the store counted on itself and has found damage since:
     /// then it begins anew.
-    pub fn mark_filled(&mut self, filling: &Filling) -> Option<Vec<Write>> {
-        if filling.epoch() != self.roster.epoch || !filling.is_done() {
+    pub fn mark_in_sync(&mut self, backfill: &Backfill) -> Option<Vec<Write>> {
+        if backfill.epoch() != self.roster.epoch || !backfill.is_done() {
             return None;
         }
-        if filling.counts_itself() && !self.is_source() {
+        if backfill.relies_on_local_records() && !self.is_source() {
             return None;
         }
         let set = match &self.roster.next {
@@ -291,19 +291,19 @@
             _ if self.in_current() => disks(&self.roster.current),
             _ => return None,
         };
-        self.fill.filled.retain(|(_, filled)| *filled != set);
-        self.fill.filled.push((self.roster.epoch, set));
-        self.fill.damaged = false;
-        Some(vec![self.fill.write()])
+        self.backfill.in_sync.retain(|(_, in_sync)| *in_sync != set);
+        self.backfill.in_sync.push((self.roster.epoch, set));
+        self.backfill.damaged = false;
+        Some(vec![self.backfill.write()])
     }
 
     /// Whether `Filled` is to be told for the roster's epoch.
-    pub fn is_filled_for_next(&self) -> bool {
-        self.in_next() && self.roster.next.as_ref().is_some_and(|next| self.filled_for(next))
+    pub fn is_in_sync_for_next(&self) -> bool {
+        self.in_next() && self.roster.next.as_ref().is_some_and(|next| self.is_in_sync_for(next))
     }
 
     /// Answer a call. One that is not for a store gets `Unready`.
-    pub fn handle(&mut self, now_ms: u64, call: &Call, bodies: &dyn Bodies) -> Outcome {
+    pub fn handle(&mut self, now_ms: u64, call: &Call, payloads: &dyn Payloads) -> Outcome {
         let epoch = match call {
             Call::Reserve { epoch, .. }
             | Call::Settle { epoch, .. }
@@ -321,10 +321,10 @@
             Call::Reserve { program, reservation, .. } => self.reserve(now_ms, program, *reservation),
             Call::Settle { program, reservation, .. } => self.settle(now_ms, program, *reservation),
             Call::ReadAccount { program, .. } => self.read_account(now_ms, program),
-            Call::StoreTurn { turn, .. } => self.keep_turn(now_ms, turn),
-            Call::ReadChain { attempt, .. } => self.read_chain(now_ms, attempt, bodies),
-            Call::Backfill { disk, cursor, .. } => self.fill_page(*disk, cursor, bodies),
-            Call::BackfillDone { disk, .. } => self.fill_done(*disk),
+            Call::StoreTurn { turn, .. } => self.store_turn(now_ms, turn),
+            Call::ReadChain { attempt, .. } => self.read_chain(now_ms, attempt, payloads),
+            Call::Backfill { disk, cursor, .. } => self.backfill_page(*disk, cursor, payloads),
+            Call::BackfillDone { disk, .. } => self.backfill_done(*disk),
             _ => Outcome::free(Answer::NotReady),
         }
     }
@@ -334,15 +334,15 @@
             self.accounts.insert(program.into(), Account::default());
         }
         let account = self.accounts.entry(program.into()).or_default();
-        account.expiry_ms = account.expiry_ms.max(now_ms.saturating_add(ACCOUNT_MS));
+        account.expiry_ms = account.expiry_ms.max(now_ms.saturating_add(ACCOUNT_RETENTION_MS));
         account
     }
 
     fn reserve(&mut self, now_ms: u64, program: &str, reservation: Reservation) -> Outcome {
-        if !self.takes_writes() || program.len() > NAME_BYTES {
+        if !self.accepts_writes() || program.len() > MAX_NAME_BYTES {
             return Outcome::free(Answer::NotReady);
         }
-        if self.room != Room::Ample && !self.accounts.contains_key(program) {
+        if self.capacity != DiskCapacity::Ample && !self.accounts.contains_key(program) {
             return Outcome::free(Answer::NotReady);
         }
         let account = self.account(now_ms, program);
@@ -352,7 +352,7 @@
     }
 
     fn settle(&mut self, now_ms: u64, program: &str, reservation: Reservation) -> Outcome {
-        if !self.takes_writes() || program.len() > NAME_BYTES {
+        if !self.accepts_writes() || program.len() > MAX_NAME_BYTES {
             return Outcome::free(Answer::NotReady);
         }
         let (tokens, news) = self.account(now_ms, program).merge(reservation);
@@ -361,52 +361,52 @@
     }
 
     fn read_account(&mut self, now_ms: u64, program: &str) -> Outcome {
-        if !self.is_founded() || !self.is_full() {
+        if !self.is_founded() || !self.is_in_sync() {
             return Outcome::free(Answer::NotReady);
         }
         let Some(account) = self.accounts.get_mut(program) else {
             return Outcome::free(Answer::Account(Vec::new()));
         };
-        account.expiry_ms = account.expiry_ms.max(now_ms.saturating_add(ACCOUNT_MS));
+        account.expiry_ms = account.expiry_ms.max(now_ms.saturating_add(ACCOUNT_RETENTION_MS));
         Outcome::free(Answer::Account(reservations(account)))
     }
 
-    fn keep_turn(&mut self, now_ms: u64, turn: &Turn) -> Outcome {
-        let named = (1..=NAME_BYTES).contains(&turn.attempt.len());
-        if !self.takes_writes() || !named {
+    fn store_turn(&mut self, now_ms: u64, turn: &Turn) -> Outcome {
+        let named = (1..=MAX_NAME_BYTES).contains(&turn.attempt.len());
+        if !self.accepts_writes() || !named {
             return Outcome::free(Answer::NotReady);
         }
         // Kept already: the record stays as it is, and the answer waits for the first one's sync.
         let writes = match self.turns.get_mut(turn.attempt.as_str()) {
-            None if self.room == Room::Full => return Outcome::free(Answer::NotReady),
+            None if self.capacity == DiskCapacity::Full => return Outcome::free(Answer::NotReady),
             None => {
-                self.insert(now_ms, KeptTurn::of(turn));
+                self.insert(now_ms, StoredTurn::from(turn));
                 vec![turn_write(turn)]
             }
             Some(entry) => {
                 entry.touch(now_ms);
                 // Sent again, it names who does hold it: one named before may not have answered.
-                let news = entry.holders != turn.replicas;
-                entry.holders.clone_from(&turn.replicas);
-                news.then(|| holders_write(&turn.attempt, &turn.replicas)).into_iter().collect()
+                let news = entry.replicas != turn.replicas;
+                entry.replicas.clone_from(&turn.replicas);
+                news.then(|| replicas_write(&turn.attempt, &turn.replicas)).into_iter().collect()
             }
         };
         Outcome::synced(Answer::Done, writes)
     }
 
-    fn insert(&mut self, now_ms: u64, turn: KeptTurn) {
+    fn insert(&mut self, now_ms: u64, turn: StoredTurn) {
         let mut entry = Entry {
             previous: turn.previous.map(Into::into),
             retention_ms: turn.retention_ms,
             expiry_ms: 0,
             length: turn.length,
-            holders: turn.holders,
+            replicas: turn.replicas,
         };
         entry.touch(now_ms);
         self.turns.insert(turn.attempt.into(), entry);
     }
 
-    fn read_chain(&mut self, now_ms: u64, attempt: &str, bodies: &dyn Bodies) -> Outcome {
+    fn read_chain(&mut self, now_ms: u64, attempt: &str, payloads: &dyn Payloads) -> Outcome {
         let mut parts = Vec::new();
         let mut seen = HashSet::new();
         let mut writes = Vec::new();
@@ -420,22 +420,22 @@
                 break;
             };
             entry.touch(now_ms);
-            match bodies.get(&asked) {
-                Body::Held(turn) => {
+            match payloads.get(&asked) {
+                Payload::Present(turn) => {
                     missing = turn.previous;
                     parts.push(turn.output);
                     parts.push(turn.input);
                 }
-                Body::Pending => return Outcome::lazy(Answer::NotReady, writes),
-                Body::Lost => {
-                    writes.extend(self.lose(&asked));
+                Payload::Pending => return Outcome::lazy(Answer::NotReady, writes),
+                Payload::Lost => {
+                    writes.extend(self.mark_lost(&asked));
                     missing = Some(asked);
                     break;
                 }
             }
         }
         let answer = if parts.is_empty() {
-            Answer::Absent { complete: self.is_founded() && self.is_full() }
+            Answer::Absent { complete: self.is_founded() && self.is_in_sync() }
         } else {
             let mut text = BytesMut::with_capacity(parts.iter().map(Bytes::len).sum());
             parts.iter().rev().for_each(|part| text.extend_from_slice(part));
@@ -446,14 +446,14 @@
 
     /// A record turned out to be unreadable: the store has to fill again. The record stays until it is replaced, or set
     /// aside at the next start.
-    fn lose(&mut self, attempt: &str) -> Vec<Write> {
+    fn mark_lost(&mut self, attempt: &str) -> Vec<Write> {
         self.turns.remove(attempt);
-        self.fill = FillRecord { filled: Vec::new(), damaged: true };
-        vec![self.fill.write()]
+        self.backfill = BackfillRecord { in_sync: Vec::new(), damaged: true };
+        vec![self.backfill.write()]
     }
 
     /// The set of stores for which a disk fills.
-    fn filled_set(&self, disk: u64) -> Option<&[StorageNode]> {
+    fn backfill_target(&self, disk: u64) -> Option<&[StorageNode]> {
         match &self.roster.next {
             Some(next) if contains(next, disk) => Some(next),
             _ if contains(&self.roster.current, disk) => Some(&self.roster.current),
@@ -464,17 +464,17 @@
     /// A store may be drawn on if it is full. An empty one that is not may lack all that it should have: it joined, was not
     /// waited for, and came back.
     fn is_source(&self) -> bool {
-        self.is_full()
+        self.is_in_sync()
     }
 
-    fn fill_page(&mut self, asker: u64, cursor: &[u8], bodies: &dyn Bodies) -> Outcome {
+    fn backfill_page(&mut self, asker: u64, cursor: &[u8], payloads: &dyn Payloads) -> Outcome {
         let unready = Outcome::free(Answer::NotReady);
         let cursor = match cursor {
             [] => Ok(Cursor::Accounts { program: "", after: None }),
             bytes => decode(bytes),
         };
         let (Ok(cursor), true) = (cursor, self.is_source()) else { return unready };
-        let Some(set) = self.filled_set(asker) else { return unready };
+        let Some(set) = self.backfill_target(asker) else { return unready };
         let mut size = 0;
         let mut accounts = Vec::new();
         let mut after = None;
@@ -486,7 +486,7 @@
                     if !account_replicas(set, program, self.losses).iter().any(|store| store.disk == asker) {
                         continue;
                     }
-                    size += ENTRY_BYTES + program.len();
+                    size += PAGE_ENTRY_OVERHEAD_BYTES + program.len();
                     let mut page = Vec::new();
                     let done = if **program == *begun.0 { begun.1 } else { None };
                     for (&attempt, &tokens) in &account.tokens {
@@ -494,8 +494,8 @@
                             continue;
                         }
                         page.push(Reservation { attempt, tokens });
-                        size += RESERVATION_BYTES;
-                        if size >= PAGE_BYTES {
+                        size += PAGE_RESERVATION_BYTES;
+                        if size >= TARGET_PAGE_BYTES {
                             let cursor = encode(&Cursor::Accounts { program, after: Some(attempt) });
                             accounts.push((program.to_string(), page));
                             return records(Vec::new(), accounts, Some(cursor));
@@ -510,23 +510,23 @@
         let mut turns = Vec::new();
         let range = (after.map_or(Unbounded, Excluded), Unbounded);
         for (attempt, entry) in self.turns.range::<str, _>(range) {
-            let wanted = wanted_holders(attempt, &entry.holders, set, self.losses);
+            let wanted = wanted_replicas(attempt, &entry.replicas, set, self.losses);
             if !wanted.contains(&asker) {
                 after = Some(attempt);
                 continue;
             }
-            size += ENTRY_BYTES + attempt.len() + entry.length as usize;
-            let full_page = size > PAGE_BYTES && !(turns.is_empty() && accounts.is_empty());
-            match if full_page { Body::Pending } else { bodies.get(attempt) } {
-                Body::Held(turn) => turns.push(Turn { replicas: wanted, ..turn }),
-                Body::Pending if turns.is_empty() && accounts.is_empty() => return unready,
-                Body::Pending => {
+            size += PAGE_ENTRY_OVERHEAD_BYTES + attempt.len() + entry.length as usize;
+            let full_page = size > TARGET_PAGE_BYTES && !(turns.is_empty() && accounts.is_empty());
+            match if full_page { Payload::Pending } else { payloads.get(attempt) } {
+                Payload::Present(turn) => turns.push(Turn { replicas: wanted, ..turn }),
+                Payload::Pending if turns.is_empty() && accounts.is_empty() => return unready,
+                Payload::Pending => {
                     let cursor = encode(&Cursor::Turns { after });
                     return records(turns, accounts, Some(cursor));
                 }
-                Body::Lost => {
+                Payload::Lost => {
                     let attempt = attempt.to_string();
-                    return Outcome::lazy(Answer::NotReady, self.lose(&attempt));
+                    return Outcome::lazy(Answer::NotReady, self.mark_lost(&attempt));
                 }
             }
             after = Some(attempt);
@@ -534,23 +534,23 @@
         records(turns, accounts, None)
     }
 
-    fn fill_done(&mut self, asker: u64) -> Outcome {
-        let Some(set) = self.filled_set(asker).map(<[StorageNode]>::to_vec) else {
+    fn backfill_done(&mut self, asker: u64) -> Outcome {
+        let Some(set) = self.backfill_target(asker).map(<[StorageNode]>::to_vec) else {
             return Outcome::free(Answer::NotReady);
         };
         let mut writes = Vec::new();
         for (attempt, entry) in &mut self.turns {
-            let wanted = wanted_holders(attempt, &entry.holders, &set, self.losses);
-            if wanted.contains(&asker) && wanted != entry.holders {
-                writes.push(holders_write(attempt, &wanted));
-                entry.holders = wanted;
+            let wanted = wanted_replicas(attempt, &entry.replicas, &set, self.losses);
+            if wanted.contains(&asker) && wanted != entry.replicas {
+                writes.push(replicas_write(attempt, &wanted));
+                entry.replicas = wanted;
             }
         }
         Outcome::lazy(Answer::Done, writes)
     }
 
     /// Take in a page that another store gave. The page counts when the writes, and all earlier ones, are synced.
-    pub fn absorb(
+    pub fn apply_page(
         &mut self,
         now_ms: u64,
         turns: Vec<Turn>,
@@ -558,22 +558,22 @@
     ) -> Vec<Write> {
         let mut writes = Vec::new();
         for turn in turns {
-            if !(1..=NAME_BYTES).contains(&turn.attempt.len()) {
+            if !(1..=MAX_NAME_BYTES).contains(&turn.attempt.len()) {
                 continue;
             }
             match self.turns.get_mut(turn.attempt.as_str()) {
                 Some(entry) => {
                     entry.touch(now_ms);
-                    writes.extend(add_holders(&turn.attempt, &mut entry.holders, &turn.replicas));
+                    writes.extend(add_replicas(&turn.attempt, &mut entry.replicas, &turn.replicas));
                 }
                 None => {
-                    self.insert(now_ms, KeptTurn::of(&turn));
+                    self.insert(now_ms, StoredTurn::from(&turn));
                     writes.push(turn_write(&turn));
                 }
             }
         }
         for (program, reservations) in accounts {
-            if program.len() > NAME_BYTES {
+            if program.len() > MAX_NAME_BYTES {
                 continue;
             }
             let account = self.account(now_ms, &program);
@@ -644,20 +644,20 @@
     stores.iter().any(|store| store.disk == disk)
 }
 
-fn add_holders(attempt: &str, held: &mut Vec<u64>, more: &[u64]) -> Option<Write> {
+fn add_replicas(attempt: &str, held: &mut Vec<u64>, more: &[u64]) -> Option<Write> {
     let before = held.len();
     for disk in more {
         if !held.contains(disk) {
             held.push(*disk);
         }
     }
-    (held.len() > before).then(|| holders_write(attempt, held))
+    (held.len() > before).then(|| replicas_write(attempt, held))
 }
 
 /// Who is to hold a turn once `set` is what counts: its holders there, and where these are too few for the losses, the
 /// best-ranked of the others.
-fn wanted_holders(attempt: &str, holders: &[u64], set: &[StorageNode], losses: usize) -> Vec<u64> {
-    let mut wanted: Vec<u64> = holders.iter().copied().filter(|disk| contains(set, *disk)).collect();
+fn wanted_replicas(attempt: &str, replicas: &[u64], set: &[StorageNode], losses: usize) -> Vec<u64> {
+    let mut wanted: Vec<u64> = replicas.iter().copied().filter(|disk| contains(set, *disk)).collect();
     if wanted.len() <= losses {
         let mut others: Vec<u64> =
             set.iter().map(|store| store.disk).filter(|disk| !wanted.contains(disk)).collect();
--- a/system/turn-store/tests/changes/fleet.rs
+++ b/system/turn-store/tests/changes/fleet.rs
@@ -9,7 +9,7 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
-use turn_store::{Bodies, Body, Filling, Kept, StoreState, TURNS, Write, is_surely_absent};
+use turn_store::{Backfill, Payload, Payloads, ReplicaState, Stored, TURNS, Write, is_surely_absent};
 
 /// The keeper's clock goes on by so much a tick.
 const TICK: u64 = 250;
@@ -37,9 +37,9 @@
 #[derive(Default)]
 pub struct Shelf(BTreeMap<Vec<u8>, fleet_model::Turn>);
 
-impl Bodies for Shelf {
-    fn get(&self, attempt: &str) -> Body {
-        self.0.get(attempt.as_bytes()).cloned().map_or(Body::Pending, Body::Held)
+impl Payloads for Shelf {
+    fn get(&self, attempt: &str) -> Payload {
+        self.0.get(attempt.as_bytes()).cloned().map_or(Payload::Pending, Payload::Present)
     }
 }
 
@@ -62,15 +62,15 @@
     pub up: bool,
     /// Since when it is down, if it is.
     down_since: u64,
-    state: StoreState,
+    state: ReplicaState,
     shelf: Shelf,
-    filling: Option<Filling>,
+    backfill: Option<Backfill>,
 }
 
 impl Machine {
     fn new(store: StorageNode, tolerance: usize) -> Self {
-        let state = StoreState::new(0, store.disk, tolerance, Kept::default());
-        Self { store, up: true, down_since: 0, state, shelf: Shelf::default(), filling: None }
+        let state = ReplicaState::new(0, store.disk, tolerance, Stored::default());
+        Self { store, up: true, down_since: 0, state, shelf: Shelf::default(), backfill: None }
     }
 
     pub fn answer(&mut self, call: &Call) -> Answer {
@@ -149,7 +149,7 @@
         fleet
     }
 
-    pub fn draw(&mut self, below: usize) -> usize {
+    pub fn random_u64(&mut self, below: usize) -> usize {
         (self.random.next_u64() % below.max(1) as u64) as usize
     }
 
@@ -209,7 +209,7 @@
     pub fn stop(&mut self, name: &str) {
         self.hurt(name, "stops");
         let at = self.at(name).expect("a machine of this name");
-        (self.machines[at].up, self.machines[at].filling) = (false, None);
+        (self.machines[at].up, self.machines[at].backfill) = (false, None);
         self.machines[at].down_since = self.now;
     }
 
@@ -332,7 +332,7 @@
         if !self.machines[at].up {
             return false;
         }
-        self.learn(at) || self.ask_to_join(at) || self.fill(at) || self.tell_filled(at)
+        self.learn(at) || self.ask_to_join(at) || self.backfill(at) || self.tell_filled(at)
     }
 
     fn learn(&mut self, at: usize) -> bool {
@@ -341,7 +341,7 @@
             return false;
         }
         machine.learn(&self.control.roster);
-        machine.filling = None;
+        machine.backfill = None;
         true
     }
 
@@ -362,56 +362,57 @@
         true
     }
 
-    fn fill(&mut self, at: usize) -> bool {
+    fn backfill(&mut self, at: usize) -> bool {
         let machine = &self.machines[at];
-        let Some(due) = machine.state.filling() else { return false };
-        let mut filling = machine.filling.clone().filter(|begun| begun.epoch() == due.epoch()).unwrap_or(due);
+        let Some(due) = machine.state.backfill() else { return false };
+        let mut backfill =
+            machine.backfill.clone().filter(|begun| begun.epoch() == due.epoch()).unwrap_or(due);
         if self.mutation == Mutation::NextCountsUnfilled {
-            let sources: Vec<u64> = filling.calls().map(|(store, _)| store.disk).collect();
-            sources.into_iter().for_each(|disk| filling.absorbed(disk, None));
+            let sources: Vec<u64> = backfill.calls().map(|(store, _)| store.disk).collect();
+            sources.into_iter().for_each(|disk| backfill.page_applied(disk, None));
         }
-        let drained_page = !filling.is_done() && self.drain_page(at, &mut filling);
-        if !self.is_enough(&filling) {
-            self.machines[at].filling = Some(filling);
+        let drained_page = !backfill.is_done() && self.drain_page(at, &mut backfill);
+        if !self.is_enough(&backfill) {
+            self.machines[at].backfill = Some(backfill);
             return drained_page;
         }
         let disk = self.machines[at].store.disk;
-        let done = Call::BackfillDone { epoch: filling.epoch(), disk };
-        let sources: Vec<u64> = filling.drained().map(|store| store.disk).collect();
+        let done = Call::BackfillDone { epoch: backfill.epoch(), disk };
+        let sources: Vec<u64> = backfill.drained().map(|store| store.disk).collect();
         for source in sources {
             if let Some(source) = self.by_disk(source).filter(|source| source.up) {
                 source.answer(&done);
             }
         }
         if self.mutation == Mutation::FillsFromOneLess {
-            let rest: Vec<u64> = filling.calls().map(|(store, _)| store.disk).collect();
-            rest.into_iter().for_each(|disk| filling.absorbed(disk, None));
+            let rest: Vec<u64> = backfill.calls().map(|(store, _)| store.disk).collect();
+            rest.into_iter().for_each(|disk| backfill.page_applied(disk, None));
         }
-        self.machines[at].filling = None;
-        self.machines[at].state.mark_filled(&filling).is_some()
+        self.machines[at].backfill = None;
+        self.machines[at].state.mark_in_sync(&backfill).is_some()
     }
 
-    fn is_enough(&self, filling: &Filling) -> bool {
+    fn is_enough(&self, backfill: &Backfill) -> bool {
         if self.mutation != Mutation::FillsFromOneLess {
-            return filling.is_done();
+            return backfill.is_done();
         }
-        let mut one_more = filling.clone();
-        let further = filling.calls().next().map(|(store, _)| store.disk);
-        further.into_iter().for_each(|disk| one_more.absorbed(disk, None));
+        let mut one_more = backfill.clone();
+        let further = backfill.calls().next().map(|(store, _)| store.disk);
+        further.into_iter().for_each(|disk| one_more.page_applied(disk, None));
         one_more.is_done()
     }
 
     /// A page from one of the sources that answer, drawn by lot.
-    fn drain_page(&mut self, at: usize, filling: &mut Filling) -> bool {
-        let mut calls: Vec<(u64, Call)> = filling.calls().map(|(store, call)| (store.disk, call)).collect();
+    fn drain_page(&mut self, at: usize, backfill: &mut Backfill) -> bool {
+        let mut calls: Vec<(u64, Call)> = backfill.calls().map(|(store, call)| (store.disk, call)).collect();
         while !calls.is_empty() {
-            let (source, call) = calls.swap_remove(self.draw(calls.len()));
+            let (source, call) = calls.swap_remove(self.random_u64(calls.len()));
             let Some(machine) = self.by_disk(source).filter(|machine| machine.up) else { continue };
             if let Answer::Records { turns, accounts, cursor } = machine.answer(&call) {
                 let machine = &mut self.machines[at];
-                let writes = machine.state.absorb(0, turns, accounts);
+                let writes = machine.state.apply_page(0, turns, accounts);
                 machine.shelf.write(&writes);
-                filling.absorbed(source, cursor);
+                backfill.page_applied(source, cursor);
                 return true;
             }
         }
@@ -421,7 +422,7 @@
     fn tell_filled(&mut self, at: usize) -> bool {
         let machine = &self.machines[at];
         let (disk, epoch) = (machine.store.disk, machine.state.epoch());
-        if !machine.state.is_filled_for_next() || self.control.roster.in_sync.contains(&disk) {
+        if !machine.state.is_in_sync_for_next() || self.control.roster.in_sync.contains(&disk) {
             return false;
         }
         let Some(state) = fill(&self.control, Some(disk), epoch, &[], self.least()) else { return false };
@@ -437,7 +438,7 @@
             let retiring = roster.retiring.contains(&machine.store.name);
             roster.current.contains(&machine.store) != retiring
                 && machine.state.epoch() == roster.epoch
-                && (retiring || machine.state.is_full())
+                && (retiring || machine.state.is_in_sync())
         };
         roster.next.is_none()
             && !roster.current.is_empty()
@@ -553,9 +554,9 @@
             }
         }
         for (program, number, _) in self.granted.clone() {
-            let holders = account_replicas(&roster.current, &program, self.tolerance);
-            let holders: Vec<u64> = holders.into_iter().map(|store| store.disk).collect();
-            let count = holders.into_iter().filter(|disk| self.knows(*disk, &program, number)).count();
+            let replicas = account_replicas(&roster.current, &program, self.tolerance);
+            let replicas: Vec<u64> = replicas.into_iter().map(|store| store.disk).collect();
+            let count = replicas.into_iter().filter(|disk| self.knows(*disk, &program, number)).count();
             if count < sizes.write {
                 self.broken.push(format!("{}: {program} {number} is known to {count} holders", self.now));
             }
--- a/system/turn-store/tests/changes/losses.rs
+++ b/system/turn-store/tests/changes/losses.rs
@@ -68,7 +68,7 @@
     }
 }
 
-fn lose(fleet: &mut Fleet, name: &str, loss: Loss) {
+fn mark_lost(fleet: &mut Fleet, name: &str, loss: Loss) {
     match loss {
         Loss::Wiped => fleet.wipe(name, false),
         Loss::Destroyed => fleet.destroy(name),
@@ -124,7 +124,7 @@
     for victim in victims {
         let name = fleet.machines[victim % fleet.machines.len()].store.name.clone();
         if fleet.may_hurt() > 0 && !fleet.hurt.contains(&name) {
-            lose(&mut fleet, &name, loss);
+            mark_lost(&mut fleet, &name, loss);
             lost.push(name);
         }
         fleet.check_turns();
--- a/system/turn-store/tests/changes/operations.rs
+++ b/system/turn-store/tests/changes/operations.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use fleet_model::{Answer, Call, QuorumSizes, Reservation, Roster, StorageNode, Turn, rendezvous_rank};
 use std::collections::{BTreeMap, BTreeSet};
-use turn_store::{AccountHolders, copies_needed, copy_order, has_copies, merge_reservations};
+use turn_store::{AccountReplicas, copies_needed, copy_order, has_copies, merge_reservations};
 
 /// Each account's bound; a reservation takes two fifths of it.
 pub const BOUND: u32 = 100;
@@ -21,7 +21,7 @@
 
 #[derive(Clone)]
 enum Work {
-    Keep { attempt: String, holders: Vec<u64>, naming: bool },
+    Keep { attempt: String, replicas: Vec<u64>, naming: bool },
     Reserve { program: String, number: u64, account: BTreeMap<u64, u32>, reading: bool },
 }
 
@@ -43,17 +43,17 @@
         let order = copy_order(&roster, |store: &StorageNode| {
             (!up.contains(&store.disk), store.zone != "a", !rendezvous_rank(attempt.as_bytes(), store.disk))
         });
-        let Some(holders) = copies_needed(&roster, &order, self.copies()) else { return };
+        let Some(replicas) = copies_needed(&roster, &order, self.copies()) else { return };
         let waiting = order.iter().rev().map(|store| store.disk).collect();
-        let work = Work::Keep { attempt, holders, naming: false };
+        let work = Work::Keep { attempt, replicas, naming: false };
         self.operations.push(Operation { roster, waiting, answered: BTreeSet::new(), work });
     }
 
     /// A reservation is about to be made, by the roster of now.
     pub fn begin_reservation(&mut self, program: String, number: u64) {
         let roster = self.roster().clone();
-        let Some(holders) = AccountHolders::of(&roster, &program, self.tolerance) else { return };
-        let waiting = holders.all().map(|store| store.disk).collect();
+        let Some(replicas) = AccountReplicas::for_program(&roster, &program, self.tolerance) else { return };
+        let waiting = replicas.all().map(|store| store.disk).collect();
         let work = Work::Reserve { program, number, account: BTreeMap::new(), reading: false };
         self.operations.push(Operation { roster, waiting, answered: BTreeSet::new(), work });
     }
@@ -82,7 +82,7 @@
     }
 
     fn keep_next(&mut self, operation: &mut Operation) -> Progress {
-        let Work::Keep { attempt, holders, naming } = &mut operation.work else { return Progress::Ends };
+        let Work::Keep { attempt, replicas, naming } = &mut operation.work else { return Progress::Ends };
         let Some(disk) = operation.waiting.pop() else { return Progress::Ends };
         let turn = Turn {
             attempt: attempt.clone(),
@@ -90,7 +90,7 @@
             input: Bytes::from(attempt.clone()),
             output: Bytes::new(),
             retention_ms: 600_000,
-            replicas: holders.clone(),
+            replicas: replicas.clone(),
         };
         let answer = self.call(disk, &Call::StoreTurn { epoch: operation.roster.epoch, turn });
         if answer != Some(Answer::Done) {
@@ -107,25 +107,25 @@
         if !has_copies(&operation.roster, &operation.answered, self.copies()) {
             return Progress::GoesOn;
         }
-        if holders.iter().all(|disk| operation.answered.contains(disk)) {
+        if replicas.iter().all(|disk| operation.answered.contains(disk)) {
             self.turns.push(attempt.clone());
             return Progress::Ends;
         }
-        *holders = operation.answered.iter().copied().collect();
+        *replicas = operation.answered.iter().copied().collect();
         *naming = true;
-        operation.waiting.clone_from(holders);
+        operation.waiting.clone_from(replicas);
         Progress::GoesOn
     }
 
     fn reserve_next(&mut self, operation: &mut Operation) -> Progress {
         let Operation { roster, waiting, answered, work } = operation;
         let Work::Reserve { program, number, account, reading } = work else { return Progress::Ends };
-        let Some(holders) = AccountHolders::of(roster, program, self.tolerance) else {
+        let Some(replicas) = AccountReplicas::for_program(roster, program, self.tolerance) else {
             return Progress::Ends;
         };
-        let current = holders.current_only();
+        let current = replicas.current_only();
         if !waiting.is_empty() {
-            let disk = waiting.swap_remove(self.draw(waiting.len()));
+            let disk = waiting.swap_remove(self.random_u64(waiting.len()));
             let reservation = Reservation { attempt: *number, tokens: TOKENS };
             let (epoch, program) = (roster.epoch, program.clone());
             let call = match *reading {
@@ -141,7 +141,7 @@
         }
         let enough = match *reading {
             true => self.is_read(&current, answered),
-            false => holders.is_quorum(answered),
+            false => replicas.is_quorum(answered),
         };
         let all = current.current.iter().all(|store| answered.contains(&store.disk));
         match (enough, *reading) {
@@ -153,7 +153,7 @@
                 self.decide(operation);
                 Progress::Ends
             }
-            (true, false) if waiting.is_empty() || self.draw(2) == 0 => {
+            (true, false) if waiting.is_empty() || self.random_u64(2) == 0 => {
                 *reading = true;
                 answered.clear();
                 *waiting = current.current.iter().map(|store| store.disk).collect();
@@ -164,7 +164,7 @@
         }
     }
 
-    fn is_read(&self, current: &AccountHolders<'_>, answered: &BTreeSet<u64>) -> bool {
+    fn is_read(&self, current: &AccountReplicas<'_>, answered: &BTreeSet<u64>) -> bool {
         if self.mutation != Mutation::ReadsOneLess {
             return current.is_quorum(answered);
         }
--- a/system/turn-store/tests/stories.rs
+++ b/system/turn-store/tests/stories.rs
@@ -5,7 +5,9 @@
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, prop, prop_assert_eq, proptest};
 use std::collections::{BTreeMap, BTreeSet};
-use turn_store::{Bodies, Body, Durability, FillRecord, Kept, Outcome, Room, StoreState, TURNS, Write};
+use turn_store::{
+    BackfillRecord, DiskCapacity, Durability, Outcome, Payload, Payloads, ReplicaState, Stored, TURNS, Write,
+};
 
 const MINUTE: u64 = 60_000;
 
@@ -21,14 +23,14 @@
     Roster { epoch, current: stores(current), next: next.map(stores), ..Default::default() }
 }
 
-fn turn(attempt: &str, previous: Option<&str>, holders: &[u64]) -> Turn {
+fn turn(attempt: &str, previous: Option<&str>, replicas: &[u64]) -> Turn {
     Turn {
         attempt: attempt.into(),
         previous: previous.map(Into::into),
         input: Bytes::from(format!("in-{attempt};")),
         output: Bytes::from(format!("out-{attempt};")),
         retention_ms: MINUTE,
-        replicas: holders.to_vec(),
+        replicas: replicas.to_vec(),
     }
 }
 
@@ -42,23 +44,23 @@
     lost: BTreeSet<String>,
 }
 
-impl Bodies for Shelf {
-    fn get(&self, attempt: &str) -> Body {
+impl Payloads for Shelf {
+    fn get(&self, attempt: &str) -> Payload {
         if self.lost.contains(attempt) {
-            return Body::Lost;
+            return Payload::Lost;
         }
-        self.written.get(attempt.as_bytes()).cloned().map_or(Body::Pending, Body::Held)
+        self.written.get(attempt.as_bytes()).cloned().map_or(Payload::Pending, Payload::Present)
     }
 }
 
 struct Machine {
-    state: StoreState,
+    state: ReplicaState,
     shelf: Shelf,
 }
 
 impl Machine {
     fn new(disk: u64, losses: usize) -> Self {
-        Self { state: StoreState::new(0, disk, losses, Kept::default()), shelf: Shelf::default() }
+        Self { state: ReplicaState::new(0, disk, losses, Stored::default()), shelf: Shelf::default() }
     }
 
     fn write(&mut self, writes: &[Write]) {
@@ -118,9 +120,9 @@
     /// A founded fleet, all full.
     fn founded(disks: &[u64], losses: usize) -> Self {
         let full = |disk: &u64| {
-            let filled = vec![(0, disks.iter().copied().collect())];
-            let kept = Kept { fill: FillRecord { filled, damaged: false }, ..Kept::default() };
-            let state = StoreState::new(0, *disk, losses, kept);
+            let in_sync = vec![(0, disks.iter().copied().collect())];
+            let kept = Stored { backfill: BackfillRecord { in_sync, damaged: false }, ..Stored::default() };
+            let state = ReplicaState::new(0, *disk, losses, kept);
             (*disk, Machine { state, shelf: Shelf::default() })
         };
         let machines = disks.iter().map(full).collect();
@@ -157,17 +159,17 @@
     }
 
     /// Fill one store from those that are up; whether it came to an end.
-    fn fill(&mut self, disk: u64) -> bool {
-        let Some(mut filling) = self.machines[&disk].state.filling() else { return true };
+    fn backfill(&mut self, disk: u64) -> bool {
+        let Some(mut backfill) = self.machines[&disk].state.backfill() else { return true };
         loop {
-            let next = filling.calls().next().map(|(store, call)| (store.disk, call));
+            let next = backfill.calls().next().map(|(store, call)| (store.disk, call));
             let Some((source, call)) = next else { break };
             let answer = match self.machines.get_mut(&source) {
                 Some(machine) if !self.down.contains(&source) => machine.ask(&call),
                 _ => Answer::NotReady,
             };
             let Answer::Records { turns, accounts, cursor } = answer else {
-                filling.give_up(source);
+                backfill.give_up(source);
                 continue;
             };
             self.pages += 1;
@@ -175,27 +177,27 @@
             let count: usize = accounts.iter().map(|(_, page)| page.len()).sum();
             assert!(text + 16 * count <= 256 << 10 || turns.len() + count == 1, "a page too large");
             let machine = self.machines.get_mut(&disk).unwrap();
-            let writes = machine.state.absorb(0, turns, accounts);
+            let writes = machine.state.apply_page(0, turns, accounts);
             machine.write(&writes);
-            filling.absorbed(source, cursor);
+            backfill.page_applied(source, cursor);
         }
-        if !filling.is_done() {
-            assert!(filling.is_stuck());
+        if !backfill.is_done() {
+            assert!(backfill.is_stuck());
             return false;
         }
-        let drained: Vec<u64> = filling.drained().map(|store| store.disk).collect();
+        let drained: Vec<u64> = backfill.drained().map(|store| store.disk).collect();
         for source in drained {
-            let call = Call::BackfillDone { epoch: filling.epoch(), disk };
+            let call = Call::BackfillDone { epoch: backfill.epoch(), disk };
             assert_eq!(self.machines.get_mut(&source).unwrap().ask(&call), Answer::Done);
         }
-        self.machines.get_mut(&disk).unwrap().state.mark_filled(&filling).is_some()
+        self.machines.get_mut(&disk).unwrap().state.mark_in_sync(&backfill).is_some()
     }
 
     fn fill_all(&mut self) {
         let disks: Vec<u64> = self.machines.keys().copied().collect();
         for disk in disks {
             if !self.down.contains(&disk) {
-                assert!(self.fill(disk), "store {disk} did not fill");
+                assert!(self.backfill(disk), "store {disk} did not fill");
             }
         }
     }
@@ -249,7 +251,7 @@
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     fleet.set_roster(roster(0, &[4, 5, 6], None));
     expect_that!(fleet.at(1).state.epoch(), eq(1));
-    expect_that!(fleet.at(1).state.is_full(), eq(true));
+    expect_that!(fleet.at(1).state.is_in_sync(), eq(true));
 }
 
 #[gtest]
@@ -306,22 +308,22 @@
     let machine = fleet.at(1);
     machine.reserve("old", reservation(1, 60));
     machine.keep(turn("a", None, &[1, 2]));
-    expect_that!(machine.state.set_room(Room::Scarce), eq(true));
-    expect_that!(machine.state.set_room(Room::Scarce), eq(false));
+    expect_that!(machine.state.set_capacity(DiskCapacity::Scarce), eq(true));
+    expect_that!(machine.state.set_capacity(DiskCapacity::Scarce), eq(false));
     // Then no other one may begin, and that one goes on; what is kept is told.
     expect_that!(machine.reserve("new", reservation(2, 60)), eq(&Answer::NotReady));
     expect_that!(machine.account("new"), eq(&Answer::Account(vec![])));
     expect_that!(sum(&machine.reserve("old", reservation(3, 10))), eq(70));
     expect_that!(machine.keep(turn("b", Some("a"), &[1, 2])), eq(&Answer::Done));
     // When it is full, then no further turn is taken, and one that is kept is confirmed.
-    machine.state.set_room(Room::Full);
+    machine.state.set_capacity(DiskCapacity::Full);
     expect_that!(machine.keep(turn("c", Some("b"), &[1, 2])), eq(&Answer::NotReady));
     expect_that!(machine.keep(turn("b", Some("a"), &[1, 2])), eq(&Answer::Done));
     expect_that!(matches!(machine.chain("b"), Answer::Chain { .. }), eq(true));
     expect_that!(sum(&machine.reserve("old", reservation(1, 20))), eq(30));
     // And what has expired is removed, after which it takes others again.
     expect_that!(machine.state.expire(100 * MINUTE), not(is_empty()));
-    expect_that!(machine.state.set_room(Room::Ample), eq(true));
+    expect_that!(machine.state.set_capacity(DiskCapacity::Ample), eq(true));
     expect_that!(sum(&machine.reserve("new", reservation(2, 60))), eq(60));
     expect_that!(machine.keep(turn("c", None, &[1, 2])), eq(&Answer::Done));
 }
@@ -329,7 +331,7 @@
 #[gtest]
 fn a_majority_with_room_still_lets_a_program_begin() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).state.set_room(Room::Full);
+    fleet.at(1).state.set_capacity(DiskCapacity::Full);
     let answers = [1, 2, 3].map(|disk| fleet.at(disk).reserve("new", reservation(2, 60)));
     expect_that!(answers.iter().filter(|answer| matches!(answer, Answer::Account(_))).count(), eq(2));
 }
@@ -339,20 +341,20 @@
     const MB: u64 = 1_000_000;
     // Given 310 MB, of which the journals may take 134.
     let limit = 310 * MB;
-    for (tables, room) in [
-        (0, Room::Ample),
-        (150 * MB, Room::Ample),
-        (160 * MB, Room::Scarce),
-        (170 * MB, Room::Scarce),
-        (172 * MB, Room::Full),
-        (u64::MAX, Room::Full),
+    for (tables, capacity) in [
+        (0, DiskCapacity::Ample),
+        (150 * MB, DiskCapacity::Ample),
+        (160 * MB, DiskCapacity::Scarce),
+        (170 * MB, DiskCapacity::Scarce),
+        (172 * MB, DiskCapacity::Full),
+        (u64::MAX, DiskCapacity::Full),
     ] {
-        expect_that!(Room::of(tables, limit), eq(room), "{tables} bytes");
+        expect_that!(DiskCapacity::from_usage(tables, limit), eq(capacity), "{tables} bytes");
     }
     // A small disk has half of it for tables, and one without a limit is never full.
-    expect_that!(Room::of(44 * MB, 100 * MB), eq(Room::Ample));
-    expect_that!(Room::of(49 * MB, 100 * MB), eq(Room::Full));
-    expect_that!(Room::of(u64::MAX, 0), eq(Room::Ample));
+    expect_that!(DiskCapacity::from_usage(44 * MB, 100 * MB), eq(DiskCapacity::Ample));
+    expect_that!(DiskCapacity::from_usage(49 * MB, 100 * MB), eq(DiskCapacity::Full));
+    expect_that!(DiskCapacity::from_usage(u64::MAX, 0), eq(DiskCapacity::Ample));
 }
 
 #[gtest]
@@ -362,7 +364,7 @@
     fleet.fill_all();
     for disk in 1..=3 {
         let machine = fleet.at(disk);
-        expect_that!(machine.state.is_filled_for_next(), eq(true));
+        expect_that!(machine.state.is_in_sync_for_next(), eq(true));
         expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
         expect_that!(machine.account("p"), eq(&Answer::NotReady));
         expect_that!(machine.keep(turn("a", None, &[1, 2])), eq(&Answer::NotReady));
@@ -438,7 +440,7 @@
     fleet.add(4);
     fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
     expect_that!(fleet.at(4).chain("a"), eq(&Answer::Absent { complete: false }));
-    expect_that!(fleet.fill(4), eq(true));
+    expect_that!(fleet.backfill(4), eq(true));
     expect_that!(fleet.at(4).chain("x"), eq(&Answer::Absent { complete: false }));
     // A stranger to the change that finds itself in `current`.
     let mut machine = Machine::new(2, 1);
@@ -558,9 +560,9 @@
 fn a_replaced_disk_gets_what_the_lost_one_held() {
     // Given turns and an account on three stores, of which one loses its disk and comes back as 4.
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    for (attempt, holders) in [("a", [1, 3]), ("b", [2, 3]), ("c", [1, 2])] {
-        for holder in holders {
-            fleet.at(holder).keep(turn(attempt, None, &holders));
+    for (attempt, replicas) in [("a", [1, 3]), ("b", [2, 3]), ("c", [1, 2])] {
+        for holder in replicas {
+            fleet.at(holder).keep(turn(attempt, None, &replicas));
         }
     }
     for disk in [1, 3] {
@@ -588,9 +590,9 @@
     // Given four stores, and turns all over.
     let mut fleet = Fleet::founded(&[1, 2, 3, 4], 1);
     for number in 0..40_u64 {
-        let holders = [1 + number % 4, 1 + (number + 1 + number / 4 % 3) % 4];
-        for holder in holders {
-            fleet.at(holder).keep(turn(&format!("t{number}"), None, &holders));
+        let replicas = [1 + number % 4, 1 + (number + 1 + number / 4 % 3) % 4];
+        for holder in replicas {
+            fleet.at(holder).keep(turn(&format!("t{number}"), None, &replicas));
         }
     }
     // When one is retired, and then goes away.
@@ -626,8 +628,8 @@
     let mut fleet = Fleet::founded(&[1, 2, 3, 4, 5], 1);
     let programs: Vec<String> = (0..30).map(|number| format!("program-{number}")).collect();
     for program in &programs {
-        let holders = account_replicas(&fleet.roster.current, program, 1);
-        for holder in holders.iter().map(|store| store.disk).collect::<Vec<_>>() {
+        let replicas = account_replicas(&fleet.roster.current, program, 1);
+        for holder in replicas.iter().map(|store| store.disk).collect::<Vec<_>>() {
             fleet.at(holder).reserve(program, reservation(1, 9));
         }
     }
@@ -638,8 +640,8 @@
     // Then every holder has the account, and the new store no other.
     let mut of_new = 0;
     for program in &programs {
-        let holders = account_replicas(&fleet.roster.current, program, 1);
-        for holder in holders.iter().map(|store| store.disk).collect::<Vec<_>>() {
+        let replicas = account_replicas(&fleet.roster.current, program, 1);
+        for holder in replicas.iter().map(|store| store.disk).collect::<Vec<_>>() {
             expect_that!(sum(&fleet.at(holder).account(program)), eq(9));
             of_new += usize::from(holder == 6);
         }
@@ -667,12 +669,12 @@
     expect_that!(matches!(fleet.at(1).chain("b"), Answer::Chain { .. }), eq(true));
     // One of the others is not enough to fill from.
     fleet.down.insert(2);
-    expect_that!(fleet.fill(1), eq(false));
-    expect_that!(fleet.at(1).state.is_full(), eq(false));
+    expect_that!(fleet.backfill(1), eq(false));
+    expect_that!(fleet.at(1).state.is_in_sync(), eq(false));
     // When both are there, then it is whole again.
     fleet.down.clear();
     fleet.at(1).shelf.lost.clear();
-    expect_that!(fleet.fill(1), eq(true));
+    expect_that!(fleet.backfill(1), eq(true));
     expect_that!(fleet.holding("a"), eq(&vec![1, 2]));
     expect_that!(fleet.at(1).chain("x"), eq(&Answer::Absent { complete: true }));
 }
@@ -683,26 +685,26 @@
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     fleet.add(4);
     fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
-    let stale = fleet.at(4).state.filling().unwrap();
-    expect_that!(fleet.fill(4), eq(true));
-    expect_that!(fleet.at(4).state.is_filled_for_next(), eq(true));
+    let stale = fleet.at(4).state.backfill().unwrap();
+    expect_that!(fleet.backfill(4), eq(true));
+    expect_that!(fleet.at(4).state.is_in_sync_for_next(), eq(true));
     // While the same change goes on under the next epoch, it still counts.
     fleet.set_roster(roster(3, &[1, 2, 3], Some(&[1, 2, 4])));
-    expect_that!(fleet.at(4).state.is_filled_for_next(), eq(true));
+    expect_that!(fleet.at(4).state.is_in_sync_for_next(), eq(true));
     // When the change was given up in between and comes again, it does not, seen or unseen.
     let mut seen = fleet;
     seen.set_roster(roster(4, &[1, 2, 3], None));
     seen.set_roster(roster(5, &[1, 2, 3], Some(&[1, 2, 4])));
-    expect_that!(seen.at(4).state.is_filled_for_next(), eq(false));
-    expect_that!(seen.fill(4), eq(true));
+    expect_that!(seen.at(4).state.is_in_sync_for_next(), eq(false));
+    expect_that!(seen.backfill(4), eq(true));
     seen.set_roster(roster(9, &[1, 2, 3], Some(&[1, 2, 4])));
-    expect_that!(seen.at(4).state.is_filled_for_next(), eq(false));
+    expect_that!(seen.at(4).state.is_in_sync_for_next(), eq(false));
     // And a filling begun under another epoch marks nothing.
-    expect_that!(seen.at(4).state.mark_filled(&stale), none());
+    expect_that!(seen.at(4).state.mark_in_sync(&stale), none());
     // Where the roster itself tells that it was told so, it counts.
-    expect_that!(seen.fill(4), eq(true));
+    expect_that!(seen.backfill(4), eq(true));
     seen.set_roster(Roster { in_sync: vec![4], ..roster(12, &[1, 2, 3], Some(&[1, 2, 4])) });
-    expect_that!(seen.at(4).state.is_filled_for_next(), eq(true));
+    expect_that!(seen.at(4).state.is_in_sync_for_next(), eq(true));
 }
 
 #[gtest]
@@ -716,7 +718,7 @@
     expect_that!(sum(&fleet.at(3).account("p")), eq(0));
     // When the change is given up, they are still full.
     fleet.set_roster(roster(3, &[1, 2, 3], None));
-    expect_that!(fleet.at(1).state.is_full(), eq(true));
+    expect_that!(fleet.at(1).state.is_in_sync(), eq(true));
 }
 
 #[gtest]
@@ -731,7 +733,7 @@
     fleet.down.clear();
     fleet.spread();
     expect_that!(fleet.at(3).chain("x"), eq(&Answer::Absent { complete: false }));
-    expect_that!(fleet.fill(3), eq(true));
+    expect_that!(fleet.backfill(3), eq(true));
     expect_that!(sum(&fleet.at(3).account("p")), eq(5));
 }
 
@@ -745,7 +747,7 @@
     fleet.set_roster(roster(3, &[1, 2, 3], Some(&[1, 2, 3, 4])));
     expect_that!(sum(&fleet.at(1).reserve("p", reservation(1, 5))), eq(5));
     for disk in 1..=4 {
-        expect_that!(fleet.fill(disk), eq(true), "store {disk}");
+        expect_that!(fleet.backfill(disk), eq(true), "store {disk}");
     }
     // But one that has taken a write and is not full gives nothing: it may lack what it answered for.
     fleet.set_roster(roster(4, &[1, 2, 3, 4], None));
@@ -765,20 +767,20 @@
     fleet.down.extend([2, 4]);
     fleet.add(4);
     fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 3, 4])));
-    expect_that!(fleet.fill(1) && fleet.fill(3), eq(true));
+    expect_that!(fleet.backfill(1) && fleet.backfill(3), eq(true));
     fleet.set_roster(roster(3, &[1, 3, 4], None));
     // when it comes while 1 is away, then it does not fill from 3 alone, and says nothing of the turn,
     fleet.down.extend([1]);
     fleet.down.remove(&4);
     fleet.spread();
     let has_it = fleet.holding("a").contains(&3);
-    expect_that!(fleet.fill(4), eq(false));
+    expect_that!(fleet.backfill(4), eq(false));
     expect_that!(fleet.at(4).chain("a"), eq(&Answer::Absent { complete: false }));
     let call = Call::Backfill { epoch: 3, disk: 3, cursor: Bytes::new() };
     expect_that!(fleet.at(4).ask(&call), eq(&Answer::NotReady));
     // and with 1 it gets what it should.
     fleet.down.remove(&1);
-    expect_that!(fleet.fill(4), eq(true));
+    expect_that!(fleet.backfill(4), eq(true));
     let holding = fleet.holding("a");
     expect_that!(holding.contains(&4), eq(!has_it));
 }
@@ -789,13 +791,13 @@
     fleet.at(1).keep(turn("a", None, &[1, 2]));
     fleet.add(4);
     fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
-    let mut filling = fleet.at(1).state.filling().unwrap();
-    filling.absorbed(3, None);
-    expect_that!(filling.is_done(), eq(true));
+    let mut backfill = fleet.at(1).state.backfill().unwrap();
+    backfill.page_applied(3, None);
+    expect_that!(backfill.is_done(), eq(true));
     fleet.at(1).shelf.lost.insert("a".into());
     fleet.at(1).chain("a");
-    expect_that!(fleet.at(1).state.mark_filled(&filling), none());
-    expect_that!(fleet.at(1).state.filling().is_some_and(|filling| !filling.is_done()), eq(true));
+    expect_that!(fleet.at(1).state.mark_in_sync(&backfill), none());
+    expect_that!(fleet.at(1).state.backfill().is_some_and(|backfill| !backfill.is_done()), eq(true));
 }
 
 #[gtest]
@@ -825,7 +827,7 @@
 
 impl Machine {
     fn reserve_quietly(&mut self, program: &str, attempt: u64) {
-        let writes = self.state.absorb(0, vec![], vec![(program.into(), vec![reservation(attempt, 1)])]);
+        let writes = self.state.apply_page(0, vec![], vec![(program.into(), vec![reservation(attempt, 1)])]);
         assert_eq!(writes.len(), 1);
     }
 }
@@ -840,7 +842,7 @@
 fn account_of(parts: &[&Vec<Reservation>]) -> Vec<Reservation> {
     let mut fleet = Fleet::founded(&[1], 0);
     for part in parts {
-        fleet.at(1).state.absorb(0, vec![], vec![("p".into(), (*part).clone())]);
+        fleet.at(1).state.apply_page(0, vec![], vec![("p".into(), (*part).clone())]);
     }
     let Answer::Account(account) = fleet.at(1).account("p") else { panic!("no account") };
     account
--- a/testbed/src/system/disk.rs
+++ b/testbed/src/system/disk.rs
@@ -6,7 +6,9 @@
 use fleet_model::{Reservation, Turn};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
-use turn_store::{ACCOUNTS, Bodies, Body, FillRecord, HOLDERS, Kept, KeptTurn, STATE, TURNS, Write};
+use turn_store::{
+    ACCOUNTS, BackfillRecord, Payload, Payloads, REPLICAS, STATE, Stored, StoredTurn, TURNS, Write,
+};
 
 type Records = BTreeMap<(&'static str, Vec<u8>), Bytes>;
 
@@ -266,32 +268,32 @@
     }
 
     /// What a store finds when it starts; a damaged record makes it fill again.
-    pub fn kept(&self) -> Kept {
+    pub fn kept(&self) -> Stored {
         let seen = self.seen.borrow();
-        let mut kept = Kept::default();
+        let mut kept = Stored::default();
         let read = |bytes: &[u8]| postcard::from_bytes::<Turn>(bytes).ok();
         for ((space, key), value) in seen.iter() {
             match *space {
-                TURNS => kept.turns.extend(read(value).map(|turn| KeptTurn {
+                TURNS => kept.turns.extend(read(value).map(|turn| StoredTurn {
                     length: (turn.input.len() + turn.output.len()) as u32,
                     attempt: turn.attempt,
                     previous: turn.previous,
                     retention_ms: turn.retention_ms,
-                    holders: turn.replicas,
+                    replicas: turn.replicas,
                 })),
                 ACCOUNTS => kept.accounts.extend(account(key, value)),
-                STATE => kept.fill = postcard::from_bytes(value).unwrap_or_default(),
+                STATE => kept.backfill = postcard::from_bytes(value).unwrap_or_default(),
                 _ => {}
             }
         }
         for turn in &mut kept.turns {
-            let moved = seen.get(&(HOLDERS, turn.attempt.as_bytes().to_vec()));
+            let moved = seen.get(&(REPLICAS, turn.attempt.as_bytes().to_vec()));
             if let Some(holders) = moved.and_then(|value| postcard::from_bytes(value).ok()) {
-                turn.holders = holders;
+                turn.replicas = holders;
             }
         }
         if self.damaged.take() {
-            kept.fill = FillRecord { filled: Vec::new(), damaged: true };
+            kept.backfill = BackfillRecord { in_sync: Vec::new(), damaged: true };
         }
         kept
     }
@@ -304,11 +306,11 @@
     Some((program, Reservation { attempt: u64::from_be_bytes(*attempt), tokens }))
 }
 
-impl Bodies for Disk {
-    fn get(&self, attempt: &str) -> Body {
+impl Payloads for Disk {
+    fn get(&self, attempt: &str) -> Payload {
         match Disk::get(self, TURNS, attempt.as_bytes()) {
-            None => Body::Pending,
-            Some(value) => postcard::from_bytes(&value).map_or(Body::Lost, Body::Held),
+            None => Payload::Pending,
+            Some(value) => postcard::from_bytes(&value).map_or(Payload::Lost, Payload::Present),
         }
     }
 }
--- a/testbed/src/system/edge.rs
+++ b/testbed/src/system/edge.rs
@@ -14,7 +14,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 use turn_store::{
-    AccountHolders, copies_needed, copy_order, has_copies, is_surely_absent, merge_reservations,
+    AccountReplicas, copies_needed, copy_order, has_copies, is_surely_absent, merge_reservations,
 };
 
 const PATIENCE: u64 = 300;
@@ -221,7 +221,7 @@
     async fn reserve_round(&self, wish: &Wish) -> Round<Reserve> {
         let state = self.feed.state();
         let roster = &state.roster;
-        let Some(holders) = AccountHolders::of(roster, &wish.program, self.host.losses()) else {
+        let Some(holders) = AccountReplicas::for_program(roster, &wish.program, self.host.losses()) else {
             return Round::Again;
         };
         let epoch = roster.epoch;
@@ -252,7 +252,7 @@
 
     async fn at_majority(
         &self,
-        holders: &AccountHolders<'_>,
+        holders: &AccountReplicas<'_>,
         call: impl Fn(&StorageNode) -> Call,
         wait_for_all: bool,
     ) -> Option<(BTreeMap<u64, u32>, bool)> {
@@ -408,7 +408,9 @@
         self.host.spawn(async move {
             for _ in 0..2 {
                 let state = proxy.feed.state();
-                let Some(holders) = AccountHolders::of(&state.roster, &program, proxy.host.losses()) else {
+                let Some(holders) =
+                    AccountReplicas::for_program(&state.roster, &program, proxy.host.losses())
+                else {
                     return;
                 };
                 let epoch = state.roster.epoch;
--- a/testbed/src/system/store.rs
+++ b/testbed/src/system/store.rs
@@ -11,7 +11,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 use tokio::sync::Notify;
-use turn_store::{Durability, Filling, StoreState, Write};
+use turn_store::{Backfill, Durability, ReplicaState, Write};
 
 const PATIENCE: u64 = 600;
 const SOURCE_GONE: u64 = 1_200;
@@ -21,7 +21,7 @@
     host: Host,
     /// What it knows.
     pub feed: Rc<Feed>,
-    state: RefCell<StoreState>,
+    state: RefCell<ReplicaState>,
     /// Itself, as the roster has it.
     pub me: StorageNode,
 }
@@ -36,7 +36,7 @@
             zone: host.machine.zone.clone(),
             disk: disk.number(),
         };
-        let state = StoreState::new(host.now_ms(), me.disk, host.losses(), disk.kept());
+        let state = ReplicaState::new(host.now_ms(), me.disk, host.losses(), disk.kept());
         let keeper = Rc::new(Self {
             host: host.clone(),
             feed: Feed::new(host.clone()),
@@ -94,22 +94,22 @@
             if known && !placed && !roster.retiring.contains(&self.me.name) {
                 self.tell_core(Call::JoinStorage { store: self.me.clone() }).await;
             }
-            let filling = self.state.borrow().filling();
+            let filling = self.state.borrow().backfill();
             if let Some(filling) = filling {
                 self.fill(filling).await;
             }
-            let full = self.state.borrow().is_filled_for_next();
+            let full = self.state.borrow().is_in_sync_for_next();
             if full && !roster.in_sync.contains(&self.me.disk) && roster.epoch == self.state.borrow().epoch()
             {
                 self.tell_core(Call::InSync { disk: self.me.disk, epoch: roster.epoch }).await;
             }
-            let filling = self.state.borrow().filling().is_some();
+            let filling = self.state.borrow().backfill().is_some();
             let pause = if placed && !full && !filling { 2_000 } else { 120 };
             let _ = self.host.timeout(pause + self.host.draw() % 60, changes.changed()).await;
         }
     }
 
-    async fn fill(&self, filling: Filling) {
+    async fn fill(&self, filling: Backfill) {
         let epoch = filling.epoch();
         let filling = RefCell::new(filling);
         let sources: Vec<StorageNode> = filling.borrow().calls().map(|(store, _)| store.clone()).collect();
@@ -126,13 +126,13 @@
             let _ = self.host.call(source.ip, call, PATIENCE).await;
         });
         join_all(told).await;
-        let writes = self.state.borrow_mut().mark_filled(&filling);
+        let writes = self.state.borrow_mut().mark_in_sync(&filling);
         if let Some(writes) = writes {
             self.synced(writes).await;
         }
     }
 
-    async fn drain(&self, source: &StorageNode, filling: &RefCell<Filling>, enough: &Notify) {
+    async fn drain(&self, source: &StorageNode, filling: &RefCell<Backfill>, enough: &Notify) {
         let epoch = filling.borrow().epoch();
         let mut answered = self.host.now_ms();
         loop {
@@ -147,7 +147,7 @@
             }
             if self.host.breaks(Mutation::NextCountsUnfilled) {
                 // Broken on purpose: a member counts as full before it has filled.
-                filling.borrow_mut().absorbed(source.disk, None);
+                filling.borrow_mut().page_applied(source.disk, None);
                 return;
             }
             let asked = pin!(self.host.call(source.ip, call, PATIENCE));
@@ -155,11 +155,11 @@
             match answer {
                 Some(Answer::Records { turns, accounts, cursor }) => {
                     answered = self.host.now_ms();
-                    let writes = self.state.borrow_mut().absorb(answered, turns, accounts);
+                    let writes = self.state.borrow_mut().apply_page(answered, turns, accounts);
                     if !writes.is_empty() {
                         self.synced(writes).await;
                     }
-                    filling.borrow_mut().absorbed(source.disk, cursor);
+                    filling.borrow_mut().page_applied(source.disk, cursor);
                 }
                 _ if self.host.now_ms() - answered > SOURCE_GONE => {
                     filling.borrow_mut().give_up(source.disk);
--- a/testbed/tests/record_log.rs
+++ b/testbed/tests/record_log.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
-use turn_store::{Found, RecordLog};
+use turn_store::{RecordLog, RecoveredRecord};
 
 const CHANGES: u64 = 10_000;
 const CONFIGURATION_BYTES: usize = 20_000;
@@ -119,7 +119,9 @@
             let opened = RecordLog::open(folder.path()).expect("a whole log");
             longest_start = longest_start.max(began.elapsed());
             // then what is found is the newest record,
-            let Found::Kept(bytes) = opened.found else { panic!("{:?} at {version}", opened.found) };
+            let RecoveredRecord::Stored(bytes) = opened.found else {
+                panic!("{:?} at {version}", opened.found)
+            };
             let record: AcceptorRecord = postcard::from_bytes(&bytes).expect("a record");
             assert_eq!(Some(&record), voter.acceptor.record());
             voter.log = opened.log;
