--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -1,4 +1,4 @@
-//! The module's size and line width, which people on call rely on, and the layout that `docs/architecture.md` draws.
+//! The module's size and line width, which people on call rely on, and the layout that `docs/sender-architecture.md` draws.
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
