--- a/system/controllers/tests/duties/stories.rs
+++ b/system/controllers/tests/membership/failure_scenarios.rs
@@ -1,6 +1,6 @@
 //! Stories of the whole fleet: how the roster, the duty and the voters come through one trouble.
 
-use crate::fleet::{Event, Fleet, LIST};
+use crate::cluster::{Event, Fleet, LIST};
 use controllers::{RetireVerdict, retire_status};
 use googletest::prelude::*;
 
--- a/system/controllers/tests/duties/schedules.rs
+++ b/system/controllers/tests/membership/random_faults.rs
@@ -1,6 +1,6 @@
 //! Random trouble, never more machines of a class at once than the fleet bears.
 
-use crate::fleet::Fleet;
+use crate::cluster::Fleet;
 use controllers::RetireVerdict;
 use googletest::prelude::*;
 
@@ -239,7 +239,7 @@
                 .history
                 .iter()
                 .filter_map(|(at, event)| match event {
-                    crate::fleet::Event::Roster(roster, waived) => Some(format!(
+                    crate::cluster::Event::Roster(roster, waived) => Some(format!(
                         "{at}: {} {:?} -> {:?} filled {:?} waived {waived:?}",
                         roster.epoch,
                         roster.current.iter().map(|store| (&store.name, store.disk)).collect::<Vec<_>>(),
