--- a/system/controllers/tests/config_commit/model.rs
+++ b/system/controllers/tests/config_commit/model.rs
@@ -17,118 +17,119 @@
     Ipv4Addr::new(10, 0, 0, 4),
 ];
 /// The voters at the start; the fourth machine may be made one.
-const FOUNDERS: usize = 3;
+const INITIAL_VOTERS: usize = 3;
 
-/// A configuration's number and the version that it goes by. Each order has bytes of its own.
+/// An operator's request: the version of a configuration and the version that it expects to be current. Each request has
+/// bytes of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Order {
+pub(crate) struct Request {
     pub(crate) expected: u64,
     pub(crate) version: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Task {
-    /// The order of that number among the schedule's.
-    Order(usize),
+    /// The request with this index among the schedule's.
+    Request(usize),
     Read,
     /// The fourth machine becomes a voter.
     AddVoter,
-    /// The first machine is a voter no longer.
+    /// The first machine is removed from the voters.
     RemoveVoter,
 }
 
-/// What was told by a copy that came to an end.
+/// What a completed call reported.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Told {
+pub(crate) enum Report {
     Confirmed(usize),
-    Refused(usize),
-    /// These orders had been taken, oldest first.
-    InForce(Vec<usize>),
+    Rejected(usize),
+    /// The value that was read had committed these requests, oldest first.
+    Committed(Vec<usize>),
 }
 
-pub(crate) type Judged = (Option<ControlState>, ConfigVerdict);
-pub(crate) type Judge = fn(&ControlState, u64, &CommittedVersion, &Bytes) -> Judged;
+pub(crate) type Judgement = (Option<ControlState>, ConfigVerdict);
+pub(crate) type JudgeFn = fn(&ControlState, u64, &CommittedVersion, &Bytes) -> Judgement;
 
-/// How an order's call is judged and answered: as it should be, or broken on purpose.
+/// How a request is judged and answered: correctly, or with a deliberate fault.
 #[derive(Clone, Copy)]
 pub(crate) struct Rules {
-    pub(crate) judge: Judge,
-    /// Broken: the verdict is told as soon as it is known, not when its run has ended.
-    pub(crate) tells_at_once: bool,
+    pub(crate) judge: JudgeFn,
+    /// Faulty: the verdict is reported as soon as it is known, before its proposal has completed.
+    pub(crate) reports_early: bool,
 }
 
-pub(crate) const SOUND: Rules = Rules { judge: put_config, tells_at_once: false };
+pub(crate) const CORRECT: Rules = Rules { judge: put_config, reports_early: false };
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Run {
     proposal: Proposal,
     is_reading: bool,
-    judged: Option<ConfigVerdict>,
+    verdict: Option<ConfigVerdict>,
     wanted: Option<Bytes>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Call {
     task: Task,
-    tries: u8,
+    attempts: u8,
     ballots: BallotSource,
     run: Option<Run>,
 }
 
-/// An Accept that is under way.
+/// An Accept request in flight.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct Late {
+pub(crate) struct InFlight {
     call: usize,
     to: usize,
     ballot: Ballot,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Fleet {
+pub(crate) struct ModelState {
     acceptors: Vec<Acceptor>,
     calls: Vec<Call>,
-    late: Vec<(Late, AcceptedValue)>,
-    pub(crate) told: BTreeSet<Told>,
+    in_flight: Vec<(InFlight, AcceptedValue)>,
+    pub(crate) reports: BTreeSet<Report>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
-    /// A call begins a run, and gives up the one that it has.
+    /// A call starts a proposal, and abandons the one that it has.
     Begin(usize),
-    /// Its Prepare reaches these machines, by bits.
+    /// Its Prepare reaches these machines, as a bit mask.
     Read {
         call: usize,
         reach: u8,
     },
     Accept {
-        late: Late,
+        in_flight: InFlight,
         answer_is_lost: bool,
     },
 }
 
 pub(crate) struct Schedules {
-    orders: Vec<Order>,
-    /// Each with how often it tries.
+    requests: Vec<Request>,
+    /// Each with its number of attempts.
     tasks: Vec<(Task, u8)>,
     rules: Rules,
 }
 
-fn founding() -> RegisterValue {
-    RegisterValue { epoch: 0, voters: MACHINES[..FOUNDERS].to_vec(), payload: Bytes::new() }
+fn initial_value() -> RegisterValue {
+    RegisterValue { epoch: 0, voters: MACHINES[..INITIAL_VOTERS].to_vec(), payload: Bytes::new() }
 }
 
-fn place(ip: Ipv4Addr) -> usize {
+fn machine_index(ip: Ipv4Addr) -> usize {
     MACHINES.iter().position(|other| *other == ip).unwrap()
 }
 
-fn sent(order: usize, version: u64) -> CommittedVersion {
-    CommittedVersion { version, digest: [order as u8; 32] }
+fn sent(request: usize, version: u64) -> CommittedVersion {
+    CommittedVersion { version, digest: [request as u8; 32] }
 }
 
-/// The orders that a value has taken, by their bytes.
-fn taken(value: &RegisterValue) -> Vec<usize> {
+/// The requests that a value has committed, by their digests.
+fn committed_requests(value: &RegisterValue) -> Vec<usize> {
     let state = ControlState::from_payload(&value.payload).unwrap();
-    state.committed.iter().map(|taken| usize::from(taken.digest[0])).collect()
+    state.committed.iter().map(|version| usize::from(version.digest[0])).collect()
 }
 
 impl Schedules {
@@ -140,13 +141,13 @@
     ) -> Change {
         match task {
             Task::Read => Change::Keep,
-            Task::AddVoter if read.voters.contains(&MACHINES[FOUNDERS]) => Change::Keep,
-            Task::AddVoter => Change::Voters([&read.voters[..], &MACHINES[FOUNDERS..]].concat()),
+            Task::AddVoter if read.voters.contains(&MACHINES[INITIAL_VOTERS]) => Change::Keep,
+            Task::AddVoter => Change::Voters([&read.voters[..], &MACHINES[INITIAL_VOTERS..]].concat()),
             Task::RemoveVoter => {
                 Change::Voters(read.voters.iter().copied().filter(|ip| *ip != MACHINES[0]).collect())
             }
-            Task::Order(number) => {
-                let Order { expected, version } = self.orders[*number];
+            Task::Request(number) => {
+                let Request { expected, version } = self.requests[*number];
                 let state = ControlState::from_payload(&read.payload).unwrap();
                 let body = Bytes::from(vec![*number as u8]);
                 let (wanted, verdict) = (self.rules.judge)(&state, expected, &sent(*number, version), &body);
@@ -157,108 +158,108 @@
         }
     }
 
-    pub(crate) fn start(&self) -> Fleet {
-        let acceptor = Acceptor::new(found(founding().voters));
-        let calls = self.tasks.iter().enumerate().map(|(number, (task, tries))| Call {
+    pub(crate) fn start(&self) -> ModelState {
+        let acceptor = Acceptor::new(found(initial_value().voters));
+        let calls = self.tasks.iter().enumerate().map(|(number, (task, attempts))| Call {
             task: task.clone(),
-            tries: *tries,
+            attempts: *attempts,
             ballots: BallotSource::new(Ipv4Addr::new(10, 0, 1, number as u8), 1),
             run: None,
         });
-        Fleet {
+        ModelState {
             acceptors: vec![acceptor; MACHINES.len()],
             calls: calls.collect(),
-            late: vec![],
-            told: BTreeSet::new(),
+            in_flight: vec![],
+            reports: BTreeSet::new(),
         }
     }
 
-    pub(crate) fn events(&self, fleet: &Fleet) -> Vec<Event> {
+    pub(crate) fn events(&self, state: &ModelState) -> Vec<Event> {
         let mut events = vec![];
         let grows = self.tasks.iter().any(|(task, _)| *task == Task::AddVoter);
         let reaches: &[u8] =
             if grows { &[0b0011, 0b0101, 0b0110, 0b1011, 0b1101, 0b1110] } else { &[0b011, 0b101, 0b110] };
-        for (number, call) in fleet.calls.iter().enumerate() {
-            if call.tries > 0 {
+        for (number, call) in state.calls.iter().enumerate() {
+            if call.attempts > 0 {
                 events.push(Event::Begin(number));
             }
             if call.run.as_ref().is_some_and(|run| run.is_reading) {
                 events.extend(reaches.iter().map(|reach| Event::Read { call: number, reach: *reach }));
             }
         }
-        for (late, _) in &fleet.late {
-            events.push(Event::Accept { late: late.clone(), answer_is_lost: false });
-            if fleet.awaits(late) {
-                events.push(Event::Accept { late: late.clone(), answer_is_lost: true });
+        for (in_flight, _) in &state.in_flight {
+            events.push(Event::Accept { in_flight: in_flight.clone(), answer_is_lost: false });
+            if state.is_awaited(in_flight) {
+                events.push(Event::Accept { in_flight: in_flight.clone(), answer_is_lost: true });
             }
         }
         events
     }
 
-    pub(crate) fn after(&self, fleet: &Fleet, event: &Event) -> Fleet {
-        let mut fleet = fleet.clone();
+    pub(crate) fn after(&self, state: &ModelState, event: &Event) -> ModelState {
+        let mut state = state.clone();
         match event {
-            Event::Begin(number) => fleet.begin(*number),
+            Event::Begin(number) => state.begin(*number),
             Event::Read { call, reach } => {
-                let Some(run) = &mut fleet.calls[*call].run else { return fleet };
+                let Some(run) = &mut state.calls[*call].run else { return state };
                 run.is_reading = false;
                 let ballot = run.proposal.ballot();
                 let reached = (0..MACHINES.len()).filter(|machine| reach >> machine & 1 == 1);
                 let prepares = reached.map(|to| (MACHINES[to], RegisterRequest::Prepare(ballot)));
-                self.carry(&mut fleet, *call, prepares.collect());
+                self.deliver(&mut state, *call, prepares.collect());
             }
-            Event::Accept { late, answer_is_lost } => {
-                let at = fleet.late.iter().position(|(other, _)| other == late).unwrap();
-                let (late, value) = fleet.late.remove(at);
-                let is_awaited = fleet.awaits(&late);
-                let (reply, _) = fleet.acceptors[late.to].handle(&RegisterRequest::Accept(value));
+            Event::Accept { in_flight, answer_is_lost } => {
+                let at = state.in_flight.iter().position(|(other, _)| other == in_flight).unwrap();
+                let (in_flight, value) = state.in_flight.remove(at);
+                let is_awaited = state.is_awaited(&in_flight);
+                let (reply, _) = state.acceptors[in_flight.to].handle(&RegisterRequest::Accept(value));
                 if is_awaited && !answer_is_lost {
-                    self.on_reply(&mut fleet, late.call, MACHINES[late.to], &reply);
+                    self.on_reply(&mut state, in_flight.call, MACHINES[in_flight.to], &reply);
                 }
             }
         }
-        fleet.tidy();
-        fleet
+        state.normalize();
+        state
     }
 
-    fn carry(&self, fleet: &mut Fleet, call: usize, mut requests: Vec<(Ipv4Addr, RegisterRequest)>) {
-        while !requests.is_empty() && fleet.calls[call].run.is_some() {
+    fn deliver(&self, state: &mut ModelState, call: usize, mut requests: Vec<(Ipv4Addr, RegisterRequest)>) {
+        while !requests.is_empty() && state.calls[call].run.is_some() {
             let (to, request) = requests.remove(0);
             match request {
                 RegisterRequest::Accept(value) => {
-                    let late = Late { call, to: place(to), ballot: value.ballot };
-                    fleet.late.push((late, value));
+                    let in_flight = InFlight { call, to: machine_index(to), ballot: value.ballot };
+                    state.in_flight.push((in_flight, value));
                 }
                 prepare => {
-                    let (reply, _) = fleet.acceptors[place(to)].handle(&prepare);
-                    requests.extend(self.on_reply(fleet, call, to, &reply));
+                    let (reply, _) = state.acceptors[machine_index(to)].handle(&prepare);
+                    requests.extend(self.on_reply(state, call, to, &reply));
                 }
             }
         }
     }
 
-    /// Takes a reply to a call's run; what it sends next.
+    /// Handles a reply to a call's proposal; returns what it sends next.
     fn on_reply(
         &self,
-        fleet: &mut Fleet,
+        state: &mut ModelState,
         number: usize,
         from: Ipv4Addr,
         reply: &RegisterReply,
     ) -> Vec<(Ipv4Addr, RegisterRequest)> {
-        let call = &mut fleet.calls[number];
+        let call = &mut state.calls[number];
         let Some(run) = &mut call.run else { return vec![] };
-        let (judged, wanted) = (&mut run.judged, &mut run.wanted);
-        let mut change = |read: &RegisterValue| self.change(&call.task, read, (&mut *judged, &mut *wanted));
+        let (verdict, wanted) = (&mut run.verdict, &mut run.wanted);
+        let mut change = |read: &RegisterValue| self.change(&call.task, read, (&mut *verdict, &mut *wanted));
         let step = run.proposal.on_reply(from, reply, &mut change);
-        let told = run.judged.filter(|_| self.rules.tells_at_once);
+        let early_verdict = run.verdict.filter(|_| self.rules.reports_early);
         let outbox = match step {
             Step::Wait => vec![],
             Step::Send(outbox) => outbox,
             Step::Done(value) => {
                 let run = call.run.take().unwrap();
-                fleet.told.insert(Told::InForce(taken(&value.value)));
+                state.reports.insert(Report::Committed(committed_requests(&value.value)));
                 if run.wanted.is_none_or(|wanted| wanted == value.value.payload) {
-                    fleet.tell(number, run.judged);
+                    state.report(number, run.verdict);
                 }
                 vec![]
             }
@@ -272,110 +273,112 @@
                 vec![]
             }
         };
-        fleet.tell(number, told);
+        state.report(number, early_verdict);
         outbox
     }
 }
 
-impl Fleet {
+impl ModelState {
     fn begin(&mut self, number: usize) {
         let promised = self.acceptors.iter().filter_map(|acceptor| Some(acceptor.record()?.promised)).max();
         let call = &mut self.calls[number];
-        call.tries -= 1;
+        call.attempts -= 1;
         call.ballots.saw(promised.unwrap_or_default());
         let ballot = call.ballots.next_ballot();
-        let proposal = Proposal::start(Ipv4Addr::from(ballot.proposer), ballot, &founding());
-        call.run = Some(Run { proposal, is_reading: true, judged: None, wanted: None });
+        let proposal = Proposal::start(Ipv4Addr::from(ballot.proposer), ballot, &initial_value());
+        call.run = Some(Run { proposal, is_reading: true, verdict: None, wanted: None });
     }
 
-    /// An answer may be lost or late: what would be told counts as told.
-    fn tell(&mut self, number: usize, verdict: Option<ConfigVerdict>) {
-        let Task::Order(order) = self.calls[number].task else { return };
+    /// Records the report of a call. The answer may be lost or late: what would be reported counts as reported.
+    fn report(&mut self, number: usize, verdict: Option<ConfigVerdict>) {
+        let Task::Request(request) = self.calls[number].task else { return };
         match verdict {
-            Some(ConfigVerdict::Committed) => self.told.insert(Told::Confirmed(order)),
+            Some(ConfigVerdict::Committed) => self.reports.insert(Report::Confirmed(request)),
             Some(ConfigVerdict::VersionMismatch(_) | ConfigVerdict::NotNewer) => {
-                self.told.insert(Told::Refused(order))
+                self.reports.insert(Report::Rejected(request))
             }
             Some(ConfigVerdict::Indeterminate) | None => return,
         };
-        self.calls[number].tries = 0;
+        self.calls[number].attempts = 0;
     }
 
-    fn awaits(&self, late: &Late) -> bool {
-        self.calls[late.call].run.as_ref().is_some_and(|run| run.proposal.ballot() == late.ballot)
+    fn is_awaited(&self, in_flight: &InFlight) -> bool {
+        self.calls[in_flight.call].run.as_ref().is_some_and(|run| run.proposal.ballot() == in_flight.ballot)
     }
 
-    /// Drops what would be refused or accepted again, and orders the rest, so that equal states are found equal.
-    fn tidy(&mut self) {
+    /// Drops requests that would be rejected or accepted again, and sorts the rest, so that equal states compare equal.
+    fn normalize(&mut self) {
         let promised = |to: usize| self.acceptors[to].record().map(|record| record.promised);
-        self.late.retain(|(late, _)| promised(late.to) <= Some(late.ballot));
-        self.late.sort_by(|one, other| one.0.cmp(&other.0));
+        self.in_flight.retain(|(in_flight, _)| promised(in_flight.to) <= Some(in_flight.ballot));
+        self.in_flight.sort_by(|one, other| one.0.cmp(&other.0));
     }
 }
 
-/// What is wrong with what was told, if anything is.
-pub(crate) fn fault(orders: &[Order], told: &BTreeSet<Told>) -> Option<String> {
-    let in_force: Vec<_> = told
+/// The violation among the reports, if there is one.
+pub(crate) fn fault(requests: &[Request], reports: &BTreeSet<Report>) -> Option<String> {
+    let committed: Vec<_> = reports
         .iter()
-        .filter_map(|told| if let Told::InForce(taken) = told { Some(taken) } else { None })
+        .filter_map(|report| if let Report::Committed(requests) = report { Some(requests) } else { None })
         .collect();
     let is_chain = |one: &[usize], other: &[usize]| one.starts_with(other) || other.starts_with(one);
-    if !in_force.iter().all(|one| in_force.iter().all(|other| is_chain(one, other))) {
-        return Some(format!("no chain: {in_force:?}"));
+    if !committed.iter().all(|one| committed.iter().all(|other| is_chain(one, other))) {
+        return Some(format!("the committed lists are no prefixes of each other: {committed:?}"));
     }
-    for number in 0..orders.len() {
-        let was_taken =
-            told.contains(&Told::Confirmed(number)) || in_force.iter().any(|taken| taken.contains(&number));
-        if was_taken && told.contains(&Told::Refused(number)) {
-            return Some(format!("order {number} was refused and is in force"));
+    for number in 0..requests.len() {
+        let was_committed = reports.contains(&Report::Confirmed(number))
+            || committed.iter().any(|requests| requests.contains(&number));
+        if was_committed && reports.contains(&Report::Rejected(number)) {
+            return Some(format!("request {number} was rejected and is committed"));
         }
     }
     let confirmed: Vec<_> =
-        (0..orders.len()).filter(|number| told.contains(&Told::Confirmed(*number))).collect();
-    for key in [|order: Order| order.version, |order: Order| order.expected] {
-        let keys = BTreeSet::from_iter(confirmed.iter().map(|number| key(orders[*number])));
+        (0..requests.len()).filter(|number| reports.contains(&Report::Confirmed(*number))).collect();
+    for key in [|request: Request| request.version, |request: Request| request.expected] {
+        let keys = BTreeSet::from_iter(confirmed.iter().map(|number| key(requests[*number])));
         if keys.len() < confirmed.len() {
-            return Some(format!("two are confirmed under one number or on one base: {confirmed:?}"));
+            return Some(format!(
+                "two are confirmed with one version or one expected version: {confirmed:?}"
+            ));
         }
     }
     None
 }
 
 impl Model for Schedules {
-    type State = Fleet;
+    type State = ModelState;
     type Action = Event;
 
-    fn init_states(&self) -> Vec<Fleet> {
+    fn init_states(&self) -> Vec<ModelState> {
         vec![self.start()]
     }
 
-    fn actions(&self, fleet: &Fleet, actions: &mut Vec<Event>) {
-        actions.extend(self.events(fleet));
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Event>) {
+        actions.extend(self.events(state));
     }
 
-    fn next_state(&self, fleet: &Fleet, event: Event) -> Option<Fleet> {
-        Some(self.after(fleet, &event))
+    fn next_state(&self, state: &ModelState, event: Event) -> Option<ModelState> {
+        Some(self.after(state, &event))
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("what was told holds", |model: &Self, fleet: &Fleet| {
-                fault(&model.orders, &fleet.told).is_none()
+            Property::always("every report holds", |model: &Self, state: &ModelState| {
+                fault(&model.requests, &state.reports).is_none()
             }),
-            Property::sometimes("an order is confirmed", |_, fleet: &Fleet| {
-                fleet.told.iter().any(|told| matches!(told, Told::Confirmed(_)))
+            Property::sometimes("a request is confirmed", |_, state: &ModelState| {
+                state.reports.iter().any(|report| matches!(report, Report::Confirmed(_)))
             }),
-            Property::sometimes("an order is refused", |_, fleet: &Fleet| {
-                fleet.told.iter().any(|told| matches!(told, Told::Refused(_)))
+            Property::sometimes("a request is rejected", |_, state: &ModelState| {
+                state.reports.iter().any(|report| matches!(report, Report::Rejected(_)))
             }),
         ]
     }
 }
 
-pub(crate) fn order(expected: u64, version: u64) -> Order {
-    Order { expected, version }
+pub(crate) fn request(expected: u64, version: u64) -> Request {
+    Request { expected, version }
 }
 
-pub(crate) fn schedules(orders: &[Order], tasks: &[(Task, u8)], rules: Rules) -> Schedules {
-    Schedules { orders: orders.to_vec(), tasks: tasks.to_vec(), rules }
+pub(crate) fn schedules(requests: &[Request], tasks: &[(Task, u8)], rules: Rules) -> Schedules {
+    Schedules { requests: requests.to_vec(), tasks: tasks.to_vec(), rules }
 }
--- a/system/controllers/tests/membership/cluster/control_nodes.rs
+++ b/system/controllers/tests/membership/cluster/control_nodes.rs
@@ -1,24 +1,28 @@
 //! Control nodes of the cluster: polling, leases, probes and changes of the register.
 
-use super::{Event, FRESH, Fleet, LIST, POLL, Pending, disks};
+use super::{Cluster, Event, LIST, MAX_STATE_AGE_MS, POLL_INTERVAL_MS, Pending, disks};
 use controllers::{RosterStep, UnresponsiveVoter, VoterController, holds_lease, proposed_nodes, times};
 use fleet_model::ControlState;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
-impl Fleet {
-    pub(super) fn answers(&self, from: usize, ip: Ipv4Addr) -> bool {
-        let Some(to) = self.keepers.iter().position(|keeper| keeper.ip == ip) else { return false };
-        let other = &self.keepers[to];
-        to == from || (other.up && other.frozen_until <= self.now && !other.cut && !self.keepers[from].cut)
+impl Cluster {
+    pub(super) fn responds(&self, from: usize, ip: Ipv4Addr) -> bool {
+        let Some(to) = self.control_nodes.iter().position(|node| node.ip == ip) else { return false };
+        let other = &self.control_nodes[to];
+        to == from
+            || (other.up
+                && other.frozen_until <= self.now
+                && !other.partitioned
+                && !self.control_nodes[from].partitioned)
     }
 
     pub(super) fn reaches_majority(&self, at: usize) -> bool {
-        let reached = self.voters.iter().filter(|ip| self.answers(at, **ip)).count();
+        let reached = self.voters.iter().filter(|ip| self.responds(at, **ip)).count();
         reached > self.voters.len() / 2
     }
 
-    /// The keeper's change of the state, if it reaches a majority.
+    /// Commits a change of the state by a control node, if that reaches a majority.
     pub(super) fn change(
         &mut self,
         at: usize,
@@ -29,53 +33,57 @@
             return false;
         }
         if let Some(state) = wanted(&self.state) {
-            self.choose(state, waived);
+            self.commit(state, waived);
         }
         self.learn(at);
         true
     }
 
     pub(super) fn learn(&mut self, at: usize) {
-        let keeper = &mut self.keepers[at];
-        (keeper.version, keeper.state, keeper.voters) =
-            (self.version, self.state.clone(), self.voters.clone());
-        keeper.fresh_at = Some(self.now);
+        let node = &mut self.control_nodes[at];
+        (node.version, node.state, node.voters) = (self.version, self.state.clone(), self.voters.clone());
+        node.confirmed_at = Some(self.now);
     }
 
-    pub(super) fn keep(&mut self, at: usize) {
+    pub(super) fn step_control_node(&mut self, at: usize) {
         let now = self.now;
-        if !self.keepers[at].up || self.keepers[at].frozen_until > now {
+        if !self.control_nodes[at].up || self.control_nodes[at].frozen_until > now {
             return;
         }
-        if let Some(pending) = self.keepers[at].pending.take() {
-            self.carry_out(at, pending);
+        if let Some(pending) = self.control_nodes[at].pending.take() {
+            self.execute(at, pending);
         }
-        if self.keepers[at].next_poll <= now {
-            self.keepers[at].next_poll = now + POLL;
-            self.keepers[at].core.before_request(now);
-            let voters = self.keepers[at].voters.clone();
-            let answering: Vec<Ipv4Addr> = voters.into_iter().filter(|ip| self.answers(at, *ip)).collect();
-            answering.into_iter().for_each(|ip| self.keepers[at].core.record_response(now, ip));
+        if self.control_nodes[at].next_poll <= now {
+            self.control_nodes[at].next_poll = now + POLL_INTERVAL_MS;
+            self.control_nodes[at].voter_controller.before_request(now);
+            let voters = self.control_nodes[at].voters.clone();
+            let responding: Vec<Ipv4Addr> = voters.into_iter().filter(|ip| self.responds(at, *ip)).collect();
+            responding
+                .into_iter()
+                .for_each(|ip| self.control_nodes[at].voter_controller.record_response(now, ip));
             if self.reaches_majority(at) {
                 self.learn(at);
             }
         }
-        let fresh = self.keepers[at].fresh_at.is_some_and(|then| now - then < FRESH);
-        if fresh && self.keepers[at].next_duty <= now && now - self.keepers[at].began >= 300 {
-            self.duty(at);
+        let is_fresh = self.control_nodes[at].confirmed_at.is_some_and(|then| now - then < MAX_STATE_AGE_MS);
+        if is_fresh
+            && self.control_nodes[at].next_lease_check <= now
+            && now - self.control_nodes[at].started_at >= 300
+        {
+            self.step_lease(at);
         }
-        if self.keepers[at].next_watch <= now {
-            self.keepers[at].next_watch = now + times::PROBE_RETRY_INTERVAL_MS;
-            self.watch(at, fresh);
+        if self.control_nodes[at].next_probe_check <= now {
+            self.control_nodes[at].next_probe_check = now + times::PROBE_RETRY_INTERVAL_MS;
+            self.step_storage_controller(at, is_fresh);
         }
     }
 
-    pub(super) fn duty(&mut self, at: usize) {
+    pub(super) fn step_lease(&mut self, at: usize) {
         let now = self.now;
-        let keeper = &mut self.keepers[at];
-        if let Some(fence) = keeper.claim.held_token(&keeper.state) {
-            keeper.next_duty = now + times::POLL_INTERVAL_MS;
-            // What the platform lists is told by its time here: it is another one each time.
+        let node = &mut self.control_nodes[at];
+        if let Some(token) = node.candidate.held_token(&node.state) {
+            node.next_lease_check = now + times::POLL_INTERVAL_MS;
+            // The instance is named after the time, so that each poll returns another list.
             let mut endpoint = fleet_model::Endpoint {
                 instance_id: now.to_string(),
                 service: String::new(),
@@ -85,80 +93,83 @@
                 state: fleet_model::EndpointState::Ready,
             };
             endpoint.zone = "a".into();
-            if let Some(list) = keeper.readings.accept_poll(now, now, fence, &keeper.list, vec![endpoint])
-                && list.version > keeper.list.version
+            if let Some(list) = node.polls.accept_poll(now, now, token, &node.list, vec![endpoint])
+                && list.version > node.list.version
             {
                 self.history.push((now, Event::List(list.version, now)));
-                keeper.list = list;
+                node.list = list;
             }
             return;
         }
-        keeper.next_duty = now + 200;
-        let Some(from) = keeper.claim.lease_to_acquire(now, &keeper.state, &keeper.voters, &keeper.core)
+        node.next_lease_check = now + 200;
+        let Some(from) =
+            node.candidate.lease_to_acquire(now, &node.state, &node.voters, &node.voter_controller)
         else {
             return;
         };
-        let claim = keeper.claim.clone();
-        if self.change(at, Vec::new(), |state| claim.acquire(state, &from)) {
-            let keeper = &mut self.keepers[at];
-            keeper.claim.change_committed(&keeper.state, &from);
-            keeper.next_duty = now;
+        let candidate = node.candidate.clone();
+        if self.change(at, Vec::new(), |state| candidate.acquire(state, &from)) {
+            let node = &mut self.control_nodes[at];
+            node.candidate.change_committed(&node.state, &from);
+            node.next_lease_check = now;
         }
     }
 
-    pub(super) fn watch(&mut self, at: usize, fresh: bool) {
-        let (now, least, tolerance) = (self.now, self.least(), self.tolerance);
+    pub(super) fn step_storage_controller(&mut self, at: usize, is_fresh: bool) {
+        let (now, min_nodes, tolerance) = (self.now, self.min_nodes(), self.tolerance);
         let live: BTreeSet<u64> = self
             .machines
             .iter()
-            .filter(|machine| machine.up && machine.frozen_until <= now && !self.keepers[at].cut)
+            .filter(|machine| {
+                machine.up && machine.frozen_until <= now && !self.control_nodes[at].partitioned
+            })
             .map(|machine| machine.store.disk)
             .collect();
-        let keeper = &mut self.keepers[at];
-        keeper.core.observe(now, &keeper.voters);
-        keeper.watch.observe(now, &keeper.state.roster, least);
-        let holds = keeper.claim.held_token(&keeper.state).filter(|_| fresh);
-        if keeper.watch.is_probe_due(now) {
-            keeper.watch.begin_probe_round(now);
-            for disk in
-                disks(&keeper.state.roster.current).union(&disks(proposed_nodes(&keeper.state.roster)))
-            {
+        let node = &mut self.control_nodes[at];
+        node.voter_controller.observe(now, &node.voters);
+        node.storage_controller.observe(now, &node.state.roster, min_nodes);
+        let held_token = node.candidate.held_token(&node.state).filter(|_| is_fresh);
+        if node.storage_controller.is_probe_due(now) {
+            node.storage_controller.begin_probe_round(now);
+            for disk in disks(&node.state.roster.current).union(&disks(proposed_nodes(&node.state.roster))) {
                 match live.contains(disk) {
-                    true => keeper.watch.record_response(now, *disk),
-                    false => keeper.watch.record_missed_probe(*disk),
+                    true => node.storage_controller.record_response(now, *disk),
+                    false => node.storage_controller.record_missed_probe(*disk),
                 }
             }
-            if let Some(fence) = holds {
-                let epoch = keeper.state.roster.epoch;
-                keeper.pending = match keeper.watch.step(now, &keeper.state, tolerance) {
+            if let Some(token) = held_token {
+                let epoch = node.state.roster.epoch;
+                node.pending = match node.storage_controller.step(now, &node.state, tolerance) {
                     RosterStep::NoChange => None,
-                    step => Some(Pending::Roster(step, epoch, fence)),
+                    step => Some(Pending::Roster(step, epoch, token)),
                 };
             }
         }
-        if let (Some(fence), None, Some(UnresponsiveVoter { ip: gone, .. })) =
-            (holds, &keeper.pending, keeper.core.voter_to_remove(now, &keeper.voters))
+        if let (Some(token), None, Some(UnresponsiveVoter { ip: removed, .. })) =
+            (held_token, &node.pending, node.voter_controller.voter_to_remove(now, &node.voters))
         {
-            keeper.pending = Some(Pending::Remove(gone, fence));
+            node.pending = Some(Pending::RemoveVoter(removed, token));
         }
     }
 
-    pub(super) fn carry_out(&mut self, at: usize, pending: Pending) {
-        let (me, least) = (self.keepers[at].ip, self.least());
+    pub(super) fn execute(&mut self, at: usize, pending: Pending) {
+        let (me, min_nodes) = (self.control_nodes[at].ip, self.min_nodes());
         match pending {
-            Pending::Roster(step, epoch, fence) => {
+            Pending::Roster(step, epoch, token) => {
                 let waived = match &step {
                     RosterStep::WaiveBackfill(waived) => waived.clone(),
                     _ => Vec::new(),
                 };
                 self.change(at, waived, |state| {
-                    holds_lease(state, LIST, me, fence).then(|| step.apply_to(state, epoch, least)).flatten()
+                    holds_lease(state, LIST, me, token)
+                        .then(|| step.apply_to(state, epoch, min_nodes))
+                        .flatten()
                 });
             }
-            Pending::Remove(gone, fence) => {
+            Pending::RemoveVoter(removed, token) => {
                 if self.reaches_majority(at)
-                    && holds_lease(&self.state, LIST, me, fence)
-                    && let Some(voters) = VoterController::without_voter(&self.voters, gone)
+                    && holds_lease(&self.state, LIST, me, token)
+                    && let Some(voters) = VoterController::without_voter(&self.voters, removed)
                 {
                     self.voters = voters;
                     self.version += 1;
--- a/system/controllers/tests/membership/cluster/mod.rs
+++ b/system/controllers/tests/membership/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in memory: keepers over a register that is a plain compare-and-set for whoever reaches a majority, and storage
-//! machines that join, fill and tell. Its clock goes in ticks; the history is all that the checks look at.
+//! An in-memory cluster in simulated time: control nodes over a register that is a plain compare-and-set for every node that
+//! reaches a majority, and storage nodes that join, backfill and report. The invariants are checked on its history alone.
 
 mod control_nodes;
 mod invariants;
@@ -16,72 +16,72 @@
 use std::rc::Rc;
 
 pub(crate) const LIST: &str = "list";
-const TICK: u64 = 50;
-const POLL: u64 = 250;
-const FRESH: u64 = 1_000;
-/// How often a storage machine looks at what it was told.
-const TOLD: u64 = 150;
-/// A filling from machines that answer, and one that has to give a source up.
-const FILLING: u64 = 300;
-const SOURCE_GONE: u64 = 1_400;
+const TICK_MS: u64 = 50;
+const POLL_INTERVAL_MS: u64 = 250;
+const MAX_STATE_AGE_MS: u64 = 1_000;
+/// Interval at which a storage node acts on the state that it has learned.
+const STORAGE_STEP_INTERVAL_MS: u64 = 150;
+/// Duration of a backfill from responsive nodes, and of one that has to give up a source.
+const BACKFILL_MS: u64 = 300;
+const BACKFILL_WITH_LOST_SOURCE_MS: u64 = 1_400;
 
 /// What happened, in order.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// The register got this roster; who need not have been full for it.
+    /// The register committed this roster; the disks that were waived for it.
     Roster(Roster, Vec<u64>),
-    /// A storage machine holds all that it should under that epoch.
-    Filled(u64, u64),
-    /// A list got this stamp; it was read then.
+    /// A disk reported to be in sync under an epoch.
+    InSync(u64, u64),
+    /// A list was published under this version; when it was polled.
     List(ListVersion, u64),
-    /// The proposed set went below what a fleet is founded with: so many are left, without these disks, each silent for so long.
-    Shrunk(usize, Vec<(u64, u64)>),
+    /// The proposed set fell below the minimum: number of nodes left, and the removed disks with how long each was unresponsive.
+    ShrunkBelowMinimum(usize, Vec<(u64, u64)>),
 }
 
 #[derive(Clone)]
 enum Pending {
     Roster(RosterStep, u64, u64),
-    Remove(Ipv4Addr, u64),
+    RemoveVoter(Ipv4Addr, u64),
 }
 
-pub(crate) struct Keeper {
+pub(crate) struct ControlNode {
     pub ip: Ipv4Addr,
     pub up: bool,
     frozen_until: u64,
-    pub cut: bool,
-    began: u64,
+    pub partitioned: bool,
+    started_at: u64,
     version: u64,
     state: Rc<ControlState>,
     voters: Vec<Ipv4Addr>,
-    fresh_at: Option<u64>,
-    core: VoterController,
-    claim: LeaseCandidate,
-    watch: StorageController,
-    readings: DiscoveryPolls,
+    confirmed_at: Option<u64>,
+    voter_controller: VoterController,
+    candidate: LeaseCandidate,
+    storage_controller: StorageController,
+    polls: DiscoveryPolls,
     list: EndpointList,
     pending: Option<Pending>,
     next_poll: u64,
-    next_duty: u64,
-    next_watch: u64,
+    next_lease_check: u64,
+    next_probe_check: u64,
 }
 
 pub(crate) struct Machine {
     pub store: StorageNode,
     pub up: bool,
-    /// Since when it is down, or when it last froze.
-    silent_since: u64,
+    /// When it last stopped or froze.
+    unresponsive_since: u64,
     frozen_until: u64,
     version: u64,
     roster: Roster,
-    full_for: BTreeSet<BTreeSet<u64>>,
-    filling: Option<(u64, u64)>,
+    in_sync_for: BTreeSet<BTreeSet<u64>>,
+    backfill: Option<(u64, u64)>,
     next: u64,
 }
 
-pub(crate) struct Fleet {
+pub(crate) struct Cluster {
     pub now: u64,
     pub tolerance: usize,
-    pub keepers: Vec<Keeper>,
+    pub control_nodes: Vec<ControlNode>,
     pub machines: Vec<Machine>,
     pub history: Vec<(u64, Event)>,
     state: Rc<ControlState>,
@@ -95,39 +95,39 @@
     stores.iter().map(|store| store.disk).collect()
 }
 
-fn keeper(ip: Ipv4Addr, now: u64, phase: u64) -> Keeper {
-    Keeper {
+fn new_control_node(ip: Ipv4Addr, now: u64, phase: u64) -> ControlNode {
+    ControlNode {
         ip,
         up: true,
         frozen_until: 0,
-        cut: false,
-        began: now,
+        partitioned: false,
+        started_at: now,
         version: 0,
         state: Rc::default(),
         voters: Vec::new(),
-        fresh_at: None,
-        core: VoterController::new(ip),
-        claim: LeaseCandidate::new(LIST, ip),
-        watch: StorageController::default(),
-        readings: DiscoveryPolls::default(),
+        confirmed_at: None,
+        voter_controller: VoterController::new(ip),
+        candidate: LeaseCandidate::new(LIST, ip),
+        storage_controller: StorageController::default(),
+        polls: DiscoveryPolls::default(),
         list: EndpointList::default(),
         pending: None,
-        next_poll: now + phase % POLL,
-        next_duty: now + phase % 200,
-        next_watch: now + phase % 150,
+        next_poll: now + phase % POLL_INTERVAL_MS,
+        next_lease_check: now + phase % 200,
+        next_probe_check: now + phase % 150,
     }
 }
 
-impl Fleet {
-    /// Founded by so many keepers and storage machines, and run for a while.
-    pub(crate) fn new(seed: u64, tolerance: usize, keepers: u8, machines: u8) -> Self {
+impl Cluster {
+    /// A cluster that has been bootstrapped by these nodes and run for a while.
+    pub(crate) fn new(seed: u64, tolerance: usize, control_node_count: u8, storage_nodes: u8) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let voters: Vec<Ipv4Addr> = (1..=keepers).map(|at| Ipv4Addr::new(10, 0, 0, at)).collect();
-        let keepers = voters.iter().map(|ip| keeper(*ip, 0, random.next_u64())).collect();
-        let mut fleet = Self {
+        let voters: Vec<Ipv4Addr> = (1..=control_node_count).map(|at| Ipv4Addr::new(10, 0, 0, at)).collect();
+        let control_nodes = voters.iter().map(|ip| new_control_node(*ip, 0, random.next_u64())).collect();
+        let mut cluster = Self {
             now: 0,
             tolerance,
-            keepers,
+            control_nodes,
             machines: Vec::new(),
             history: Vec::new(),
             state: Rc::default(),
@@ -136,18 +136,18 @@
             disks: 0,
             random,
         };
-        for at in 1..=machines {
-            fleet.start(&format!("s{at}"), at);
+        for at in 1..=storage_nodes {
+            cluster.start(&format!("s{at}"), at);
         }
-        fleet.run(8_000);
-        fleet
+        cluster.run(8_000);
+        cluster
     }
 
-    pub(crate) fn least(&self) -> usize {
+    pub(crate) fn min_nodes(&self) -> usize {
         2 * self.tolerance + 1
     }
 
-    pub(crate) fn draw(&mut self, below: u64) -> u64 {
+    pub(crate) fn random_below(&mut self, below: u64) -> u64 {
         self.random.next_u64() % below
     }
 
@@ -163,7 +163,7 @@
         &self.voters
     }
 
-    /// A machine with an empty disk starts under this name and address.
+    /// Starts a storage node with an empty disk under this name and address; returns the disk.
     pub(crate) fn start(&mut self, name: &str, ip: u8) -> u64 {
         self.disks += 1;
         let store = StorageNode {
@@ -172,16 +172,16 @@
             zone: "a".into(),
             disk: self.disks,
         };
-        let next = self.now + 300 + self.draw(TOLD);
+        let next = self.now + 300 + self.random_below(STORAGE_STEP_INTERVAL_MS);
         self.machines.push(Machine {
             store,
             up: true,
-            silent_since: 0,
+            unresponsive_since: 0,
             frozen_until: 0,
             version: 0,
             roster: Roster::default(),
-            full_for: BTreeSet::new(),
-            filling: None,
+            in_sync_for: BTreeSet::new(),
+            backfill: None,
             next,
         });
         self.disks
@@ -191,107 +191,107 @@
         self.machines.iter_mut().find(|machine| machine.store.disk == disk).unwrap()
     }
 
-    /// The machine is gone, for good or until it comes back.
+    /// Stops a storage node, permanently or until it is restarted.
     pub(crate) fn stop(&mut self, disk: u64) {
         let now = self.now;
         let machine = self.machine(disk);
-        (machine.up, machine.silent_since) = (false, now);
+        (machine.up, machine.unresponsive_since) = (false, now);
     }
 
-    /// It comes back with its disk.
-    pub(crate) fn come_back(&mut self, disk: u64) {
+    /// Restarts a storage node with its disk.
+    pub(crate) fn restart(&mut self, disk: u64) {
         let now = self.now;
         let machine = self.machine(disk);
-        (machine.up, machine.filling, machine.next) = (true, None, now + 300);
+        (machine.up, machine.backfill, machine.next) = (true, None, now + 300);
     }
 
-    pub(crate) fn freeze(&mut self, disk: u64, for_ms: u64) {
+    pub(crate) fn freeze(&mut self, disk: u64, duration_ms: u64) {
         let now = self.now;
         let machine = self.machine(disk);
-        (machine.frozen_until, machine.silent_since) = (now + for_ms, now);
+        (machine.frozen_until, machine.unresponsive_since) = (now + duration_ms, now);
     }
 
-    pub(crate) fn freeze_keeper(&mut self, at: usize, for_ms: u64) {
-        self.keepers[at].frozen_until = self.now + for_ms;
+    pub(crate) fn freeze_control_node(&mut self, at: usize, duration_ms: u64) {
+        self.control_nodes[at].frozen_until = self.now + duration_ms;
     }
 
-    /// The keeper's process ends and starts again: it knows nothing.
-    pub(crate) fn restart_keeper(&mut self, at: usize) {
+    /// Restarts a control node: it forgets everything that is not in the register.
+    pub(crate) fn restart_control_node(&mut self, at: usize) {
         let phase = self.random.next_u64();
-        self.keepers[at] = keeper(self.keepers[at].ip, self.now, phase);
+        self.control_nodes[at] = new_control_node(self.control_nodes[at].ip, self.now, phase);
     }
 
-    /// A core machine that was never there starts, and is taken in at once.
-    pub(crate) fn add_keeper(&mut self, last: u8) {
+    /// Starts a new control node, which becomes a voter at once.
+    pub(crate) fn add_control_node(&mut self, last: u8) {
         let ip = Ipv4Addr::new(10, 0, 0, last);
         let phase = self.random.next_u64();
-        self.keepers.push(keeper(ip, self.now, phase));
+        self.control_nodes.push(new_control_node(ip, self.now, phase));
         self.voters.push(ip);
         self.version += 1;
     }
 
-    /// The keeper that holds the duty by the register.
-    pub(crate) fn holder(&self) -> Option<usize> {
+    /// Index of the control node that holds the lease.
+    pub(crate) fn lease_holder(&self) -> Option<usize> {
         let holder = self.state.leases.get(LIST)?.holder?;
-        self.keepers.iter().position(|keeper| keeper.ip == holder)
+        self.control_nodes.iter().position(|node| node.ip == holder)
     }
 
     pub(crate) fn retire(&mut self, name: &str) -> controllers::RetireVerdict {
-        let (state, verdict) = retire(&self.state, name, self.least());
+        let (state, verdict) = retire(&self.state, name, self.min_nodes());
         if let Some(state) = state {
-            self.choose(state, Vec::new());
+            self.commit(state, Vec::new());
         }
         verdict
     }
 
-    pub(crate) fn run(&mut self, for_ms: u64) {
-        let until = self.now + for_ms;
+    pub(crate) fn run(&mut self, duration_ms: u64) {
+        let until = self.now + duration_ms;
         while self.now < until {
-            self.now += TICK;
-            for at in 0..self.keepers.len() {
-                self.keep(at);
+            self.now += TICK_MS;
+            for at in 0..self.control_nodes.len() {
+                self.step_control_node(at);
             }
             for at in 0..self.machines.len() {
-                self.store(at);
+                self.step_storage_node(at);
             }
         }
     }
 
-    /// Runs until this holds; how long that took.
-    pub(crate) fn run_until(&mut self, most_ms: u64, holds: impl Fn(&Fleet) -> bool) -> Option<u64> {
-        let began = self.now;
-        while !holds(self) {
-            if self.now - began >= most_ms {
+    /// Runs until the condition holds; returns how many milliseconds that took, or `None` after `timeout_ms`.
+    pub(crate) fn run_until(&mut self, timeout_ms: u64, condition: impl Fn(&Cluster) -> bool) -> Option<u64> {
+        let started_at = self.now;
+        while !condition(self) {
+            if self.now - started_at >= timeout_ms {
                 return None;
             }
-            self.run(TICK);
+            self.run(TICK_MS);
         }
-        Some(self.now - began)
+        Some(self.now - started_at)
     }
 
-    /// What is to be told where a change leaves fewer than a fleet is founded with. A disk whose place another takes is not
-    /// left out.
-    fn shrunk(&self, after: &Roster) -> Option<Event> {
+    /// The event to record if a change leaves fewer nodes than the minimum. A disk that another one replaces does not count as
+    /// removed.
+    fn shrink_event(&self, after: &Roster) -> Option<Event> {
         let (before, left) = (proposed_nodes(&self.state.roster), proposed_nodes(after));
         let same = |one: &StorageNode, other: &StorageNode| one.name == other.name || one.ip == other.ip;
-        let out: Vec<(u64, u64)> = before
+        let removed: Vec<(u64, u64)> = before
             .iter()
             .filter(|store| !left.iter().any(|other| same(store, other)))
-            .map(|store| (store.disk, self.silent_ms(store.disk)))
+            .map(|store| (store.disk, self.unresponsive_ms(store.disk)))
             .collect();
-        let falls_below = before.len() >= self.least() && left.len() < self.least();
-        (falls_below && !out.is_empty()).then_some(Event::Shrunk(left.len(), out))
+        let falls_below = before.len() >= self.min_nodes() && left.len() < self.min_nodes();
+        (falls_below && !removed.is_empty()).then_some(Event::ShrunkBelowMinimum(left.len(), removed))
     }
 
-    fn silent_ms(&self, disk: u64) -> u64 {
+    fn unresponsive_ms(&self, disk: u64) -> u64 {
         let machine = self.machines.iter().find(|machine| machine.store.disk == disk);
-        let silent = machine.filter(|machine| !machine.up || machine.frozen_until > self.now);
-        silent.map_or(0, |machine| self.now - machine.silent_since)
+        let unresponsive = machine.filter(|machine| !machine.up || machine.frozen_until > self.now);
+        unresponsive.map_or(0, |machine| self.now - machine.unresponsive_since)
     }
 
-    fn choose(&mut self, state: ControlState, waived: Vec<u64>) {
+    fn commit(&mut self, state: ControlState, waived: Vec<u64>) {
         if state.roster != self.state.roster {
-            self.history.extend(self.shrunk(&state.roster).map(|shrunk| (self.now, shrunk)));
+            self.history.extend(self.shrink_event(&state.roster).map(|shrunk| (self.now, shrunk)));
             self.history.push((self.now, Event::Roster(state.roster.clone(), waived)));
         }
         self.state = Rc::new(state);
--- a/system/controllers/tests/membership/cluster/storage_nodes.rs
+++ b/system/controllers/tests/membership/cluster/storage_nodes.rs
@@ -1,98 +1,114 @@
 //! Storage nodes of the cluster: joining and backfill.
 
-use super::{Event, FILLING, Fleet, Machine, SOURCE_GONE, TOLD, disks};
+use super::{
+    BACKFILL_MS, BACKFILL_WITH_LOST_SOURCE_MS, Cluster, Event, Machine, STORAGE_STEP_INTERVAL_MS, disks,
+};
 use controllers::{complete_backfill, join, proposed_nodes};
-use fleet_model::{QuorumSizes, StorageNode};
+use fleet_model::{QuorumSizes, Roster, StorageNode};
+use std::collections::BTreeSet;
 
-impl Fleet {
-    /// A keeper that a storage machine would get an answer from.
-    pub(super) fn some_keeper(&mut self) -> Option<usize> {
+impl Cluster {
+    /// A random control node that would answer a storage node.
+    pub(super) fn random_reachable_control_node(&mut self) -> Option<usize> {
         let now = self.now;
-        let able: Vec<usize> = (0..self.keepers.len())
+        let reachable: Vec<usize> = (0..self.control_nodes.len())
             .filter(|at| {
-                let keeper = &self.keepers[*at];
-                keeper.up && keeper.frozen_until <= now && !keeper.cut && self.reaches_majority(*at)
+                let node = &self.control_nodes[*at];
+                node.up && node.frozen_until <= now && !node.partitioned && self.reaches_majority(*at)
             })
             .collect();
-        match able.len() as u64 {
+        match reachable.len() as u64 {
             0 => None,
-            count => Some(able[self.draw(count) as usize]),
+            count => Some(reachable[self.random_below(count) as usize]),
         }
     }
 
-    pub(super) fn store(&mut self, at: usize) {
+    pub(super) fn step_storage_node(&mut self, at: usize) {
         let now = self.now;
         let machine = &self.machines[at];
         if !machine.up || machine.frozen_until > now || machine.next > now {
             return;
         }
-        self.machines[at].next = now + TOLD;
-        let Some(keeper) = self.some_keeper() else { return };
-        if self.keepers[keeper].version > self.machines[at].version {
-            self.machines[at].version = self.keepers[keeper].version;
-            self.machines[at].roster = self.keepers[keeper].state.roster.clone();
+        self.machines[at].next = now + STORAGE_STEP_INTERVAL_MS;
+        let Some(node) = self.random_reachable_control_node() else { return };
+        if self.control_nodes[node].version > self.machines[at].version {
+            self.machines[at].version = self.control_nodes[node].version;
+            self.machines[at].roster = self.control_nodes[node].state.roster.clone();
         } else if self.machines[at].version == 0 {
             return;
         }
         let (me, roster) = (self.machines[at].store.clone(), self.machines[at].roster.clone());
         if !proposed_nodes(&roster).contains(&me) && !roster.retiring.contains(&me.name) {
-            self.ask_to_join(keeper, &me);
+            self.request_join(node, &me);
         }
-        let (here, set) = (disks(&roster.current).contains(&me.disk), disks(proposed_nodes(&roster)));
-        if !set.contains(&me.disk) {
+        let next_set = disks(proposed_nodes(&roster));
+        if !next_set.contains(&me.disk) {
             return;
         }
-        if self.machines[at].full_for.contains(&set) {
+        if self.machines[at].in_sync_for.contains(&next_set) {
             if roster.next.is_some() && !roster.in_sync.contains(&me.disk) {
-                self.history.push((now, Event::Filled(me.disk, roster.epoch)));
-                let least = self.least();
-                self.change(keeper, Vec::new(), |state| {
-                    complete_backfill(state, Some(me.disk), roster.epoch, &[], least)
+                self.history.push((now, Event::InSync(me.disk, roster.epoch)));
+                let min_nodes = self.min_nodes();
+                self.change(node, Vec::new(), |state| {
+                    complete_backfill(state, Some(me.disk), roster.epoch, &[], min_nodes)
                 });
             }
             return;
         }
+        self.step_backfill(at, &roster, next_set);
+    }
+
+    /// Starts or completes the backfill of a node for `next_set`. It needs a covering number of nodes that are in sync.
+    fn step_backfill(&mut self, at: usize, roster: &Roster, next_set: BTreeSet<u64>) {
+        let now = self.now;
+        let me = self.machines[at].store.disk;
         let current = disks(&roster.current);
-        let full = |machine: &Machine| {
+        let is_source = |machine: &Machine| {
             machine.up
                 && machine.frozen_until <= now
                 && current.contains(&machine.store.disk)
-                && machine.full_for.contains(&current)
+                && machine.in_sync_for.contains(&current)
         };
         let sources =
-            self.machines.iter().filter(|machine| machine.store.disk != me.disk && full(machine)).count();
-        let own = usize::from(here && full(&self.machines[at]));
+            self.machines.iter().filter(|machine| machine.store.disk != me && is_source(machine)).count();
+        let own = usize::from(current.contains(&me) && is_source(&self.machines[at]));
         let covering =
             QuorumSizes::for_machines(current.len(), self.tolerance).map_or(0, |sizes| sizes.covering);
-        match self.machines[at].filling {
+        match self.machines[at].backfill {
             Some((epoch, done_at)) if epoch == roster.epoch => {
                 if now < done_at {
                     return;
                 }
-                self.machines[at].filling = None;
+                self.machines[at].backfill = None;
                 if sources + own >= covering {
-                    self.machines[at].full_for.insert(set);
+                    self.machines[at].in_sync_for.insert(next_set);
                     self.machines[at].next = now;
                 }
             }
             _ => {
-                let takes = if sources + own >= covering { FILLING } else { SOURCE_GONE };
-                self.machines[at].filling = Some((roster.epoch, now + takes));
+                let duration_ms =
+                    if sources + own >= covering { BACKFILL_MS } else { BACKFILL_WITH_LOST_SOURCE_MS };
+                self.machines[at].backfill = Some((roster.epoch, now + duration_ms));
             }
         }
     }
 
-    pub(super) fn ask_to_join(&mut self, at: usize, store: &StorageNode) {
-        let (now, least) = (self.now, self.least());
-        let keeper = &mut self.keepers[at];
-        keeper.watch.observe(now, &keeper.state.roster, least);
-        keeper.watch.record_response(now, store.disk);
-        if keeper.watch.admits(&keeper.state.roster, store) && join(&keeper.state, store, least).is_some() {
-            // Whom it replaces is lost.
-            let same = |other: &&StorageNode| other.name == store.name || other.ip == store.ip;
-            let lost =
-                proposed_nodes(&self.state.roster).iter().filter(same).map(|other| other.disk).collect();
-            self.change(at, lost, |state| join(state, store, least));
+    pub(super) fn request_join(&mut self, at: usize, store: &StorageNode) {
+        let (now, min_nodes) = (self.now, self.min_nodes());
+        let node = &mut self.control_nodes[at];
+        node.storage_controller.observe(now, &node.state.roster, min_nodes);
+        node.storage_controller.record_response(now, store.disk);
+        if node.storage_controller.admits(&node.state.roster, store)
+            && join(&node.state, store, min_nodes).is_some()
+        {
+            // The node that it replaces counts as lost.
+            let is_replaced = |other: &&StorageNode| other.name == store.name || other.ip == store.ip;
+            let lost = proposed_nodes(&self.state.roster)
+                .iter()
+                .filter(is_replaced)
+                .map(|other| other.disk)
+                .collect();
+            self.change(at, lost, |state| join(state, store, min_nodes));
         }
     }
 }
--- a/system/controllers/tests/membership/configurations.rs
+++ b/system/controllers/tests/membership/configurations.rs
@@ -10,22 +10,22 @@
 }
 
 #[gtest]
-fn a_configuration_is_taken_once_on_top_of_the_version_that_its_operator_knows() -> Result<()> {
+fn a_configuration_is_committed_once_if_the_expected_version_is_current() -> Result<()> {
     let body = Bytes::from_static(b"{}");
     let (state, verdict) = put_config(&ControlState::default(), 0, &version(3), &body);
     expect_that!(verdict, eq(ConfigVerdict::Committed));
     let state = state.or_fail()?;
     expect_that!(state.version(), eq(3));
-    // the same again, whatever it goes by
+    // the same again, whatever version it expects
     expect_that!(put_config(&state, 0, &version(3), &body), eq(&(None, ConfigVerdict::Committed)));
     // other bytes under its number, and a lower number
     let other = CommittedVersion { version: 3, digest: [9; 32] };
     expect_that!(put_config(&state, 3, &other, &body), eq(&(None, ConfigVerdict::NotNewer)));
     expect_that!(put_config(&state, 3, &version(2), &body), eq(&(None, ConfigVerdict::NotNewer)));
-    // another version in the operator's mind comes first
+    // a version mismatch is reported first
     expect_that!(put_config(&state, 2, &version(2), &body), eq(&(None, ConfigVerdict::VersionMismatch(3))));
     expect_that!(put_config(&state, 2, &version(4), &body), eq(&(None, ConfigVerdict::VersionMismatch(3))));
-    // and what was taken before the current one is still known as taken
+    // and what was committed before the current one is still known as committed
     let state = put_config(&state, 3, &version(4), &body).0.or_fail()?;
     expect_that!(put_config(&state, 4, &version(3), &body), eq(&(None, ConfigVerdict::Committed)));
     Ok(())
--- a/system/controllers/tests/membership/leases_and_voters.rs
+++ b/system/controllers/tests/membership/leases_and_voters.rs
@@ -5,99 +5,104 @@
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 
-const LIST: &str = "list";
+const ROLE: &str = "list";
 const A: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 const B: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
 const C: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 3);
 const D: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 4);
 
-fn held(number: u64, holder: Ipv4Addr) -> ControlState {
+fn held_by(token: u64, holder: Ipv4Addr) -> ControlState {
     let mut state = ControlState::default();
-    state.leases.insert(LIST.into(), Lease { token: number, holder: Some(holder) });
+    state.leases.insert(ROLE.into(), Lease { token, holder: Some(holder) });
     state
 }
 
-/// The voters, best-ranked for a fence first.
-fn ranked(number: u64, voters: &[Ipv4Addr]) -> Vec<Ipv4Addr> {
+/// The voters, highest-ranked for a token first.
+fn ranked(token: u64, voters: &[Ipv4Addr]) -> Vec<Ipv4Addr> {
     let mut voters = voters.to_vec();
-    voters.sort_by_key(|ip| std::cmp::Reverse(rendezvous_rank(&ip.octets(), number)));
+    voters.sort_by_key(|ip| std::cmp::Reverse(rendezvous_rank(&ip.octets(), token)));
     voters
 }
 
-fn watch(me: Ipv4Addr, now: u64, voters: &[Ipv4Addr], heard: &[Ipv4Addr]) -> VoterController {
-    let mut core = VoterController::new(me);
-    core.observe(now, voters);
-    heard.iter().for_each(|ip| core.record_response(now, *ip));
-    core
+fn controller(me: Ipv4Addr, now: u64, voters: &[Ipv4Addr], responding: &[Ipv4Addr]) -> VoterController {
+    let mut voter_controller = VoterController::new(me);
+    voter_controller.observe(now, voters);
+    responding.iter().for_each(|ip| voter_controller.record_response(now, *ip));
+    voter_controller
 }
 
 #[gtest]
-fn a_duty_stays_where_its_holder_answers() {
-    let mut claim = LeaseCandidate::new(LIST, A);
-    let core = watch(A, 0, &[A, B, C], &[B, C]);
+fn a_lease_stays_with_a_responsive_holder() {
+    let mut candidate = LeaseCandidate::new(ROLE, A);
+    let voter_controller = controller(A, 0, &[A, B, C], &[B, C]);
     expect_that!(
-        claim.lease_to_acquire(times::LEASE_HOLDER_TIMEOUT_MS - 1, &held(4, B), &[A, B, C], &core),
+        candidate.lease_to_acquire(
+            times::LEASE_HOLDER_TIMEOUT_MS - 1,
+            &held_by(4, B),
+            &[A, B, C],
+            &voter_controller
+        ),
         none()
     );
 }
 
 #[gtest]
-fn the_best_ranked_live_voter_takes_a_duty_whose_holder_is_gone_at_once() -> Result<()> {
+fn the_highest_ranked_live_voter_acquires_a_vacant_lease_at_once() -> Result<()> {
     let order = ranked(4, &[A, B]);
-    let state = held(4, C);
+    let state = held_by(4, C);
     let now = times::LEASE_HOLDER_TIMEOUT_MS;
-    for (place, me) in order.iter().enumerate() {
-        let mut core = watch(*me, 0, &[A, B, C], &[]);
-        core.record_response(now, order[1 - place]);
-        let mut claim = LeaseCandidate::new(LIST, *me);
-        let from = claim.lease_to_acquire(now, &state, &[A, B, C], &core);
-        expect_that!(from.is_some(), eq(place == 0));
+    for (rank, me) in order.iter().enumerate() {
+        let mut voter_controller = controller(*me, 0, &[A, B, C], &[]);
+        voter_controller.record_response(now, order[1 - rank]);
+        let mut candidate = LeaseCandidate::new(ROLE, *me);
+        let from = candidate.lease_to_acquire(now, &state, &[A, B, C], &voter_controller);
+        expect_that!(from.is_some(), eq(rank == 0));
         if let Some(from) = from {
-            let state = claim.acquire(&state, &from).or_fail()?;
-            expect_that!(claim.change_committed(&state, &from), some(eq(5)));
-            expect_that!(claim.held_token(&state), some(eq(5)));
+            let state = candidate.acquire(&state, &from).or_fail()?;
+            expect_that!(candidate.change_committed(&state, &from), some(eq(5)));
+            expect_that!(candidate.held_token(&state), some(eq(5)));
         }
     }
     Ok(())
 }
 
 #[gtest]
-fn a_voter_that_answers_but_does_not_take_the_duty_keeps_it_from_the_next_only_for_a_while() {
-    // given a better-ranked voter that answers this one, but is cut off from the others
+fn a_live_voter_that_does_not_acquire_the_lease_delays_the_next_one_only_briefly() {
+    // given a higher-ranked voter that answers this one, but is partitioned from the others
     let order = ranked(4, &[A, B]);
     let (better, me) = (order[0], order[1]);
-    let state = held(4, C);
-    let mut core = watch(me, 0, &[A, B, C], &[]);
-    let mut claim = LeaseCandidate::new(LIST, me);
-    let gone = times::LEASE_HOLDER_TIMEOUT_MS;
-    for now in (gone..gone + times::LEASE_RANK_DELAY_MS).step_by(200) {
-        core.record_response(now, better);
-        expect_that!(claim.lease_to_acquire(now, &state, &[A, B, C], &core), none());
+    let state = held_by(4, C);
+    let mut voter_controller = controller(me, 0, &[A, B, C], &[]);
+    let mut candidate = LeaseCandidate::new(ROLE, me);
+    let vacant_at = times::LEASE_HOLDER_TIMEOUT_MS;
+    for now in (vacant_at..vacant_at + times::LEASE_RANK_DELAY_MS).step_by(200) {
+        voter_controller.record_response(now, better);
+        expect_that!(candidate.lease_to_acquire(now, &state, &[A, B, C], &voter_controller), none());
     }
-    // when it has had its time, then the next takes the duty
-    let now = gone + times::LEASE_RANK_DELAY_MS;
-    core.record_response(now, better);
-    expect_that!(claim.lease_to_acquire(now, &state, &[A, B, C], &core), some(anything()));
+    // when it has had its time, then the next acquires the lease
+    let now = vacant_at + times::LEASE_RANK_DELAY_MS;
+    voter_controller.record_response(now, better);
+    expect_that!(candidate.lease_to_acquire(now, &state, &[A, B, C], &voter_controller), some(anything()));
 }
 
 #[gtest]
-fn a_fence_of_a_former_life_is_not_ones_own() -> Result<()> {
-    // given a keeper that held the duty, and starts again at once
-    let state = held(4, A);
-    let mut claim = LeaseCandidate::new(LIST, A);
+fn a_lease_of_an_earlier_incarnation_is_not_held() -> Result<()> {
+    // given a controller that held the lease, and restarts at once
+    let state = held_by(4, A);
+    let mut candidate = LeaseCandidate::new(ROLE, A);
     // then it does not hold it, and takes it under the next number without waiting
-    expect_that!(claim.held_token(&state), none());
-    let core = watch(A, 0, &[A, B, C], &[B, C]);
-    let from = claim.lease_to_acquire(0, &state, &[A, B, C], &core).or_fail()?;
-    let state = claim.acquire(&state, &from).or_fail()?;
-    expect_that!(claim.change_committed(&state, &from), some(eq(5)));
+    expect_that!(candidate.held_token(&state), none());
+    let voter_controller = controller(A, 0, &[A, B, C], &[B, C]);
+    let from = candidate.lease_to_acquire(0, &state, &[A, B, C], &voter_controller).or_fail()?;
+    let state = candidate.acquire(&state, &from).or_fail()?;
+    expect_that!(candidate.change_committed(&state, &from), some(eq(5)));
     Ok(())
 }
 
 #[gtest]
-fn of_two_that_take_a_duty_one_gets_it_and_both_know_which() -> Result<()> {
-    let state = held(4, C);
-    let (mut one, mut other) = (LeaseCandidate::new(LIST, A), LeaseCandidate::new(LIST, B));
+fn of_two_candidates_one_acquires_the_lease_and_both_learn_which() -> Result<()> {
+    let state = held_by(4, C);
+    let (mut one, mut other) = (LeaseCandidate::new(ROLE, A), LeaseCandidate::new(ROLE, B));
     let from = Lease { token: 4, holder: Some(C) };
     let state = one.acquire(&state, &from).or_fail()?;
     expect_that!(other.acquire(&state, &from), none());
@@ -107,95 +112,98 @@
 }
 
 #[gtest]
-fn a_machine_that_is_no_voter_takes_no_duty() {
-    let core = watch(A, 0, &[B, C, D], &[]);
-    let mut claim = LeaseCandidate::new(LIST, A);
-    expect_that!(claim.lease_to_acquire(60_000, &held(4, B), &[B, C, D], &core), none());
-    expect_that!(claim.lease_to_acquire(60_000, &held(4, A), &[B, C, D], &core), none());
+fn a_node_that_is_no_voter_acquires_no_lease() {
+    let voter_controller = controller(A, 0, &[B, C, D], &[]);
+    let mut candidate = LeaseCandidate::new(ROLE, A);
+    expect_that!(candidate.lease_to_acquire(60_000, &held_by(4, B), &[B, C, D], &voter_controller), none());
+    expect_that!(candidate.lease_to_acquire(60_000, &held_by(4, A), &[B, C, D], &voter_controller), none());
 }
 
 #[gtest]
-fn a_holder_that_slept_holds_nothing_once_it_reads_the_next_fence() -> Result<()> {
-    let mut claim = LeaseCandidate::new(LIST, A);
+fn a_suspended_holder_loses_its_lease_when_it_learns_the_next_token() -> Result<()> {
+    let mut candidate = LeaseCandidate::new(ROLE, A);
     let from = Lease::default();
-    let state = claim.acquire(&ControlState::default(), &from).or_fail()?;
-    expect_that!(claim.change_committed(&state, &from), some(eq(1)));
-    expect_that!(claim.held_token(&held(2, B)), none());
-    // and not again under a number that another life of it took
-    expect_that!(claim.held_token(&held(3, A)), none());
+    let state = candidate.acquire(&ControlState::default(), &from).or_fail()?;
+    expect_that!(candidate.change_committed(&state, &from), some(eq(1)));
+    expect_that!(candidate.held_token(&held_by(2, B)), none());
+    // and not again under a number that another incarnation of it acquired
+    expect_that!(candidate.held_token(&held_by(3, A)), none());
     Ok(())
 }
 
 #[gtest]
-fn what_a_holder_decided_before_it_slept_is_void_once_another_has_the_duty() {
-    expect_that!(holds_lease(&held(4, A), LIST, A, 4), eq(true));
-    expect_that!(holds_lease(&held(5, B), LIST, A, 4), eq(false));
-    // nor under the fence of another life of it
-    expect_that!(holds_lease(&held(5, A), LIST, A, 4), eq(false));
+fn a_stale_fencing_token_does_not_hold_the_lease() {
+    expect_that!(holds_lease(&held_by(4, A), ROLE, A, 4), eq(true));
+    expect_that!(holds_lease(&held_by(5, B), ROLE, A, 4), eq(false));
+    // nor under the token of another incarnation of it
+    expect_that!(holds_lease(&held_by(5, A), ROLE, A, 4), eq(false));
 }
 
 #[gtest]
-fn a_keeper_that_slept_does_not_take_the_others_for_gone() {
-    // given a keeper that asks and hears the others all the time
-    let mut core = watch(A, 0, &[A, B, C, D], &[]);
+fn a_suspended_node_does_not_consider_the_others_lost() {
+    // given a controller that polls the others and gets responses all the time
+    let mut voter_controller = controller(A, 0, &[A, B, C, D], &[]);
     for now in (0..20_000).step_by(250) {
-        core.before_request(now);
-        [B, C, D].iter().for_each(|ip| core.record_response(now, *ip));
+        voter_controller.before_request(now);
+        [B, C, D].iter().for_each(|ip| voter_controller.record_response(now, *ip));
     }
-    // when it sleeps for longer than a voter may be silent, and asks again
-    let woke = 20_000 + times::VOTER_TIMEOUT_MS + 1_000;
-    core.before_request(woke);
-    // then none is gone, neither as a voter nor as a holder
-    expect_that!(core.voter_to_remove(woke, &[A, B, C, D]), none());
-    expect_that!(core.is_presumed_alive(B, woke, times::LEASE_HOLDER_TIMEOUT_MS), eq(true));
-    // but who stays silent is
-    let mut now = woke;
-    while now <= woke + times::VOTER_TIMEOUT_MS + 500 {
-        core.before_request(now);
-        [C, D].iter().for_each(|ip| core.record_response(now, *ip));
+    // when it is suspended for longer than the voter timeout, and polls again
+    let resumed_at = 20_000 + times::VOTER_TIMEOUT_MS + 1_000;
+    voter_controller.before_request(resumed_at);
+    // then none is lost, neither as a voter nor as a lease holder
+    expect_that!(voter_controller.voter_to_remove(resumed_at, &[A, B, C, D]), none());
+    expect_that!(voter_controller.is_presumed_alive(B, resumed_at, times::LEASE_HOLDER_TIMEOUT_MS), eq(true));
+    // but the one that stays unresponsive is
+    let mut now = resumed_at;
+    while now <= resumed_at + times::VOTER_TIMEOUT_MS + 500 {
+        voter_controller.before_request(now);
+        [C, D].iter().for_each(|ip| voter_controller.record_response(now, *ip));
         now += 250;
     }
-    expect_that!(core.voter_to_remove(now, &[A, B, C, D]), some(field!(UnresponsiveVoter.ip, eq(B))));
+    expect_that!(
+        voter_controller.voter_to_remove(now, &[A, B, C, D]),
+        some(field!(UnresponsiveVoter.ip, eq(B)))
+    );
 }
 
 #[gtest]
-fn a_voter_taken_in_a_moment_ago_is_not_gone() {
-    // given a holder that has never heard D
-    let mut core = watch(A, 0, &[A, B, C], &[]);
+fn a_voter_added_just_now_is_not_removed() {
+    // given a node that D has never responded to
+    let mut voter_controller = controller(A, 0, &[A, B, C], &[]);
     for now in (0..12_000).step_by(250) {
-        core.before_request(now);
-        [B, C].iter().for_each(|ip| core.record_response(now, *ip));
+        voter_controller.before_request(now);
+        [B, C].iter().for_each(|ip| voter_controller.record_response(now, *ip));
     }
-    // when another keeper takes D in
-    core.observe(12_000, &[A, B, C, D]);
-    // then it has time to answer
-    expect_that!(core.voter_to_remove(12_000, &[A, B, C, D]), none());
+    // when another node adds D
+    voter_controller.observe(12_000, &[A, B, C, D]);
+    // then it has time to respond
+    expect_that!(voter_controller.voter_to_remove(12_000, &[A, B, C, D]), none());
 }
 
 #[gtest]
-fn a_voter_that_is_replaced_is_removed_soon_and_others_as_late_as_ever() {
+fn a_replaced_voter_is_removed_soon_and_others_only_after_the_full_timeout() {
     let voters = [A, B, C, D];
-    let mut core = watch(A, 0, &[A, B, C], &[]);
+    let mut voter_controller = controller(A, 0, &[A, B, C], &[]);
     let mut now = 0;
-    let mut run = |core: &mut VoterController, until: u64, heard: &[Ipv4Addr]| {
+    let mut run = |voter_controller: &mut VoterController, until: u64, responding: &[Ipv4Addr]| {
         while now < until {
             now += 250;
-            core.before_request(now);
-            heard.iter().for_each(|ip| core.record_response(now, *ip));
+            voter_controller.before_request(now);
+            responding.iter().for_each(|ip| voter_controller.record_response(now, *ip));
         }
         now
     };
-    run(&mut core, 20_000, &[B, C]);
-    // when C is gone, and D joins 1.5 s later
-    run(&mut core, 21_500, &[B]);
-    core.observe(21_500, &voters);
-    let now = run(&mut core, 20_000 + times::REPLACED_VOTER_TIMEOUT_MS + 250, &[B, D]);
+    run(&mut voter_controller, 20_000, &[B, C]);
+    // when C is lost, and D joins 1.5 s later
+    run(&mut voter_controller, 21_500, &[B]);
+    voter_controller.observe(21_500, &voters);
+    let now = run(&mut voter_controller, 20_000 + times::REPLACED_VOTER_TIMEOUT_MS + 250, &[B, D]);
     // then C is removed
-    expect_that!(core.voter_to_remove(now, &voters), some(field!(UnresponsiveVoter.ip, eq(C))));
+    expect_that!(voter_controller.voter_to_remove(now, &voters), some(field!(UnresponsiveVoter.ip, eq(C))));
     expect_that!(VoterController::without_voter(&voters, C), some(eq(&vec![A, B, D])));
     // and of three voters none is
-    core.observe(now, &[A, B, D]);
-    let now = run(&mut core, 60_000, &[B]);
-    expect_that!(core.voter_to_remove(now, &[A, B, D]), none());
+    voter_controller.observe(now, &[A, B, D]);
+    let now = run(&mut voter_controller, 60_000, &[B]);
+    expect_that!(voter_controller.voter_to_remove(now, &[A, B, D]), none());
     expect_that!(VoterController::without_voter(&[A, B, D], D), none());
 }
--- a/system/controllers/tests/membership/random_faults.rs
+++ b/system/controllers/tests/membership/random_faults.rs
@@ -1,246 +1,258 @@
-//! Random trouble, never more machines of a class at once than the fleet bears.
+//! Random faults, never of more nodes of a kind at once than the cluster tolerates.
 
-use crate::cluster::Fleet;
+use crate::cluster::Cluster;
 use controllers::RetireVerdict;
 use googletest::prelude::*;
 
-/// A machine counts as lost until so long after its return, where one may be lost at once.
-const CATCH_UP: u64 = 4_000;
-/// The same where two may be: the second's return begins the filling for the first anew, and with four seconds about four
-/// of a thousand such schedules end with more machines lost than the fleet bears.
-const CATCH_UP_OF_TWO: u64 = 5_000;
-/// By then after the last trouble the roster is as the machines are.
-const SETTLED: u64 = 20_000;
+/// Time in milliseconds after its return for which a node counts as lost, if one may be lost at once.
+const CATCH_UP_MS: u64 = 4_000;
+/// The same if two may be lost: the second's return restarts the backfill of the first, and with four seconds about four
+/// of a thousand such schedules end with more nodes lost than the cluster tolerates.
+const CATCH_UP_OF_TWO_MS: u64 = 5_000;
+/// Time in milliseconds after the last fault by which the roster has to match the live nodes.
+const SETTLE_TIMEOUT_MS: u64 = 20_000;
 const SCHEDULES: u64 = 2_500;
 
-enum Return {
-    Same(u64),
-    Empty(String, u8),
-    End(u64),
-    Restart(usize),
-    Join(usize),
+/// What ends a fault.
+enum Recovery {
+    Restart(u64),
+    StartEmpty(String, u8),
+    Stop(u64),
+    RestartControlNode(usize),
+    HealPartition(usize),
 }
 
-struct Trouble {
-    fleet: Fleet,
-    told: Vec<String>,
-    returns: Vec<(u64, Return)>,
-    /// When each of those that may be lost at once is free again.
+struct FaultInjector {
+    cluster: Cluster,
+    log: Vec<String>,
+    recoveries: Vec<(u64, Recovery)>,
+    /// For each fault that may be active at once, when the next one may start.
     slots: Vec<u64>,
-    /// Until when a planned replacement is under way: a keeper that restarts meanwhile does not know of it.
-    planned: u64,
-    names: u8,
+    /// Until when a planned replacement is under way: a control node that restarts meanwhile does not know of it.
+    planned_until: u64,
+    last_name: u8,
     catch_up: u64,
-    hurt: Vec<u64>,
+    faulty: Vec<u64>,
 }
 
-impl Trouble {
+impl FaultInjector {
     fn new(seed: u64) -> Self {
         let tolerance = if seed.is_multiple_of(3) { 2 } else { 1 };
         let machines = (2 * tolerance + 1 + (seed as usize / 3) % 3) as u8;
-        let fleet = Fleet::new(seed, tolerance, 2 * tolerance as u8 + 1, machines);
+        let cluster = Cluster::new(seed, tolerance, 2 * tolerance as u8 + 1, machines);
         Self {
-            fleet,
-            told: Vec::new(),
-            returns: Vec::new(),
+            cluster,
+            log: Vec::new(),
+            recoveries: Vec::new(),
             slots: vec![0; tolerance],
-            planned: 0,
-            names: 20,
-            catch_up: if tolerance == 2 { CATCH_UP_OF_TWO } else { CATCH_UP },
-            hurt: Vec::new(),
+            planned_until: 0,
+            last_name: 20,
+            catch_up: if tolerance == 2 { CATCH_UP_OF_TWO_MS } else { CATCH_UP_MS },
+            faulty: Vec::new(),
         }
     }
 
-    fn tell(&mut self, what: String) {
-        self.told.push(format!("{}: {what}", self.fleet.now));
+    fn log(&mut self, what: String) {
+        self.log.push(format!("{}: {what}", self.cluster.now));
     }
 
     fn new_name(&mut self) -> (String, u8) {
-        self.names += 1;
-        (format!("s{}", self.names), self.names)
+        self.last_name += 1;
+        (format!("s{}", self.last_name), self.last_name)
     }
 
-    /// Live machines that are no one's trouble now.
-    fn well(&self) -> Vec<u64> {
-        let roster = self.fleet.roster();
+    /// Disks of the current, live nodes without a fault.
+    fn healthy(&self) -> Vec<u64> {
+        let roster = self.cluster.roster();
         roster
             .current
             .iter()
             .filter(|store| !roster.retiring.contains(&store.name))
             .map(|store| store.disk)
-            .filter(|disk| !self.hurt.contains(disk))
+            .filter(|disk| !self.faulty.contains(disk))
             .filter(|disk| {
-                self.fleet.machines.iter().any(|machine| machine.store.disk == *disk && machine.up)
+                self.cluster.machines.iter().any(|machine| machine.store.disk == *disk && machine.up)
             })
             .collect()
     }
 
-    fn some_machine(&mut self) -> Option<u64> {
-        let well = self.well();
-        match well.len() as u64 {
+    fn random_healthy_disk(&mut self) -> Option<u64> {
+        let healthy = self.healthy();
+        match healthy.len() as u64 {
             0 => None,
-            count => Some(well[self.fleet.draw(count) as usize]),
+            count => Some(healthy[self.cluster.random_below(count) as usize]),
         }
     }
 
     fn step(&mut self) {
-        let now = self.fleet.now;
-        let due: Vec<Return> = {
-            let (due, later) = std::mem::take(&mut self.returns).into_iter().partition(|(at, _)| *at <= now);
-            self.returns = later;
+        let now = self.cluster.now;
+        let due: Vec<Recovery> = {
+            let (due, later) =
+                std::mem::take(&mut self.recoveries).into_iter().partition(|(at, _)| *at <= now);
+            self.recoveries = later;
             due.into_iter().map(|(_, back)| back).collect()
         };
         for back in due {
             match back {
-                Return::Same(disk) => self.fleet.come_back(disk),
-                Return::Empty(name, ip) => drop(self.fleet.start(&name, ip)),
-                Return::End(disk) => self.fleet.stop(disk),
-                Return::Restart(at) => self.fleet.restart_keeper(at),
-                Return::Join(at) => self.fleet.keepers[at].cut = false,
+                Recovery::Restart(disk) => self.cluster.restart(disk),
+                Recovery::StartEmpty(name, ip) => drop(self.cluster.start(&name, ip)),
+                Recovery::Stop(disk) => self.cluster.stop(disk),
+                Recovery::RestartControlNode(at) => self.cluster.restart_control_node(at),
+                Recovery::HealPartition(at) => self.cluster.control_nodes[at].partitioned = false,
             }
         }
         if let Some(slot) = self.slots.iter().position(|free| *free <= now) {
-            self.slots[slot] = match self.fleet.draw(25) {
-                0..3 => self.trouble_storage(),
-                3 => self.trouble_core(),
+            self.slots[slot] = match self.cluster.random_below(25) {
+                0..3 => self.inject_storage_fault(),
+                3 => self.inject_control_fault(),
                 _ => now,
             };
         }
     }
 
-    fn trouble_storage(&mut self) -> u64 {
-        let now = self.fleet.now;
-        let Some(disk) = self.some_machine() else { return now };
-        let store = self.fleet.machine(disk).store.clone();
-        let back = now + 300 + self.fleet.draw(1_700);
+    fn inject_storage_fault(&mut self) -> u64 {
+        let now = self.cluster.now;
+        let Some(disk) = self.random_healthy_disk() else { return now };
+        let store = self.cluster.machine(disk).store.clone();
+        let back = now + 300 + self.cluster.random_below(1_700);
         let ip = store.ip.octets()[3];
-        let kind = self.fleet.draw(8);
+        let kind = self.cluster.random_below(8);
         if kind != 6 && kind != 7 {
-            self.hurt.push(disk);
+            self.faulty.push(disk);
         }
-        let told =
+        let descriptions =
             ["freezes", "is killed", "is wiped", "is replaced", "is replaced by name", "is to be replaced"];
-        if let Some(told) = told.get(kind as usize) {
-            self.tell(format!("{} (disk {disk}) {told}, back at {back}", store.name));
+        if let Some(description) = descriptions.get(kind as usize) {
+            self.log(format!("{} (disk {disk}) {description}, back at {back}", store.name));
         }
         match kind {
             0 => {
-                let for_ms = 500 + self.fleet.draw(3_500);
-                self.fleet.freeze(disk, for_ms);
-                self.hurt.retain(|other| *other != disk);
-                return now + for_ms + self.catch_up;
+                let duration_ms = 500 + self.cluster.random_below(3_500);
+                self.cluster.freeze(disk, duration_ms);
+                self.faulty.retain(|other| *other != disk);
+                return now + duration_ms + self.catch_up;
             }
             1 => {
-                self.fleet.stop(disk);
-                self.returns.push((back, Return::Same(disk)));
-                self.hurt.retain(|other| *other != disk);
+                self.cluster.stop(disk);
+                self.recoveries.push((back, Recovery::Restart(disk)));
+                self.faulty.retain(|other| *other != disk);
             }
             2 => {
-                self.fleet.stop(disk);
-                self.returns.push((back, Return::Empty(store.name, ip)));
+                self.cluster.stop(disk);
+                self.recoveries.push((back, Recovery::StartEmpty(store.name, ip)));
             }
             3 => {
-                self.fleet.stop(disk);
+                self.cluster.stop(disk);
                 let (name, ip) = self.new_name();
-                let back = now + 1_000 + self.fleet.draw(1_000);
-                self.returns.push((back, Return::Empty(name, ip)));
+                let back = now + 1_000 + self.cluster.random_below(1_000);
+                self.recoveries.push((back, Recovery::StartEmpty(name, ip)));
                 return back + self.catch_up;
             }
             4 => {
-                self.fleet.stop(disk);
+                self.cluster.stop(disk);
                 let (_, ip) = self.new_name();
-                self.returns.push((back, Return::Empty(store.name, ip)));
+                self.recoveries.push((back, Recovery::StartEmpty(store.name, ip)));
             }
             5 => {
-                let (name, ip) = self.new_name();
-                let name = if self.fleet.draw(2) == 0 { name } else { store.name };
-                self.fleet.start(&name, ip);
-                let ends = now + 4_000 + self.fleet.draw(2_000);
-                self.returns.push((ends, Return::End(disk)));
-                self.planned = self.planned.max(ends + self.catch_up);
-                return ends + self.catch_up + 2_000;
+                return self.start_planned_replacement(disk, store.name);
             }
             6 => {
                 let (name, ip) = self.new_name();
-                self.fleet.start(&name, ip);
-                self.tell(format!("{name} joins"));
+                self.cluster.start(&name, ip);
+                self.log(format!("{name} joins"));
                 return now + 500;
             }
-            // An operator retires none of those that are needed once the lost ones have left.
-            _ if self.well().len() <= self.fleet.least() => return now,
+            // An operator retires no node that is needed once the lost ones have been removed.
+            _ if self.healthy().len() <= self.cluster.min_nodes() => return now,
             _ => {
-                let verdict = self.fleet.retire(&store.name);
-                self.tell(format!("{} is to retire: {verdict:?}", store.name));
+                let verdict = self.cluster.retire(&store.name);
+                self.log(format!("{} is to retire: {verdict:?}", store.name));
                 return if verdict == RetireVerdict::Active { now + self.catch_up } else { now };
             }
         }
         back + self.catch_up
     }
 
-    fn trouble_core(&mut self) -> u64 {
-        let now = self.fleet.now;
-        let count = self.fleet.keepers.len() as u64;
-        let at = match self.fleet.holder() {
-            Some(holder) if self.fleet.draw(2) == 0 => holder,
-            _ => self.fleet.draw(count) as usize,
+    /// Starts a new node and stops the one that it replaces some seconds later; returns when the next fault may start.
+    fn start_planned_replacement(&mut self, disk: u64, replaced_name: String) -> u64 {
+        let now = self.cluster.now;
+        let (name, ip) = self.new_name();
+        let name = if self.cluster.random_below(2) == 0 { name } else { replaced_name };
+        self.cluster.start(&name, ip);
+        let ends = now + 4_000 + self.cluster.random_below(2_000);
+        self.recoveries.push((ends, Recovery::Stop(disk)));
+        self.planned_until = self.planned_until.max(ends + self.catch_up);
+        ends + self.catch_up + 2_000
+    }
+
+    fn inject_control_fault(&mut self) -> u64 {
+        let now = self.cluster.now;
+        let count = self.cluster.control_nodes.len() as u64;
+        let at = match self.cluster.lease_holder() {
+            Some(holder) if self.cluster.random_below(2) == 0 => holder,
+            _ => self.cluster.random_below(count) as usize,
         };
-        if !self.fleet.keepers[at].up || self.fleet.keepers[at].cut {
+        if !self.cluster.control_nodes[at].up || self.cluster.control_nodes[at].partitioned {
             return now;
         }
-        let for_ms = 500 + self.fleet.draw(3_500);
-        let kind = match self.fleet.draw(3) {
-            1 if now < self.planned => 0,
+        let duration_ms = 500 + self.cluster.random_below(3_500);
+        let kind = match self.cluster.random_below(3) {
+            1 if now < self.planned_until => 0,
             kind => kind,
         };
-        self.tell(format!("keeper {at} {} for {for_ms}", ["freezes", "dies", "is cut off"][kind as usize]));
+        self.log(format!(
+            "node {at} {} for {duration_ms}",
+            ["freezes", "dies", "is partitioned off"][kind as usize]
+        ));
         match kind {
-            0 => self.fleet.freeze_keeper(at, for_ms),
+            0 => self.cluster.freeze_control_node(at, duration_ms),
             1 => {
-                self.fleet.keepers[at].up = false;
-                self.returns.push((now + for_ms, Return::Restart(at)));
+                self.cluster.control_nodes[at].up = false;
+                self.recoveries.push((now + duration_ms, Recovery::RestartControlNode(at)));
             }
             _ => {
-                self.fleet.keepers[at].cut = true;
-                self.returns.push((now + for_ms, Return::Join(at)));
+                self.cluster.control_nodes[at].partitioned = true;
+                self.recoveries.push((now + duration_ms, Recovery::HealPartition(at)));
             }
         }
-        now + for_ms + self.catch_up
+        now + duration_ms + self.catch_up
     }
 
-    fn play(&mut self, for_ms: u64) {
-        let until = self.fleet.now + for_ms;
-        while self.fleet.now < until {
+    fn run(&mut self, duration_ms: u64) {
+        let until = self.cluster.now + duration_ms;
+        while self.cluster.now < until {
             self.step();
-            self.fleet.run(200);
+            self.cluster.run(200);
         }
-        while !self.returns.is_empty() {
-            let now = self.fleet.now;
-            // What has begun comes to its end; nothing new begins.
+        while !self.recoveries.is_empty() {
+            let now = self.cluster.now;
+            // The active faults end; no new one starts.
             self.slots.iter_mut().for_each(|free| *free = now + 100_000);
             self.step();
-            self.fleet.run(200);
+            self.cluster.run(200);
         }
     }
 }
 
 #[gtest]
-fn the_roster_keeps_its_rules_and_settles_under_random_trouble() {
+fn the_invariants_hold_and_the_roster_settles_under_random_faults() {
     let mut changes = 0;
     for seed in 0..SCHEDULES {
-        let mut trouble = Trouble::new(seed);
-        trouble.play(25_000);
-        let took = trouble.fleet.run_until(SETTLED, Fleet::is_settled);
-        let broken = trouble.fleet.broken();
-        let holder = trouble.fleet.holder().is_some_and(|at| trouble.fleet.keepers[at].up);
-        changes += trouble.fleet.history.len();
-        if took.is_none() || !broken.is_empty() || !holder {
-            let rosters: Vec<String> = trouble
-                .fleet
+        let mut injector = FaultInjector::new(seed);
+        injector.run(25_000);
+        let elapsed = injector.cluster.run_until(SETTLE_TIMEOUT_MS, Cluster::is_settled);
+        let violations = injector.cluster.violations();
+        let has_live_holder =
+            injector.cluster.lease_holder().is_some_and(|at| injector.cluster.control_nodes[at].up);
+        changes += injector.cluster.history.len();
+        if elapsed.is_none() || !violations.is_empty() || !has_live_holder {
+            let rosters: Vec<String> = injector
+                .cluster
                 .history
                 .iter()
                 .filter_map(|(at, event)| match event {
                     crate::cluster::Event::Roster(roster, waived) => Some(format!(
-                        "{at}: {} {:?} -> {:?} filled {:?} waived {waived:?}",
+                        "{at}: {} {:?} -> {:?} in sync {:?} waived {waived:?}",
                         roster.epoch,
                         roster.current.iter().map(|store| (&store.name, store.disk)).collect::<Vec<_>>(),
                         roster
@@ -253,13 +265,13 @@
                 })
                 .collect();
             panic!(
-                "seed {seed}, settled {took:?}, held {holder}, broken {broken:#?}\n{}\n{}\nretiring {:?}",
-                trouble.told.join("\n"),
+                "seed {seed}, settled {elapsed:?}, live lease holder {has_live_holder}, violations {violations:#?}\n{}\n{}\nretiring {:?}",
+                injector.log.join("\n"),
                 rosters.join("\n"),
-                trouble.fleet.roster().retiring,
+                injector.cluster.roster().retiring,
             );
         }
     }
-    // Trouble that changes nothing would show nothing.
+    // Faults that change nothing would prove nothing.
     expect_that!(changes as u64, gt(SCHEDULES * 20));
 }
--- a/system/controllers/tests/membership/roster_changes.rs
+++ b/system/controllers/tests/membership/roster_changes.rs
@@ -5,14 +5,14 @@
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 
-const LEAST: usize = 3;
+const MIN_NODES: usize = 3;
 
-fn store(name: &str, ip: u8, disk: u64) -> StorageNode {
+fn storage_node(name: &str, ip: u8, disk: u64) -> StorageNode {
     StorageNode { name: name.into(), ip: Ipv4Addr::new(10, 3, 0, ip), zone: "a".into(), disk }
 }
 
-fn founded(names: &[&str]) -> ControlState {
-    let stores = (1..).zip(names).map(|(at, name)| store(name, at, at.into()));
+fn bootstrapped(names: &[&str]) -> ControlState {
+    let stores = (1..).zip(names).map(|(at, name)| storage_node(name, at, at.into()));
     let mut state = ControlState::default();
     state.roster.epoch = 7;
     state.roster.current = stores.collect();
@@ -20,7 +20,7 @@
 }
 
 fn changing(names: &[&str], next: &[&StorageNode]) -> ControlState {
-    let mut state = founded(names);
+    let mut state = bootstrapped(names);
     let mut next: Vec<StorageNode> = next.iter().map(|store| (*store).clone()).collect();
     next.sort();
     state.roster.next = Some(next);
@@ -31,41 +31,41 @@
     stores.iter().map(|store| store.name.as_str()).collect()
 }
 
-fn all_fill(mut state: ControlState) -> ControlState {
+fn complete_all_backfills(mut state: ControlState) -> ControlState {
     let epoch = state.roster.epoch;
     for store in state.roster.next.clone().unwrap_or_default() {
-        state = complete_backfill(&state, Some(store.disk), epoch, &[], LEAST).unwrap_or(state);
+        state = complete_backfill(&state, Some(store.disk), epoch, &[], MIN_NODES).unwrap_or(state);
     }
     state
 }
 
-fn gathered(count: u8) -> Result<ControlState> {
+fn bootstrapping(count: u8) -> Result<ControlState> {
     let mut state = ControlState::default();
     for at in 1..=count {
-        state = join(&state, &store(&format!("s{at}"), at, at.into()), LEAST).or_fail()?;
+        state = join(&state, &storage_node(&format!("s{at}"), at, at.into()), MIN_NODES).or_fail()?;
     }
     Ok(state)
 }
 
 #[gtest]
-fn the_first_machines_count_once_all_of_enough_are_full_and_so_do_later_ones() -> Result<()> {
+fn the_first_set_becomes_current_once_in_sync_and_so_do_later_ones() -> Result<()> {
     // given a fleet without storage machines, when three come, enough for one loss, then they gather;
-    let mut state = gathered(3)?;
+    let mut state = bootstrapping(3)?;
     expect_that!(state.roster.current, is_empty());
     expect_that!(names(state.roster.next.as_ref().or_fail()?), elements_are![&"s1", &"s2", &"s3"]);
-    // and count when each has told that it is full for this
-    state = all_fill(state);
+    // and become current when each has reported to be in sync for this
+    state = complete_all_backfills(state);
     expect_that!(names(&state.roster.current), elements_are![&"s1", &"s2", &"s3"]);
     expect_that!(state.roster.next, none());
-    // and when a fourth comes, it counts once all four are full
-    state = join(&state, &store("s4", 4, 4), LEAST).or_fail()?;
+    // and when a fourth comes, it becomes current once all four are in sync
+    state = join(&state, &storage_node("s4", 4, 4), MIN_NODES).or_fail()?;
     expect_that!(state.roster.current.len(), eq(3));
     let epoch = state.roster.epoch;
     for disk in 1..=3 {
-        state = complete_backfill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
+        state = complete_backfill(&state, Some(disk), epoch, &[], MIN_NODES).or_fail()?;
         expect_that!(state.roster.current.len(), eq(3));
     }
-    state = complete_backfill(&state, Some(4), epoch, &[], LEAST).or_fail()?;
+    state = complete_backfill(&state, Some(4), epoch, &[], MIN_NODES).or_fail()?;
     expect_that!(names(&state.roster.current), elements_are![&"s1", &"s2", &"s3", &"s4"]);
     expect_that!(state.roster.next, none());
     expect_that!(state.roster.epoch, eq(epoch + 1));
@@ -73,91 +73,94 @@
 }
 
 #[gtest]
-fn fewer_machines_count_only_when_the_founding_has_waited_and_all_of_them_are_full() -> Result<()> {
-    let state = gathered(2)?;
+fn a_set_below_the_minimum_becomes_current_only_by_the_bootstrap_step() -> Result<()> {
+    let state = bootstrapping(2)?;
     let epoch = state.roster.epoch;
-    expect_that!(RosterStep::Bootstrap.apply_to(&state, epoch, LEAST), none());
-    let state = all_fill(state);
+    expect_that!(RosterStep::Bootstrap.apply_to(&state, epoch, MIN_NODES), none());
+    let state = complete_all_backfills(state);
     expect_that!(state.roster.current, is_empty());
-    expect_that!(RosterStep::Bootstrap.apply_to(&state, epoch + 1, LEAST), none());
-    let founded = RosterStep::Bootstrap.apply_to(&state, epoch, LEAST).or_fail()?;
-    expect_that!(names(&founded.roster.current), elements_are![&"s1", &"s2"]);
-    expect_that!(founded.roster.epoch, eq(epoch + 1));
+    expect_that!(RosterStep::Bootstrap.apply_to(&state, epoch + 1, MIN_NODES), none());
+    let bootstrapped = RosterStep::Bootstrap.apply_to(&state, epoch, MIN_NODES).or_fail()?;
+    expect_that!(names(&bootstrapped.roster.current), elements_are![&"s1", &"s2"]);
+    expect_that!(bootstrapped.roster.epoch, eq(epoch + 1));
     // and a third is the next set's, and not at once the current one's
-    let state = join(&founded, &store("s3", 3, 3), LEAST).or_fail()?;
+    let state = join(&bootstrapped, &storage_node("s3", 3, 3), MIN_NODES).or_fail()?;
     expect_that!(state.roster.current.len(), eq(2));
-    expect_that!(all_fill(state).roster.current.len(), eq(3));
+    expect_that!(complete_all_backfills(state).roster.current.len(), eq(3));
     Ok(())
 }
 
 #[gtest]
-fn a_machine_wiped_before_the_founding_is_no_reason_to_found_without_it() -> Result<()> {
-    // given three that gather, of which all but the third are full
-    let mut state = gathered(3)?;
+fn a_node_wiped_before_the_bootstrap_is_still_waited_for() -> Result<()> {
+    // given three that gather, of which all but the third are in sync
+    let mut state = bootstrapping(3)?;
     let epoch = state.roster.epoch;
     for disk in [1, 2] {
-        state = complete_backfill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
+        state = complete_backfill(&state, Some(disk), epoch, &[], MIN_NODES).or_fail()?;
     }
     // when that one comes with another disk, then all three gather anew
-    let state = join(&state, &store("s3", 3, 33), LEAST).or_fail()?;
+    let state = join(&state, &storage_node("s3", 3, 33), MIN_NODES).or_fail()?;
     expect_that!(state.roster.current, is_empty());
     expect_that!(state.roster.in_sync, is_empty());
-    expect_that!(all_fill(state).roster.current.len(), eq(3));
+    expect_that!(complete_all_backfills(state).roster.current.len(), eq(3));
     Ok(())
 }
 
 #[gtest]
-fn a_change_to_one_machine_that_loses_its_disk_leaves_the_others_current() -> Result<()> {
-    // given two of which the first is given up
-    let state = remove_node(&founded(&["a", "b"]), &store("a", 1, 1), 7, 1).or_fail()?;
-    // when the second comes back without its disk, before it told that it is full
-    let state = join(&state, &store("b", 2, 22), LEAST).or_fail()?;
-    // then what counts are still the two: nobody has what they held
+fn a_change_to_one_node_that_loses_its_disk_keeps_the_current_set() -> Result<()> {
+    // given two of which the first is removed
+    let state = remove_node(&bootstrapped(&["a", "b"]), &storage_node("a", 1, 1), 7, 1).or_fail()?;
+    // when the second comes back without its disk, before it reported to be in sync
+    let state = join(&state, &storage_node("b", 2, 22), MIN_NODES).or_fail()?;
+    // then the two are still current: no node has the records that they stored
     expect_that!(names(&state.roster.current), elements_are![&"a", &"b"]);
     Ok(())
 }
 
 #[gtest]
-fn nobody_is_retired_before_the_founding() -> Result<()> {
-    expect_that!(retire(&gathered(4)?, "s4", LEAST), eq(&(None, RetireVerdict::TooFew { remaining: 3 })));
+fn no_node_is_retired_before_the_bootstrap() -> Result<()> {
+    expect_that!(
+        retire(&bootstrapping(4)?, "s4", MIN_NODES),
+        eq(&(None, RetireVerdict::TooFew { remaining: 3 }))
+    );
     Ok(())
 }
 
 #[gtest]
-fn a_machine_that_is_in_changes_nothing() {
-    let state = founded(&["a", "b", "c"]);
-    expect_that!(join(&state, &store("b", 2, 2), LEAST), none());
+fn a_join_of_a_member_changes_nothing() {
+    let state = bootstrapped(&["a", "b", "c"]);
+    expect_that!(join(&state, &storage_node("b", 2, 2), MIN_NODES), none());
 }
 
 #[gtest]
-fn a_wiped_machine_takes_its_own_place_also_while_another_change_is_under_way() -> Result<()> {
-    // given that d is being taken in, and two are full for it
-    let state = join(&founded(&["a", "b", "c"]), &store("d", 4, 4), LEAST).or_fail()?;
-    let state = complete_backfill(&state, Some(1), state.roster.epoch, &[], LEAST).or_fail()?;
+fn a_wiped_node_replaces_its_old_disk_also_during_another_change() -> Result<()> {
+    // given that d is being added, and two are in sync for it
+    let state = join(&bootstrapped(&["a", "b", "c"]), &storage_node("d", 4, 4), MIN_NODES).or_fail()?;
+    let state = complete_backfill(&state, Some(1), state.roster.epoch, &[], MIN_NODES).or_fail()?;
     let former = state.roster.epoch;
     // when b comes back without its disk
-    let state = join(&state, &store("b", 2, 22), LEAST).or_fail()?;
-    // then the next set has its new disk for the old, and all fill anew
+    let state = join(&state, &storage_node("b", 2, 22), MIN_NODES).or_fail()?;
+    // then the next set has its new disk for the old, and all backfill anew
     let next = state.roster.next.clone().or_fail()?;
     expect_that!(next.iter().map(|store| store.disk).collect::<Vec<_>>(), elements_are![&1, &22, &3, &4]);
     expect_that!(state.roster.in_sync.len(), eq(0));
     expect_that!(state.roster.epoch, eq(former + 1));
-    // and what is told for the former epoch counts no more
-    expect_that!(complete_backfill(&state, Some(3), former, &[], LEAST), none());
+    // and a report for the former epoch is ignored
+    expect_that!(complete_backfill(&state, Some(3), former, &[], MIN_NODES), none());
     Ok(())
 }
 
 #[gtest]
-fn a_change_that_is_full_but_for_a_wiped_machine_counts_when_that_one_returns() -> Result<()> {
-    // given that d is being taken in, and all but b are full for it
-    let mut state = join(&founded(&["a", "b", "c"]), &store("d", 4, 4), LEAST).or_fail()?;
+fn a_change_in_sync_except_for_a_wiped_node_completes_when_that_node_rejoins() -> Result<()> {
+    // given that d is being added, and all but b are in sync for it
+    let mut state = join(&bootstrapped(&["a", "b", "c"]), &storage_node("d", 4, 4), MIN_NODES).or_fail()?;
     let epoch = state.roster.epoch;
     for disk in [1, 3, 4] {
-        state = complete_backfill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
+        state = complete_backfill(&state, Some(disk), epoch, &[], MIN_NODES).or_fail()?;
     }
     // when b comes back without its disk
-    let state = join(&state, &store("b", 2, 22), LEAST).or_fail()?;
-    // then d counts, and b's new disk is the next change
+    let state = join(&state, &storage_node("b", 2, 22), MIN_NODES).or_fail()?;
+    // then d is current, and b's new disk is the next change
     expect_that!(names(&state.roster.current), elements_are![&"a", &"b", &"c", &"d"]);
     expect_that!(state.roster.current[1].disk, eq(2));
     expect_that!(state.roster.next.as_ref().or_fail()?[1].disk, eq(22));
@@ -166,155 +169,164 @@
 }
 
 #[gtest]
-fn two_machines_wiped_one_after_the_other_are_both_made_good() -> Result<()> {
-    let state = founded(&["a", "b", "c"]);
-    let state = all_fill(join(&state, &store("b", 2, 22), LEAST).or_fail()?);
-    let state = all_fill(join(&state, &store("c", 3, 33), LEAST).or_fail()?);
+fn two_nodes_wiped_in_sequence_are_both_repaired() -> Result<()> {
+    let state = bootstrapped(&["a", "b", "c"]);
+    let state = complete_all_backfills(join(&state, &storage_node("b", 2, 22), MIN_NODES).or_fail()?);
+    let state = complete_all_backfills(join(&state, &storage_node("c", 3, 33), MIN_NODES).or_fail()?);
     let disks: Vec<u64> = state.roster.current.iter().map(|store| store.disk).collect();
     expect_that!(disks, elements_are![&1, &22, &33]);
     Ok(())
 }
 
 #[gtest]
-fn several_spares_at_once_are_one_set_in_the_end() -> Result<()> {
-    let mut state = founded(&["a", "b", "c"]);
+fn several_spares_that_join_at_once_form_one_set() -> Result<()> {
+    let mut state = bootstrapped(&["a", "b", "c"]);
     for at in 4..=6 {
-        state = join(&state, &store(&format!("s{at}"), at, at.into()), LEAST).or_fail()?;
+        state = join(&state, &storage_node(&format!("s{at}"), at, at.into()), MIN_NODES).or_fail()?;
     }
-    expect_that!(all_fill(state).roster.current.len(), eq(6));
+    expect_that!(complete_all_backfills(state).roster.current.len(), eq(6));
     Ok(())
 }
 
 #[gtest]
-fn the_earlier_of_two_machines_with_one_name_takes_nothing_back() -> Result<()> {
+fn the_earlier_of_two_nodes_of_one_name_cannot_rejoin() -> Result<()> {
     // given that b is replaced at another address while the old one still runs
-    let state = join(&founded(&["a", "b", "c"]), &store("b", 9, 99), LEAST).or_fail()?;
+    let state = join(&bootstrapped(&["a", "b", "c"]), &storage_node("b", 9, 99), MIN_NODES).or_fail()?;
     // when the old one sees that it has no place, and asks for one
-    // then it gets none: the two would push each other out for as long as both run
-    expect_that!(join(&state, &store("b", 2, 2), LEAST), none());
+    // then it gets none: the two would replace each other for as long as both run
+    expect_that!(join(&state, &storage_node("b", 2, 2), MIN_NODES), none());
     Ok(())
 }
 
 #[gtest]
-fn a_machine_given_up_that_returns_takes_its_place_again() -> Result<()> {
-    let state = founded(&["a", "b", "c", "d"]);
-    let state = remove_node(&state, &store("b", 2, 2), 7, LEAST).or_fail()?;
-    let state = join(&state, &store("b", 2, 2), LEAST).or_fail()?;
+fn a_removed_node_that_returns_rejoins() -> Result<()> {
+    let state = bootstrapped(&["a", "b", "c", "d"]);
+    let state = remove_node(&state, &storage_node("b", 2, 2), 7, MIN_NODES).or_fail()?;
+    let state = join(&state, &storage_node("b", 2, 2), MIN_NODES).or_fail()?;
     expect_that!(state.roster.next, none());
     expect_that!(state.roster.current.len(), eq(4));
     Ok(())
 }
 
 #[gtest]
-fn a_newcomer_with_ones_name_and_anothers_address_does_not_make_the_set_too_small() {
-    let state = founded(&["a", "b", "c"]);
-    expect_that!(join(&state, &store("a", 2, 9), LEAST), none());
+fn a_join_that_would_replace_two_members_below_the_minimum_is_rejected() {
+    let state = bootstrapped(&["a", "b", "c"]);
+    expect_that!(join(&state, &storage_node("a", 2, 9), MIN_NODES), none());
 }
 
 #[gtest]
-fn a_set_becomes_current_without_those_waived_but_not_without_others() -> Result<()> {
-    let state = changing(&["a", "b", "c"], &[&store("a", 1, 1), &store("b", 2, 22), &store("c", 3, 3)]);
-    let state = complete_backfill(&state, Some(1), 7, &[], LEAST).or_fail()?;
-    expect_that!(complete_backfill(&state, None, 7, &[3], LEAST), none());
-    let state = complete_backfill(&state, Some(22), 7, &[], LEAST).or_fail()?;
+fn a_set_becomes_current_without_waived_nodes_only() -> Result<()> {
+    let state = changing(
+        &["a", "b", "c"],
+        &[&storage_node("a", 1, 1), &storage_node("b", 2, 22), &storage_node("c", 3, 3)],
+    );
+    let state = complete_backfill(&state, Some(1), 7, &[], MIN_NODES).or_fail()?;
+    expect_that!(complete_backfill(&state, None, 7, &[3], MIN_NODES), none());
+    let state = complete_backfill(&state, Some(22), 7, &[], MIN_NODES).or_fail()?;
     expect_that!(state.roster.next, some(anything()));
-    let state = complete_backfill(&state, None, 7, &[3], LEAST).or_fail()?;
+    let state = complete_backfill(&state, None, 7, &[3], MIN_NODES).or_fail()?;
     expect_that!(state.roster.next, none());
     Ok(())
 }
 
 #[gtest]
-fn none_is_given_up_where_too_few_are_left_or_the_roster_has_moved_on() {
-    expect_that!(remove_node(&founded(&["a", "b", "c"]), &store("b", 2, 2), 7, LEAST), none());
-    let state = founded(&["a", "b", "c", "d"]);
-    expect_that!(remove_node(&state, &store("b", 2, 2), 6, LEAST), none());
-    expect_that!(remove_node(&state, &store("e", 5, 5), 7, LEAST), none());
+fn no_node_is_removed_below_the_minimum_or_under_a_stale_epoch() {
+    expect_that!(
+        remove_node(&bootstrapped(&["a", "b", "c"]), &storage_node("b", 2, 2), 7, MIN_NODES),
+        none()
+    );
+    let state = bootstrapped(&["a", "b", "c", "d"]);
+    expect_that!(remove_node(&state, &storage_node("b", 2, 2), 6, MIN_NODES), none());
+    expect_that!(remove_node(&state, &storage_node("e", 5, 5), 7, MIN_NODES), none());
 }
 
 #[gtest]
-fn a_newcomer_that_dies_is_not_given_up_back_to_the_former_set() -> Result<()> {
-    // given that e is being taken in: turns are kept by it and one other
-    let state = join(&founded(&["a", "b", "c"]), &store("e", 5, 5), LEAST).or_fail()?;
-    // when it is gone, then the former set does not come back without a filling: those turns have one copy
-    expect_that!(remove_node(&state, &store("e", 5, 5), state.roster.epoch, LEAST), none());
-    // but once the set counts, it leaves like any other
-    let mut counted = state.clone();
+fn a_failed_joining_node_is_not_removed_before_the_change_completes() -> Result<()> {
+    // given that e is being added: turns are stored by it and one other
+    let state = join(&bootstrapped(&["a", "b", "c"]), &storage_node("e", 5, 5), MIN_NODES).or_fail()?;
+    // when it is lost, then the former set does not come back without a backfill: those turns have one copy
+    expect_that!(remove_node(&state, &storage_node("e", 5, 5), state.roster.epoch, MIN_NODES), none());
+    // but once the set is current, it leaves like any other
+    let mut completed = state.clone();
     for disk in 1..=3 {
-        counted = complete_backfill(&counted, Some(disk), state.roster.epoch, &[5], LEAST).or_fail()?;
+        completed =
+            complete_backfill(&completed, Some(disk), state.roster.epoch, &[5], MIN_NODES).or_fail()?;
     }
-    expect_that!(counted.roster.next, none());
-    let left = remove_node(&counted, &store("e", 5, 5), counted.roster.epoch, LEAST).or_fail()?;
-    expect_that!(names(&left.roster.next.or_fail()?), elements_are![&"a", &"b", &"c"]);
+    expect_that!(completed.roster.next, none());
+    let remaining =
+        remove_node(&completed, &storage_node("e", 5, 5), completed.roster.epoch, MIN_NODES).or_fail()?;
+    expect_that!(names(&remaining.roster.next.or_fail()?), elements_are![&"a", &"b", &"c"]);
     Ok(())
 }
 
 #[gtest]
-fn a_retire_is_active_until_the_others_are_full() -> Result<()> {
-    let state = founded(&["a", "b", "c", "d"]);
+fn a_retirement_is_active_until_the_others_are_in_sync() -> Result<()> {
+    let state = bootstrapped(&["a", "b", "c", "d"]);
     expect_that!(retire_status(&state, "d"), eq(RetireVerdict::Serving));
-    let (state, verdict) = retire(&state, "d", LEAST);
+    let (state, verdict) = retire(&state, "d", MIN_NODES);
     expect_that!(verdict, eq(RetireVerdict::Active));
     let state = state.or_fail()?;
     // when it is sent twice, then nothing changes
-    expect_that!(retire(&state, "d", LEAST), eq(&(None, RetireVerdict::Active)));
-    // when the others are full, then it is done, and stays so
-    let state = all_fill(state);
+    expect_that!(retire(&state, "d", MIN_NODES), eq(&(None, RetireVerdict::Active)));
+    // when the others are in sync, then it is done, and stays so
+    let state = complete_all_backfills(state);
     expect_that!(retire_status(&state, "d"), eq(RetireVerdict::Completed));
-    expect_that!(retire(&state, "d", LEAST), eq(&(None, RetireVerdict::Completed)));
+    expect_that!(retire(&state, "d", MIN_NODES), eq(&(None, RetireVerdict::Completed)));
     // and a machine of that name, emptied or not, stays out
-    expect_that!(join(&state, &store("d", 4, 4), LEAST), none());
-    expect_that!(join(&state, &store("d", 4, 44), LEAST), none());
+    expect_that!(join(&state, &storage_node("d", 4, 4), MIN_NODES), none());
+    expect_that!(join(&state, &storage_node("d", 4, 44), MIN_NODES), none());
     Ok(())
 }
 
 #[gtest]
-fn a_retire_while_one_is_down_goes_on_without_waiting_for_that_one() -> Result<()> {
-    let (state, _) = retire(&founded(&["a", "b", "c", "d"]), "d", LEAST);
+fn a_retirement_does_not_wait_for_a_waived_node() -> Result<()> {
+    let (state, _) = retire(&bootstrapped(&["a", "b", "c", "d"]), "d", MIN_NODES);
     let mut state = state.or_fail()?;
     let epoch = state.roster.epoch;
     for disk in [1, 2] {
-        state = complete_backfill(&state, Some(disk), epoch, &[], LEAST).or_fail()?;
+        state = complete_backfill(&state, Some(disk), epoch, &[], MIN_NODES).or_fail()?;
     }
-    let state = complete_backfill(&state, None, epoch, &[3], LEAST).or_fail()?;
+    let state = complete_backfill(&state, None, epoch, &[3], MIN_NODES).or_fail()?;
     expect_that!(retire_status(&state, "d"), eq(RetireVerdict::Completed));
     Ok(())
 }
 
 #[gtest]
-fn a_retire_that_would_leave_too_few_or_names_nobody_changes_nothing() {
-    let state = founded(&["a", "b", "c"]);
-    expect_that!(retire(&state, "c", LEAST), eq(&(None, RetireVerdict::TooFew { remaining: 2 })));
-    expect_that!(retire(&state, "z", LEAST), eq(&(None, RetireVerdict::Unknown)));
+fn a_retirement_below_the_minimum_or_of_an_unknown_machine_changes_nothing() {
+    let state = bootstrapped(&["a", "b", "c"]);
+    expect_that!(retire(&state, "c", MIN_NODES), eq(&(None, RetireVerdict::TooFew { remaining: 2 })));
+    expect_that!(retire(&state, "z", MIN_NODES), eq(&(None, RetireVerdict::Unknown)));
     expect_that!(retire_status(&state, "z"), eq(RetireVerdict::Unknown));
 }
 
 #[gtest]
-fn a_machine_that_is_given_up_already_can_be_retired() -> Result<()> {
-    // given that d is down and given up, but counts until the others are full
-    let state = remove_node(&founded(&["a", "b", "c", "d"]), &store("d", 4, 4), 7, LEAST).or_fail()?;
-    // when it is retired, then it is being emptied, and does not come back
-    let (retired, verdict) = retire(&state, "d", LEAST);
+fn a_removed_node_can_be_retired() -> Result<()> {
+    // given that d is down and removed, but is current until the others are in sync
+    let state = remove_node(&bootstrapped(&["a", "b", "c", "d"]), &storage_node("d", 4, 4), 7, MIN_NODES)
+        .or_fail()?;
+    // when it is retired, then it is being retired, and does not come back
+    let (retired, verdict) = retire(&state, "d", MIN_NODES);
     expect_that!(verdict, eq(RetireVerdict::Active));
     let retired = retired.or_fail()?;
-    expect_that!(join(&retired, &store("d", 4, 4), LEAST), none());
-    expect_that!(retire_status(&all_fill(retired), "d"), eq(RetireVerdict::Completed));
+    expect_that!(join(&retired, &storage_node("d", 4, 4), MIN_NODES), none());
+    expect_that!(retire_status(&complete_all_backfills(retired), "d"), eq(RetireVerdict::Completed));
     Ok(())
 }
 
 #[gtest]
-fn a_newcomer_retired_while_it_fills_leaves_by_a_change_of_its_own() -> Result<()> {
-    // given that e is being taken in
-    let state = join(&founded(&["a", "b", "c"]), &store("e", 5, 5), LEAST).or_fail()?;
-    // when it is retired, then it is active: turns are kept by it
-    let (state, verdict) = retire(&state, "e", LEAST);
+fn a_joining_node_retired_during_its_backfill_leaves_by_a_change_of_its_own() -> Result<()> {
+    // given that e is being added
+    let state = join(&bootstrapped(&["a", "b", "c"]), &storage_node("e", 5, 5), MIN_NODES).or_fail()?;
+    // when it is retired, then it is active: turns are stored by it
+    let (state, verdict) = retire(&state, "e", MIN_NODES);
     let state = state.or_fail()?;
     expect_that!(verdict, eq(RetireVerdict::Active));
     expect_that!(retire_status(&state, "e"), eq(RetireVerdict::Active));
-    // and once all are full, the next change empties it
-    let state = all_fill(state);
+    // and once all are in sync, the next change empties it
+    let state = complete_all_backfills(state);
     expect_that!(names(&state.roster.current), elements_are![&"a", &"b", &"c", &"e"]);
     expect_that!(names(state.roster.next.as_ref().or_fail()?), elements_are![&"a", &"b", &"c"]);
-    let state = all_fill(state);
+    let state = complete_all_backfills(state);
     expect_that!(retire_status(&state, "e"), eq(RetireVerdict::Completed));
     Ok(())
 }
--- a/system/controllers/tests/membership/storage_failure_detection.rs
+++ b/system/controllers/tests/membership/storage_failure_detection.rs
@@ -5,59 +5,59 @@
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 
-fn store(name: &str, ip: u8, disk: u64) -> StorageNode {
+fn storage_node(name: &str, ip: u8, disk: u64) -> StorageNode {
     StorageNode { name: name.into(), ip: Ipv4Addr::new(10, 3, 0, ip), zone: "a".into(), disk }
 }
 
-fn founded(count: u8) -> ControlState {
+fn bootstrapped(count: u8) -> ControlState {
     let mut state = ControlState::default();
     state.roster.epoch = 7;
-    state.roster.current = (1..=count).map(|at| store(&format!("s{at}"), at, at.into())).collect();
+    state.roster.current = (1..=count).map(|at| storage_node(&format!("s{at}"), at, at.into())).collect();
     state
 }
 
-/// A keeper's watch with a clock; it looks as often as it wants to.
-struct Watching {
-    watch: StorageController,
+/// A storage controller with a clock; it probes whenever a round is due.
+struct ProbingController {
+    inner: StorageController,
     now: u64,
 }
 
-impl Watching {
+impl ProbingController {
     fn new() -> Self {
-        Self { watch: StorageController::default(), now: 10_000 }
+        Self { inner: StorageController::default(), now: 10_000 }
     }
 
-    /// Until then, machines with these disks answer.
+    /// Advances the clock to `until`; only the nodes with these disks respond.
     fn run(&mut self, until: u64, state: &ControlState, live: &[u64]) {
         while self.now < until {
-            self.watch.observe(self.now, &state.roster, 3);
-            if self.watch.is_probe_due(self.now) {
-                self.look(state, live);
+            self.inner.observe(self.now, &state.roster, 3);
+            if self.inner.is_probe_due(self.now) {
+                self.probe(state, live);
             }
             self.now += 50;
         }
     }
 
-    fn look(&mut self, state: &ControlState, live: &[u64]) {
-        self.watch.begin_probe_round(self.now);
+    fn probe(&mut self, state: &ControlState, live: &[u64]) {
+        self.inner.begin_probe_round(self.now);
         let mut disks: Vec<u64> = state.roster.current.iter().map(|store| store.disk).collect();
         disks.extend(controllers::proposed_nodes(&state.roster).iter().map(|store| store.disk));
         disks.sort_unstable();
         disks.dedup();
         for disk in disks {
             match live.contains(&disk) {
-                true => self.watch.record_response(self.now, disk),
-                false => self.watch.record_missed_probe(disk),
+                true => self.inner.record_response(self.now, disk),
+                false => self.inner.record_missed_probe(disk),
             }
         }
     }
 
     fn step(&self, state: &ControlState) -> RosterStep {
-        self.watch.step(self.now, state, 1)
+        self.inner.step(self.now, state, 1)
     }
 }
 
-fn gives_up(step: &RosterStep) -> Option<u64> {
+fn removed_disk(step: &RosterStep) -> Option<u64> {
     match step {
         RosterStep::RemoveNode { store, .. } => Some(store.disk),
         _ => None,
@@ -65,260 +65,261 @@
 }
 
 #[gtest]
-fn a_silent_machine_is_given_up_after_long_and_not_before() {
-    let state = founded(4);
-    let mut keeper = Watching::new();
-    keeper.run(60_000, &state, &[1, 2, 3, 4]);
-    keeper.run(60_000 + times::STORAGE_TIMEOUT_MS - 1_000, &state, &[1, 2, 3]);
-    expect_that!(keeper.step(&state), eq(&RosterStep::NoChange));
-    keeper.run(60_000 + times::STORAGE_TIMEOUT_MS + 500, &state, &[1, 2, 3]);
-    expect_that!(gives_up(&keeper.step(&state)), some(eq(4)));
+fn an_unresponsive_node_is_removed_after_the_timeout_and_not_before() {
+    let state = bootstrapped(4);
+    let mut controller = ProbingController::new();
+    controller.run(60_000, &state, &[1, 2, 3, 4]);
+    controller.run(60_000 + times::STORAGE_TIMEOUT_MS - 1_000, &state, &[1, 2, 3]);
+    expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
+    controller.run(60_000 + times::STORAGE_TIMEOUT_MS + 500, &state, &[1, 2, 3]);
+    expect_that!(removed_disk(&controller.step(&state)), some(eq(4)));
 }
 
 #[gtest]
-fn a_keeper_that_came_lately_gives_a_silent_machine_up_sooner() {
-    // given a keeper that cannot know whether one of the four came to replace another
-    let state = founded(4);
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 2, 3, 4]);
-    keeper.run(20_000 + times::STORAGE_TIMEOUT_AFTER_START_MS - 1_000, &state, &[1, 2, 3]);
-    expect_that!(keeper.step(&state), eq(&RosterStep::NoChange));
-    keeper.run(20_000 + times::STORAGE_TIMEOUT_AFTER_START_MS + 500, &state, &[1, 2, 3]);
-    expect_that!(gives_up(&keeper.step(&state)), some(eq(4)));
+fn a_recently_started_controller_removes_an_unresponsive_node_sooner() {
+    // given a controller that cannot know whether one of the four came to replace another
+    let state = bootstrapped(4);
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 2, 3, 4]);
+    controller.run(20_000 + times::STORAGE_TIMEOUT_AFTER_START_MS - 1_000, &state, &[1, 2, 3]);
+    expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
+    controller.run(20_000 + times::STORAGE_TIMEOUT_AFTER_START_MS + 500, &state, &[1, 2, 3]);
+    expect_that!(removed_disk(&controller.step(&state)), some(eq(4)));
 }
 
 #[gtest]
-fn a_filling_that_has_gone_on_for_a_while_is_let_come_to_its_end() -> Result<()> {
-    // given that s9 is being taken in
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &founded(3), &[1, 2, 3]);
-    let state = join(&founded(3), &store("s9", 9, 9), 3).or_fail()?;
-    keeper.run(20_100, &state, &[1, 2, 3, 9]);
-    // when s3 is gone, then nothing begins anew while that may end soon
-    keeper.run(20_000 + times::MAX_BACKFILL_PROTECTED_MS - 100, &state, &[1, 2, 9]);
-    expect_that!(keeper.step(&state), eq(&RosterStep::NoChange));
+fn an_advanced_backfill_is_allowed_to_complete() -> Result<()> {
+    // given that s9 is being added
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &bootstrapped(3), &[1, 2, 3]);
+    let state = join(&bootstrapped(3), &storage_node("s9", 9, 9), 3).or_fail()?;
+    controller.run(20_100, &state, &[1, 2, 3, 9]);
+    // when s3 is lost, then nothing begins anew while that may end soon
+    controller.run(20_000 + times::MAX_BACKFILL_PROTECTED_MS - 100, &state, &[1, 2, 9]);
+    expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
     // but not for long
-    keeper.run(20_000 + times::MAX_BACKFILL_PROTECTED_MS + 200, &state, &[1, 2, 9]);
-    expect_that!(gives_up(&keeper.step(&state)), some(eq(3)));
+    controller.run(20_000 + times::MAX_BACKFILL_PROTECTED_MS + 200, &state, &[1, 2, 9]);
+    expect_that!(removed_disk(&controller.step(&state)), some(eq(3)));
     Ok(())
 }
 
 #[gtest]
-fn what_is_full_but_for_a_silent_machine_counts_before_that_one_is_given_up() -> Result<()> {
-    // given that s9 is being taken in, all others are full for it, and s3 is gone
-    let mut state = join(&founded(3), &store("s9", 9, 9), 3).or_fail()?;
+fn waiving_an_unresponsive_node_takes_precedence_over_its_removal() -> Result<()> {
+    // given that s9 is being added, all others are in sync for it, and s3 is lost
+    let mut state = join(&bootstrapped(3), &storage_node("s9", 9, 9), 3).or_fail()?;
     state.roster.in_sync = vec![1, 2, 9];
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 2, 3, 9]);
-    keeper.run(20_000 + times::REPLACED_STORAGE_TIMEOUT_MS + 800, &state, &[1, 2, 9]);
-    expect_that!(keeper.step(&state), eq(&RosterStep::WaiveBackfill(vec![3])));
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 2, 3, 9]);
+    controller.run(20_000 + times::REPLACED_STORAGE_TIMEOUT_MS + 800, &state, &[1, 2, 9]);
+    expect_that!(controller.step(&state), eq(&RosterStep::WaiveBackfill(vec![3])));
     Ok(())
 }
 
 #[gtest]
-fn a_machine_that_flaps_is_not_given_up() {
-    let state = founded(4);
-    let mut keeper = Watching::new();
+fn a_flapping_node_is_not_removed() {
+    let state = bootstrapped(4);
+    let mut controller = ProbingController::new();
     for _ in 0..10 {
-        let now = keeper.now;
-        keeper.run(now + 4_000, &state, &[1, 2, 3]);
-        expect_that!(keeper.step(&state), eq(&RosterStep::NoChange));
-        keeper.run(now + 6_000, &state, &[1, 2, 3, 4]);
+        let now = controller.now;
+        controller.run(now + 4_000, &state, &[1, 2, 3]);
+        expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
+        controller.run(now + 6_000, &state, &[1, 2, 3, 4]);
     }
 }
 
 #[gtest]
-fn a_machine_replaced_at_another_address_is_given_up_soon() -> Result<()> {
-    // given that s3 is gone, and s9 comes 1.5 s later
-    let state = founded(3);
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 2, 3]);
-    keeper.run(21_500, &state, &[1, 2]);
-    let state = join(&state, &store("s9", 9, 9), 3).or_fail()?;
-    // when the holder has looked again
-    keeper.run(21_850, &state, &[1, 2, 9]);
-    // then s3 is given up
-    expect_that!(gives_up(&keeper.step(&state)), some(eq(3)));
+fn a_node_replaced_at_another_address_is_removed_soon() -> Result<()> {
+    // given that s3 is lost, and s9 comes 1.5 s later
+    let state = bootstrapped(3);
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 2, 3]);
+    controller.run(21_500, &state, &[1, 2]);
+    let state = join(&state, &storage_node("s9", 9, 9), 3).or_fail()?;
+    // after the next probe round
+    controller.run(21_850, &state, &[1, 2, 9]);
+    // then s3 is removed
+    expect_that!(removed_disk(&controller.step(&state)), some(eq(3)));
     Ok(())
 }
 
 #[gtest]
-fn a_planned_replacement_lets_the_old_machine_go_soon() -> Result<()> {
-    // given that s9 has come and counts
-    let mut state = founded(3);
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 2, 3]);
-    state.roster.current.push(store("s9", 9, 9));
-    keeper.run(25_000, &state, &[1, 2, 3, 9]);
+fn a_planned_replacement_removes_the_old_node_soon() -> Result<()> {
+    // given that s9 has joined and is current
+    let mut state = bootstrapped(3);
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 2, 3]);
+    state.roster.current.push(storage_node("s9", 9, 9));
+    controller.run(25_000, &state, &[1, 2, 3, 9]);
     // when s3 ends
-    keeper.run(25_000 + times::REPLACED_STORAGE_TIMEOUT_MS + 1_000, &state, &[1, 2, 9]);
-    // then it is given up
-    expect_that!(gives_up(&keeper.step(&state)), some(eq(3)));
+    controller.run(25_000 + times::REPLACED_STORAGE_TIMEOUT_MS + 1_000, &state, &[1, 2, 9]);
+    // then it is removed
+    expect_that!(removed_disk(&controller.step(&state)), some(eq(3)));
     Ok(())
 }
 
 #[gtest]
-fn one_newcomer_replaces_one_machine() -> Result<()> {
+fn a_joined_node_replaces_one_node_only() -> Result<()> {
     // given that s9 came for s4, which is out
-    let mut state = founded(4);
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 2, 3]);
-    state.roster.current[3] = store("s9", 9, 9);
-    keeper.run(21_000, &state, &[1, 2, 3, 9]);
-    // when another sleeps for four seconds, then it stays
-    keeper.run(25_000, &state, &[1, 2, 9]);
-    expect_that!(keeper.step(&state), eq(&RosterStep::NoChange));
-    // and where the wrong one was given up and returns, s9 is free for another
+    let mut state = bootstrapped(4);
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 2, 3]);
+    state.roster.current[3] = storage_node("s9", 9, 9);
+    controller.run(21_000, &state, &[1, 2, 3, 9]);
+    // when another freezes for four seconds, then it stays
+    controller.run(25_000, &state, &[1, 2, 9]);
+    expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
+    // and where the wrong one was removed and returns, s9 is free for another
     let mut without = state.clone();
     without.roster.current.remove(2);
-    without.roster.current.push(store("s4", 4, 4));
-    keeper.run(26_000, &without, &[1, 2, 4, 9]);
-    keeper.run(29_000, &without, &[1, 4, 9]);
-    expect_that!(gives_up(&keeper.step(&without)), some(eq(2)));
+    without.roster.current.push(storage_node("s4", 4, 4));
+    controller.run(26_000, &without, &[1, 2, 4, 9]);
+    controller.run(29_000, &without, &[1, 4, 9]);
+    expect_that!(removed_disk(&controller.step(&without)), some(eq(2)));
     Ok(())
 }
 
 #[gtest]
-fn a_newcomer_is_not_taken_for_the_replacement_of_a_retired_machine() -> Result<()> {
+fn a_joined_node_does_not_replace_a_retired_one() -> Result<()> {
     // given that s4 was retired, and s9 has come for s3
-    let mut state = founded(4);
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 2, 3, 4]);
+    let mut state = bootstrapped(4);
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 2, 3, 4]);
     state.roster.current.remove(3);
     state.roster.retiring.push("s4".into());
-    keeper.run(25_000, &state, &[1, 2, 3]);
-    state.roster.current.push(store("s9", 9, 9));
-    keeper.run(28_000, &state, &[1, 2, 9]);
-    expect_that!(gives_up(&keeper.step(&state)), some(eq(3)));
+    controller.run(25_000, &state, &[1, 2, 3]);
+    state.roster.current.push(storage_node("s9", 9, 9));
+    controller.run(28_000, &state, &[1, 2, 9]);
+    expect_that!(removed_disk(&controller.step(&state)), some(eq(3)));
     Ok(())
 }
 
 #[gtest]
-fn a_replacement_that_is_retired_leaves_no_place_for_the_next_newcomer() -> Result<()> {
+fn a_retired_replacement_needs_no_replacement_itself() -> Result<()> {
     // given that s9 came for s4, which is out, and was retired in its turn
-    let mut state = founded(4);
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 2, 3]);
-    state.roster.current[3] = store("s9", 9, 9);
-    keeper.run(21_000, &state, &[1, 2, 3, 9]);
+    let mut state = bootstrapped(4);
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 2, 3]);
+    state.roster.current[3] = storage_node("s9", 9, 9);
+    controller.run(21_000, &state, &[1, 2, 3, 9]);
     state.roster.retiring.push("s9".into());
     state.roster.current.remove(3);
-    keeper.run(24_000, &state, &[1, 2, 3]);
-    // when s3 is gone and s10 comes, then it came for s3
-    keeper.run(25_000, &state, &[1, 2]);
-    state.roster.current.push(store("s10", 10, 10));
-    keeper.run(27_000, &state, &[1, 2, 10]);
-    expect_that!(gives_up(&keeper.step(&state)), some(eq(3)));
+    controller.run(24_000, &state, &[1, 2, 3]);
+    // when s3 is lost and s10 comes, then it came for s3
+    controller.run(25_000, &state, &[1, 2]);
+    state.roster.current.push(storage_node("s10", 10, 10));
+    controller.run(27_000, &state, &[1, 2, 10]);
+    expect_that!(removed_disk(&controller.step(&state)), some(eq(3)));
     Ok(())
 }
 
 #[gtest]
-fn a_wiped_machine_replaces_nobody_but_itself() -> Result<()> {
-    let mut state = founded(4);
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 2, 3, 4]);
+fn a_wiped_node_replaces_only_itself() -> Result<()> {
+    let mut state = bootstrapped(4);
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 2, 3, 4]);
     state.roster.current[3].disk = 44;
-    keeper.run(21_000, &state, &[1, 2, 3, 44]);
-    keeper.run(25_000, &state, &[1, 2, 44]);
-    expect_that!(keeper.step(&state), eq(&RosterStep::NoChange));
+    controller.run(21_000, &state, &[1, 2, 3, 44]);
+    controller.run(25_000, &state, &[1, 2, 44]);
+    expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
     Ok(())
 }
 
 #[gtest]
-fn a_keeper_that_starts_during_a_change_reads_from_it_who_came_for_whom() -> Result<()> {
-    let state = join(&founded(3), &store("s9", 9, 9), 3).or_fail()?;
-    let mut keeper = Watching::new();
-    keeper.run(10_000 + times::MAX_BACKFILL_PROTECTED_MS + 500, &state, &[1, 2, 9]);
-    expect_that!(gives_up(&keeper.step(&state)), some(eq(3)));
+fn a_controller_started_during_a_change_derives_the_replacement_from_it() -> Result<()> {
+    let state = join(&bootstrapped(3), &storage_node("s9", 9, 9), 3).or_fail()?;
+    let mut controller = ProbingController::new();
+    controller.run(10_000 + times::MAX_BACKFILL_PROTECTED_MS + 500, &state, &[1, 2, 9]);
+    expect_that!(removed_disk(&controller.step(&state)), some(eq(3)));
     Ok(())
 }
 
 #[gtest]
-fn a_missed_look_after_a_long_break_is_no_silence() {
-    // given a keeper that looked long ago, as one does that slept
-    let state = founded(4);
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 2, 3, 4]);
-    keeper.now = 20_000 + 2 * times::STORAGE_TIMEOUT_MS;
-    // when its next looks miss s4
-    keeper.run(keeper.now + 1_000, &state, &[1, 2, 3]);
-    // then that is a second of silence
-    expect_that!(keeper.step(&state), eq(&RosterStep::NoChange));
+fn a_missed_probe_after_a_long_gap_does_not_count() {
+    // given a controller whose last probe round was long ago, as after a suspension
+    let state = bootstrapped(4);
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 2, 3, 4]);
+    controller.now = 20_000 + 2 * times::STORAGE_TIMEOUT_MS;
+    // when its next probes of s4 are missed
+    controller.run(controller.now + 1_000, &state, &[1, 2, 3]);
+    // then s4 counts as unresponsive for a second only
+    expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
 }
 
 #[gtest]
-fn a_look_that_a_keeper_slept_over_decides_nothing() {
-    let state = founded(4);
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 2, 3, 4]);
-    keeper.look(&state, &[1, 2, 3]);
-    keeper.look(&state, &[1, 2, 3]);
-    keeper.now += 2 * times::STORAGE_TIMEOUT_MS;
-    expect_that!(keeper.step(&state), eq(&RosterStep::NoChange));
+fn a_probe_round_before_a_suspension_decides_nothing() {
+    let state = bootstrapped(4);
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 2, 3, 4]);
+    controller.probe(&state, &[1, 2, 3]);
+    controller.probe(&state, &[1, 2, 3]);
+    controller.now += 2 * times::STORAGE_TIMEOUT_MS;
+    expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
 }
 
 #[gtest]
-fn a_silent_member_of_the_next_set_is_waived_within_the_tolerance() {
-    let mut state = founded(3);
-    state.roster.next = Some(vec![store("s1", 1, 1), store("s2", 2, 22), store("s3", 3, 3)]);
+fn an_unresponsive_node_of_the_next_set_is_waived_within_the_tolerance() {
+    let mut state = bootstrapped(3);
+    state.roster.next =
+        Some(vec![storage_node("s1", 1, 1), storage_node("s2", 2, 22), storage_node("s3", 3, 3)]);
     state.roster.in_sync = vec![1, 22];
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 22, 3]);
-    keeper.run(20_000 + times::BACKFILL_MEMBER_TIMEOUT_MS + 500, &state, &[1, 22]);
-    expect_that!(keeper.step(&state), eq(&RosterStep::WaiveBackfill(vec![3])));
-    keeper.run(20_000 + 2 * times::BACKFILL_MEMBER_TIMEOUT_MS + 1_000, &state, &[1]);
-    expect_that!(keeper.step(&state), eq(&RosterStep::NoChange));
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 22, 3]);
+    controller.run(20_000 + times::BACKFILL_MEMBER_TIMEOUT_MS + 500, &state, &[1, 22]);
+    expect_that!(controller.step(&state), eq(&RosterStep::WaiveBackfill(vec![3])));
+    controller.run(20_000 + 2 * times::BACKFILL_MEMBER_TIMEOUT_MS + 1_000, &state, &[1]);
+    expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
 }
 
-fn gathered(count: u8, filled: &[u64]) -> ControlState {
-    let mut state = founded(count);
+fn bootstrapping(count: u8, in_sync: &[u64]) -> ControlState {
+    let mut state = bootstrapped(count);
     state.roster.next = Some(std::mem::take(&mut state.roster.current));
-    state.roster.in_sync = filled.to_vec();
+    state.roster.in_sync = in_sync.to_vec();
     state
 }
 
 #[gtest]
-fn a_founding_waits_for_more_machines_a_bounded_time_and_goes_without_them() {
-    // given two machines where three are asked for
-    let mut keeper = Watching::new();
-    let state = gathered(2, &[1, 2]);
-    keeper.run(10_000 + times::BOOTSTRAP_WAIT_MS - 200, &state, &[1, 2]);
-    expect_that!(keeper.step(&state), eq(&RosterStep::NoChange));
-    // when the time is over, then they are founded, but not before each is full
-    keeper.run(10_000 + times::BOOTSTRAP_WAIT_MS + 200, &state, &[1, 2]);
-    expect_that!(keeper.step(&gathered(2, &[1])), eq(&RosterStep::NoChange));
-    expect_that!(keeper.step(&state), eq(&RosterStep::Bootstrap));
-    // and a machine that keeps coming and going does not begin the time anew
-    let mut later = gathered(3, &[1, 2, 3]);
+fn a_bootstrap_waits_a_bounded_time_for_more_nodes() {
+    // given two machines where three are needed
+    let mut controller = ProbingController::new();
+    let state = bootstrapping(2, &[1, 2]);
+    controller.run(10_000 + times::BOOTSTRAP_WAIT_MS - 200, &state, &[1, 2]);
+    expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
+    // when the time is over, then they bootstrap, but not before each is in sync
+    controller.run(10_000 + times::BOOTSTRAP_WAIT_MS + 200, &state, &[1, 2]);
+    expect_that!(controller.step(&bootstrapping(2, &[1])), eq(&RosterStep::NoChange));
+    expect_that!(controller.step(&state), eq(&RosterStep::Bootstrap));
+    // and a machine that keeps coming and going does not restart the wait
+    let mut later = bootstrapping(3, &[1, 2, 3]);
     later.roster.epoch += 1;
-    keeper.run(keeper.now + 200, &later, &[1, 2, 3]);
-    expect_that!(keeper.step(&later), eq(&RosterStep::Bootstrap));
+    controller.run(controller.now + 200, &later, &[1, 2, 3]);
+    expect_that!(controller.step(&later), eq(&RosterStep::Bootstrap));
 }
 
 #[gtest]
-fn a_founding_goes_without_a_machine_that_is_gone_again() -> Result<()> {
-    let state = gathered(2, &[1]);
-    let mut keeper = Watching::new();
-    keeper.run(11_000, &state, &[1, 2]);
-    keeper.run(10_000 + times::BOOTSTRAP_WAIT_MS + 600, &state, &[1]);
-    let step = keeper.step(&state);
-    expect_that!(gives_up(&step), some(eq(2)));
+fn a_bootstrap_removes_a_node_that_became_unresponsive() -> Result<()> {
+    let state = bootstrapping(2, &[1]);
+    let mut controller = ProbingController::new();
+    controller.run(11_000, &state, &[1, 2]);
+    controller.run(10_000 + times::BOOTSTRAP_WAIT_MS + 600, &state, &[1]);
+    let step = controller.step(&state);
+    expect_that!(removed_disk(&step), some(eq(2)));
     expect_that!(step.apply_to(&state, 7, 3).or_fail()?.roster.next, some(len(eq(1))));
-    // but the last one is not given up
-    keeper.run(keeper.now + 4_000, &gathered(1, &[]), &[]);
-    expect_that!(keeper.step(&gathered(1, &[])), eq(&RosterStep::NoChange));
+    // but the last one is not removed
+    controller.run(controller.now + 4_000, &bootstrapping(1, &[]), &[]);
+    expect_that!(controller.step(&bootstrapping(1, &[])), eq(&RosterStep::NoChange));
     Ok(())
 }
 
-/// Members of `count` that are given up, one after the other, when only these are live.
-fn left_after(count: u8, tolerance: usize, live: &[u64]) -> Vec<u64> {
-    let mut state = founded(count);
-    let mut watch = Watching::new();
+/// Members of `count` that are removed, one after the other, when only these are live.
+fn remaining_after_losses(count: u8, tolerance: usize, live: &[u64]) -> Vec<u64> {
+    let mut state = bootstrapped(count);
+    let mut controller = ProbingController::new();
     let all: Vec<u64> = (1..=count.into()).collect();
-    watch.run(60_000, &state, &all);
+    controller.run(60_000, &state, &all);
     loop {
-        watch.run(watch.now + times::BLOCKING_STORAGE_TIMEOUT_MS + 1_000, &state, live);
-        let step = watch.watch.step(watch.now, &state, tolerance);
+        controller.run(controller.now + times::BLOCKING_STORAGE_TIMEOUT_MS + 1_000, &state, live);
+        let step = controller.inner.step(controller.now, &state, tolerance);
         let Some(next) = step.apply_to(&state, state.roster.epoch, 2 * tolerance + 1) else { break };
         state = next;
     }
@@ -326,60 +327,63 @@
 }
 
 #[gtest]
-fn where_fewer_machines_are_than_asked_for_the_set_shrinks_to_those_that_hold_everything() {
-    // four with two losses to bear: three write, so one loss is served through, and two are not
-    expect_that!(left_after(4, 2, &[1, 2, 3]), elements_are![&1, &2, &3, &4]);
-    expect_that!(left_after(4, 2, &[1, 2]), elements_are![&1, &2]);
-    // one of four may not know all
-    expect_that!(left_after(4, 2, &[1]), elements_are![&1, &2, &3, &4]);
-    expect_that!(left_after(3, 2, &[1, 2]), elements_are![&1, &2]);
-    expect_that!(left_after(3, 2, &[1]), elements_are![&1]);
-    expect_that!(left_after(2, 1, &[2]), elements_are![&2]);
-    // a keeper that hears nobody gives nobody up
-    expect_that!(left_after(2, 1, &[]), elements_are![&1, &2]);
-    // enough machines stay as they are for as long as ever
-    expect_that!(left_after(3, 1, &[1, 2]), elements_are![&1, &2, &3]);
-    expect_that!(left_after(3, 1, &[1]), elements_are![&1, &2, &3]);
-    expect_that!(left_after(5, 2, &[1, 2, 3]), elements_are![&1, &2, &3, &4, &5]);
+fn a_set_below_the_minimum_shrinks_to_the_nodes_that_store_all_records() {
+    // four with two losses to tolerate: three write, so one loss is served through, and two are not
+    expect_that!(remaining_after_losses(4, 2, &[1, 2, 3]), elements_are![&1, &2, &3, &4]);
+    expect_that!(remaining_after_losses(4, 2, &[1, 2]), elements_are![&1, &2]);
+    // one of four may not store all
+    expect_that!(remaining_after_losses(4, 2, &[1]), elements_are![&1, &2, &3, &4]);
+    expect_that!(remaining_after_losses(3, 2, &[1, 2]), elements_are![&1, &2]);
+    expect_that!(remaining_after_losses(3, 2, &[1]), elements_are![&1]);
+    expect_that!(remaining_after_losses(2, 1, &[2]), elements_are![&2]);
+    // a controller without any response removes no node
+    expect_that!(remaining_after_losses(2, 1, &[]), elements_are![&1, &2]);
+    // a set of enough nodes is kept unchanged for the full timeout
+    expect_that!(remaining_after_losses(3, 1, &[1, 2]), elements_are![&1, &2, &3]);
+    expect_that!(remaining_after_losses(3, 1, &[1]), elements_are![&1, &2, &3]);
+    expect_that!(remaining_after_losses(5, 2, &[1, 2, 3]), elements_are![&1, &2, &3, &4, &5]);
 }
 
 #[gtest]
-fn no_member_of_a_small_next_set_is_waived_that_alone_would_hold_something() {
-    let mut state = founded(1);
-    state.roster.next = Some(vec![store("s1", 1, 11)]);
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 11]);
-    keeper.run(20_000 + times::BACKFILL_MEMBER_TIMEOUT_MS + 1_000, &state, &[1]);
-    expect_that!(keeper.step(&state), eq(&RosterStep::NoChange));
+fn the_only_node_of_a_next_set_is_not_waived() {
+    let mut state = bootstrapped(1);
+    state.roster.next = Some(vec![storage_node("s1", 1, 11)]);
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 11]);
+    controller.run(20_000 + times::BACKFILL_MEMBER_TIMEOUT_MS + 1_000, &state, &[1]);
+    expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
 }
 
 #[gtest]
-fn what_the_machines_bear_is_told_when_it_is_less_than_asked_for_and_when_it_changes() {
-    let borne = |served, survived| LossTolerance { served, survived };
-    let mut watch = StorageController::default();
-    expect_that!(watch.loss_tolerance_change(&Default::default(), 2), none());
-    expect_that!(watch.loss_tolerance_change(&founded(5).roster, 2), none());
-    expect_that!(watch.loss_tolerance_change(&founded(4).roster, 2), some(eq(borne(1, 2))));
-    expect_that!(watch.loss_tolerance_change(&founded(4).roster, 2), none());
-    expect_that!(watch.loss_tolerance_change(&founded(2).roster, 2), some(eq(borne(0, 1))));
-    // while a set grows, what the smaller one bears
-    let mut growing = founded(2);
-    growing.roster.next = Some(founded(5).roster.current);
-    expect_that!(watch.loss_tolerance_change(&growing.roster, 2), none());
-    expect_that!(watch.loss_tolerance_change(&founded(6).roster, 2), some(eq(borne(2, 2))));
-    expect_that!(watch.loss_tolerance_change(&gathered(5, &[]).roster, 2), some(eq(borne(0, 0))));
+fn the_loss_tolerance_is_reported_when_reduced_and_when_it_changes() {
+    let tolerance = |served, survived| LossTolerance { served, survived };
+    let mut controller = StorageController::default();
+    expect_that!(controller.loss_tolerance_change(&Default::default(), 2), none());
+    expect_that!(controller.loss_tolerance_change(&bootstrapped(5).roster, 2), none());
+    expect_that!(controller.loss_tolerance_change(&bootstrapped(4).roster, 2), some(eq(tolerance(1, 2))));
+    expect_that!(controller.loss_tolerance_change(&bootstrapped(4).roster, 2), none());
+    expect_that!(controller.loss_tolerance_change(&bootstrapped(2).roster, 2), some(eq(tolerance(0, 1))));
+    // while a set grows, the smaller one counts
+    let mut growing = bootstrapped(2);
+    growing.roster.next = Some(bootstrapped(5).roster.current);
+    expect_that!(controller.loss_tolerance_change(&growing.roster, 2), none());
+    expect_that!(controller.loss_tolerance_change(&bootstrapped(6).roster, 2), some(eq(tolerance(2, 2))));
+    expect_that!(
+        controller.loss_tolerance_change(&bootstrapping(5, &[]).roster, 2),
+        some(eq(tolerance(0, 0)))
+    );
 }
 
 #[gtest]
-fn of_two_live_machines_of_one_name_the_one_with_the_place_keeps_it() {
-    let state = founded(3);
-    let mut keeper = Watching::new();
-    keeper.run(20_000, &state, &[1, 2, 3]);
-    let other = store("s3", 9, 33);
-    expect_that!(keeper.watch.admits(&state.roster, &other), eq(false));
+fn of_two_live_nodes_of_one_name_the_member_remains() {
+    let state = bootstrapped(3);
+    let mut controller = ProbingController::new();
+    controller.run(20_000, &state, &[1, 2, 3]);
+    let rival = storage_node("s3", 9, 33);
+    expect_that!(controller.inner.admits(&state.roster, &rival), eq(false));
     // one that lost its disk is at its old address, and takes its place at once
-    expect_that!(keeper.watch.admits(&state.roster, &store("s3", 3, 33)), eq(true));
-    // and once the one with the place is missed, the other may have it
-    keeper.run(21_100, &state, &[1, 2]);
-    expect_that!(keeper.watch.admits(&state.roster, &other), eq(true));
+    expect_that!(controller.inner.admits(&state.roster, &storage_node("s3", 3, 33)), eq(true));
+    // and once the member is missed, the other may join
+    controller.run(21_100, &state, &[1, 2]);
+    expect_that!(controller.inner.admits(&state.roster, &rival), eq(true));
 }
