--- /dev/null
+++ b/testbed/src/commands/serving_tier.rs
@@ -0,0 +1,32 @@
+//! A run of the whole serving tier on loopback.
+
+use crate::error::TestbedError;
+use std::path::PathBuf;
+use testbed::serving_tier::machines::{Older, built_programs};
+use testbed::serving_tier::run::{Plan, play};
+use testbed::serving_tier::table::table;
+use tokio::sync::watch;
+
+/// How long requests may take after the last fault, in seconds.
+const GRACE_S: f64 = 6.0;
+
+/// Runs the tier of these programs, or of those of this project; returns whether every rule was kept.
+pub(crate) async fn run(
+    programs: Option<PathBuf>,
+    older: Option<Older>,
+    seed: u64,
+    seconds: f64,
+    stop: watch::Receiver<u32>,
+) -> Result<bool, TestbedError> {
+    let programs = programs.map_or_else(built_programs, Ok)?;
+    println!("tier, seed {seed}:");
+    if let Some(older) = &older {
+        let which = if older.is_first { "first" } else { "second" };
+        println!("every other machine, from the {which} on, starts from {}", older.programs.display());
+    }
+    let plan = Plan { seconds, seed, grace_s: GRACE_S, tell: true, older };
+    let played = play(plan, &programs, stop).await?;
+    println!("\n{}", table(&played));
+    println!("{}", if played.is_good() { "all rules kept" } else { "NOT clean" });
+    Ok(played.is_good())
+}
