--- a/system/turn-store/src/disk/journal.rs
+++ b/system/turn-store/src/disk/journal.rs
@@ -106,14 +106,14 @@
     Damaged,
 }
 
-struct RecoveredRecord {
+struct JournalExamination {
     holds_any: bool,
     /// After the last batch in a row that is whole.
     end_byte: u64,
     end: JournalEnd,
 }
 
-fn examine(path: &Path) -> io::Result<RecoveredRecord> {
+fn examine(path: &Path) -> io::Result<JournalExamination> {
     let file = File::open(path)?;
     let length = file.metadata()?.len();
     let mut reader = Reader { inner: BufReader::with_capacity(BUFFER, file), at: 0, length };
@@ -121,12 +121,12 @@
     while let Some(next) = reader.batch()? {
         // Numbers are outside the checksum. In their order, what they are does not matter.
         if next < number || next > MOST_NUMBER {
-            return Ok(RecoveredRecord { holds_any: true, end_byte, end: JournalEnd::Damaged });
+            return Ok(JournalExamination { holds_any: true, end_byte, end: JournalEnd::Damaged });
         }
         (end_byte, number) = (reader.at, next);
     }
     let end = reader.end_after(end_byte)?;
-    Ok(RecoveredRecord { holds_any: end_byte > 0, end_byte, end })
+    Ok(JournalExamination { holds_any: end_byte > 0, end_byte, end })
 }
 
 struct Reader {
--- a/system/turn-store/src/lib.rs
+++ b/system/turn-store/src/lib.rs
@@ -6,18 +6,20 @@
 
 mod backfill;
 mod disk;
+mod payload;
 mod placement;
 mod record_log;
 mod records;
-mod state;
+mod replica;
 mod writer;
 
 pub use backfill::Backfill;
 pub use disk::{Damage, Disk, DiskError, Replaced, Space, Write};
+pub use payload::{Payload, Payloads};
 pub use placement::{
     AccountReplicas, copies_needed, copy_order, has_copies, is_surely_absent, merge_reservations,
 };
 pub use record_log::{Opened, RecordLog, RecoveredRecord};
 pub use records::{ACCOUNTS, BackfillRecord, REPLICAS, SPACES, STATE, Stored, StoredTurn, TURNS, load};
-pub use state::{DiskCapacity, Durability, Outcome, Payload, Payloads, ReplicaState};
+pub use replica::{DiskCapacity, Durability, Outcome, ReplicaState};
 pub use writer::{Completion, WriteFailed, Writer};
--- a/system/turn-store/src/records.rs
+++ b/system/turn-store/src/records.rs
@@ -1,7 +1,7 @@
 //! The records of a store: which keyspaces there are, and how keys and values look.
 
 use crate::disk::{Damage, Disk, DiskError, Space, Write};
-use crate::state::{Payload, Payloads};
+use crate::payload::{Payload, Payloads};
 use bytes::Bytes;
 use fleet_model::{Reservation, Turn};
 use serde::{Deserialize, Serialize};
