--- a/system/turn-store/src/disk/tests/recorded.rs
+++ b/system/turn-store/src/disk/tests/recorded.rs
@@ -170,7 +170,7 @@
     }
     // And the journals hold the same batches, with the keyspaces' numbers in them.
     let written = |dir: &Path| {
-        let (path, end) = journal(dir);
+        let (path, end) = newest_journal(dir);
         fs::read(path).unwrap()[..end as usize].to_vec()
     };
     expect_that!(written(fresh.path()), eq(&written(before.path())));
