--- a/system/turn-store/src/record_log/faults/power.rs
+++ b/system/turn-store/src/record_log/faults/power.rs
@@ -10,7 +10,7 @@
 
 /// What can be refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Operation {
+pub(super) enum Operation {
     Write,
     SyncData,
     Sync,
@@ -56,16 +56,16 @@
 
 /// Files whose operations can be refused.
 #[derive(Clone, Debug, Default)]
-pub struct FaultyFiles(Arc<Mutex<Disk>>);
+pub(super) struct FaultyFiles(Arc<Mutex<Disk>>);
 
 impl FaultyFiles {
     /// Refuse this operation `times` times, after `let_through` more of them.
-    pub fn refuse(&self, operation: Operation, let_through: usize, times: usize) {
+    pub(super) fn refuse(&self, operation: Operation, let_through: usize, times: usize) {
         self.0.lock().unwrap().refused.insert(operation, (let_through, times));
     }
 
     /// Nothing is refused any more.
-    pub fn recover(&self) {
+    pub(super) fn recover(&self) {
         self.0.lock().unwrap().refused.clear();
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// What the folder holds after a loss of power now.
-    pub fn after_power_loss(&self) -> tempfile::TempDir {
+    pub(super) fn after_power_loss(&self) -> tempfile::TempDir {
         let left = tempfile::tempdir().unwrap();
         let disk = self.0.lock().unwrap();
         for (name, named) in &disk.names {
@@ -127,7 +127,7 @@
 
 /// Faulty files in a folder.
 #[derive(Debug)]
-pub struct InFolder {
+pub(super) struct InFolder {
     pub files: FaultyFiles,
     pub folder: PathBuf,
 }
--- a/system/turn-store/tests/changes/operations.rs
+++ b/system/turn-store/tests/membership_changes/client_operations.rs
@@ -1,18 +1,18 @@
 //! What proxies ask of the machines: each call goes out by itself, by the roster that the proxy knew when it began.
 
-use crate::fleet::{Fleet, Mutation};
+use crate::cluster::{Fleet, Mutation};
 use bytes::Bytes;
 use fleet_model::{Answer, Call, QuorumSizes, Reservation, Roster, StorageNode, Turn, rendezvous_rank};
 use std::collections::{BTreeMap, BTreeSet};
 use turn_store::{AccountReplicas, copies_needed, copy_order, has_copies, merge_reservations};
 
 /// Each account's bound; a reservation takes two fifths of it.
-pub const BOUND: u32 = 100;
+pub(crate) const BOUND: u32 = 100;
 const TOKENS: u32 = 40;
 
 /// A turn to be kept, or a reservation to be made.
 #[derive(Clone)]
-pub struct Operation {
+pub(crate) struct Operation {
     roster: Roster,
     waiting: Vec<u64>,
     answered: BTreeSet<u64>,
@@ -36,7 +36,7 @@
     }
 
     /// A turn is about to be kept, by the roster of now.
-    pub fn begin_turn(&mut self, attempt: String) {
+    pub(crate) fn begin_turn(&mut self, attempt: String) {
         let roster = self.roster().clone();
         let up: BTreeSet<u64> =
             self.machines.iter().filter(|machine| machine.up).map(|machine| machine.store.disk).collect();
@@ -50,7 +50,7 @@
     }
 
     /// A reservation is about to be made, by the roster of now.
-    pub fn begin_reservation(&mut self, program: String, number: u64) {
+    pub(crate) fn begin_reservation(&mut self, program: String, number: u64) {
         let roster = self.roster().clone();
         let Some(replicas) = AccountReplicas::for_program(&roster, &program, self.tolerance) else { return };
         let waiting = replicas.all().map(|store| store.disk).collect();
@@ -59,7 +59,7 @@
     }
 
     /// The next call of one of the operations.
-    pub fn operate(&mut self, at: usize) {
+    pub(crate) fn operate(&mut self, at: usize) {
         let mut operation = self.operations.swap_remove(at);
         let progress = match operation.work {
             Work::Keep { .. } => self.keep_next(&mut operation),
@@ -71,7 +71,7 @@
     }
 
     /// Carries out one operation alone; it ends as it may.
-    pub fn operate_all(&mut self) {
+    pub(crate) fn operate_all(&mut self) {
         while !self.operations.is_empty() {
             self.operate(0);
         }
@@ -125,7 +125,7 @@
         };
         let current = replicas.current_only();
         if !waiting.is_empty() {
-            let disk = waiting.swap_remove(self.random_u64(waiting.len()));
+            let disk = waiting.swap_remove(self.random_below(waiting.len()));
             let reservation = Reservation { attempt: *number, tokens: TOKENS };
             let (epoch, program) = (roster.epoch, program.clone());
             let call = match *reading {
@@ -153,7 +153,7 @@
                 self.decide(operation);
                 Progress::Ends
             }
-            (true, false) if waiting.is_empty() || self.random_u64(2) == 0 => {
+            (true, false) if waiting.is_empty() || self.random_below(2) == 0 => {
                 *reading = true;
                 answered.clear();
                 *waiting = current.current.iter().map(|store| store.disk).collect();
--- a/system/turn-store/tests/changes/fleet.rs
+++ b/system/turn-store/tests/membership_changes/cluster.rs
@@ -1,6 +1,6 @@
 //! Storage machines in memory, one keeper with a clock, and what was promised to clients.
 
-use crate::operations::Operation;
+use crate::client_operations::Operation;
 use controllers::{
     LossTolerance, RetireVerdict, StorageController, complete_backfill, join, proposed_nodes, retire,
     retire_status, times,
@@ -19,7 +19,7 @@
 
 /// What is broken on purpose, so that the checks are seen to find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mutation {
+pub(crate) enum Mutation {
     None,
     /// A member of the next set tells that it is full before it has filled.
     NextCountsUnfilled,
@@ -36,7 +36,7 @@
 }
 
 #[derive(Default)]
-pub struct Shelf(BTreeMap<Vec<u8>, fleet_model::Turn>);
+pub(crate) struct Shelf(BTreeMap<Vec<u8>, fleet_model::Turn>);
 
 impl Payloads for Shelf {
     fn get(&self, attempt: &str) -> Payload {
@@ -58,9 +58,9 @@
     }
 }
 
-pub struct Machine {
-    pub store: StorageNode,
-    pub up: bool,
+pub(crate) struct Machine {
+    pub(crate) store: StorageNode,
+    pub(crate) up: bool,
     /// Since when it is down, if it is.
     down_since: u64,
     state: ReplicaState,
@@ -74,7 +74,7 @@
         Self { store, up: true, down_since: 0, state, shelf: Shelf::default(), backfill: None }
     }
 
-    pub fn answer(&mut self, call: &Call) -> Answer {
+    pub(crate) fn answer(&mut self, call: &Call) -> Answer {
         let outcome = self.state.handle(0, call, &self.shelf);
         self.shelf.write(&outcome.writes);
         outcome.answer
@@ -86,41 +86,41 @@
     }
 }
 
-pub struct Fleet {
-    pub tolerance: usize,
-    pub mutation: Mutation,
-    pub now: u64,
-    pub control: ControlState,
-    pub machines: Vec<Machine>,
+pub(crate) struct Fleet {
+    pub(crate) tolerance: usize,
+    pub(crate) mutation: Mutation,
+    pub(crate) now: u64,
+    pub(crate) control: ControlState,
+    pub(crate) machines: Vec<Machine>,
     /// Machines by name that are lost or away, or were and copies do not stand again.
-    pub hurt: BTreeSet<String>,
-    pub operations: Vec<Operation>,
+    pub(crate) hurt: BTreeSet<String>,
+    pub(crate) operations: Vec<Operation>,
     /// Turns that were answered whole.
-    pub turns: Vec<String>,
+    pub(crate) turns: Vec<String>,
     /// Reservations that were granted: program, number, tokens.
-    pub granted: Vec<(String, u64, u32)>,
-    pub broken: Vec<String>,
-    pub told: Vec<String>,
+    pub(crate) granted: Vec<(String, u64, u32)>,
+    pub(crate) broken: Vec<String>,
+    pub(crate) told: Vec<String>,
     /// For how long copies may have been fewer than they should be: since the loss.
-    pub short_since: Option<u64>,
-    pub longest_short: u64,
+    pub(crate) short_since: Option<u64>,
+    pub(crate) longest_short: u64,
     /// The most machines that ever counted.
     most: usize,
     /// Rosters by epoch: some machine or proxy may still go by any of them.
-    pub rosters: BTreeMap<u64, Roster>,
+    pub(crate) rosters: BTreeMap<u64, Roster>,
     watch: StorageController,
     names: u8,
     disks: u64,
     random: ChaCha8Rng,
 }
 
-pub fn disks(stores: &[StorageNode]) -> BTreeSet<u64> {
+pub(crate) fn disks(stores: &[StorageNode]) -> BTreeSet<u64> {
     stores.iter().map(|store| store.disk).collect()
 }
 
 impl Fleet {
     /// So many machines, founded and full.
-    pub fn new(seed: u64, machines: usize, tolerance: usize, mutation: Mutation) -> Self {
+    pub(crate) fn new(seed: u64, machines: usize, tolerance: usize, mutation: Mutation) -> Self {
         let mut fleet = Self {
             tolerance,
             mutation: Mutation::None,
@@ -150,35 +150,35 @@
         fleet
     }
 
-    pub fn random_u64(&mut self, below: usize) -> usize {
+    pub(crate) fn random_below(&mut self, below: usize) -> usize {
         (self.random.next_u64() % below.max(1) as u64) as usize
     }
 
-    pub fn least(&self) -> usize {
+    pub(crate) fn least(&self) -> usize {
         controllers::min_storage_nodes(self.tolerance)
     }
 
-    pub fn roster(&self) -> &Roster {
+    pub(crate) fn roster(&self) -> &Roster {
         &self.control.roster
     }
 
-    pub fn tell(&mut self, told: String) {
+    pub(crate) fn tell(&mut self, told: String) {
         let roster = &self.control.roster;
         let next = roster.next.as_deref().map(disks);
         let place = format!("epoch {}: {:?} -> {next:?}", roster.epoch, disks(&roster.current));
         self.told.push(format!("{} {place}: {told}", self.now));
     }
 
-    pub fn at(&self, name: &str) -> Option<usize> {
+    pub(crate) fn at(&self, name: &str) -> Option<usize> {
         self.machines.iter().rposition(|machine| machine.store.name == name)
     }
 
-    pub fn by_disk(&mut self, disk: u64) -> Option<&mut Machine> {
+    pub(crate) fn by_disk(&mut self, disk: u64) -> Option<&mut Machine> {
         self.machines.iter_mut().find(|machine| machine.store.disk == disk)
     }
 
     /// A machine that was never there.
-    pub fn start_another(&mut self) -> String {
+    pub(crate) fn start_another(&mut self) -> String {
         self.names += 1;
         let name = format!("s{}", self.names);
         self.start(name.clone(), self.names);
@@ -196,7 +196,7 @@
     }
 
     /// How many more machines may be hurt now.
-    pub fn may_hurt(&self) -> usize {
+    pub(crate) fn may_hurt(&self) -> usize {
         LossTolerance::from_roster(self.roster(), self.tolerance).survived.saturating_sub(self.hurt.len())
     }
 
@@ -207,27 +207,27 @@
     }
 
     /// It does not answer, and keeps its disk.
-    pub fn stop(&mut self, name: &str) {
+    pub(crate) fn stop(&mut self, name: &str) {
         self.hurt(name, "stops");
         let at = self.at(name).expect("a machine of this name");
         (self.machines[at].up, self.machines[at].backfill) = (false, None);
         self.machines[at].down_since = self.now;
     }
 
-    pub fn come_back(&mut self, name: &str) {
+    pub(crate) fn come_back(&mut self, name: &str) {
         self.tell(format!("{name} comes back"));
         let at = self.at(name).expect("a machine of this name");
         self.machines[at].up = true;
     }
 
     /// The machine is gone with its disk.
-    pub fn destroy(&mut self, name: &str) {
+    pub(crate) fn destroy(&mut self, name: &str) {
         self.hurt(name, "is destroyed");
         self.machines.retain(|machine| machine.store.name != name);
     }
 
     /// It loses its disk and comes back at once, at its address or another.
-    pub fn wipe(&mut self, name: &str, moves: bool) {
+    pub(crate) fn wipe(&mut self, name: &str, moves: bool) {
         let at = self.at(name).expect("a machine of this name");
         let mut ip = self.machines[at].store.ip.octets()[3];
         self.destroy(name);
@@ -238,7 +238,7 @@
         self.start(name.to_owned(), ip);
     }
 
-    pub fn retire(&mut self, name: &str) -> RetireVerdict {
+    pub(crate) fn retire(&mut self, name: &str) -> RetireVerdict {
         let (state, verdict) = retire(&self.control, name, self.least());
         self.tell(format!("{name} is to be retired: {verdict:?}"));
         if let Some(state) = state {
@@ -306,7 +306,7 @@
     }
 
     /// The keeper looks at the machines, and does what the duty asks for.
-    pub fn keep(&mut self) {
+    pub(crate) fn keep(&mut self) {
         self.now += TICK;
         let (now, least) = (self.now, self.least());
         self.watch.observe(now, &self.control.roster, least);
@@ -330,7 +330,7 @@
     }
 
     /// One thing that a machine does next: whether there was any.
-    pub fn advance(&mut self, at: usize) -> bool {
+    pub(crate) fn advance(&mut self, at: usize) -> bool {
         if !self.machines[at].up {
             return false;
         }
@@ -408,7 +408,7 @@
     fn drain_page(&mut self, at: usize, backfill: &mut Backfill) -> bool {
         let mut calls: Vec<(u64, Call)> = backfill.calls().map(|(store, call)| (store.disk, call)).collect();
         while !calls.is_empty() {
-            let (source, call) = calls.swap_remove(self.random_u64(calls.len()));
+            let (source, call) = calls.swap_remove(self.random_below(calls.len()));
             let Some(machine) = self.by_disk(source).filter(|machine| machine.up) else { continue };
             if let Answer::Records { turns, accounts, cursor } = machine.answer(&call) {
                 let machine = &mut self.machines[at];
@@ -436,7 +436,7 @@
     }
 
     /// Whether all machines that are up count and are full, and nothing is under way.
-    pub fn is_settled(&self) -> bool {
+    pub(crate) fn is_settled(&self) -> bool {
         let roster = self.roster();
         let is_placed = |machine: &Machine| {
             let retiring = roster.retiring.contains(&machine.store.name);
@@ -457,7 +457,7 @@
     }
 
     /// Whether nothing more will happen by itself.
-    pub fn is_at_rest(&self) -> bool {
+    pub(crate) fn is_at_rest(&self) -> bool {
         self.is_settled() && (self.is_whole() || self.serves_without_some())
     }
 
@@ -472,7 +472,7 @@
     }
 
     /// What was hurt counts no more once all copies stand.
-    pub fn look_whether_whole(&mut self) {
+    pub(crate) fn look_whether_whole(&mut self) {
         if !self.is_whole() {
             return;
         }
@@ -484,7 +484,7 @@
     }
 
     /// Everyone does what there is to do, for as long as it takes.
-    pub fn settle(&mut self) -> bool {
+    pub(crate) fn settle(&mut self) -> bool {
         let until = self.now + SETTLED_WITHIN;
         while self.now < until {
             self.tick();
@@ -497,13 +497,13 @@
     }
 
     /// Everyone does all there is to do at this moment; the time goes on.
-    pub fn tick(&mut self) {
+    pub(crate) fn tick(&mut self) {
         while (0..self.machines.len()).any(|at| self.machines.len() > at && self.advance(at)) {}
         self.keep();
     }
 
     /// No reader may be told that there is no such turn, by whatever roster it goes; somewhere each turn is left.
-    pub fn check_turns(&mut self) {
+    pub(crate) fn check_turns(&mut self) {
         let epochs: BTreeSet<u64> = self.machines.iter().map(|machine| machine.state.epoch()).collect();
         for attempt in self.turns.clone() {
             for epoch in &epochs {
@@ -537,7 +537,7 @@
     }
 
     /// The disks that have a turn, those of machines that are away included.
-    pub fn holding(&mut self, attempt: &str) -> BTreeSet<u64> {
+    pub(crate) fn holding(&mut self, attempt: &str) -> BTreeSet<u64> {
         let has_it = |machine: &mut Machine| {
             let epoch = machine.state.epoch();
             let call = Call::ReadChain { epoch, attempt: attempt.to_owned() };
@@ -578,7 +578,7 @@
     }
 
     /// What an account has granted stays within its bound.
-    pub fn check_accounts(&mut self, bound: u32) {
+    pub(crate) fn check_accounts(&mut self, bound: u32) {
         let mut sums: BTreeMap<&str, u32> = BTreeMap::new();
         for (program, _, tokens) in &self.granted {
             *sums.entry(program).or_default() += tokens;
--- a/system/turn-store/tests/changes/losses.rs
+++ b/system/turn-store/tests/membership_changes/loss_at_each_step.rs
@@ -1,7 +1,7 @@
 //! A loss at each step of each kind of change.
 
-use crate::fleet::{Fleet, Mutation};
-use crate::operations::BOUND;
+use crate::client_operations::BOUND;
+use crate::cluster::{Fleet, Mutation};
 use controllers::RetireVerdict;
 
 /// What the staff, or chance, begins.
--- a/system/turn-store/tests/changes/main.rs
+++ b/system/turn-store/tests/membership_changes/main.rs
@@ -1,7 +1,7 @@
 //! Losses around changes of the storage machines: the real changes of the roster, stores, fillings and quorums, with
 //! machines, keeper and proxies in memory; calls are delivered one at a time, in any order.
 
-mod fleet;
-mod losses;
-mod operations;
-mod random;
+mod client_operations;
+mod cluster;
+mod loss_at_each_step;
+mod random_faults;
--- a/system/turn-store/tests/changes/random.rs
+++ b/system/turn-store/tests/membership_changes/random_faults.rs
@@ -1,7 +1,7 @@
 //! Random orders of calls, changes and losses within the tolerance.
 
-use crate::fleet::{Fleet, Mutation};
-use crate::operations::BOUND;
+use crate::client_operations::BOUND;
+use crate::cluster::{Fleet, Mutation};
 
 const SEEDS: u64 = 300;
 const STEPS: usize = 250;
@@ -23,14 +23,14 @@
 
 impl Trouble {
     fn some_name(&mut self) -> Option<String> {
-        let drawn = self.fleet.random_u64(self.fleet.machines.len());
+        let drawn = self.fleet.random_below(self.fleet.machines.len());
         self.fleet.machines.get(drawn).map(|machine| machine.store.name.clone())
     }
 
     fn trouble(&mut self) {
         let Some(name) = self.some_name() else { return };
         let may_be_hurt = self.fleet.may_hurt() > 0 && !self.fleet.hurt.contains(&name);
-        match self.fleet.random_u64(12) {
+        match self.fleet.random_below(12) {
             0 | 1 if may_be_hurt => self.fleet.wipe(&name, false),
             2 if may_be_hurt => self.fleet.wipe(&name, true),
             3 if may_be_hurt => {
@@ -55,7 +55,7 @@
     }
 
     fn step(&mut self) {
-        match self.fleet.random_u64(20) {
+        match self.fleet.random_below(20) {
             0 => self.trouble(),
             1 => {
                 self.begun += 1;
@@ -69,12 +69,12 @@
                 }
             }
             4..=9 if !self.fleet.operations.is_empty() => {
-                let at = self.fleet.random_u64(self.fleet.operations.len());
+                let at = self.fleet.random_below(self.fleet.operations.len());
                 self.fleet.operate(at);
             }
             10 => self.fleet.keep(),
             _ => {
-                let at = self.fleet.random_u64(self.fleet.machines.len());
+                let at = self.fleet.random_below(self.fleet.machines.len());
                 if at < self.fleet.machines.len() {
                     self.fleet.advance(at);
                 }
@@ -167,7 +167,7 @@
             fleet.begin_reservation(format!("p{number}"), 3 * number + one);
         }
         while !fleet.operations.is_empty() {
-            let at = fleet.random_u64(fleet.operations.len());
+            let at = fleet.random_below(fleet.operations.len());
             fleet.operate(at);
         }
     }
--- /dev/null
+++ b/system/turn-store/tests/replica/membership.rs
@@ -0,0 +1,142 @@
+//! What a replica answers by its place in the roster.
+
+use crate::cluster::{Fleet, Machine, reservation, roster, sum, turn};
+use bytes::Bytes;
+use fleet_model::{Answer, Call, QuorumSizes};
+use googletest::prelude::*;
+
+#[gtest]
+fn a_call_of_another_epoch_is_told_the_stores_own() {
+    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
+    for epoch in [0, 2] {
+        let calls = [
+            Call::Reserve { epoch, program: "p".into(), reservation: reservation(1, 1) },
+            Call::Settle { epoch, program: "p".into(), reservation: reservation(1, 1) },
+            Call::ReadAccount { epoch, program: "p".into() },
+            Call::StoreTurn { epoch, turn: turn("a", None, &[1]) },
+            Call::ReadChain { epoch, attempt: "a".into() },
+            Call::Backfill { epoch, disk: 2, cursor: Bytes::new() },
+            Call::BackfillDone { epoch, disk: 2 },
+        ];
+        for call in calls {
+            expect_that!(fleet.at(1).ask(&call), eq(&Answer::WrongEpoch(1)));
+        }
+    }
+    expect_that!(fleet.at(1).state.counts(), eq((0, 0, 0)));
+}
+
+#[gtest]
+fn an_older_roster_is_passed_over() {
+    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
+    fleet.set_roster(roster(0, &[4, 5, 6], None));
+    expect_that!(fleet.at(1).state.epoch(), eq(1));
+    expect_that!(fleet.at(1).state.is_in_sync(), eq(true));
+}
+
+#[gtest]
+fn before_the_founding_stores_take_and_tell_nothing() {
+    // Given stores that have gathered, and are full as far as there is anything.
+    let mut fleet = Fleet::gathering(&[1, 2, 3], 1);
+    fleet.fill_all();
+    for disk in 1..=3 {
+        let machine = fleet.at(disk);
+        expect_that!(machine.state.is_in_sync_for_next(), eq(true));
+        expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
+        expect_that!(machine.account("p"), eq(&Answer::NotReady));
+        expect_that!(machine.keep(turn("a", None, &[1, 2])), eq(&Answer::NotReady));
+        expect_that!(machine.chain("a"), eq(&Answer::Absent { complete: false }));
+    }
+    // When they are founded, then all of them take and tell.
+    fleet.set_roster(roster(2, &[1, 2, 3], None));
+    for disk in 1..=3 {
+        let machine = fleet.at(disk);
+        expect_that!(sum(&machine.reserve("p", reservation(1, 1))), eq(1));
+        expect_that!(machine.keep(turn("a", None, &[1, 2])), eq(&Answer::Done));
+        expect_that!(machine.chain("b"), eq(&Answer::Absent { complete: true }));
+    }
+}
+
+#[gtest]
+fn stores_fewer_than_the_losses_ask_for_take_writes_and_fill() {
+    for (losses, machines) in [(1, 1), (1, 2), (2, 1), (2, 2), (2, 3), (2, 4)] {
+        let disks: Vec<u64> = (1..=machines).collect();
+        let mut fleet = Fleet::founded(&disks, losses);
+        for disk in &disks {
+            expect_that!(sum(&fleet.at(*disk).reserve("p", reservation(1, 5))), eq(5));
+            expect_that!(fleet.at(*disk).keep(turn("a", None, &disks)), eq(&Answer::Done));
+        }
+        // When as many are lost as the copies allow, then one that takes their place has all.
+        let survived = QuorumSizes::for_machines(disks.len(), losses).unwrap().losses_survived() as u64;
+        fleet.down.extend(1..=survived);
+        fleet.add(9);
+        let next: Vec<u64> = (survived + 1..=machines).chain([9]).collect();
+        fleet.change(&next);
+        expect_that!(sum(&fleet.at(9).account("p")), eq(5), "{machines} machines, {losses} losses");
+        expect_that!(matches!(fleet.at(9).chain("a"), Answer::Chain { .. }), eq(true));
+    }
+}
+
+#[gtest]
+fn a_store_outside_the_roster_takes_and_tells_nothing() {
+    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
+    fleet.at(1).keep(turn("a", None, &[1, 2]));
+    fleet.add(4);
+    fleet.spread();
+    let machine = fleet.at(4);
+    expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
+    expect_that!(machine.account("p"), eq(&Answer::NotReady));
+    expect_that!(machine.keep(turn("b", None, &[4])), eq(&Answer::NotReady));
+    expect_that!(machine.chain("a"), eq(&Answer::Absent { complete: false }));
+    expect_that!(
+        machine.ask(&Call::Backfill { epoch: 1, disk: 1, cursor: Bytes::new() }),
+        eq(&Answer::NotReady)
+    );
+    // And it is given nothing.
+    expect_that!(
+        fleet.at(1).ask(&Call::Backfill { epoch: 1, disk: 4, cursor: Bytes::new() }),
+        eq(&Answer::NotReady)
+    );
+}
+
+#[gtest]
+fn a_retired_store_still_tells_a_turn_but_no_absence() {
+    let mut fleet = Fleet::founded(&[1, 2, 3, 4], 1);
+    fleet.at(4).keep(turn("a", None, &[4, 1]));
+    fleet.change(&[1, 2, 3]);
+    expect_that!(matches!(fleet.at(4).chain("a"), Answer::Chain { .. }), eq(true));
+    expect_that!(fleet.at(4).chain("b"), eq(&Answer::Absent { complete: false }));
+    expect_that!(fleet.at(1).chain("b"), eq(&Answer::Absent { complete: true }));
+}
+
+#[gtest]
+fn a_store_that_is_not_full_never_says_complete_absence() {
+    // Given a store in `current` that has not filled, and one in `next`, before and after filling.
+    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
+    fleet.at(1).keep(turn("a", None, &[1, 2]));
+    fleet.add(4);
+    fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
+    expect_that!(fleet.at(4).chain("a"), eq(&Answer::Absent { complete: false }));
+    expect_that!(fleet.backfill(4), eq(true));
+    expect_that!(fleet.at(4).chain("x"), eq(&Answer::Absent { complete: false }));
+    // A stranger to the change that finds itself in `current`.
+    let mut machine = Machine::new(2, 1);
+    machine.state.set_roster(&roster(3, &[1, 2, 4], None));
+    expect_that!(machine.chain("a"), eq(&Answer::Absent { complete: false }));
+    expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
+    expect_that!(machine.account("p"), eq(&Answer::NotReady));
+    expect_that!(machine.keep(turn("b", None, &[2])), eq(&Answer::NotReady));
+    // The one that had filled says it once it is in `current`.
+    fleet.set_roster(roster(3, &[1, 2, 4], None));
+    expect_that!(fleet.at(4).chain("x"), eq(&Answer::Absent { complete: true }));
+}
+
+#[gtest]
+fn a_member_of_next_takes_writes_and_is_not_read() {
+    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
+    fleet.add(4);
+    fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
+    expect_that!(sum(&fleet.at(4).reserve("p", reservation(1, 5))), eq(5));
+    expect_that!(fleet.at(4).account("p"), eq(&Answer::NotReady));
+    expect_that!(fleet.at(4).keep(turn("a", None, &[4, 1])), eq(&Answer::Done));
+    expect_that!(matches!(fleet.at(4).chain("a"), Answer::Chain { .. }), eq(true));
+}
