--- a/system/turn-store/src/payload.rs
+++ b/system/turn-store/src/payload.rs
@@ -1,20 +1,20 @@
-//! The texts of turns, as a replica reads them from where they are stored.
+//! The texts of turns, which a replica reads from its host's storage.
 
 use fleet_model::Turn;
 
-/// A turn's text, as it can be had now.
+/// A turn as it is stored at the moment.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Payload {
-    /// Here it is.
+    /// The turn was read.
     Present(Turn),
-    /// It is not written yet.
+    /// Its write has not been applied yet.
     Pending,
-    /// It cannot be read, and never will.
+    /// Its record is permanently unreadable.
     Lost,
 }
 
-/// Where the text of turns is had from.
+/// Storage of turns.
 pub trait Payloads {
-    /// The turn of this `Attempt-Id`, which the store has kept.
+    /// Reads the turn of an `Attempt-Id` that is in the replica's index.
     fn get(&self, attempt: &str) -> Payload;
 }
--- a/system/turn-store/src/record_log/faults/power.rs
+++ b/system/turn-store/src/record_log/faults/power.rs
@@ -19,7 +19,7 @@
     SyncFolder,
 }
 
-pub const OPERATIONS: [Operation; 6] = [
+pub(super) const OPERATIONS: [Operation; 6] = [
     Operation::Write,
     Operation::SyncData,
     Operation::Sync,
--- a/system/turn-store/src/replica.rs
+++ b/system/turn-store/src/replica.rs
@@ -1,4 +1,6 @@
 //! The state machine of a storage node's replica, without I/O and clock: membership, dispatch of calls, expiry.
+//!
+//! Its concerns are in the submodules: [`accounts`], [`turns`], [`backfill`] and [`capacity`].
 
 mod accounts;
 mod backfill;
@@ -17,12 +19,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use turns::Entry;
 
+/// Longest `Attempt-Id` and program name, in bytes.
 const MAX_NAME_BYTES: usize = 4096;
 
-/// A store: the turns and accounts it holds, its place in the roster, and how it answers.
+/// The state of a replica: the turns and accounts that it stores, and its position in the roster.
 ///
-/// It relies on the keeper of the roster for this: a set of stores becomes `current` only when each of them has told, for
-/// the epoch under which it was `next`, that it is filled; and `in_sync` is emptied whenever `next` changes.
+/// It relies on the control plane for this: a set of storage nodes becomes `current` only when each of them has reported,
+/// for the epoch under which it was `next`, that it is in sync; and the roster's `in_sync` is cleared whenever `next`
+/// changes.
 #[derive(Debug)]
 pub struct ReplicaState {
     disk: u64,
@@ -35,32 +39,33 @@
 }
 
 impl ReplicaState {
-    /// A store with what its disk holds. All of it gets a fresh expiry.
-    pub fn new(now_ms: u64, disk: u64, losses: usize, kept: Stored) -> Self {
+    /// A replica with the records of its disk, all of them with their retention renewed. `losses` is the number of storage
+    /// nodes whose simultaneous loss is tolerated.
+    pub fn new(now_ms: u64, disk: u64, losses: usize, stored: Stored) -> Self {
         let mut state = Self {
             disk,
             losses,
             roster: Roster::default(),
-            backfill: kept.backfill,
+            backfill: stored.backfill,
             capacity: DiskCapacity::default(),
             turns: BTreeMap::new(),
             accounts: BTreeMap::new(),
         };
-        for turn in kept.turns {
+        for turn in stored.turns {
             state.insert(now_ms, turn);
         }
-        for (program, reservation) in kept.accounts {
+        for (program, reservation) in stored.accounts {
             state.account(now_ms, &program).merge(reservation);
         }
         state
     }
 
-    /// Its disk's number.
+    /// The number of its disk.
     pub fn disk(&self) -> u64 {
         self.disk
     }
 
-    /// The epoch of the roster that it goes by.
+    /// The epoch of its roster.
     pub fn epoch(&self) -> u64 {
         self.roster.epoch
     }
@@ -71,7 +76,7 @@
         (self.turns.len(), self.accounts.len(), bytes)
     }
 
-    /// Take a newer roster; an older one is passed over. The writes may be lazy.
+    /// Adopts a newer roster; an older one is ignored. The returned writes need not be synced.
     pub fn set_roster(&mut self, roster: &Roster) -> Vec<Write> {
         if roster.epoch <= self.roster.epoch {
             return Vec::new();
@@ -82,7 +87,7 @@
             && roster.epoch == self.roster.epoch + 1
             && next == self.roster.next.as_deref().map(disks)
         {
-            // The same change goes on, with no epoch between: what was filled still holds.
+            // The same change continues, with no epoch in between: what was in sync for it still is.
             for (epoch, set) in &mut self.backfill.in_sync {
                 if *epoch == self.roster.epoch && Some(&*set) == next.as_ref() {
                     *epoch = roster.epoch;
@@ -91,19 +96,19 @@
         }
         self.roster = roster.clone();
         let current = disks(&roster.current);
-        let told = roster.in_sync.contains(&self.disk);
+        let is_reported = roster.in_sync.contains(&self.disk);
         self.backfill.in_sync.retain(|(epoch, set)| {
-            *set == current || (Some(set) == next.as_ref() && (*epoch == roster.epoch || told))
+            *set == current || (Some(set) == next.as_ref() && (*epoch == roster.epoch || is_reported))
         });
         if self.backfill == before { Vec::new() } else { vec![self.backfill.write()] }
     }
 
-    /// Take note of the disk's room; tells whether that is news.
+    /// Sets the disk's capacity; returns whether it has changed.
     pub fn set_capacity(&mut self, capacity: DiskCapacity) -> bool {
         std::mem::replace(&mut self.capacity, capacity) != capacity
     }
 
-    /// The room that the disk has.
+    /// The disk's capacity.
     pub fn capacity(&self) -> DiskCapacity {
         self.capacity
     }
@@ -121,21 +126,23 @@
         self.backfill.in_sync.iter().any(|(_, in_sync)| *in_sync == set)
     }
 
-    /// Whether it is one of the current stores and holds all that they kept, as far as it should.
+    /// Whether it is in the current set and has every record that it has to store there.
     pub fn is_in_sync(&self) -> bool {
         self.in_current() && self.is_in_sync_for(&self.roster.current)
     }
 
-    /// Before there is a current set, nothing is kept: the founding ends only when its members are full without sources.
+    /// Whether there is a current set. Before, nothing is stored: the first set becomes current only when its members are in
+    /// sync, for which they need no sources.
     fn is_founded(&self) -> bool {
         !self.roster.current.is_empty()
     }
 
+    /// A member of the current set accepts writes once it is in sync, one of the next set at once.
     fn accepts_writes(&self) -> bool {
         self.is_founded() && if self.in_current() { self.is_in_sync() } else { self.in_next() }
     }
 
-    /// Answer a call. One that is not for a store gets `Unready`.
+    /// Handles a call at `now_ms`. One that is not for a storage node is answered with [`Answer::NotReady`].
     pub fn handle(&mut self, now_ms: u64, call: &Call, payloads: &dyn Payloads) -> Outcome {
         let epoch = match call {
             Call::Reserve { epoch, .. }
@@ -162,23 +169,24 @@
         }
     }
 
-    /// Drop what has expired. A turn outlives none of those that continue from it. The writes may be lazy.
+    /// Removes expired records. A turn does not expire before those that continue from it. The returned writes need not be
+    /// synced.
     pub fn expire(&mut self, now_ms: u64) -> Vec<Write> {
         self.extend_ancestors();
         let mut writes = Vec::new();
         self.turns.retain(|attempt, entry| {
-            let held = entry.expiry_ms > now_ms;
-            if !held {
+            let is_retained = entry.expiry_ms > now_ms;
+            if !is_retained {
                 writes.extend(turn_removal(attempt));
             }
-            held
+            is_retained
         });
         self.accounts.retain(|program, account| {
-            let held = account.expiry_ms > now_ms;
-            if !held {
+            let is_retained = account.expiry_ms > now_ms;
+            if !is_retained {
                 writes.extend(account.tokens.keys().map(|&attempt| account_removal(program, attempt)));
             }
-            held
+            is_retained
         });
         writes
     }
--- a/system/turn-store/src/replica/accounts.rs
+++ b/system/turn-store/src/replica/accounts.rs
@@ -5,8 +5,10 @@
 use fleet_model::{Answer, Reservation};
 use std::collections::BTreeMap;
 
+/// Retention of an account after its last access, in milliseconds.
 const ACCOUNT_RETENTION_MS: u64 = 600_000;
 
+/// The account of one program: its tokens by attempt, and when it expires unless it is accessed again.
 #[derive(Debug, Default)]
 pub(super) struct Account {
     pub(super) tokens: BTreeMap<u64, u32>,
@@ -14,16 +16,18 @@
 }
 
 impl Account {
-    /// Takes the lower count; tells what then holds, and whether that is news.
+    /// Merges a reservation by taking the lower count, which makes the order and repetition of merges irrelevant. Returns
+    /// the resulting count and whether it has changed.
     pub(super) fn merge(&mut self, reservation: Reservation) -> (u32, bool) {
-        let held = self.tokens.get(&reservation.attempt).copied();
-        let tokens = held.map_or(reservation.tokens, |held| held.min(reservation.tokens));
+        let stored = self.tokens.get(&reservation.attempt).copied();
+        let tokens = stored.map_or(reservation.tokens, |stored| stored.min(reservation.tokens));
         self.tokens.insert(reservation.attempt, tokens);
-        (tokens, held != Some(tokens))
+        (tokens, stored != Some(tokens))
     }
 }
 
 impl ReplicaState {
+    /// The account of a program, created if there is none, with its retention renewed.
     pub(super) fn account(&mut self, now_ms: u64, program: &str) -> &mut Account {
         if !self.accounts.contains_key(program) {
             self.accounts.insert(program.into(), Account::default());
@@ -33,6 +37,8 @@
         account
     }
 
+    /// Stores a reservation and answers with all reservations of the account. It is written also when it repeats a stored
+    /// one, whose write may not be synced yet.
     pub(super) fn reserve(&mut self, now_ms: u64, program: &str, reservation: Reservation) -> Outcome {
         if !self.accepts_writes() || program.len() > MAX_NAME_BYTES {
             return Outcome::free(Answer::NotReady);
@@ -46,15 +52,17 @@
         Outcome::synced(answer, vec![account_write(program, reservation.attempt, tokens)])
     }
 
+    /// Lowers a reservation to the tokens that the attempt has used.
     pub(super) fn settle(&mut self, now_ms: u64, program: &str, reservation: Reservation) -> Outcome {
         if !self.accepts_writes() || program.len() > MAX_NAME_BYTES {
             return Outcome::free(Answer::NotReady);
         }
-        let (tokens, news) = self.account(now_ms, program).merge(reservation);
-        let writes = news.then(|| account_write(program, reservation.attempt, tokens));
+        let (tokens, changed) = self.account(now_ms, program).merge(reservation);
+        let writes = changed.then(|| account_write(program, reservation.attempt, tokens));
         Outcome::lazy(Answer::Done, writes.into_iter().collect())
     }
 
+    /// Answers with all reservations of an account. Only a replica that is in sync may answer a read.
     pub(super) fn read_account(&mut self, now_ms: u64, program: &str) -> Outcome {
         if !self.is_founded() || !self.is_in_sync() {
             return Outcome::free(Answer::NotReady);
--- a/system/turn-store/src/replica/backfill.rs
+++ b/system/turn-store/src/replica/backfill.rs
@@ -1,4 +1,4 @@
-//! Backfill of a replica: which one it needs, the pages it gives to others, and the pages it applies.
+//! Backfill of a replica: the one that it needs, the pages that it serves to others, and the pages that it applies.
 
 use super::{MAX_NAME_BYTES, Outcome, ReplicaState, contains, disks};
 use crate::backfill::Backfill;
@@ -10,25 +10,58 @@
 use serde::{Deserialize, Serialize};
 use std::ops::Bound::{Excluded, Included, Unbounded};
 
+/// Size at which a page of backfill ends; a single larger record makes a larger page.
 const TARGET_PAGE_BYTES: usize = 256 << 10;
 
-/// What a record takes in a page beyond its text.
+/// Estimated size of a record in a page beyond its name and text.
 const PAGE_ENTRY_OVERHEAD_BYTES: usize = 64;
 
+/// Estimated size of a reservation in a page.
 const PAGE_RESERVATION_BYTES: usize = 16;
 
-/// Where a page of filling begins. Accounts come first.
+/// Position at which a page of backfill begins. Accounts come first. Its encoding is opaque to the asker.
 #[derive(Serialize, Deserialize)]
 enum Cursor<'a> {
     Accounts { program: &'a str, after: Option<u64> },
     Turns { after: Option<&'a str> },
 }
 
+/// A page of backfill while it is built.
+#[derive(Default)]
+struct Page {
+    /// Its size as estimated, compared with [`TARGET_PAGE_BYTES`].
+    bytes: usize,
+    accounts: Vec<(String, Vec<Reservation>)>,
+    turns: Vec<Turn>,
+}
+
+impl Page {
+    fn is_empty(&self) -> bool {
+        self.turns.is_empty() && self.accounts.is_empty()
+    }
+
+    fn into_outcome(self, cursor: Option<Bytes>) -> Outcome {
+        Outcome::free(Answer::Records { turns: self.turns, accounts: self.accounts, cursor })
+    }
+}
+
+/// How a page ends.
+enum PageEnd {
+    /// It is sent, with the cursor of the next page if there is one.
+    Records(Option<Bytes>),
+    /// Its first record is not written yet: the asker has to retry.
+    NotReady,
+    /// The record of this attempt is unreadable.
+    Lost(String),
+}
+
 impl ReplicaState {
-    /// The filling that this store has to do under its roster, if any. It needs as many full current stores, itself
-    /// counted if it is one, as together know every record ([`QuorumSizes::covering`]). That holds also where some were
-    /// not waited for when the set became current: with `w` of those, a record is on `write - w` full ones or more, and
-    /// of the `n - w` full ones `covering` leave out only `write - 1 - w`. A founding has no sources and needs none.
+    /// The backfill that this replica needs under its roster, if any.
+    ///
+    /// It needs as many current storage nodes that are in sync, itself included if it is one, as together store every
+    /// record ([`QuorumSizes::covering`]). That holds also where some were not waited for when the set became current:
+    /// with `w` of those, a record is on at least `write - w` nodes that are in sync, and of the `n - w` nodes that are
+    /// in sync, `covering` leave out only `write - 1 - w`. A new cluster has no sources and needs none.
     pub fn backfill(&self) -> Option<Backfill> {
         let due = match &self.roster.next {
             Some(next) if self.in_next() => !self.is_in_sync_for(next),
@@ -42,9 +75,11 @@
         })
     }
 
-    /// A [`Backfill`] is done and all that it brought is synced. Once the writes are synced too, `Filled` is told, if the
-    /// store is in `next`. `None` if the roster has moved on, or the store counted on itself and has found damage since:
-    /// then it begins anew.
+    /// Marks this replica as in sync after a [`Backfill`] is done and all records that it brought are synced. Once the
+    /// returned writes are synced too, the host reports the replica as in sync, if it is in the next set.
+    ///
+    /// Returns `None` if the roster has changed, or if the backfill relied on the replica's own records and damage was
+    /// found since: then a new backfill is needed.
     pub fn mark_in_sync(&mut self, backfill: &Backfill) -> Option<Vec<Write>> {
         if backfill.epoch() != self.roster.epoch || !backfill.is_done() {
             return None;
@@ -63,12 +98,12 @@
         Some(vec![self.backfill.write()])
     }
 
-    /// Whether `Filled` is to be told for the roster's epoch.
+    /// Whether the host is to report the replica as in sync for the roster's epoch.
     pub fn is_in_sync_for_next(&self) -> bool {
         self.in_next() && self.roster.next.as_ref().is_some_and(|next| self.is_in_sync_for(next))
     }
 
-    /// The set of stores for which a disk fills.
+    /// The set of storage nodes for which a disk is backfilled.
     fn backfill_target(&self, disk: u64) -> Option<&[StorageNode]> {
         match &self.roster.next {
             Some(next) if contains(next, disk) => Some(next),
@@ -77,79 +112,105 @@
         }
     }
 
-    /// A store may be drawn on if it is full. An empty one that is not may lack all that it should have: it joined, was not
-    /// waited for, and came back.
+    /// Whether this replica may be a source of backfill. One that is not in sync may lack everything that it should store:
+    /// it joined, was not waited for, and came back.
     pub(super) fn is_source(&self) -> bool {
         self.is_in_sync()
     }
 
+    /// Answers [`Call::Backfill`](fleet_model::Call::Backfill): the next page of the records that `asker` has to store.
     pub(super) fn backfill_page(&mut self, asker: u64, cursor: &[u8], payloads: &dyn Payloads) -> Outcome {
-        let unready = Outcome::free(Answer::NotReady);
+        let not_ready = Outcome::free(Answer::NotReady);
         let cursor = match cursor {
             [] => Ok(Cursor::Accounts { program: "", after: None }),
             bytes => decode(bytes),
         };
-        let (Ok(cursor), true) = (cursor, self.is_source()) else { return unready };
-        let Some(set) = self.backfill_target(asker) else { return unready };
-        let mut size = 0;
-        let mut accounts = Vec::new();
-        let mut after = None;
-        match cursor {
-            Cursor::Turns { after: last } => after = last,
+        let (Ok(cursor), true) = (cursor, self.is_source()) else { return not_ready };
+        let Some(target) = self.backfill_target(asker) else { return not_ready };
+        let mut page = Page::default();
+        let after = match cursor {
+            Cursor::Turns { after } => after,
             Cursor::Accounts { program, after } => {
-                let begun = (program, after);
-                for (program, account) in self.accounts.range::<str, _>((Included(program), Unbounded)) {
-                    if !account_replicas(set, program, self.losses).iter().any(|store| store.disk == asker) {
-                        continue;
-                    }
-                    size += PAGE_ENTRY_OVERHEAD_BYTES + program.len();
-                    let mut page = Vec::new();
-                    let done = if **program == *begun.0 { begun.1 } else { None };
-                    for (&attempt, &tokens) in &account.tokens {
-                        if done.is_some_and(|done| attempt <= done) {
-                            continue;
-                        }
-                        page.push(Reservation { attempt, tokens });
-                        size += PAGE_RESERVATION_BYTES;
-                        if size >= TARGET_PAGE_BYTES {
-                            let cursor = encode(&Cursor::Accounts { program, after: Some(attempt) });
-                            accounts.push((program.to_string(), page));
-                            return records(Vec::new(), accounts, Some(cursor));
-                        }
-                    }
-                    if !page.is_empty() {
-                        accounts.push((program.to_string(), page));
-                    }
+                if let Some(cursor) = self.add_accounts(&mut page, target, asker, program, after) {
+                    return page.into_outcome(Some(cursor));
                 }
+                None
             }
+        };
+        match self.add_turns(&mut page, target, asker, after, payloads) {
+            PageEnd::Records(cursor) => page.into_outcome(cursor),
+            PageEnd::NotReady => not_ready,
+            PageEnd::Lost(attempt) => Outcome::lazy(Answer::NotReady, self.mark_lost(&attempt)),
         }
-        let mut turns = Vec::new();
+    }
+
+    /// Adds the accounts from `first_program` on, of that one the reservations behind `after`; the cursor of the next
+    /// page if this one is full.
+    fn add_accounts(
+        &self,
+        page: &mut Page,
+        target: &[StorageNode],
+        asker: u64,
+        first_program: &str,
+        after: Option<u64>,
+    ) -> Option<Bytes> {
+        for (program, account) in self.accounts.range::<str, _>((Included(first_program), Unbounded)) {
+            if !account_replicas(target, program, self.losses).iter().any(|node| node.disk == asker) {
+                continue;
+            }
+            page.bytes += PAGE_ENTRY_OVERHEAD_BYTES + program.len();
+            let mut reservations = Vec::new();
+            let sent = if **program == *first_program { after } else { None };
+            for (&attempt, &tokens) in &account.tokens {
+                if sent.is_some_and(|sent| attempt <= sent) {
+                    continue;
+                }
+                reservations.push(Reservation { attempt, tokens });
+                page.bytes += PAGE_RESERVATION_BYTES;
+                if page.bytes >= TARGET_PAGE_BYTES {
+                    let cursor = encode(&Cursor::Accounts { program, after: Some(attempt) });
+                    page.accounts.push((program.to_string(), reservations));
+                    return Some(cursor);
+                }
+            }
+            if !reservations.is_empty() {
+                page.accounts.push((program.to_string(), reservations));
+            }
+        }
+        None
+    }
+
+    /// Adds the turns behind `after`.
+    fn add_turns<'a>(
+        &'a self,
+        page: &mut Page,
+        target: &[StorageNode],
+        asker: u64,
+        mut after: Option<&'a str>,
+        payloads: &dyn Payloads,
+    ) -> PageEnd {
         let range = (after.map_or(Unbounded, Excluded), Unbounded);
         for (attempt, entry) in self.turns.range::<str, _>(range) {
-            let wanted = wanted_replicas(attempt, &entry.replicas, set, self.losses);
+            let wanted = wanted_replicas(attempt, &entry.replicas, target, self.losses);
             if !wanted.contains(&asker) {
                 after = Some(attempt);
                 continue;
             }
-            size += PAGE_ENTRY_OVERHEAD_BYTES + attempt.len() + entry.length as usize;
-            let full_page = size > TARGET_PAGE_BYTES && !(turns.is_empty() && accounts.is_empty());
-            match if full_page { Payload::Pending } else { payloads.get(attempt) } {
-                Payload::Present(turn) => turns.push(Turn { replicas: wanted, ..turn }),
-                Payload::Pending if turns.is_empty() && accounts.is_empty() => return unready,
-                Payload::Pending => {
-                    let cursor = encode(&Cursor::Turns { after });
-                    return records(turns, accounts, Some(cursor));
-                }
-                Payload::Lost => {
-                    let attempt = attempt.to_string();
-                    return Outcome::lazy(Answer::NotReady, self.mark_lost(&attempt));
-                }
+            page.bytes += PAGE_ENTRY_OVERHEAD_BYTES + attempt.len() + entry.length as usize;
+            let is_full = page.bytes > TARGET_PAGE_BYTES && !page.is_empty();
+            match if is_full { Payload::Pending } else { payloads.get(attempt) } {
+                Payload::Present(turn) => page.turns.push(Turn { replicas: wanted, ..turn }),
+                Payload::Pending if page.is_empty() => return PageEnd::NotReady,
+                Payload::Pending => return PageEnd::Records(Some(encode(&Cursor::Turns { after }))),
+                Payload::Lost => return PageEnd::Lost(attempt.to_string()),
             }
             after = Some(attempt);
         }
-        records(turns, accounts, None)
+        PageEnd::Records(None)
     }
 
+    /// Answers [`Call::BackfillDone`](fleet_model::Call::BackfillDone): `asker` stores the turns that it was given, so
+    /// they are recorded as replicated there.
     pub(super) fn backfill_done(&mut self, asker: u64) -> Outcome {
         let Some(set) = self.backfill_target(asker).map(<[StorageNode]>::to_vec) else {
             return Outcome::free(Answer::NotReady);
@@ -165,7 +226,8 @@
         Outcome::lazy(Answer::Done, writes)
     }
 
-    /// Take in a page that another store gave. The page counts when the writes, and all earlier ones, are synced.
+    /// Applies a page of backfill from another replica. The page counts when the returned writes, and all earlier ones,
+    /// are synced.
     pub fn apply_page(
         &mut self,
         now_ms: u64,
@@ -194,30 +256,27 @@
             }
             let account = self.account(now_ms, &program);
             for reservation in reservations {
-                let (tokens, news) = account.merge(reservation);
-                writes.extend(news.then(|| account_write(&program, reservation.attempt, tokens)));
+                let (tokens, changed) = account.merge(reservation);
+                writes.extend(changed.then(|| account_write(&program, reservation.attempt, tokens)));
             }
         }
         writes
     }
 }
 
-fn records(turns: Vec<Turn>, accounts: Vec<(String, Vec<Reservation>)>, cursor: Option<Bytes>) -> Outcome {
-    Outcome::free(Answer::Records { turns, accounts, cursor })
-}
-
-fn add_replicas(attempt: &str, held: &mut Vec<u64>, more: &[u64]) -> Option<Write> {
-    let before = held.len();
-    for disk in more {
-        if !held.contains(disk) {
-            held.push(*disk);
+/// Adds the disks that are missing to a turn's replicas, with the write for it if there were any.
+fn add_replicas(attempt: &str, replicas: &mut Vec<u64>, added: &[u64]) -> Option<Write> {
+    let count_before = replicas.len();
+    for disk in added {
+        if !replicas.contains(disk) {
+            replicas.push(*disk);
         }
     }
-    (held.len() > before).then(|| replicas_write(attempt, held))
+    (replicas.len() > count_before).then(|| replicas_write(attempt, replicas))
 }
 
-/// Who is to hold a turn once `set` is what counts: its holders there, and where these are too few for the losses, the
-/// best-ranked of the others.
+/// The disks that have to store a turn once `set` is the current one: its replicas in that set, and where these are too
+/// few for the tolerated losses, the others of the highest rank.
 fn wanted_replicas(attempt: &str, replicas: &[u64], set: &[StorageNode], losses: usize) -> Vec<u64> {
     let mut wanted: Vec<u64> = replicas.iter().copied().filter(|disk| contains(set, *disk)).collect();
     if wanted.len() <= losses {
--- a/system/turn-store/src/replica/capacity.rs
+++ b/system/turn-store/src/replica/capacity.rs
@@ -1,28 +1,29 @@
 //! The capacity that a storage node's disk has left.
 
-/// How much room a store's disk has for more.
+/// How much capacity a storage node's disk has left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiskCapacity {
-    /// Enough.
+    /// There is enough for all writes.
     #[default]
     Ample,
-    /// It is kept for programs that have begun: no reservation of another is taken.
+    /// What is left is reserved for programs that have an account: reservations of others are rejected.
     Scarce,
-    /// No further turn is taken.
+    /// New turns are rejected too.
     Full,
 }
 
-/// What the engine may need at once beside its tables: a journal that is full, and the next one at its whole length.
+/// Space that the engine may need beside its tables: a full journal, and the next one at its allocated length.
 const JOURNALS_BYTES: u64 = 2 * (64 << 20);
 
 impl DiskCapacity {
-    /// With `table_bytes` in tables on a disk of `limit_bytes`; 0 is a disk without a limit.
+    /// The capacity left with `table_bytes` in tables and `limit_bytes` for the whole data directory, of which 0 means no
+    /// limit. It is scarce from 90 % and full from 97 % of what the journals leave to the tables.
     pub fn from_usage(table_bytes: u64, limit_bytes: u64) -> Self {
-        let capacity = limit_bytes.saturating_sub(JOURNALS_BYTES).max(limit_bytes / 2);
+        let table_limit_bytes = limit_bytes.saturating_sub(JOURNALS_BYTES).max(limit_bytes / 2);
         match table_bytes {
             _ if limit_bytes == 0 => Self::Ample,
-            _ if table_bytes < capacity / 100 * 90 => Self::Ample,
-            _ if table_bytes < capacity / 100 * 97 => Self::Scarce,
+            _ if table_bytes < table_limit_bytes / 100 * 90 => Self::Ample,
+            _ if table_bytes < table_limit_bytes / 100 * 97 => Self::Scarce,
             _ => Self::Full,
         }
     }
--- a/system/turn-store/src/replica/outcome.rs
+++ b/system/turn-store/src/replica/outcome.rs
@@ -1,40 +1,44 @@
-//! What a call comes to: the answer, the writes, and whether the answer waits for them.
+//! The outcome of a call: the answer, the writes, and whether the answer waits for them.
 
 use crate::disk::Write;
 use fleet_model::Answer;
 
-/// How the answer of an [`Outcome`] hangs on its writes.
+/// When the answer of an [`Outcome`] may be sent, relative to its writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// There are no writes to wait for.
+    /// At once: there are no writes.
     Free,
-    /// The answer may go at once; the writes follow.
+    /// At once: the writes may follow later.
     Lazy,
-    /// The answer goes when the writes, and all writes of earlier outcomes, are synced; if that fails, `Unready` goes.
+    /// When the writes, and all writes of earlier outcomes, are synced; if that fails, the host answers
+    /// [`Answer::NotReady`] instead.
     Synced,
 }
 
-/// What a call comes to.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// What the caller is told.
+    /// The answer to the caller.
     pub answer: Answer,
-    /// What is to be written.
+    /// The writes, to be applied in this order.
     pub writes: Vec<Write>,
-    /// Whether the answer waits for that.
+    /// When the answer may be sent.
     pub durability: Durability,
 }
 
 impl Outcome {
+    /// An answer without writes.
     pub(super) fn free(answer: Answer) -> Self {
         Self { answer, writes: Vec::new(), durability: Durability::Free }
     }
 
+    /// An answer that does not wait for its writes.
     pub(super) fn lazy(answer: Answer, writes: Vec<Write>) -> Self {
         let durability = if writes.is_empty() { Durability::Free } else { Durability::Lazy };
         Self { answer, writes, durability }
     }
 
+    /// An answer that waits for its writes.
     pub(super) fn synced(answer: Answer, writes: Vec<Write>) -> Self {
         Self { answer, writes, durability: Durability::Synced }
     }
--- a/system/turn-store/src/replica/turns.rs
+++ b/system/turn-store/src/replica/turns.rs
@@ -8,8 +8,10 @@
 use fleet_model::{Answer, Turn};
 use std::collections::{BTreeMap, HashSet};
 
+/// Shortest retention of a turn that is assumed, in milliseconds.
 const MIN_RETENTION_MS: u64 = 60_000;
 
+/// The index entry of a turn: all but its text.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub(super) previous: Option<Box<str>>,
@@ -20,19 +22,21 @@
 }
 
 impl Entry {
+    /// Renews the retention: twice the turn's own, from now on.
     pub(super) fn touch(&mut self, now_ms: u64) {
-        let held_ms = self.retention_ms.max(MIN_RETENTION_MS).saturating_mul(2);
-        self.expiry_ms = self.expiry_ms.max(now_ms.saturating_add(held_ms));
+        let retained_ms = self.retention_ms.max(MIN_RETENTION_MS).saturating_mul(2);
+        self.expiry_ms = self.expiry_ms.max(now_ms.saturating_add(retained_ms));
     }
 }
 
 impl ReplicaState {
+    /// Stores a turn, or updates the replicas of one that is stored.
     pub(super) fn store_turn(&mut self, now_ms: u64, turn: &Turn) -> Outcome {
-        let named = (1..=MAX_NAME_BYTES).contains(&turn.attempt.len());
-        if !self.accepts_writes() || !named {
+        let is_valid_name = (1..=MAX_NAME_BYTES).contains(&turn.attempt.len());
+        if !self.accepts_writes() || !is_valid_name {
             return Outcome::free(Answer::NotReady);
         }
-        // Kept already: the record stays as it is, and the answer waits for the first one's sync.
+        // A stored record is not rewritten; the answer still waits until its first write is synced.
         let writes = match self.turns.get_mut(turn.attempt.as_str()) {
             None if self.capacity == DiskCapacity::Full => return Outcome::free(Answer::NotReady),
             None => {
@@ -41,15 +45,16 @@
             }
             Some(entry) => {
                 entry.touch(now_ms);
-                // Sent again, it names who does hold it: one named before may not have answered.
-                let news = entry.replicas != turn.replicas;
+                // A turn that is sent again names its actual replicas: one named before may not have answered.
+                let changed = entry.replicas != turn.replicas;
                 entry.replicas.clone_from(&turn.replicas);
-                news.then(|| replicas_write(&turn.attempt, &turn.replicas)).into_iter().collect()
+                changed.then(|| replicas_write(&turn.attempt, &turn.replicas)).into_iter().collect()
             }
         };
         Outcome::synced(Answer::Done, writes)
     }
 
+    /// Adds a turn to the index.
     pub(super) fn insert(&mut self, now_ms: u64, turn: StoredTurn) {
         let mut entry = Entry {
             previous: turn.previous.map(Into::into),
@@ -62,30 +67,31 @@
         self.turns.insert(turn.attempt.into(), entry);
     }
 
+    /// Reads a turn and its predecessors back to the first one that is not stored here, and renews their retention.
     pub(super) fn read_chain(&mut self, now_ms: u64, attempt: &str, payloads: &dyn Payloads) -> Outcome {
         let mut parts = Vec::new();
         let mut seen = HashSet::new();
         let mut writes = Vec::new();
-        let mut missing = Some(attempt.to_owned());
-        while let Some(asked) = missing.take() {
-            if !seen.insert(asked.clone()) {
+        let mut next = Some(attempt.to_owned());
+        while let Some(requested) = next.take() {
+            if !seen.insert(requested.clone()) {
                 break;
             }
-            let Some(entry) = self.turns.get_mut(asked.as_str()) else {
-                missing = Some(asked);
+            let Some(entry) = self.turns.get_mut(requested.as_str()) else {
+                next = Some(requested);
                 break;
             };
             entry.touch(now_ms);
-            match payloads.get(&asked) {
+            match payloads.get(&requested) {
                 Payload::Present(turn) => {
-                    missing = turn.previous;
+                    next = turn.previous;
                     parts.push(turn.output);
                     parts.push(turn.input);
                 }
                 Payload::Pending => return Outcome::lazy(Answer::NotReady, writes),
                 Payload::Lost => {
-                    writes.extend(self.mark_lost(&asked));
-                    missing = Some(asked);
+                    writes.extend(self.mark_lost(&requested));
+                    next = Some(requested);
                     break;
                 }
             }
@@ -95,27 +101,28 @@
         } else {
             let mut text = BytesMut::with_capacity(parts.iter().map(Bytes::len).sum());
             parts.iter().rev().for_each(|part| text.extend_from_slice(part));
-            Answer::Chain { text: text.freeze(), missing }
+            Answer::Chain { text: text.freeze(), missing: next }
         };
         Outcome::lazy(answer, writes)
     }
 
-    /// A record turned out to be unreadable: the store has to fill again. The record stays until it is replaced, or set
-    /// aside at the next start.
+    /// Removes an unreadable turn from the index; the replica then needs another backfill. The record itself stays on
+    /// disk until it is replaced, or quarantined at the next start.
     pub(super) fn mark_lost(&mut self, attempt: &str) -> Vec<Write> {
         self.turns.remove(attempt);
         self.backfill = BackfillRecord { in_sync: Vec::new(), damaged: true };
         vec![self.backfill.write()]
     }
 
+    /// Extends the expiry of each turn to the latest one of the turns that continue from it.
     pub(super) fn extend_ancestors(&mut self) {
         let mut longer: BTreeMap<Box<str>, u64> = BTreeMap::new();
         for entry in self.turns.values() {
             let mut previous = entry.previous.as_deref();
             while let Some(name) = previous {
                 let Some((name, ancestor)) = self.turns.get_key_value(name) else { break };
-                let held_ms = longer.get(name).copied().unwrap_or(ancestor.expiry_ms);
-                if held_ms >= entry.expiry_ms {
+                let retained_until_ms = longer.get(name).copied().unwrap_or(ancestor.expiry_ms);
+                if retained_until_ms >= entry.expiry_ms {
                     break;
                 }
                 longer.insert(name.clone(), entry.expiry_ms);
