--- a/system/fleet-membership/src/effects.rs
+++ b/system/fleet-membership/src/effects.rs
@@ -37,35 +37,35 @@
 impl MemberEvent {
     /// What becomes known when an entry of the table is replaced.
     pub(crate) fn between(before: Option<&Entry>, after: &Entry) -> Vec<Self> {
-        let mut changes = Self::of_liveness(before, after);
+        let mut changes = Self::liveness_events(before, after);
         let was_suspect = before.is_some_and(|before| before.status == Status::Suspect);
         let is_suspect = after.status == Status::Suspect;
-        if is_suspect && (!was_suspect || is_new_life(before, after)) {
+        if is_suspect && (!was_suspect || is_new_incarnation(before, after)) {
             changes.extend(after.member.clone().map(Self::Suspected));
         }
         changes
     }
 
-    fn of_liveness(before: Option<&Entry>, after: &Entry) -> Vec<Self> {
+    fn liveness_events(before: Option<&Entry>, after: &Entry) -> Vec<Self> {
         let former = before.and_then(|before| before.member.clone());
         let former_status = before.map(|before| before.status).filter(|status| status.is_live());
-        let is_new_life = is_new_life(before, after);
+        let is_new_incarnation = is_new_incarnation(before, after);
         match (former_status, former, after.member.clone()) {
             (None, _, Some(member)) if after.status.is_live() => vec![Self::Joined(member)],
-            (Some(_), Some(former), Some(member)) if after.status.is_live() && is_new_life => {
+            (Some(_), Some(former), Some(member)) if after.status.is_live() && is_new_incarnation => {
                 vec![Self::Removed(former), Self::Joined(member)]
             }
             (Some(Status::Suspect), _, Some(member)) if after.status == Status::Alive => {
                 vec![Self::Refuted(member)]
             }
-            (Some(_), Some(former), _) if after.status == Status::Removed => vec![Self::Removed(former)],
+            (Some(_), Some(former), _) if after.status == Status::Dead => vec![Self::Removed(former)],
             (Some(_), Some(former), _) if after.status == Status::Left => vec![Self::Left(former)],
             _ => Vec::new(),
         }
     }
 }
 
-fn is_new_life(before: Option<&Entry>, after: &Entry) -> bool {
+fn is_new_incarnation(before: Option<&Entry>, after: &Entry) -> bool {
     before.is_some_and(|before| before.version.incarnation != after.version.incarnation)
 }
 
--- a/system/fleet-membership/src/gossip_queue.rs
+++ b/system/fleet-membership/src/gossip_queue.rs
@@ -12,7 +12,7 @@
 
 impl GossipQueue {
     /// Disseminates the state of `ip` from the start.
-    pub fn put(&mut self, ip: Ipv4Addr) {
+    pub fn insert(&mut self, ip: Ipv4Addr) {
         if let Some(sent) = self.sent.insert(ip, 0) {
             self.order.remove(&(sent, ip));
         }
@@ -25,7 +25,7 @@
     }
 
     /// One more was sent; with the `limit`th it ends.
-    pub fn count(&mut self, ip: Ipv4Addr, limit: u32) {
+    pub fn record_sent(&mut self, ip: Ipv4Addr, limit: u32) {
         let Some(sent) = self.sent.get(&ip).copied() else { return };
         self.order.remove(&(sent, ip));
         if sent + 1 >= limit {
--- a/system/fleet-membership/src/membership.rs
+++ b/system/fleet-membership/src/membership.rs
@@ -1,29 +1,29 @@
 //! One member's part of the protocol: its state, the events that move it on, and the questions it answers. Each module
 //! below holds one part of what follows from an event.
 
-mod claims;
 mod failure_detector;
 mod gossip;
 mod messages;
 mod rejoin;
 mod sending;
 mod state_exchange;
+mod updates;
 
-use self::state_exchange::{Divergence, Fetch};
+use self::state_exchange::{Divergence, StateFetch};
 use crate::config::Config;
 use crate::effects::{Counters, Effect};
 use crate::gossip_queue::GossipQueue;
 use crate::member::{Member, MemberError, MemberState, Role, is_usable};
 use crate::probing::Probes;
 use crate::table::Table;
-use crate::wire::{Body, DecodeError, Status, decode};
+use crate::wire::{DecodeError, Message, Status, decode};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 
 /// Members told by one that leaves.
-const TOLD_OF_LEAVE: usize = 8;
+const LEAVE_FANOUT: usize = 8;
 
 /// One member's view of the fleet.
 pub struct Membership {
@@ -31,26 +31,26 @@
     /// How often this life has refuted what was said of it.
     refutation: u32,
     config: Config,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     table: Table,
     gossip_queue: GossipQueue,
     probes: Probes,
     /// Left of this round of the shuffled round robin.
-    round: Vec<Ipv4Addr>,
+    round_robin: Vec<Ipv4Addr>,
     /// Probe periods so far.
     periods: u64,
     /// Members to be probed out of turn, because another sees them differently or this process had no time.
-    doubted: VecDeque<Ipv4Addr>,
+    extra_probes: VecDeque<Ipv4Addr>,
     seeds: Vec<Ipv4Addr>,
     /// When the members at these addresses were removed.
-    lost: BTreeMap<Ipv4Addr, u64>,
-    fetch: Option<Fetch>,
+    lost_addresses: BTreeMap<Ipv4Addr, u64>,
+    fetch: Option<StateFetch>,
     divergence: Option<Divergence>,
     last_change: u64,
     next_exchange: u64,
     next_probe: u64,
     next_gossip: u64,
-    next_doubted_probe: u64,
+    next_extra_probe: u64,
     next_rejoin: u64,
     left: bool,
     counters: Counters,
@@ -59,30 +59,30 @@
 
 impl Membership {
     /// A member that knows no other yet. What it draws follows from `seed`.
-    pub fn new(me: Member, config: Config, seed: u64, now_ms: u64) -> Result<Self, MemberError> {
-        me.check()?;
-        let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let next_probe = now_ms + random.next_u64() % config.probe_interval_ms.max(1);
+    pub fn new(local_member: Member, config: Config, seed: u64, now_ms: u64) -> Result<Self, MemberError> {
+        local_member.check()?;
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let next_probe = now_ms + rng.next_u64() % config.probe_interval_ms.max(1);
         Ok(Self {
-            local_member: me,
+            local_member,
             refutation: 0,
             config,
-            random,
+            rng,
             table: Table::default(),
             gossip_queue: GossipQueue::default(),
             probes: Probes::default(),
-            round: Vec::new(),
+            round_robin: Vec::new(),
             periods: 0,
-            doubted: VecDeque::new(),
+            extra_probes: VecDeque::new(),
             seeds: Vec::new(),
-            lost: BTreeMap::new(),
+            lost_addresses: BTreeMap::new(),
             fetch: None,
             divergence: None,
             last_change: now_ms,
             next_exchange: now_ms,
             next_probe,
             next_gossip: now_ms,
-            next_doubted_probe: now_ms,
+            next_extra_probe: now_ms,
             next_rejoin: u64::MAX,
             left: false,
             counters: Counters::default(),
@@ -97,7 +97,7 @@
         if self.left {
             return Vec::new();
         }
-        self.notice_gap(now_ms);
+        self.detect_stall(now_ms);
         self.seeds = seeds.iter().copied().filter(|ip| *ip != self.local_member.ip).collect();
         self.seeds.sort_unstable();
         self.seeds.dedup();
@@ -108,9 +108,9 @@
     /// Tells some members that this one goes. Nothing is done or answered afterwards.
     pub fn leave(&mut self, _now_ms: u64) -> Vec<Effect> {
         if !self.left {
-            let told = self.choose(self.table.addresses().to_vec(), TOLD_OF_LEAVE);
-            for ip in told {
-                self.send(ip, Body::Leave, &[]);
+            let recipients = self.choose_random(self.table.live_addresses().to_vec(), LEAVE_FANOUT);
+            for ip in recipients {
+                self.send(ip, Message::Leave, &[]);
             }
             self.left = true;
         }
@@ -122,12 +122,12 @@
         if self.left {
             return Vec::new();
         }
-        self.notice_gap(now_ms);
+        self.detect_stall(now_ms);
         match decode(self.config.fleet_id, bytes) {
-            Err(DecodeError::Stranger) => self.counters.foreign_datagrams += 1,
+            Err(DecodeError::Foreign) => self.counters.foreign_datagrams += 1,
             Err(DecodeError::Malformed) => self.counters.malformed_datagrams += 1,
             Ok(_) if from == self.local_member.ip || !is_usable(from) => self.counters.foreign_datagrams += 1,
-            Ok((head, claims)) => self.message(now_ms, from, head, claims),
+            Ok((header, updates)) => self.handle_message(now_ms, from, header, updates),
         }
         self.take_effects()
     }
@@ -137,14 +137,14 @@
         if self.left {
             return Vec::new();
         }
-        self.notice_gap(now_ms);
+        self.detect_stall(now_ms);
         self.expire_probes(now_ms);
         self.expire_suspicions(now_ms);
         if self.next_probe <= now_ms {
             self.begin_period(now_ms);
         }
-        if self.next_doubted_probe <= now_ms && !self.doubted.is_empty() {
-            self.probe_doubted(now_ms);
+        if self.next_extra_probe <= now_ms && !self.extra_probes.is_empty() {
+            self.send_extra_probes(now_ms);
         }
         if self.next_gossip <= now_ms && !self.gossip_queue.is_empty() {
             self.gossip(now_ms);
@@ -163,12 +163,12 @@
         if self.left {
             return u64::MAX;
         }
-        let has_others = !self.table.addresses().is_empty();
-        let when = |condition: bool, at: u64| if condition { at } else { u64::MAX };
+        let has_others = !self.table.live_addresses().is_empty();
+        let due_if = |condition: bool, due_at: u64| if condition { due_at } else { u64::MAX };
         [
-            when(has_others, self.next_probe),
-            when(has_others && !self.gossip_queue.is_empty(), self.next_gossip),
-            when(!self.doubted.is_empty(), self.next_doubted_probe),
+            due_if(has_others, self.next_probe),
+            due_if(has_others && !self.gossip_queue.is_empty(), self.next_gossip),
+            due_if(!self.extra_probes.is_empty(), self.next_extra_probe),
             self.probes.next_deadline(),
             self.table.next_suspect().map_or(u64::MAX, |(deadline, _)| deadline),
             self.fetch.as_ref().map_or(u64::MAX, |fetch| fetch.deadline),
@@ -188,11 +188,11 @@
 
     /// All members with their state, this one first.
     pub fn members(&self) -> impl Iterator<Item = (&Member, MemberState)> {
-        let me = (!self.left).then_some((&self.local_member, MemberState::Alive));
-        me.into_iter().chain(self.table.iter().filter_map(|(_, entry)| match entry.status {
+        let local = (!self.left).then_some((&self.local_member, MemberState::Alive));
+        local.into_iter().chain(self.table.iter().filter_map(|(_, entry)| match entry.status {
             Status::Alive => Some((entry.member.as_ref()?, MemberState::Alive)),
             Status::Suspect => Some((entry.member.as_ref()?, MemberState::Suspect)),
-            Status::Removed | Status::Left => None,
+            Status::Dead | Status::Left => None,
         }))
     }
 
@@ -206,12 +206,12 @@
         if ip == self.local_member.ip {
             return (!self.left).then_some(&self.local_member);
         }
-        self.table.live(ip)?.member.as_ref()
+        self.table.live_entry(ip)?.member.as_ref()
     }
 
     /// How many members there are, this one included.
     pub fn member_count(&self) -> usize {
-        self.table.addresses().len() + usize::from(!self.left)
+        self.table.live_addresses().len() + usize::from(!self.left)
     }
 
     /// Whether the member at this address is suspected.
--- a/system/fleet-membership/src/membership/messages.rs
+++ b/system/fleet-membership/src/membership/messages.rs
@@ -1,50 +1,62 @@
 //! What a received message leads to.
 
 use super::Membership;
-use super::claims::{Outcome, Source};
-use crate::wire::{Body, Claim, Head, Version};
+use super::updates::{Outcome, Source};
+use crate::wire::{Header, Message, Update, Version};
 use std::net::Ipv4Addr;
 
 impl Membership {
-    pub(super) fn message(&mut self, now_ms: u64, from: Ipv4Addr, head: Head, claims: Vec<Claim>) {
-        let was_live = self.table.live(from).is_some();
-        self.heard_from(now_ms, from, head.version);
-        let mut outdated = self.learn_gossip(now_ms, claims);
-        if self.is_behind(from, head.version) && !outdated.contains(&from) {
+    pub(super) fn handle_message(
+        &mut self,
+        now_ms: u64,
+        from: Ipv4Addr,
+        header: Header,
+        updates: Vec<Update>,
+    ) {
+        let was_live = self.table.live_entry(from).is_some();
+        self.note_sender_version(now_ms, from, header.version);
+        let mut outdated = self.apply_gossip(now_ms, updates);
+        if self.is_sender_outdated(from, header.version) && !outdated.contains(&from) {
             outdated.push(from);
         }
-        let is_unknown = self.is_unknown(from, &head);
-        match head.body {
-            Body::Ping { number } => self.send(from, Body::Ack { number }, &std::mem::take(&mut outdated)),
-            Body::PingRequest { number, target } => self.probe_for(now_ms, from, number, target),
-            Body::Ack { number } => self.acknowledged(now_ms, from, number),
-            Body::Gossip => {}
-            Body::Join { after, alone } => {
-                let page = self.page(from, after);
-                self.send(from, page, &std::mem::take(&mut outdated));
-                if !was_live && !alone && after.is_none() {
+        let needs_identity = self.needs_identity(from, &header);
+        match header.body {
+            Message::Ping { sequence_number } => {
+                self.send(from, Message::Ack { sequence_number }, &std::mem::take(&mut outdated))
+            }
+            Message::PingRequest { sequence_number, target } => {
+                self.relay_probe(now_ms, from, sequence_number, target)
+            }
+            Message::Ack { sequence_number } => self.handle_ack(now_ms, from, sequence_number),
+            Message::Gossip => {}
+            Message::SyncRequest { after, is_isolated } => {
+                let state_page = self.state_page(from, after);
+                self.send(from, state_page, &std::mem::take(&mut outdated));
+                if !was_live && !is_isolated && after.is_none() {
                     self.start_fetch(now_ms, from);
                 }
             }
-            Body::Page { next, claims } => self.learn_page(now_ms, from, next, claims),
-            Body::Unknown => self.send(from, Body::Gossip, &[self.local_member.ip]),
-            Body::Leave => return self.learn_leave(now_ms, from, head.version),
+            Message::SyncPage { next, updates } => self.apply_page(now_ms, from, next, updates),
+            Message::IdentityRequest => self.send(from, Message::Gossip, &[self.local_member.ip]),
+            Message::Leave => return self.apply_leave(now_ms, from, header.version),
         }
-        if is_unknown {
-            self.send(from, Body::Unknown, &[]);
+        if needs_identity {
+            self.send(from, Message::IdentityRequest, &[]);
         }
         if !outdated.is_empty() {
-            self.send(from, Body::Gossip, &outdated);
+            self.send(from, Message::Gossip, &outdated);
         }
-        self.compare(now_ms, from, head.digest);
+        self.compare_digest(now_ms, from, header.digest);
     }
 
     /// Takes gossiped claims in; returns the members that their teller sees in an outdated state.
-    fn learn_gossip(&mut self, now_ms: u64, claims: Vec<Claim>) -> Vec<Ipv4Addr> {
+    fn apply_gossip(&mut self, now_ms: u64, updates: Vec<Update>) -> Vec<Ipv4Addr> {
         let mut outdated = Vec::new();
-        for claim in claims {
-            let ip = claim.ip();
-            if self.learn(now_ms, claim, Source::Gossip) == Outcome::Outdated && !outdated.contains(&ip) {
+        for update in updates {
+            let ip = update.ip();
+            if self.apply_update(now_ms, update, Source::Gossip) == Outcome::SenderOutdated
+                && !outdated.contains(&ip)
+            {
                 outdated.push(ip);
             }
         }
@@ -53,13 +65,13 @@
 
     /// Whether a sender's own version is behind what is known of it: it has lived here before, or had it lost on the
     /// way.
-    fn is_behind(&self, from: Ipv4Addr, version: Version) -> bool {
+    fn is_sender_outdated(&self, from: Ipv4Addr, version: Version) -> bool {
         self.table.get(from).is_some_and(|entry| version < entry.version)
     }
 
     /// Whether the sender's life is to be asked for.
-    fn is_unknown(&self, from: Ipv4Addr, head: &Head) -> bool {
-        let may_ask = !matches!(head.body, Body::Gossip | Body::Unknown);
-        may_ask && self.table.get(from).is_none_or(|entry| entry.version < head.version)
+    fn needs_identity(&self, from: Ipv4Addr, header: &Header) -> bool {
+        let may_ask = !matches!(header.body, Message::Gossip | Message::IdentityRequest);
+        may_ask && self.table.get(from).is_none_or(|entry| entry.version < header.version)
     }
 }
--- /dev/null
+++ b/system/fleet-membership/src/membership/updates.rs
@@ -0,0 +1,180 @@
+//! Merging what others claim into the table. Every change of another member's state is made here.
+
+use super::Membership;
+use crate::effects::{Effect, MemberEvent};
+use crate::table::Entry;
+use crate::wire::{Status, Update, Version};
+use rand_chacha::rand_core::RngCore;
+use std::net::Ipv4Addr;
+
+/// Most entries, dead ones included.
+const MAX_ENTRIES: usize = 16_384;
+
+/// How a claim came.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Source {
+    /// It was gossiped.
+    Gossip,
+    /// In a page of another's state.
+    Page,
+}
+
+/// What became of a claim.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Outcome {
+    /// It needs no answer.
+    NoReply,
+    /// Its teller is behind, and should be told.
+    SenderOutdated,
+}
+
+/// What was known at an address before a claim came.
+struct KnownState {
+    version: Version,
+    status: Status,
+    has_member: bool,
+}
+
+impl From<&Entry> for KnownState {
+    fn from(entry: &Entry) -> Self {
+        Self { version: entry.version, status: entry.status, has_member: entry.member.is_some() }
+    }
+}
+
+impl Membership {
+    /// A datagram tells its sender's version: one that has refuted its suspicion or removal lives.
+    pub(super) fn note_sender_version(&mut self, now_ms: u64, from: Ipv4Addr, version: Version) {
+        let Some(entry) = self.table.get(from) else { return };
+        let is_same_incarnation = entry.version.incarnation == version.incarnation;
+        if !is_same_incarnation || entry.version >= version || entry.status == Status::Left {
+            return;
+        }
+        if let Some(member) = entry.member.clone() {
+            self.apply(now_ms, Update::Alive { member, refutation: version.refutation });
+        }
+    }
+
+    /// A member leaves by itself.
+    pub(super) fn apply_leave(&mut self, now_ms: u64, from: Ipv4Addr, version: Version) {
+        if self.table.live_entry(from).is_some_and(|entry| entry.version <= version) {
+            self.apply(now_ms, Update::Left { ip: from, version });
+        }
+    }
+
+    /// Takes a claim in if it outranks what is known.
+    pub(super) fn apply_update(&mut self, now_ms: u64, update: Update, source: Source) -> Outcome {
+        if update.ip() == self.local_member.ip {
+            self.refute(now_ms, update.version(), update.status());
+            return Outcome::NoReply;
+        }
+        let Some(known) = self.table.get(update.ip()).map(KnownState::from) else {
+            // Who has left or was removed is remembered although it wasn't known, against late gossip.
+            if update.status() != Status::Suspect && self.table.len() < MAX_ENTRIES {
+                self.apply(now_ms, update);
+            }
+            return Outcome::NoReply;
+        };
+        if (update.version(), update.status()) <= (known.version, known.status) {
+            return self.handle_stale_update(now_ms, &update, &known);
+        }
+        self.apply_newer_update(now_ms, update, &known, source);
+        Outcome::NoReply
+    }
+
+    /// A claim that doesn't outrank what is known changes nothing, but may need an answer.
+    fn handle_stale_update(&mut self, now_ms: u64, update: &Update, known: &KnownState) -> Outcome {
+        let is_same_incarnation = known.version.incarnation == update.version().incarnation;
+        if update.status() == Status::Alive && known.status == Status::Dead && is_same_incarnation {
+            // It counts as living elsewhere: if it does live, it refutes when it hears that it doesn't here.
+            self.schedule_extra_probe(now_ms, update.ip());
+        }
+        let conflicts = update.status() != Status::Alive && known.status.is_live();
+        if update.version() < known.version && conflicts { Outcome::SenderOutdated } else { Outcome::NoReply }
+    }
+
+    fn apply_newer_update(&mut self, now_ms: u64, update: Update, known: &KnownState, source: Source) {
+        let (ip, version) = (update.ip(), update.version());
+        let is_same_incarnation = known.version.incarnation == version.incarnation;
+        match update.status() {
+            Status::Alive | Status::Left => self.apply(now_ms, update),
+            Status::Suspect => {
+                if is_same_incarnation && known.has_member {
+                    self.apply(now_ms, update);
+                }
+            }
+            // Nobody is removed who wasn't suspected here before.
+            Status::Dead if is_same_incarnation && known.status == Status::Alive => match source {
+                Source::Gossip => self.apply(now_ms, Update::Suspect { ip, version }),
+                Source::Page => self.schedule_extra_probe(now_ms, ip),
+            },
+            Status::Dead
+                if is_same_incarnation && known.status == Status::Suspect && source == Source::Page => {}
+            Status::Dead => self.apply(now_ms, update),
+        }
+    }
+
+    /// Outranks whatever is said against this life.
+    fn refute(&mut self, now_ms: u64, version: Version, status: Status) {
+        if (version, status) <= (self.local_version(), Status::Alive) {
+            return;
+        }
+        if version.incarnation > self.local_member.incarnation {
+            self.local_member.incarnation = version.incarnation.saturating_add(1);
+            self.refutation = 0;
+        } else {
+            self.refutation = version.refutation.saturating_add(1);
+        }
+        self.counters.refutations += 1;
+        self.last_change = now_ms;
+        self.disseminate(now_ms, self.local_member.ip);
+    }
+
+    /// Makes every change of another member's state.
+    pub(super) fn apply(&mut self, now_ms: u64, update: Update) {
+        let ip = update.ip();
+        let before = self.table.get(ip).cloned();
+        let after = self.entry_after(now_ms, update, before.as_ref());
+        let was_alone = self.table.live_addresses().is_empty();
+        self.table.insert(ip, after.clone());
+        self.last_change = now_ms;
+        if was_alone {
+            self.start_timers(now_ms);
+        }
+        let was_live = before.as_ref().is_some_and(|before| before.status.is_live());
+        if after.status != Status::Dead {
+            self.lost_addresses.remove(&ip);
+        } else if was_live {
+            self.remember_lost(now_ms, ip);
+        }
+        if was_live && !after.status.is_live() {
+            self.schedule_rejoin(now_ms);
+        }
+        if was_live || after.status.is_live() {
+            self.disseminate(now_ms, ip);
+        }
+        self.effects.extend(MemberEvent::between(before.as_ref(), &after).into_iter().map(Effect::Event));
+    }
+
+    /// The table's entry after a claim; what is known of a member outlasts claims that don't tell it.
+    fn entry_after(&self, now_ms: u64, update: Update, before: Option<&Entry>) -> Entry {
+        let (version, status) = (update.version(), update.status());
+        let is_same_incarnation = |before: &&Entry| before.version.incarnation == version.incarnation;
+        let member = match update {
+            Update::Alive { member, .. } => Some(member),
+            _ => before.filter(is_same_incarnation).and_then(|before| before.member.clone()),
+        };
+        let deadline = match status {
+            Status::Alive => u64::MAX,
+            Status::Suspect => now_ms + self.config.suspicion_for(self.member_count()),
+            Status::Dead | Status::Left => now_ms + self.config.dead_retention_ms,
+        };
+        Entry { member, version, status, deadline }
+    }
+
+    /// Nothing was due while there was nobody to send to.
+    fn start_timers(&mut self, now_ms: u64) {
+        let first_probe = now_ms + self.rng.next_u64() % self.config.probe_interval_ms.max(1);
+        self.next_probe = self.next_probe.max(first_probe);
+        self.next_gossip = self.next_gossip.max(now_ms);
+    }
+}
--- a/system/fleet-membership/src/table.rs
+++ b/system/fleet-membership/src/table.rs
@@ -1,7 +1,7 @@
 //! All other members, living and lately dead, with the indexes that follow from them.
 
 use crate::member::Member;
-use crate::wire::{Claim, Status, Version};
+use crate::wire::{Status, Update, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 use std::ops::Bound;
@@ -19,13 +19,13 @@
 
 impl Entry {
     /// The entry as others are told it.
-    pub fn claim(&self, ip: Ipv4Addr) -> Option<Claim> {
+    pub fn update(&self, ip: Ipv4Addr) -> Option<Update> {
         let version = self.version;
         Some(match self.status {
-            Status::Alive => Claim::Alive { member: self.member.clone()?, refutation: version.refutation },
-            Status::Suspect => Claim::Suspect { ip, version },
-            Status::Removed => Claim::Removed { ip, version },
-            Status::Left => Claim::Left { ip, version },
+            Status::Alive => Update::Alive { member: self.member.clone()?, refutation: version.refutation },
+            Status::Suspect => Update::Suspect { ip, version },
+            Status::Dead => Update::Dead { ip, version },
+            Status::Left => Update::Left { ip, version },
         })
     }
 }
@@ -48,7 +48,7 @@
     }
 
     /// The entry, if it is a living member.
-    pub fn live(&self, ip: Ipv4Addr) -> Option<&Entry> {
+    pub fn live_entry(&self, ip: Ipv4Addr) -> Option<&Entry> {
         self.get(ip).filter(|entry| entry.status.is_live())
     }
 
@@ -60,7 +60,7 @@
         self.entries.len()
     }
 
-    pub fn addresses(&self) -> &[Ipv4Addr] {
+    pub fn live_addresses(&self) -> &[Ipv4Addr] {
         &self.live
     }
 
@@ -100,11 +100,11 @@
         }
     }
 
-    pub fn put(&mut self, ip: Ipv4Addr, entry: Entry) {
-        self.take(ip);
+    pub fn insert(&mut self, ip: Ipv4Addr, entry: Entry) {
+        self.remove(ip);
         if entry.status.is_live() {
-            let at = self.live.partition_point(|other| *other < ip);
-            self.live.insert(at, ip);
+            let index = self.live.partition_point(|other| *other < ip);
+            self.live.insert(index, ip);
             self.digest ^= digest_of(ip, entry.version);
             if entry.status == Status::Alive {
                 self.ring.insert((hash(u64::from(u32::from(ip))), ip));
@@ -116,15 +116,15 @@
     }
 
     /// Forgets the dead whose time is over.
-    pub fn forget(&mut self, now_ms: u64) {
+    pub fn forget_expired(&mut self, now_ms: u64) {
         self.entries.retain(|_, entry| entry.status.is_live() || entry.deadline > now_ms);
     }
 
-    fn take(&mut self, ip: Ipv4Addr) {
+    fn remove(&mut self, ip: Ipv4Addr) {
         let Some(entry) = self.entries.remove(&ip) else { return };
         if entry.status.is_live() {
-            if let Ok(at) = self.live.binary_search(&ip) {
-                self.live.remove(at);
+            if let Ok(index) = self.live.binary_search(&ip) {
+                self.live.remove(index);
             }
             self.digest ^= digest_of(ip, entry.version);
             self.ring.remove(&(hash(u64::from(u32::from(ip))), ip));
--- a/system/fleet-membership/src/wire.rs
+++ b/system/fleet-membership/src/wire.rs
@@ -28,7 +28,7 @@
 pub(crate) enum Status {
     Alive,
     Suspect,
-    Removed,
+    Dead,
     Left,
 }
 
@@ -41,19 +41,19 @@
 
 /// What one member says of another, or of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Claim {
+pub(crate) enum Update {
     Alive { member: Member, refutation: u32 },
     Suspect { ip: Ipv4Addr, version: Version },
-    Removed { ip: Ipv4Addr, version: Version },
+    Dead { ip: Ipv4Addr, version: Version },
     Left { ip: Ipv4Addr, version: Version },
 }
 
-impl Claim {
+impl Update {
     /// Whom it is about.
     pub fn ip(&self) -> Ipv4Addr {
         match self {
             Self::Alive { member, .. } => member.ip,
-            Self::Suspect { ip, .. } | Self::Removed { ip, .. } | Self::Left { ip, .. } => *ip,
+            Self::Suspect { ip, .. } | Self::Dead { ip, .. } | Self::Left { ip, .. } => *ip,
         }
     }
 
@@ -63,7 +63,7 @@
             Self::Alive { member, refutation } => {
                 Version { incarnation: member.incarnation, refutation: *refutation }
             }
-            Self::Suspect { version, .. } | Self::Removed { version, .. } | Self::Left { version, .. } => {
+            Self::Suspect { version, .. } | Self::Dead { version, .. } | Self::Left { version, .. } => {
                 *version
             }
         }
@@ -74,12 +74,12 @@
         match self {
             Self::Alive { .. } => Status::Alive,
             Self::Suspect { .. } => Status::Suspect,
-            Self::Removed { .. } => Status::Removed,
+            Self::Dead { .. } => Status::Dead,
             Self::Left { .. } => Status::Left,
         }
     }
 
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         match self {
             Self::Alive { member, .. } => member.check().is_ok(),
             _ => is_usable(self.ip()),
@@ -94,95 +94,96 @@
 
 /// What a datagram asks or answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Body {
+pub(crate) enum Message {
     /// Answer with `Ack` under this number.
-    Ping { number: u32 },
+    Ping { sequence_number: u32 },
     /// Ping the target, and pass its answer on under this number.
-    PingRequest { number: u32, target: Ipv4Addr },
+    PingRequest { sequence_number: u32, target: Ipv4Addr },
     /// The pinged one lives.
-    Ack { number: u32 },
+    Ack { sequence_number: u32 },
     /// Nothing but claims.
     Gossip,
     /// Asks for the page of the state after this address; without one, from the start.
-    Join { after: Option<Ipv4Addr>, alone: bool },
+    SyncRequest { after: Option<Ipv4Addr>, is_isolated: bool },
     /// Part of the state; there is more after `next`.
-    Page { next: Option<Ipv4Addr>, claims: Vec<Claim> },
+    SyncPage { next: Option<Ipv4Addr>, updates: Vec<Update> },
     /// The sender doesn't know the receiver's life, and wants to be told.
-    Unknown,
+    IdentityRequest,
     /// The sender leaves.
     Leave,
 }
 
 /// The start of each datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Head {
+pub(crate) struct Header {
     /// The sender's version.
     pub version: Version,
     /// Digest of the versions of all members that the sender sees.
     pub digest: [u8; 8],
     /// The message.
-    pub body: Body,
+    pub body: Message,
 }
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DecodeError {
     /// It is of another fleet or version.
-    Stranger,
+    Foreign,
     /// It is not whole.
     Malformed,
 }
 
 /// A datagram to which claims are added while there is room.
-pub(crate) struct Writer {
-    head: Vec<u8>,
+pub(crate) struct DatagramWriter {
+    header: Vec<u8>,
     count: usize,
-    claims: Vec<u8>,
+    updates: Vec<u8>,
 }
 
-impl Writer {
-    pub fn new(fleet: u32, head: &Head) -> Self {
+impl DatagramWriter {
+    pub fn new(fleet: u32, header: &Header) -> Self {
         let mut bytes = vec![VERSION];
         bytes.extend(fleet.to_le_bytes());
-        bytes.extend(postcard::to_allocvec(head).unwrap_or_default());
-        Self { head: bytes, count: 0, claims: Vec::new() }
+        bytes.extend(postcard::to_allocvec(header).unwrap_or_default());
+        Self { header: bytes, count: 0, updates: Vec::new() }
     }
 
     /// Adds a claim if there is room for it.
-    pub fn push(&mut self, claim: &Claim) -> bool {
-        let bytes = claim.encode();
-        let fits = self.head.len() + COUNT_BYTES + self.claims.len() + bytes.len() <= MAX_DATAGRAM;
+    pub fn push(&mut self, update: &Update) -> bool {
+        let bytes = update.encode();
+        let fits = self.header.len() + COUNT_BYTES + self.updates.len() + bytes.len() <= MAX_DATAGRAM;
         if fits {
-            self.claims.extend(bytes);
+            self.updates.extend(bytes);
             self.count += 1;
         }
         fits
     }
 
     pub fn finish(self) -> Vec<u8> {
-        let mut bytes = self.head;
+        let mut bytes = self.header;
         bytes.extend(postcard::to_allocvec(&self.count).unwrap_or_default());
-        bytes.extend(self.claims);
+        bytes.extend(self.updates);
         bytes
     }
 }
 
 /// Reads a datagram of this fleet.
-pub(crate) fn decode(fleet: u32, bytes: &[u8]) -> Result<(Head, Vec<Claim>), DecodeError> {
+pub(crate) fn decode(fleet: u32, bytes: &[u8]) -> Result<(Header, Vec<Update>), DecodeError> {
     let [version, rest @ ..] = bytes else { return Err(DecodeError::Malformed) };
     let Some((number, rest)) = rest.split_first_chunk::<4>() else { return Err(DecodeError::Malformed) };
     if *version != VERSION || u32::from_le_bytes(*number) != fleet {
-        return Err(DecodeError::Stranger);
+        return Err(DecodeError::Foreign);
     }
     if bytes.len() > MAX_DATAGRAM {
         return Err(DecodeError::Malformed);
     }
-    let (head, rest): (Head, _) = postcard::take_from_bytes(rest).map_err(|_| DecodeError::Malformed)?;
-    let (claims, rest): (Vec<Claim>, _) =
+    let (header, rest): (Header, _) = postcard::take_from_bytes(rest).map_err(|_| DecodeError::Malformed)?;
+    let (updates, rest): (Vec<Update>, _) =
         postcard::take_from_bytes(rest).map_err(|_| DecodeError::Malformed)?;
-    let page: &[Claim] = if let Body::Page { claims, .. } = &head.body { claims } else { &[] };
-    if !rest.is_empty() || !page.iter().chain(&claims).all(Claim::is_sound) {
+    let state_page: &[Update] =
+        if let Message::SyncPage { updates, .. } = &header.body { updates } else { &[] };
+    if !rest.is_empty() || !state_page.iter().chain(&updates).all(Update::is_valid) {
         return Err(DecodeError::Malformed);
     }
-    Ok((head, claims))
+    Ok((header, updates))
 }
--- a/system/fleet-membership/src/wire/tests.rs
+++ b/system/fleet-membership/src/wire/tests.rs
@@ -15,7 +15,7 @@
     Version { incarnation: 0x0123_4567_89ab_cdef, refutation }
 }
 
-fn alive(last: u8, role: Role) -> Claim {
+fn alive(last: u8, role: Role) -> Update {
     let member = Member {
         ip: ip(last),
         role,
@@ -24,34 +24,34 @@
         incarnation: 1 << 40,
         tags: vec![1, 0, 255],
     };
-    Claim::Alive { member, refutation: 300 }
+    Update::Alive { member, refutation: 300 }
 }
 
 /// A claim of each kind, and a member of each role.
-fn claims() -> Vec<Claim> {
+fn updates() -> Vec<Update> {
     vec![
         alive(1, Role::Edge),
         alive(2, Role::Core),
         alive(3, Role::Storage),
-        Claim::Suspect { ip: ip(4), version: version(1) },
-        Claim::Removed { ip: ip(5), version: version(2) },
-        Claim::Left { ip: ip(6), version: version(300) },
+        Update::Suspect { ip: ip(4), version: version(1) },
+        Update::Dead { ip: ip(5), version: version(2) },
+        Update::Left { ip: ip(6), version: version(300) },
     ]
 }
 
 /// A message of each kind.
-fn bodies() -> Vec<Body> {
+fn bodies() -> Vec<Message> {
     vec![
-        Body::Ping { number: 70_000 },
-        Body::PingRequest { number: 70_001, target: ip(9) },
-        Body::Ack { number: 70_002 },
-        Body::Gossip,
-        Body::Join { after: Some(ip(7)), alone: true },
-        Body::Join { after: None, alone: false },
-        Body::Page { next: Some(ip(8)), claims: claims() },
-        Body::Page { next: None, claims: Vec::new() },
-        Body::Unknown,
-        Body::Leave,
+        Message::Ping { sequence_number: 70_000 },
+        Message::PingRequest { sequence_number: 70_001, target: ip(9) },
+        Message::Ack { sequence_number: 70_002 },
+        Message::Gossip,
+        Message::SyncRequest { after: Some(ip(7)), is_isolated: true },
+        Message::SyncRequest { after: None, is_isolated: false },
+        Message::SyncPage { next: Some(ip(8)), updates: updates() },
+        Message::SyncPage { next: None, updates: Vec::new() },
+        Message::IdentityRequest,
+        Message::Leave,
     ]
 }
 
@@ -64,13 +64,13 @@
     text.lines().map(bytes).collect()
 }
 
-fn head(body: Body) -> Head {
-    Head { version: version(5), digest: [8, 7, 6, 5, 4, 3, 2, 1], body }
+fn header(body: Message) -> Header {
+    Header { version: version(5), digest: [8, 7, 6, 5, 4, 3, 2, 1], body }
 }
 
-fn written(body: Body) -> Vec<u8> {
-    let mut writer = Writer::new(FLEET, &head(body));
-    assert!(claims().iter().all(|claim| writer.push(claim)), "there is room");
+fn written(body: Message) -> Vec<u8> {
+    let mut writer = DatagramWriter::new(FLEET, &header(body));
+    assert!(updates().iter().all(|update| writer.push(update)), "there is remaining_bytes");
     writer.finish()
 }
 
@@ -79,7 +79,7 @@
     let recorded = recorded();
     expect_that!(recorded.len(), eq(bodies().len()));
     for (body, bytes) in bodies().into_iter().zip(recorded) {
-        expect_that!(decode(FLEET, &bytes), ok(eq(&(head(body.clone()), claims()))));
+        expect_that!(decode(FLEET, &bytes), ok(eq(&(header(body.clone()), updates()))));
         expect_that!(written(body), eq(&bytes));
     }
 }
