--- a/system/fleet-membership/src/config.rs
+++ b/system/fleet-membership/src/config.rs
@@ -1,35 +1,35 @@
-//! Times and limits.
+//! Time-outs, intervals and limits of the protocol.
 
-/// Times and limits of the protocol. All members of a fleet should have the same.
+/// Time-outs, intervals and limits of the protocol. All members of a fleet should have the same.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// The fleet's number: datagrams of another one are dropped.
+    /// Number of the fleet: datagrams of other fleets are dropped.
     pub fleet_id: u32,
-    /// Between two probes.
+    /// Time between two probes (SWIM's protocol period), in ms.
     pub probe_interval_ms: u64,
-    /// In every so many periods one more member is probed, in shuffled round robin.
+    /// Every this many probe intervals one more member is probed, in shuffled round robin.
     pub round_robin_every_periods: u64,
-    /// How long a probe waits before indirect ones are asked for.
+    /// Time-out of a direct probe, in ms; then indirect probes are requested.
     pub ack_timeout_ms: u64,
-    /// How long it then waits before it suspects.
+    /// Time-out of the indirect probes, in ms; then the target is suspected.
     pub indirect_ack_timeout_ms: u64,
-    /// How many members are asked for an indirect probe.
+    /// Number of members that are asked for an indirect probe (SWIM's `k`).
     pub indirect_probe_count: usize,
-    /// How long a suspected member has to refute; two in a hundred longer with each doubling of the fleet.
+    /// Time that a suspected member has to refute, in ms; it grows by 2 % with each doubling of the fleet.
     pub suspicion_timeout_ms: u64,
-    /// Between two rounds of gossip.
+    /// Time between two rounds of gossip, in ms.
     pub gossip_interval_ms: u64,
-    /// How many members get a round of gossip.
+    /// Number of members to which a round of gossip is sent.
     pub gossip_fanout: usize,
-    /// A tick that comes later than due by more than this tells that this process had no time.
+    /// A tick that is late by more than this, in ms, counts as a stall of this process.
     pub stall_threshold_ms: u64,
-    /// How long it is remembered that a life has ended.
+    /// Time for which a dead incarnation is remembered, in ms, against late gossip.
     pub dead_retention_ms: u64,
-    /// Between two tries to rejoin removed members and absent seeds, on average.
+    /// Mean time between two attempts to reach dead members and absent seeds, in ms.
     pub rejoin_interval_ms: u64,
-    /// The same while no other member is known.
+    /// The same while no other member is known, in ms.
     pub isolated_rejoin_interval_ms: u64,
-    /// How long the address of a removed member is tried.
+    /// Time for which the address of a dead member is contacted again, in ms.
     pub lost_address_retention_ms: u64,
 }
 
@@ -55,18 +55,18 @@
 }
 
 impl Config {
-    /// How long a suspected member has to refute in a fleet of `members`.
+    /// Time in ms that a suspected member has to refute in a fleet of `members`.
     pub(crate) fn suspicion_for(&self, members: usize) -> u64 {
         self.suspicion_timeout_ms + self.suspicion_timeout_ms * u64::from(log2(members)) / 50
     }
 
-    /// How often a member gossips one change in a fleet of `members`.
+    /// Number of datagrams in which a member gossips one update, in a fleet of `members`: SWIM's λ log n, with λ = 3.
     pub(crate) fn sends_per_change(&self, members: usize) -> u32 {
         3 * log2(members)
     }
 }
 
-/// Logarithm, rounded up; at least 1.
+/// Binary logarithm, rounded up; at least 1.
 fn log2(members: usize) -> u32 {
     members.max(2).next_power_of_two().trailing_zeros()
 }
--- a/system/fleet-membership/src/effects.rs
+++ b/system/fleet-membership/src/effects.rs
@@ -1,41 +1,41 @@
-//! What the protocol tells its caller: datagrams to send, changes of members' states, counters.
+//! Output of the protocol for its host: datagrams to send, membership events, counters.
 
 use crate::member::Member;
 use crate::table::Entry;
 use crate::wire::Status;
 use std::net::Ipv4Addr;
 
-/// What the caller is to do.
+/// An action that the host carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a datagram.
     Send {
-        /// To this address.
+        /// Address of the receiver.
         to: Ipv4Addr,
-        /// These bytes.
+        /// Payload of the datagram.
         bytes: Vec<u8>,
     },
-    /// Take note: a member's state has changed.
+    /// A member's state has changed.
     Event(MemberEvent),
 }
 
-/// A change of a member's state. A restart is told as `Removed` of the former life and `Joined` of the new one.
+/// A change of a member's state. A restart is reported as `Removed` of the old incarnation and `Joined` of the new one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberEvent {
-    /// It is there.
+    /// The member has joined.
     Joined(Member),
-    /// It doesn't answer.
+    /// The member did not acknowledge probes and is suspected.
     Suspected(Member),
-    /// It has refuted the suspicion.
+    /// The member has refuted the suspicion.
     Refuted(Member),
-    /// It went by itself.
+    /// The member has left voluntarily.
     Left(Member),
-    /// It is gone.
+    /// The member was declared dead.
     Removed(Member),
 }
 
 impl MemberEvent {
-    /// What becomes known when an entry of the table is replaced.
+    /// The events that follow when an entry of the member table is replaced.
     pub(crate) fn between(before: Option<&Entry>, after: &Entry) -> Vec<Self> {
         let mut changes = Self::liveness_events(before, after);
         let was_suspect = before.is_some_and(|before| before.status == Status::Suspect);
@@ -69,19 +69,19 @@
     before.is_some_and(|before| before.version.incarnation != after.version.incarnation)
 }
 
-/// What happened so far.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Dropped datagrams of another fleet or version.
+    /// Datagrams dropped because they are of another fleet or format version.
     pub foreign_datagrams: u64,
-    /// Dropped datagrams that could not be read.
+    /// Datagrams dropped because they could not be decoded.
     pub malformed_datagrams: u64,
     /// Datagrams sent.
     pub datagrams_sent: u64,
-    /// Their bytes, without headers of UDP and IP.
+    /// Payload bytes sent, without UDP and IP headers.
     pub bytes_sent: u64,
-    /// Times that this process noticed it had had no time.
+    /// Stalls of this process that were detected by a late tick.
     pub stalls: u64,
-    /// Times that this process refuted a suspicion or its removal.
+    /// Suspicions and death reports about this process that it refuted.
     pub refutations: u64,
 }
--- a/system/fleet-membership/src/member.rs
+++ b/system/fleet-membership/src/member.rs
@@ -1,41 +1,41 @@
-//! What is known of a member.
+//! Members: their identity, role and state.
 
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// Longest zone and name, and most bytes of tags.
+/// Maximum length in bytes of the zone, of the name and of the tags.
 const MAX_TEXT: usize = 128;
 
-/// What a process does in the fleet.
+/// Role of a process in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// It takes the clients' requests.
+    /// Proxy that serves the clients' requests.
     Edge,
-    /// It keeps the register.
+    /// Control node, which can be a voter of the register.
     Core,
-    /// It keeps turns.
+    /// Storage node, which stores turns.
     Storage,
 }
 
-/// A process of the fleet, in one life.
+/// A process of the fleet, in one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Its address: there is one member at an address.
+    /// IP address; there is at most one member per address.
     pub ip: Ipv4Addr,
-    /// What it does.
+    /// Role in the fleet.
     pub role: Role,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Its name.
+    /// Name of its machine.
     pub name: String,
-    /// The number of this life, see [`new_incarnation`]: a later life at the address has a higher one.
+    /// Incarnation number, see [`new_incarnation`]: a later start at the same address has a higher one.
     pub incarnation: u64,
-    /// What else it tells of itself.
+    /// Application data that is gossiped with the member.
     pub tags: Vec<u8>,
 }
 
 impl Member {
-    /// Tells whether it fits into a datagram beside others, and is at a usable address.
+    /// Checks that the member fits into a datagram and has a usable address.
     pub(crate) fn check(&self) -> Result<(), MemberError> {
         if !is_usable(self.ip) {
             return Err(MemberError::Address(self.ip));
@@ -47,32 +47,33 @@
     }
 }
 
-/// Whether a single machine can be at this address.
+/// Whether the address can belong to a single machine.
 pub(crate) fn is_usable(ip: Ipv4Addr) -> bool {
     !(ip.is_unspecified() || ip.is_multicast() || ip.is_broadcast())
 }
 
-/// The number of a life that starts now: a later start has a higher one, and chance tells two of one millisecond apart.
+/// Incarnation number of a process that starts now: the time, and below it `random` bits that distinguish two starts
+/// within one millisecond.
 pub fn new_incarnation(unix_ms: u64, random: u16) -> u64 {
     (unix_ms << 16) | u64::from(random)
 }
 
-/// How a living member is seen.
+/// State of a live member in the local view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MemberState {
-    /// It answers.
+    /// It acknowledges probes.
     Alive,
-    /// It didn't answer, and has a while to refute the suspicion.
+    /// It did not acknowledge probes and may still refute the suspicion.
     Suspect,
 }
 
-/// Why a member cannot be one.
+/// Why a member is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MemberError {
-    /// No single machine can be there.
+    /// The address cannot belong to a single machine.
     #[error("{0} is not the address of one machine")]
     Address(Ipv4Addr),
-    /// One of zone, name and tags is too long.
+    /// The zone, the name or the tags are too long.
     #[error("zone, name and tags may each be {MAX_TEXT} bytes long")]
     TooLong,
 }
--- a/system/fleet-membership/src/membership.rs
+++ b/system/fleet-membership/src/membership.rs
@@ -1,5 +1,5 @@
-//! One member's part of the protocol: its state, the events that move it on, and the questions it answers. Each module
-//! below holds one part of what follows from an event.
+//! The state of one member in the protocol, the events that change it, and queries. The submodules handle one concern
+//! each: probing, updates, gossip, state exchange, rejoining.
 
 mod failure_detector;
 mod gossip;
@@ -22,27 +22,27 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 
-/// Members told by one that leaves.
+/// Number of members that are notified when the local member leaves.
 const LEAVE_FANOUT: usize = 8;
 
-/// One member's view of the fleet.
+/// The local member's view of the fleet.
 pub struct Membership {
     local_member: Member,
-    /// How often this life has refuted what was said of it.
+    /// Number of refutations of the local member in this incarnation.
     refutation: u32,
     config: Config,
     rng: ChaCha8Rng,
     table: Table,
     gossip_queue: GossipQueue,
     probes: Probes,
-    /// Left of this round of the shuffled round robin.
+    /// Remaining members of the current pass of the shuffled round robin.
     round_robin: Vec<Ipv4Addr>,
-    /// Probe periods so far.
+    /// Number of probe intervals so far.
     periods: u64,
-    /// Members to be probed out of turn, because another sees them differently or this process had no time.
+    /// Members to probe out of turn, because another view differs or this process has stalled.
     extra_probes: VecDeque<Ipv4Addr>,
     seeds: Vec<Ipv4Addr>,
-    /// When the members at these addresses were removed.
+    /// When the members at these addresses were declared dead.
     lost_addresses: BTreeMap<Ipv4Addr, u64>,
     fetch: Option<StateFetch>,
     divergence: Option<Divergence>,
@@ -58,7 +58,11 @@
 }
 
 impl Membership {
-    /// A member that knows no other yet. What it draws follows from `seed`.
+    /// Creates a member that knows no other one. Its random choices are determined by `seed`.
+    ///
+    /// # Errors
+    ///
+    /// If `local_member` has an unusable address or its texts are too long for a datagram.
     pub fn new(local_member: Member, config: Config, seed: u64, now_ms: u64) -> Result<Self, MemberError> {
         local_member.check()?;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -92,7 +96,7 @@
 
     // Events.
 
-    /// Asks these addresses to be let in, now and until one answers. They replace those given before.
+    /// Joins the fleet through these seed addresses, with retries until one replies. They replace earlier seeds.
     pub fn join(&mut self, now_ms: u64, seeds: &[Ipv4Addr]) -> Vec<Effect> {
         if self.left {
             return Vec::new();
@@ -105,7 +109,7 @@
         self.take_effects()
     }
 
-    /// Tells some members that this one goes. Nothing is done or answered afterwards.
+    /// Leaves the fleet and notifies some members. Afterwards events have no effect.
     pub fn leave(&mut self, _now_ms: u64) -> Vec<Effect> {
         if !self.left {
             let recipients = self.choose_random(self.table.live_addresses().to_vec(), LEAVE_FANOUT);
@@ -117,7 +121,7 @@
         self.take_effects()
     }
 
-    /// A datagram came.
+    /// Handles a received datagram.
     pub fn receive_datagram(&mut self, now_ms: u64, from: Ipv4Addr, bytes: &[u8]) -> Vec<Effect> {
         if self.left {
             return Vec::new();
@@ -132,7 +136,7 @@
         self.take_effects()
     }
 
-    /// Does what is due.
+    /// Runs everything that is due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Effect> {
         if self.left {
             return Vec::new();
@@ -158,7 +162,7 @@
         self.take_effects()
     }
 
-    /// When `tick` is due next.
+    /// When [`Membership::tick`] is due next, in ms; `u64::MAX` if nothing is scheduled.
     pub fn next_tick_ms(&self) -> u64 {
         if self.left {
             return u64::MAX;
@@ -179,14 +183,14 @@
         .unwrap_or(u64::MAX)
     }
 
-    // Questions.
+    // Queries.
 
-    /// This member.
+    /// The local member.
     pub fn local_member(&self) -> &Member {
         &self.local_member
     }
 
-    /// All members with their state, this one first.
+    /// All live members with their state, the local one first.
     pub fn members(&self) -> impl Iterator<Item = (&Member, MemberState)> {
         let local = (!self.left).then_some((&self.local_member, MemberState::Alive));
         local.into_iter().chain(self.table.iter().filter_map(|(_, entry)| match entry.status {
@@ -196,12 +200,12 @@
         }))
     }
 
-    /// The members of a role that count as living, suspected ones among them.
+    /// The live members of a role, suspected ones included.
     pub fn live_members(&self, role: Role) -> impl Iterator<Item = &Member> {
         self.members().map(|(member, _)| member).filter(move |member| member.role == role)
     }
 
-    /// The living member at an address.
+    /// The live member at an address.
     pub fn member_at(&self, ip: Ipv4Addr) -> Option<&Member> {
         if ip == self.local_member.ip {
             return (!self.left).then_some(&self.local_member);
@@ -209,7 +213,7 @@
         self.table.live_entry(ip)?.member.as_ref()
     }
 
-    /// How many members there are, this one included.
+    /// Number of live members, the local one included.
     pub fn member_count(&self) -> usize {
         self.table.live_addresses().len() + usize::from(!self.left)
     }
@@ -219,7 +223,7 @@
         self.table.status(ip) == Some(Status::Suspect)
     }
 
-    /// What happened so far.
+    /// Counters since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
--- a/system/fleet-membership/src/membership/failure_detector.rs
+++ b/system/fleet-membership/src/membership/failure_detector.rs
@@ -1,5 +1,4 @@
-//! Failure detection: direct and indirect probes, suspicion, and what is made of a time in which this process did not
-//! run.
+//! Failure detection: direct and indirect probes, suspicion, and stalls of this process.
 
 use super::Membership;
 use super::rejoin::MAX_JOIN_TARGETS;
@@ -8,13 +7,13 @@
 use crate::wire::{Message, Status, Update};
 use std::net::Ipv4Addr;
 
-/// Members that are probed out of turn in one round.
+/// Maximum number of out-of-turn probes in one round.
 const MAX_EXTRA_PROBES_PER_ROUND: usize = 16;
-/// Between two such rounds.
+/// Time between two such rounds, in ms.
 const EXTRA_PROBE_INTERVAL_MS: u64 = 100;
 
 impl Membership {
-    /// A new period: the successor on the ring is probed, and now and then another.
+    /// Starts a probe interval: probes the successor on the ring, and every few intervals one more member.
     pub(super) fn begin_period(&mut self, now_ms: u64) {
         self.next_probe =
             (self.next_probe + self.config.probe_interval_ms).max(now_ms + self.config.probe_interval_ms / 2);
@@ -75,7 +74,7 @@
         self.send(target, Message::Ping { sequence_number: own_sequence_number }, &[]);
     }
 
-    /// An acknowledgement ends a probe of this member's own, and is passed on to who asked for an indirect one.
+    /// Handles an acknowledgement: completes the local probe, and relays it to the requester of an indirect one.
     pub(super) fn handle_ack(&mut self, now_ms: u64, from: Ipv4Addr, sequence_number: u32) {
         self.probes.complete(from, sequence_number);
         if let Some(probe) = self.probes.take_indirect(now_ms, from, sequence_number) {
@@ -93,7 +92,7 @@
         }
     }
 
-    /// Removes the suspected members that have not refuted in time.
+    /// Declares dead the suspected members that have not refuted before their deadline.
     pub(super) fn expire_suspicions(&mut self, now_ms: u64) {
         while let Some((_, ip)) = self.table.next_suspect().filter(|(deadline, _)| *deadline <= now_ms) {
             let Some(version) = self.table.get(ip).map(|entry| entry.version) else { break };
@@ -101,7 +100,7 @@
         }
     }
 
-    /// A probe's time is over: indirect probes are asked for, or the target is suspected.
+    /// Handles a probe's time-out: requests indirect probes, or suspects the target if these have timed out as well.
     fn handle_probe_timeout(&mut self, now_ms: u64, probe: Probe) {
         let target = probe.target;
         let Some(entry) = self.table.get(target).filter(|entry| entry.status == Status::Alive) else {
@@ -115,7 +114,7 @@
         }
     }
 
-    /// Asks others to probe the target, and probes it once more.
+    /// Requests indirect probes from random members, and probes the target once more.
     fn probe_indirectly(&mut self, now_ms: u64, mut probe: Probe) {
         let Probe { sequence_number, target, .. } = probe;
         let others = self.table.live_addresses().iter().copied().filter(|ip| *ip != target).collect();
@@ -129,8 +128,9 @@
         self.probes.pending.push(probe);
     }
 
-    /// If `tick` should have been called a while ago, this process had no time, and what it missed says nothing of
-    /// others: it probes again, and gives suspected ones more time. It probes some others, too, to hear how they see it.
+    /// Detects that `tick` is late. This process was then the slow one, and missing acknowledgements say nothing about
+    /// others: it restarts its probes and extends its suspicions (compare Lifeguard's local health awareness). It also
+    /// probes some members to learn how they see it.
     pub(super) fn detect_stall(&mut self, now_ms: u64) {
         let due = self.next_tick_ms();
         if now_ms <= due.saturating_add(self.config.stall_threshold_ms) {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Has a member probed out of turn.
+    /// Schedules an out-of-turn probe.
     pub(super) fn schedule_extra_probe(&mut self, now_ms: u64, ip: Ipv4Addr) {
         if !self.extra_probes.contains(&ip) {
             self.next_extra_probe = self.next_extra_probe.max(now_ms);
--- a/system/fleet-membership/src/membership/messages.rs
+++ b/system/fleet-membership/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! What a received message leads to.
+//! Handling of received messages.
 
 use super::Membership;
 use super::updates::{Outcome, Source};
@@ -49,7 +49,7 @@
         self.compare_digest(now_ms, from, header.digest);
     }
 
-    /// Takes gossiped claims in; returns the members that their teller sees in an outdated state.
+    /// Applies gossiped updates; returns the members of which the sender has an outdated state.
     fn apply_gossip(&mut self, now_ms: u64, updates: Vec<Update>) -> Vec<Ipv4Addr> {
         let mut outdated = Vec::new();
         for update in updates {
@@ -63,13 +63,13 @@
         outdated
     }
 
-    /// Whether a sender's own version is behind what is known of it: it has lived here before, or had it lost on the
-    /// way.
+    /// Whether a sender's own version is lower than the known one: an earlier incarnation was at its address, or a refutation
+    /// of it was lost.
     fn is_sender_outdated(&self, from: Ipv4Addr, version: Version) -> bool {
         self.table.get(from).is_some_and(|entry| version < entry.version)
     }
 
-    /// Whether the sender's life is to be asked for.
+    /// Whether the sender's incarnation is unknown and must be requested.
     fn needs_identity(&self, from: Ipv4Addr, header: &Header) -> bool {
         let may_ask = !matches!(header.body, Message::Gossip | Message::IdentityRequest);
         may_ask && self.table.get(from).is_none_or(|entry| entry.version < header.version)
--- a/system/fleet-membership/src/membership/rejoin.rs
+++ b/system/fleet-membership/src/membership/rejoin.rs
@@ -1,19 +1,19 @@
-//! Finding removed members and absent seeds again, so that the parts of a cut fleet join.
+//! Contacting dead members and absent seeds again, so that the sides of a partition merge after it heals.
 
 use super::Membership;
 use crate::wire::Message;
 use rand_chacha::rand_core::RngCore;
 use std::net::Ipv4Addr;
 
-/// Most addresses of removed members that are kept.
+/// Maximum number of retained addresses of dead members.
 const MAX_LOST_ADDRESSES: usize = 4_096;
-/// Addresses that one without others asks at once.
+/// Number of addresses that an isolated member contacts at once.
 pub(super) const MAX_JOIN_TARGETS: usize = 3;
-/// Addresses that all members of a part together ask in one interval, on average.
+/// Mean number of addresses that all members of one side together contact in one interval.
 const FLEET_REJOINS_PER_INTERVAL: usize = 16;
 
 impl Membership {
-    /// Asks some seeds to be let in.
+    /// Sends join requests to some seeds.
     pub(super) fn join_seeds(&mut self, now_ms: u64) {
         let targets = self.choose_random(self.seeds.clone(), MAX_JOIN_TARGETS);
         for ip in targets {
@@ -27,7 +27,7 @@
         self.send(to, Message::SyncRequest { after: None, is_isolated }, &[self.local_member.ip]);
     }
 
-    /// Keeps the address of a removed member, to find it again.
+    /// Retains the address of a dead member, to contact it again.
     pub(super) fn remember_lost(&mut self, now_ms: u64, ip: Ipv4Addr) {
         self.lost_addresses.insert(ip, now_ms);
         if self.lost_addresses.len() > MAX_LOST_ADDRESSES {
@@ -54,7 +54,7 @@
         interval / 2 + self.rng.next_u64() % interval.max(1)
     }
 
-    /// Asks removed members and absent seeds, by chance, so that a big part doesn't ask more in all than a small one.
+    /// Contacts dead members and absent seeds, at random, so that the total rate does not grow with the fleet.
     pub(super) fn rejoin(&mut self, now_ms: u64) {
         self.table.forget_expired(now_ms);
         let oldest = now_ms.saturating_sub(self.config.lost_address_retention_ms);
@@ -73,7 +73,7 @@
         self.next_rejoin = now_ms + self.rejoin_interval();
     }
 
-    /// Draws whom to ask. Half of the tries go to seeds: those who start first ask there.
+    /// Chooses whom to contact. Half of the attempts go to seeds, which new members contact first.
     fn choose_absent(&mut self, seeds: Vec<Ipv4Addr>, lost_addresses: Vec<Ipv4Addr>) -> Vec<Ipv4Addr> {
         let attempts = self.rejoin_attempts();
         let half = (attempts + (self.rng.next_u64() % 2) as usize) / 2;
--- a/system/fleet-membership/src/membership/sending.rs
+++ b/system/fleet-membership/src/membership/sending.rs
@@ -1,4 +1,4 @@
-//! Datagrams that go out, with the claims that they carry.
+//! Outgoing datagrams and the updates that they carry.
 
 use super::Membership;
 use crate::effects::Effect;
@@ -8,8 +8,8 @@
 use std::net::Ipv4Addr;
 
 impl Membership {
-    /// Sends a message with what the receiver should know: how it is seen itself if that isn't as alive, the claims
-    /// about `first`, then gossip as there is room.
+    /// Sends a message with piggybacked updates: the receiver's own state if it is not alive here, then the states of
+    /// `first`, then queued gossip while there is capacity.
     pub(super) fn send(&mut self, to: Ipv4Addr, body: Message, first: &[Ipv4Addr]) {
         let header = Header { version: self.local_version(), digest: self.digest().to_le_bytes(), body };
         let mut writer = DatagramWriter::new(self.config.fleet_id, &header);
@@ -24,7 +24,7 @@
         self.effects.push(Effect::Send { to, bytes });
     }
 
-    /// Adds claims while there is room; returns whom they are about.
+    /// Adds updates while there is capacity; returns the addresses of their members.
     fn write_updates(&self, writer: &mut DatagramWriter, to: Ipv4Addr, first: &[Ipv4Addr]) -> Vec<Ipv4Addr> {
         let mut included = Vec::new();
         let about_receiver = self.table.status(to).filter(|status| *status != Status::Alive).map(|_| to);
@@ -55,12 +55,12 @@
         Version { incarnation: self.local_member.incarnation, refutation: self.refutation }
     }
 
-    /// The digest of this member's view.
+    /// Digest of the local view.
     pub(super) fn digest(&self) -> u64 {
         self.table.digest() ^ digest_of(self.local_member.ip, self.local_version())
     }
 
-    /// Draws `count` of these, in random order.
+    /// Chooses `count` of these, in random order.
     pub(super) fn choose_random(&mut self, mut from: Vec<Ipv4Addr>, count: usize) -> Vec<Ipv4Addr> {
         let count = count.min(from.len());
         for index in 0..count {
--- a/system/fleet-membership/src/membership/state_exchange.rs
+++ b/system/fleet-membership/src/membership/state_exchange.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: two members whose views differ for a while exchange their whole states, page by page.
+//! Anti-entropy: two members whose views differ for a while exchange their full states, page by page.
 
 use super::Membership;
 use super::updates::Source;
@@ -6,31 +6,31 @@
 use rand_chacha::rand_core::RngCore;
 use std::net::Ipv4Addr;
 
-/// How long to wait for a page.
+/// Time-out of a page request, in ms.
 pub(super) const PAGE_TIMEOUT_MS: u64 = 300;
-/// How often a page is asked for.
+/// Maximum number of requests for one page.
 const MAX_PAGE_ATTEMPTS: u32 = 3;
-/// Bytes of a page's datagram beside its claims.
+/// Bytes of a page's datagram beside its updates.
 const PAGE_OVERHEAD_BYTES: usize = 96;
-/// How long views may differ while nothing changes here, before states are exchanged.
+/// Time in ms for which views must differ without local changes before states are exchanged.
 const MIN_QUIET_DIVERGENCE_MS: u64 = 1_000;
-/// How long views may differ at most.
+/// Time in ms after which states are exchanged even while there are local changes.
 const MAX_DIVERGENCE_MS: u64 = 5_000;
-/// Views that were the same for so many probe periods no longer differ.
+/// A divergence that was not seen for this many probe intervals has ended.
 const DIVERGENCE_PERIODS: u64 = 3;
-/// Between two exchanges for differing views.
+/// Minimum time between two exchanges because of a divergence, in ms.
 const EXCHANGE_INTERVAL_MS: u64 = 1_000;
 
-/// Pages that are being fetched.
+/// A fetch of another member's full state.
 pub(super) struct StateFetch {
     peer: Ipv4Addr,
-    /// The last address of the pages that came.
+    /// Last address of the received pages.
     after: Option<Ipv4Addr>,
     pub(super) deadline: u64,
     attempts: u32,
 }
 
-/// For how long views have differed.
+/// A divergence of the local view from others.
 #[derive(Clone, Copy)]
 pub(super) struct Divergence {
     since: u64,
@@ -38,7 +38,7 @@
 }
 
 impl Membership {
-    /// Compares a sender's digest with this member's own view.
+    /// Compares a sender's digest with the local view, and starts an exchange if they differ for long.
     pub(super) fn compare_digest(&mut self, now_ms: u64, from: Ipv4Addr, digest: [u8; 8]) {
         if u64::from_le_bytes(digest) == self.digest() || self.table.live_entry(from).is_none() {
             return;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Since when views differ. Some others may be as wrong as this one, so that only every now and then one differs.
+    /// Start of the divergence. Some members may share the local error, so that not every digest differs.
     fn diverged_since(&self, now_ms: u64) -> u64 {
         let forgotten_after = DIVERGENCE_PERIODS * self.config.probe_interval_ms;
         let ongoing = self.divergence.filter(|divergence| now_ms <= divergence.last_seen + forgotten_after);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Takes a page in, and asks for the next.
+    /// Applies a page and requests the next one.
     pub(super) fn apply_page(
         &mut self,
         now_ms: u64,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// A page of the state for `to`: as many claims as fit.
+    /// A page of the full state for `to`, with as many updates as fit.
     pub(super) fn state_page(&self, to: Ipv4Addr, after: Option<Ipv4Addr>) -> Message {
         let mut updates = Vec::new();
         let mut remaining_bytes = MAX_DATAGRAM - PAGE_OVERHEAD_BYTES;
--- a/system/fleet-membership/src/membership/updates.rs
+++ b/system/fleet-membership/src/membership/updates.rs
@@ -1,4 +1,4 @@
-//! Merging what others claim into the table. Every change of another member's state is made here.
+//! Merging of received updates into the member table. Every change of another member's state is made here.
 
 use super::Membership;
 use crate::effects::{Effect, MemberEvent};
@@ -7,28 +7,28 @@
 use rand_chacha::rand_core::RngCore;
 use std::net::Ipv4Addr;
 
-/// Most entries, dead ones included.
+/// Maximum number of table entries, dead members included.
 const MAX_ENTRIES: usize = 16_384;
 
-/// How a claim came.
+/// Source of an update.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Source {
-    /// It was gossiped.
+    /// Gossip on a datagram.
     Gossip,
-    /// In a page of another's state.
+    /// A page of another member's full state.
     Page,
 }
 
-/// What became of a claim.
+/// Result of an update.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// It needs no answer.
+    /// No reply is needed.
     NoReply,
-    /// Its teller is behind, and should be told.
+    /// The sender's view is outdated and should be corrected.
     SenderOutdated,
 }
 
-/// What was known at an address before a claim came.
+/// State at an address before an update.
 struct KnownState {
     version: Version,
     status: Status,
@@ -42,7 +42,7 @@
 }
 
 impl Membership {
-    /// A datagram tells its sender's version: one that has refuted its suspicion or removal lives.
+    /// Notes the sender's version: a member that has refuted its suspicion or death is alive.
     pub(super) fn note_sender_version(&mut self, now_ms: u64, from: Ipv4Addr, version: Version) {
         let Some(entry) = self.table.get(from) else { return };
         let is_same_incarnation = entry.version.incarnation == version.incarnation;
@@ -54,21 +54,21 @@
         }
     }
 
-    /// A member leaves by itself.
+    /// Handles a voluntary leave.
     pub(super) fn apply_leave(&mut self, now_ms: u64, from: Ipv4Addr, version: Version) {
         if self.table.live_entry(from).is_some_and(|entry| entry.version <= version) {
             self.apply(now_ms, Update::Left { ip: from, version });
         }
     }
 
-    /// Takes a claim in if it outranks what is known.
+    /// Applies an update if it takes precedence over the known state.
     pub(super) fn apply_update(&mut self, now_ms: u64, update: Update, source: Source) -> Outcome {
         if update.ip() == self.local_member.ip {
             self.refute(now_ms, update.version(), update.status());
             return Outcome::NoReply;
         }
         let Some(known) = self.table.get(update.ip()).map(KnownState::from) else {
-            // Who has left or was removed is remembered although it wasn't known, against late gossip.
+            // Members that left or died are remembered although they were not known, against late gossip.
             if update.status() != Status::Suspect && self.table.len() < MAX_ENTRIES {
                 self.apply(now_ms, update);
             }
@@ -81,11 +81,11 @@
         Outcome::NoReply
     }
 
-    /// A claim that doesn't outrank what is known changes nothing, but may need an answer.
+    /// An update without precedence changes nothing but may need a reply.
     fn handle_stale_update(&mut self, now_ms: u64, update: &Update, known: &KnownState) -> Outcome {
         let is_same_incarnation = known.version.incarnation == update.version().incarnation;
         if update.status() == Status::Alive && known.status == Status::Dead && is_same_incarnation {
-            // It counts as living elsewhere: if it does live, it refutes when it hears that it doesn't here.
+            // It is alive in another view: if it is alive, it refutes its death when the probe reports that to it.
             self.schedule_extra_probe(now_ms, update.ip());
         }
         let conflicts = update.status() != Status::Alive && known.status.is_live();
@@ -102,7 +102,7 @@
                     self.apply(now_ms, update);
                 }
             }
-            // Nobody is removed who wasn't suspected here before.
+            // No member is declared dead that was not suspected here first.
             Status::Dead if is_same_incarnation && known.status == Status::Alive => match source {
                 Source::Gossip => self.apply(now_ms, Update::Suspect { ip, version }),
                 Source::Page => self.schedule_extra_probe(now_ms, ip),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Outranks whatever is said against this life.
+    /// Refutes a suspicion or death of the local member: its next state has a higher version.
     fn refute(&mut self, now_ms: u64, version: Version, status: Status) {
         if (version, status) <= (self.local_version(), Status::Alive) {
             return;
@@ -129,7 +129,7 @@
         self.disseminate(now_ms, self.local_member.ip);
     }
 
-    /// Makes every change of another member's state.
+    /// Changes another member's state; every such change is made here.
     pub(super) fn apply(&mut self, now_ms: u64, update: Update) {
         let ip = update.ip();
         let before = self.table.get(ip).cloned();
@@ -155,7 +155,7 @@
         self.effects.extend(MemberEvent::between(before.as_ref(), &after).into_iter().map(Effect::Event));
     }
 
-    /// The table's entry after a claim; what is known of a member outlasts claims that don't tell it.
+    /// The table entry after an update; the member's data is retained if the update has none.
     fn entry_after(&self, now_ms: u64, update: Update, before: Option<&Entry>) -> Entry {
         let (version, status) = (update.version(), update.status());
         let is_same_incarnation = |before: &&Entry| before.version.incarnation == version.incarnation;
@@ -171,7 +171,7 @@
         Entry { member, version, status, deadline }
     }
 
-    /// Nothing was due while there was nobody to send to.
+    /// Starts the timers, which are idle while no other member is known.
     fn start_timers(&mut self, now_ms: u64) {
         let first_probe = now_ms + self.rng.next_u64() % self.config.probe_interval_ms.max(1);
         self.next_probe = self.next_probe.max(first_probe);
--- a/system/fleet-membership/src/table.rs
+++ b/system/fleet-membership/src/table.rs
@@ -1,4 +1,4 @@
-//! All other members, living and lately dead, with the indexes that follow from them.
+//! Table of all other members, live and recently dead, with derived indexes.
 
 use crate::member::Member;
 use crate::wire::{Status, Update, Version};
@@ -6,20 +6,20 @@
 use std::net::Ipv4Addr;
 use std::ops::Bound;
 
-/// What is known at an address.
+/// State of the member at one address.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
-    /// Always there for living ones.
+    /// Always present for live members.
     pub member: Option<Member>,
     pub version: Version,
     pub status: Status,
-    /// When a suspected one is removed, or a dead one forgotten.
+    /// When a suspected member is declared dead, or a dead one is forgotten, in ms.
     pub deadline: u64,
 }
 
 impl Entry {
-    /// The entry as others are told it.
-    pub fn update(&self, ip: Ipv4Addr) -> Option<Update> {
+    /// The entry as an update for other members.
+    pub(crate) fn update(&self, ip: Ipv4Addr) -> Option<Update> {
         let version = self.version;
         Some(match self.status {
             Status::Alive => Update::Alive { member: self.member.clone()?, refutation: version.refutation },
@@ -30,68 +30,68 @@
     }
 }
 
-/// The members other than this one.
+/// The members other than the local one.
 #[derive(Default)]
 pub(crate) struct Table {
     entries: BTreeMap<Ipv4Addr, Entry>,
-    /// Living ones, suspected or not, for a choice by index.
+    /// Live members, suspected ones included, in order, for a random choice by index.
     live: Vec<Ipv4Addr>,
-    /// Those not suspected, by hash.
+    /// Members that are not suspected, by the hash of their address.
     ring: BTreeSet<(u64, Ipv4Addr)>,
     suspects: BTreeSet<(u64, Ipv4Addr)>,
     digest: u64,
 }
 
 impl Table {
-    pub fn get(&self, ip: Ipv4Addr) -> Option<&Entry> {
+    pub(crate) fn get(&self, ip: Ipv4Addr) -> Option<&Entry> {
         self.entries.get(&ip)
     }
 
-    /// The entry, if it is a living member.
-    pub fn live_entry(&self, ip: Ipv4Addr) -> Option<&Entry> {
+    /// The entry, if the member is live.
+    pub(crate) fn live_entry(&self, ip: Ipv4Addr) -> Option<&Entry> {
         self.get(ip).filter(|entry| entry.status.is_live())
     }
 
-    pub fn status(&self, ip: Ipv4Addr) -> Option<Status> {
+    pub(crate) fn status(&self, ip: Ipv4Addr) -> Option<Status> {
         self.get(ip).map(|entry| entry.status)
     }
 
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    pub fn live_addresses(&self) -> &[Ipv4Addr] {
+    pub(crate) fn live_addresses(&self) -> &[Ipv4Addr] {
         &self.live
     }
 
-    /// The XOR of the hashes of all living members' versions.
-    pub fn digest(&self) -> u64 {
+    /// XOR of the hashes of the versions of all live members.
+    pub(crate) fn digest(&self) -> u64 {
         self.digest
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&Ipv4Addr, &Entry)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&Ipv4Addr, &Entry)> {
         self.entries.iter()
     }
 
-    /// Entries after an address, or all.
-    pub fn after(&self, ip: Option<Ipv4Addr>) -> impl Iterator<Item = (&Ipv4Addr, &Entry)> {
+    /// Entries with an address above `ip`, or all.
+    pub(crate) fn after(&self, ip: Option<Ipv4Addr>) -> impl Iterator<Item = (&Ipv4Addr, &Entry)> {
         self.entries.range((ip.map_or(Bound::Unbounded, Bound::Excluded), Bound::Unbounded))
     }
 
-    /// The unsuspected member after this one on the ring of hashes.
-    pub fn successor(&self, ip: Ipv4Addr) -> Option<Ipv4Addr> {
+    /// The next member on the ring of hashed addresses that is not suspected.
+    pub(crate) fn successor(&self, ip: Ipv4Addr) -> Option<Ipv4Addr> {
         let key = (hash(u64::from(u32::from(ip))), ip);
         let mut after = self.ring.range((Bound::Excluded(key), Bound::Unbounded));
         after.next().or_else(|| self.ring.first()).map(|(_, ip)| *ip)
     }
 
-    /// When the next suspected member is to be removed, and which.
-    pub fn next_suspect(&self) -> Option<(u64, Ipv4Addr)> {
+    /// The earliest deadline of a suspicion, with its member.
+    pub(crate) fn next_suspect(&self) -> Option<(u64, Ipv4Addr)> {
         self.suspects.first().copied()
     }
 
-    /// Gives all suspected members more time.
-    pub fn extend_suspicions(&mut self, by_ms: u64) {
+    /// Extends the deadlines of all suspicions.
+    pub(crate) fn extend_suspicions(&mut self, by_ms: u64) {
         for (deadline, ip) in std::mem::take(&mut self.suspects) {
             self.suspects.insert((deadline + by_ms, ip));
             if let Some(entry) = self.entries.get_mut(&ip) {
@@ -100,7 +100,7 @@
         }
     }
 
-    pub fn insert(&mut self, ip: Ipv4Addr, entry: Entry) {
+    pub(crate) fn insert(&mut self, ip: Ipv4Addr, entry: Entry) {
         self.remove(ip);
         if entry.status.is_live() {
             let index = self.live.partition_point(|other| *other < ip);
@@ -115,8 +115,8 @@
         self.entries.insert(ip, entry);
     }
 
-    /// Forgets the dead whose time is over.
-    pub fn forget_expired(&mut self, now_ms: u64) {
+    /// Removes dead members that were retained long enough.
+    pub(crate) fn forget_expired(&mut self, now_ms: u64) {
         self.entries.retain(|_, entry| entry.status.is_live() || entry.deadline > now_ms);
     }
 
@@ -133,7 +133,7 @@
     }
 }
 
-/// A member's part of the digest.
+/// Hash of one member's version, its part of the digest.
 pub(crate) fn digest_of(ip: Ipv4Addr, version: Version) -> u64 {
     hash(hash(hash(u64::from(u32::from(ip))) ^ version.incarnation) ^ u64::from(version.refutation))
 }
--- a/system/fleet-membership/src/wire.rs
+++ b/system/fleet-membership/src/wire.rs
@@ -1,4 +1,5 @@
-//! Datagrams: a version byte and the fleet's number, then postcard's form of the head and of the claims.
+//! Datagram format: a version byte and the fleet number, then the header and the updates in postcard encoding. Postcard
+//! encodes fields and variants by position: their order is part of the format.
 
 use crate::member::{Member, is_usable};
 use serde::{Deserialize, Serialize};
@@ -7,23 +8,23 @@
 #[cfg(test)]
 mod tests;
 
-/// Longest datagram.
+/// Maximum length of a datagram in bytes.
 pub const MAX_DATAGRAM: usize = 1_200;
-/// Version of the format.
+/// Version of the datagram format.
 const VERSION: u8 = 1;
-/// Bytes of the longest count of claims.
+/// Maximum length in bytes of the encoded number of updates.
 const COUNT_BYTES: usize = 2;
 
-/// A state of a member outranks those under lower versions.
+/// Version of a member's state: the higher one takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Version {
-    /// Which life.
+    /// Incarnation number of the member.
     pub incarnation: u64,
-    /// How often that life has refuted what was said of it.
+    /// Number of refutations in this incarnation.
     pub refutation: u32,
 }
 
-/// State of a member; under one version the later in this order outranks the earlier.
+/// State of a member; at equal versions the later in this order takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Status {
     Alive,
@@ -33,13 +34,13 @@
 }
 
 impl Status {
-    /// Whether it is still a member.
-    pub fn is_live(self) -> bool {
+    /// Whether the member counts as live.
+    pub(crate) fn is_live(self) -> bool {
         self <= Self::Suspect
     }
 }
 
-/// What one member says of another, or of itself.
+/// An update about the state of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Update {
     Alive { member: Member, refutation: u32 },
@@ -49,16 +50,16 @@
 }
 
 impl Update {
-    /// Whom it is about.
-    pub fn ip(&self) -> Ipv4Addr {
+    /// Address of the member that it is about.
+    pub(crate) fn ip(&self) -> Ipv4Addr {
         match self {
             Self::Alive { member, .. } => member.ip,
             Self::Suspect { ip, .. } | Self::Dead { ip, .. } | Self::Left { ip, .. } => *ip,
         }
     }
 
-    /// Under which version.
-    pub fn version(&self) -> Version {
+    /// Version of the state.
+    pub(crate) fn version(&self) -> Version {
         match self {
             Self::Alive { member, refutation } => {
                 Version { incarnation: member.incarnation, refutation: *refutation }
@@ -69,8 +70,8 @@
         }
     }
 
-    /// What it says.
-    pub fn status(&self) -> Status {
+    /// State that it reports.
+    pub(crate) fn status(&self) -> Status {
         match self {
             Self::Alive { .. } => Status::Alive,
             Self::Suspect { .. } => Status::Suspect,
@@ -86,54 +87,54 @@
         }
     }
 
-    /// In bytes; no claim's form fails.
-    pub fn encode(&self) -> Vec<u8> {
+    /// Encodes the update; the encoding of these types cannot fail.
+    pub(crate) fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 }
 
-/// What a datagram asks or answers.
+/// The message of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// Answer with `Ack` under this number.
+    /// Direct probe: the receiver replies with `Ack` and the same sequence number.
     Ping { sequence_number: u32 },
-    /// Ping the target, and pass its answer on under this number.
+    /// Request for an indirect probe: the receiver pings the target and relays its acknowledgement.
     PingRequest { sequence_number: u32, target: Ipv4Addr },
-    /// The pinged one lives.
+    /// Acknowledgement of a probe.
     Ack { sequence_number: u32 },
-    /// Nothing but claims.
+    /// No message; the datagram carries updates only.
     Gossip,
-    /// Asks for the page of the state after this address; without one, from the start.
+    /// Requests the page of the full state after an address, or the first page; also a request to join.
     SyncRequest { after: Option<Ipv4Addr>, is_isolated: bool },
-    /// Part of the state; there is more after `next`.
+    /// One page of the full state; another one follows if `next` is given.
     SyncPage { next: Option<Ipv4Addr>, updates: Vec<Update> },
-    /// The sender doesn't know the receiver's life, and wants to be told.
+    /// The sender does not know the receiver's incarnation and requests its state.
     IdentityRequest,
-    /// The sender leaves.
+    /// The sender leaves the fleet.
     Leave,
 }
 
-/// The start of each datagram.
+/// Header of each datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Header {
-    /// The sender's version.
+    /// Version of the sender's own state.
     pub version: Version,
-    /// Digest of the versions of all members that the sender sees.
+    /// Digest of the versions of all members in the sender's view.
     pub digest: [u8; 8],
-    /// The message.
+    /// The message itself.
     pub body: Message,
 }
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DecodeError {
-    /// It is of another fleet or version.
+    /// It is of another fleet or format version.
     Foreign,
-    /// It is not whole.
+    /// It could not be decoded.
     Malformed,
 }
 
-/// A datagram to which claims are added while there is room.
+/// Builds a datagram and adds updates while there is capacity.
 pub(crate) struct DatagramWriter {
     header: Vec<u8>,
     count: usize,
@@ -141,15 +142,15 @@
 }
 
 impl DatagramWriter {
-    pub fn new(fleet: u32, header: &Header) -> Self {
+    pub(crate) fn new(fleet: u32, header: &Header) -> Self {
         let mut bytes = vec![VERSION];
         bytes.extend(fleet.to_le_bytes());
         bytes.extend(postcard::to_allocvec(header).unwrap_or_default());
         Self { header: bytes, count: 0, updates: Vec::new() }
     }
 
-    /// Adds a claim if there is room for it.
-    pub fn push(&mut self, update: &Update) -> bool {
+    /// Adds an update if it fits; returns whether it did.
+    pub(crate) fn push(&mut self, update: &Update) -> bool {
         let bytes = update.encode();
         let fits = self.header.len() + COUNT_BYTES + self.updates.len() + bytes.len() <= MAX_DATAGRAM;
         if fits {
@@ -159,7 +160,7 @@
         fits
     }
 
-    pub fn finish(self) -> Vec<u8> {
+    pub(crate) fn finish(self) -> Vec<u8> {
         let mut bytes = self.header;
         bytes.extend(postcard::to_allocvec(&self.count).unwrap_or_default());
         bytes.extend(self.updates);
@@ -167,7 +168,7 @@
     }
 }
 
-/// Reads a datagram of this fleet.
+/// Decodes a datagram of this fleet.
 pub(crate) fn decode(fleet: u32, bytes: &[u8]) -> Result<(Header, Vec<Update>), DecodeError> {
     let [version, rest @ ..] = bytes else { return Err(DecodeError::Malformed) };
     let Some((number, rest)) = rest.split_first_chunk::<4>() else { return Err(DecodeError::Malformed) };
--- a/system/fleet-membership/src/wire/tests.rs
+++ b/system/fleet-membership/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Datagrams that earlier programs sent are read as they meant them, and written again by the same bytes.
+//! Compatibility with recorded datagrams of earlier releases: they decode to the same messages and encode to the same bytes.
 
 use super::*;
 use crate::member::Role;
@@ -27,7 +27,7 @@
     Update::Alive { member, refutation: 300 }
 }
 
-/// A claim of each kind, and a member of each role.
+/// An update of each kind, and a member of each role.
 fn updates() -> Vec<Update> {
     vec![
         alive(1, Role::Edge),
@@ -40,7 +40,7 @@
 }
 
 /// A message of each kind.
-fn bodies() -> Vec<Message> {
+fn messages() -> Vec<Message> {
     vec![
         Message::Ping { sequence_number: 70_000 },
         Message::PingRequest { sequence_number: 70_001, target: ip(9) },
@@ -70,15 +70,15 @@
 
 fn written(body: Message) -> Vec<u8> {
     let mut writer = DatagramWriter::new(FLEET, &header(body));
-    assert!(updates().iter().all(|update| writer.push(update)), "there is remaining_bytes");
+    assert!(updates().iter().all(|update| writer.push(update)), "the datagram has capacity");
     writer.finish()
 }
 
 #[googletest::test]
 fn datagrams_sent_before_are_read_and_written_alike() {
     let recorded = recorded();
-    expect_that!(recorded.len(), eq(bodies().len()));
-    for (body, bytes) in bodies().into_iter().zip(recorded) {
+    expect_that!(recorded.len(), eq(messages().len()));
+    for (body, bytes) in messages().into_iter().zip(recorded) {
         expect_that!(decode(FLEET, &bytes), ok(eq(&(header(body.clone()), updates()))));
         expect_that!(written(body), eq(&bytes));
     }
--- a/system/fleet-membership/tests/fleet/stories.rs
+++ b/system/fleet-membership/tests/fleet/failure_and_recovery.rs
@@ -1,4 +1,4 @@
-//! What a fleet does when its members die, freeze, restart and are cut off.
+//! Detection of failures, and recovery after stalls, restarts and partitions.
 
 use crate::simulator::{Simulator, ip};
 use fleet_membership::{MemberEvent, Role, new_incarnation};
@@ -9,23 +9,23 @@
 }
 
 #[googletest::test]
-fn a_dead_member_is_removed_everywhere_within_four_seconds() {
+fn a_failed_member_is_removed_everywhere_within_four_seconds() {
     for (count, seeds) in [(10, 20), (100, 5), (300, 2)] {
         for seed in 0..seeds {
             // Given a fleet at rest.
-            let mut fleet = Simulator::settled(seed, count);
-            let pause = fleet.draw(1_000);
-            fleet.run(pause);
+            let mut fleet = Simulator::converged(seed, count);
+            let delay_ms = fleet.random_below(1_000);
+            fleet.run(delay_ms);
 
             // When one dies without a word.
             fleet.kill(ip(count / 2));
-            let took = fleet.run_until_agreed(4_000);
+            let elapsed_ms = fleet.run_until_views_agree(4_000);
 
             // Then all others have removed it, after a suspicion, and nobody else.
-            expect_that!(took, some(le(4_000)), "{count} members, seed {seed}");
+            expect_that!(elapsed_ms, some(le(4_000)), "{count} members, seed {seed}");
             expect_that!(fleet.removals().len(), eq(count - 1), "{count} members, seed {seed}");
             let suspected = fleet
-                .changes
+                .member_events
                 .iter()
                 .filter(|(_, _, change)| matches!(change, MemberEvent::Suspected(_)))
                 .count();
@@ -35,45 +35,45 @@
 }
 
 #[googletest::test]
-fn a_member_that_was_frozen_for_four_seconds_is_back_everywhere_within_two() {
+fn a_member_stalled_for_four_seconds_rejoins_everywhere_within_two() {
     for (count, seeds) in [(2, 20), (10, 20), (100, 5), (300, 1)] {
         for seed in 0..seeds {
             // Given one that is frozen for 4 s.
-            let mut fleet = Simulator::settled(seed, count);
-            let pause = fleet.draw(1_000);
-            fleet.run(pause);
+            let mut fleet = Simulator::converged(seed, count);
+            let delay_ms = fleet.random_below(1_000);
+            fleet.run(delay_ms);
             fleet.freeze(ip(1));
             fleet.run(4_000);
-            fleet.changes.clear();
+            fleet.member_events.clear();
 
             // When it goes on.
             fleet.thaw(ip(1));
-            let took = fleet.run_until_agreed(2_000);
+            let elapsed_ms = fleet.run_until_views_agree(2_000);
 
             // Then it is a member everywhere, unsuspected, and has suspected nobody for its own lack of time.
-            expect_that!(took, some(le(2_000)), "{count} members, seed {seed}");
+            expect_that!(elapsed_ms, some(le(2_000)), "{count} members, seed {seed}");
             fleet.run(1_000);
             expect_that!(fleet.suspected_by(ip(1)), eq(0), "{count} members, seed {seed}");
-            let wronged: Vec<_> = fleet
-                .changes
+            let wrong_removals: Vec<_> = fleet
+                .member_events
                 .iter()
                 .filter(|(_, _, change)| match change {
                     MemberEvent::Suspected(member) | MemberEvent::Removed(member) => member.ip != ip(1),
                     _ => false,
                 })
                 .collect();
-            expect_that!(wronged, is_empty(), "{count} members, seed {seed}");
+            expect_that!(wrong_removals, is_empty(), "{count} members, seed {seed}");
         }
     }
 }
 
 #[googletest::test]
-fn a_short_freeze_makes_nobody_a_suspect_of_the_frozen_one() {
+fn a_short_stall_makes_the_stalled_member_suspect_nobody() {
     for seed in 0..30 {
         // Given one that is frozen while its own probe waits for an answer.
-        let mut fleet = Simulator::settled(seed, 10);
-        let pause = fleet.draw(1_000);
-        fleet.run(pause);
+        let mut fleet = Simulator::converged(seed, 10);
+        let delay_ms = fleet.random_below(1_000);
+        fleet.run(delay_ms);
         fleet.freeze(ip(4));
         fleet.run(1_200);
 
@@ -84,7 +84,7 @@
         // Then it has noticed, and suspects nobody; nobody was removed.
         expect_that!(fleet.view(ip(4)).counters().stalls, ge(1), "seed {seed}");
         let suspects: Vec<_> = fleet
-            .changes
+            .member_events
             .iter()
             .filter(|(_, by, change)| {
                 *by == ip(4) && matches!(change, MemberEvent::Suspected(member) if member.ip != ip(4))
@@ -96,11 +96,11 @@
 }
 
 #[googletest::test]
-fn links_that_lose_two_in_a_hundred_lead_to_no_removal() {
+fn two_percent_datagram_loss_causes_no_removal() {
     for (count, seeds) in [(3, 10), (30, 10), (300, 1)] {
         for seed in 0..seeds {
             // Given a fleet.
-            let mut fleet = Simulator::settled(seed, count);
+            let mut fleet = Simulator::converged(seed, count);
 
             // When its links lose 2 in 100 datagrams for a minute.
             fleet.loss_per_mille = 20;
@@ -108,17 +108,17 @@
 
             // Then nobody is removed.
             expect_that!(fleet.removals(), is_empty(), "{count} members, seed {seed}");
-            fleet.assert_agreed();
+            fleet.assert_views_agree();
         }
     }
 }
 
 #[googletest::test]
-fn three_parts_find_each_other_again_within_fifteen_seconds() {
+fn three_partitions_merge_within_fifteen_seconds_of_healing() {
     for (count, seeds) in [(3, 20), (6, 20), (30, 10), (150, 2)] {
         for seed in 0..seeds {
             // Given three parts, cut off for so long that each has removed the others and no old rumour is left.
-            let mut fleet = Simulator::settled(seed, count);
+            let mut fleet = Simulator::converged(seed, count);
             let third = count / 3;
             let parts = [members(0..third), members(third..2 * third), members(2 * third..count)];
             fleet.partition(&parts);
@@ -136,104 +136,113 @@
 
             // When the cuts heal.
             fleet.heal();
-            let took = fleet.run_until_agreed(15_000);
+            let elapsed_ms = fleet.run_until_views_agree(15_000);
 
             // Then all see all.
-            expect_that!(took, some(le(15_000)), "{count} members, seed {seed}: {:?}", fleet.disagreement());
+            expect_that!(
+                elapsed_ms,
+                some(le(15_000)),
+                "{count} members, seed {seed}: {:?}",
+                fleet.view_mismatch()
+            );
         }
     }
 }
 
 #[googletest::test]
-fn parts_that_meet_again_remove_nobody_of_their_own() {
+fn merging_partitions_remove_no_live_member() {
     for seed in 0..5 {
         // Given two halves that have removed each other.
-        let mut fleet = Simulator::settled(seed, 40);
+        let mut fleet = Simulator::converged(seed, 40);
         fleet.partition(&[members(0..20), members(20..40)]);
         fleet.run(30_000);
-        fleet.changes.clear();
+        fleet.member_events.clear();
 
         // When they meet again.
         fleet.heal();
         fleet.run(20_000);
 
         // Then all see all, and none was removed meanwhile.
-        fleet.assert_agreed();
+        fleet.assert_views_agree();
         expect_that!(fleet.removals(), is_empty(), "seed {seed}");
     }
 }
 
 #[googletest::test]
-fn a_restart_at_the_same_address_outranks_the_former_life() {
+fn a_restart_at_the_same_address_takes_precedence_over_the_old_incarnation() {
     for (count, seed) in [(3, 0), (3, 1), (30, 0), (30, 1), (30, 2), (150, 0)] {
         // Given one that died.
-        let mut fleet = Simulator::settled(seed, count);
+        let mut fleet = Simulator::converged(seed, count);
         let former = fleet.view(ip(5 % count)).local_member().incarnation;
         let at = ip(5 % count);
         fleet.kill(at);
-        let down_ms = 1 + fleet.draw(500);
+        let down_ms = 1 + fleet.random_below(500);
         fleet.run(down_ms);
 
         // When it starts again within half a second.
         fleet.start(at, &[ip(0), ip(1), ip(2)]);
-        let took = fleet.run_until_agreed(2_000);
+        let elapsed_ms = fleet.run_until_views_agree(2_000);
 
         // Then all know the new life within 2 s, each having been told that the old one is over, and it stays.
-        expect_that!(took, some(le(2_000)), "{count} members, seed {seed}");
+        expect_that!(elapsed_ms, some(le(2_000)), "{count} members, seed {seed}");
         expect_that!(
             fleet.view(ip(4 % count)).member_at(at).map(|member| member.incarnation),
             some(gt(former))
         );
-        let of_it = |change: &MemberEvent| match change {
+        let is_new_incarnation = |change: &MemberEvent| match change {
             MemberEvent::Joined(member) => member.ip == at && member.incarnation > former,
             _ => false,
         };
-        let joined = fleet.changes.iter().filter(|(_, by, change)| *by != at && of_it(change)).count();
+        let joined = fleet
+            .member_events
+            .iter()
+            .filter(|(_, by, change)| *by != at && is_new_incarnation(change))
+            .count();
         expect_that!(joined, eq(count - 1), "{count} members, seed {seed}");
         expect_that!(fleet.removals().len(), eq(count - 1), "{count} members, seed {seed}");
         fleet.run(10_000);
-        fleet.assert_agreed();
+        fleet.assert_views_agree();
         expect_that!(fleet.removals().len(), eq(count - 1), "{count} members, seed {seed}");
     }
 }
 
 #[googletest::test]
-fn a_restart_with_an_earlier_clock_takes_a_higher_number() {
+fn a_restart_with_an_earlier_clock_gets_a_higher_incarnation() {
     for seed in 0..10 {
         // Given one that died.
-        let mut fleet = Simulator::settled(seed, 10);
+        let mut fleet = Simulator::converged(seed, 10);
         let former = fleet.view(ip(5)).local_member().incarnation;
         fleet.kill(ip(5));
-        let down_ms = fleet.draw(10_000);
+        let down_ms = fleet.random_below(10_000);
         fleet.run(down_ms);
 
         // When it starts again with a clock that shows an hour earlier.
         fleet.start_with_clock(ip(5), &[ip(0)], (former >> 16) - 3_600_000);
-        let took = fleet.run_until_agreed(3_000);
+        let elapsed_ms = fleet.run_until_views_agree(3_000);
 
         // Then its number is higher all the same.
-        expect_that!(took, some(le(3_000)), "seed {seed}: {:?}", fleet.disagreement());
+        expect_that!(elapsed_ms, some(le(3_000)), "seed {seed}: {:?}", fleet.view_mismatch());
         expect_that!(fleet.view(ip(5)).local_member().incarnation, gt(former), "seed {seed}");
         expect_that!(fleet.view(ip(0)).member_at(ip(5)).map(|member| member.incarnation), some(gt(former)));
     }
 }
 
 #[googletest::test]
-fn one_that_leaves_is_told_of_at_once() {
+fn a_voluntary_leave_is_known_everywhere_within_a_second() {
     for count in [2, 10, 100] {
         // Given a fleet.
-        let mut fleet = Simulator::settled(1, count);
+        let mut fleet = Simulator::converged(1, count);
 
         // When one leaves.
         fleet.leave(ip(1));
         fleet.run(1_000);
 
         // Then all know within a second, without a suspicion.
-        fleet.assert_agreed();
-        expect_that!(fleet.changes.len(), eq(count - 1), "{count} members");
+        fleet.assert_views_agree();
+        expect_that!(fleet.member_events.len(), eq(count - 1), "{count} members");
         expect_that!(
             fleet
-                .changes
+                .member_events
                 .iter()
                 .all(|(_, _, change)| matches!(change, MemberEvent::Left(member) if member.ip == ip(1))),
             eq(true)
@@ -242,9 +251,9 @@
 }
 
 #[googletest::test]
-fn one_that_restarts_while_all_its_seeds_are_gone_keeps_asking_them() {
+fn a_member_restarted_without_live_seeds_keeps_trying_to_join() {
     // Given a fleet whose seeds are gone.
-    let mut fleet = Simulator::settled(1, 10);
+    let mut fleet = Simulator::converged(1, 10);
     for at in members(0..3) {
         fleet.kill(at);
     }
@@ -257,7 +266,7 @@
 
     // Then those who kept its address find it.
     fleet.run(13_000);
-    fleet.assert_agreed();
+    fleet.assert_views_agree();
 
     // When one that nobody knows starts, it stays alone, and asks.
     fleet.start(ip(50), &members(0..3));
@@ -266,13 +275,13 @@
 
     // Then it joins as soon as one of its seeds is back.
     fleet.start(ip(2), &[ip(5)]);
-    expect_that!(fleet.run_until_agreed(5_000), some(le(5_000)));
+    expect_that!(fleet.run_until_views_agree(5_000), some(le(5_000)));
 }
 
 #[googletest::test]
-fn one_that_is_alone_joins_through_other_seeds() {
+fn an_isolated_member_joins_through_new_seeds() {
     // Given one whose seeds don't exist.
-    let mut fleet = Simulator::settled(1, 10);
+    let mut fleet = Simulator::converged(1, 10);
     fleet.start(ip(50), &[ip(200), ip(201)]);
     fleet.run(20_000);
     expect_that!(fleet.view(ip(50)).member_count(), eq(1));
@@ -281,17 +290,17 @@
     fleet.join(ip(50), &[ip(7)]);
 
     // Then it is in.
-    expect_that!(fleet.run_until_agreed(1_000), some(le(1_000)));
+    expect_that!(fleet.run_until_views_agree(1_000), some(le(1_000)));
 }
 
 #[googletest::test]
-fn a_link_that_is_cut_one_way_removes_nobody() {
+fn one_way_link_failures_remove_nobody() {
     for seed in 0..10 {
         // Given a fleet in which some links work one way only.
-        let mut fleet = Simulator::settled(seed, 10);
+        let mut fleet = Simulator::converged(seed, 10);
         for _ in 0..8 {
-            let (from, to) = (fleet.draw(10) as usize, fleet.draw(10) as usize);
-            fleet.cut(ip(from), ip(to));
+            let (from, to) = (fleet.random_below(10) as usize, fleet.random_below(10) as usize);
+            fleet.block_link(ip(from), ip(to));
         }
 
         // When a minute goes by.
@@ -303,12 +312,12 @@
 }
 
 #[googletest::test]
-fn one_that_hears_nothing_is_removed_and_comes_back() {
+fn a_member_that_receives_nothing_is_removed_and_rejoins() {
     for seed in 0..5 {
         // Given one that can send to all and hears nobody.
-        let mut fleet = Simulator::settled(seed, 20);
+        let mut fleet = Simulator::converged(seed, 20);
         for at in members(0..20) {
-            fleet.cut(at, ip(3));
+            fleet.block_link(at, ip(3));
         }
 
         // When 10 s go by, all others have removed it, and only it.
@@ -326,19 +335,19 @@
         // Then it is back soon after it hears again.
         fleet.heal();
         expect_that!(
-            fleet.run_until_agreed(15_000),
+            fleet.run_until_views_agree(15_000),
             some(le(15_000)),
             "seed {seed}: {:?}",
-            fleet.disagreement()
+            fleet.view_mismatch()
         );
     }
 }
 
 #[googletest::test]
-fn a_third_of_the_fleet_dies_at_once() {
+fn simultaneous_failure_of_a_third_of_the_fleet_is_detected() {
     for seed in 0..3 {
         // Given a fleet.
-        let mut fleet = Simulator::settled(seed, 90);
+        let mut fleet = Simulator::converged(seed, 90);
 
         // When a third of it dies at once.
         for number in (0..90).step_by(3) {
@@ -346,25 +355,25 @@
         }
 
         // Then the rest agree soon, and haven't removed one another.
-        let took = fleet.run_until_agreed(15_000);
-        expect_that!(took, some(le(15_000)), "seed {seed}: {:?}", fleet.disagreement());
-        let wronged: Vec<_> = fleet
+        let elapsed_ms = fleet.run_until_views_agree(15_000);
+        expect_that!(elapsed_ms, some(le(15_000)), "seed {seed}: {:?}", fleet.view_mismatch());
+        let wrong_removals: Vec<_> = fleet
             .removals()
             .into_iter()
             .filter(
                 |(_, _, change)| matches!(change, MemberEvent::Removed(member) if member.ip.octets()[3] % 3 != 0),
             )
             .collect();
-        expect_that!(wronged, is_empty(), "seed {seed}");
+        expect_that!(wrong_removals, is_empty(), "seed {seed}");
     }
 }
 
 #[googletest::test]
-fn a_probe_at_rest_costs_the_same_in_every_fleet() {
+fn probe_cost_at_rest_is_independent_of_fleet_size() {
     let mut rates = Vec::new();
     for count in [30, 100, 300] {
         // Given a fleet at rest.
-        let mut fleet = Simulator::settled(1, count);
+        let mut fleet = Simulator::converged(1, count);
         fleet.run(10_000);
         let total = |fleet: &Simulator| {
             let counters = fleet.counters();
@@ -391,13 +400,13 @@
         expect_that!(with_headers / probes, lt(200.0), "{count} members");
         expect_that!(probes, lt(1.3), "{count} members");
         rates.push(with_headers);
-        expect_that!(fleet.changes, is_empty());
+        expect_that!(fleet.member_events, is_empty());
     }
     expect_that!(rates[2] / rates[0], all![gt(0.9), lt(1.1)]);
 }
 
 #[googletest::test]
-fn one_without_others_sleeps() {
+fn a_member_without_seeds_has_nothing_scheduled() {
     // Given one that was given no seeds.
     let mut fleet = Simulator::new(1);
     fleet.start(ip(1), &[]);
@@ -408,9 +417,9 @@
 }
 
 #[googletest::test]
-fn members_are_told_by_role_and_address() {
+fn members_are_found_by_role_and_address() {
     // Given three members.
-    let fleet = Simulator::settled(1, 3);
+    let fleet = Simulator::converged(1, 3);
     let view = fleet.view(ip(0));
 
     // Then each view has all of them, itself first.
@@ -426,7 +435,7 @@
 }
 
 #[googletest::test]
-fn a_later_start_has_a_higher_number() {
+fn a_later_start_has_a_higher_incarnation() {
     expect_that!(new_incarnation(1_001, 0), gt(new_incarnation(1_000, u16::MAX)));
     expect_that!(new_incarnation(1_000, 8), gt(new_incarnation(1_000, 7)));
 }
--- a/system/fleet-membership/tests/fleet/main.rs
+++ b/system/fleet-membership/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Stories of a fleet over an in-memory network in simulated time.
+//! Behaviour of a whole fleet over an in-memory network in simulated time.
 
-mod schedules;
+mod failure_and_recovery;
+mod random_faults;
 mod simulator;
-mod stories;
--- a/system/fleet-membership/tests/datagrams.rs
+++ b/system/fleet-membership/tests/invalid_datagrams.rs
@@ -1,4 +1,4 @@
-//! What a process does with datagrams that no member has sent.
+//! Datagrams that no member of the fleet has sent: they are dropped and counted, and never cause a panic.
 
 use fleet_membership::{Config, Effect, Member, MemberError, Membership, Role, new_incarnation};
 use googletest::prelude::*;
@@ -26,8 +26,8 @@
         .collect()
 }
 
-/// The datagram with which one of this fleet asks to be let in.
-fn join_of(fleet: u32) -> Vec<u8> {
+/// A join request of a member of this fleet.
+fn join_datagram(fleet: u32) -> Vec<u8> {
     datagrams(membership(OTHER, fleet).join(0, &[ME])).remove(0)
 }
 
@@ -37,7 +37,7 @@
     let mut membership = membership(ME, FLEET);
 
     // When one of another fleet asks to be let in.
-    let effects = membership.receive_datagram(1, OTHER, &join_of(FLEET + 1));
+    let effects = membership.receive_datagram(1, OTHER, &join_datagram(FLEET + 1));
 
     // Then nothing comes of it.
     expect_that!(effects, is_empty());
@@ -45,7 +45,7 @@
     expect_that!(membership.counters().foreign_datagrams, eq(1));
 
     // But one of its own is let in.
-    expect_that!(membership.receive_datagram(2, OTHER, &join_of(FLEET)), not(is_empty()));
+    expect_that!(membership.receive_datagram(2, OTHER, &join_datagram(FLEET)), not(is_empty()));
     expect_that!(membership.member_count(), eq(2));
     expect_that!(membership.counters().foreign_datagrams, eq(1));
 }
@@ -53,7 +53,7 @@
 #[googletest::test]
 fn datagrams_of_another_version_are_dropped_and_counted() {
     let mut membership = membership(ME, FLEET);
-    let mut bytes = join_of(FLEET);
+    let mut bytes = join_datagram(FLEET);
     bytes[0] += 1;
     expect_that!(membership.receive_datagram(1, OTHER, &bytes), is_empty());
     expect_that!(membership.counters().foreign_datagrams, eq(1));
@@ -61,10 +61,10 @@
 }
 
 #[googletest::test]
-fn datagrams_that_are_not_whole_are_dropped_and_counted() {
+fn truncated_or_extended_datagrams_are_dropped_and_counted() {
     // Given a sound datagram.
     let mut membership = membership(ME, FLEET);
-    let bytes = join_of(FLEET);
+    let bytes = join_datagram(FLEET);
 
     // When it comes cut off, or with more behind it.
     for length in 0..bytes.len() {
@@ -79,41 +79,41 @@
 }
 
 #[googletest::test]
-fn datagrams_from_ones_own_address_are_dropped_and_counted() {
+fn datagrams_from_the_local_address_are_dropped_and_counted() {
     let mut membership = membership(ME, FLEET);
-    expect_that!(membership.receive_datagram(1, ME, &join_of(FLEET)), is_empty());
+    expect_that!(membership.receive_datagram(1, ME, &join_datagram(FLEET)), is_empty());
     expect_that!(membership.counters().foreign_datagrams, eq(1));
 }
 
 #[googletest::test]
-fn a_member_that_does_not_fit_is_refused() {
-    let refused = |member| Membership::new(member, Config::default(), 1, 0).err();
-    expect_that!(refused(member(ME)), none());
+fn an_oversized_or_unaddressable_member_is_rejected() {
+    let rejection = |member| Membership::new(member, Config::default(), 1, 0).err();
+    expect_that!(rejection(member(ME)), none());
     expect_that!(
-        refused(member(Ipv4Addr::UNSPECIFIED)),
+        rejection(member(Ipv4Addr::UNSPECIFIED)),
         some(eq(&MemberError::Address(Ipv4Addr::UNSPECIFIED)))
     );
-    expect_that!(refused(Member { name: "x".repeat(129), ..member(ME) }), some(eq(&MemberError::TooLong)));
-    expect_that!(refused(Member { tags: vec![0; 129], ..member(ME) }), some(eq(&MemberError::TooLong)));
+    expect_that!(rejection(Member { name: "x".repeat(129), ..member(ME) }), some(eq(&MemberError::TooLong)));
+    expect_that!(rejection(Member { tags: vec![0; 129], ..member(ME) }), some(eq(&MemberError::TooLong)));
 }
 
 #[googletest::test]
-fn one_that_has_left_answers_nothing() {
+fn a_member_that_has_left_is_silent() {
     let mut membership = membership(ME, FLEET);
-    membership.receive_datagram(1, OTHER, &join_of(FLEET));
+    membership.receive_datagram(1, OTHER, &join_datagram(FLEET));
     expect_that!(datagrams(membership.leave(2)), len(eq(1)));
-    expect_that!(membership.receive_datagram(3, OTHER, &join_of(FLEET)), is_empty());
+    expect_that!(membership.receive_datagram(3, OTHER, &join_datagram(FLEET)), is_empty());
     expect_that!(membership.tick(10_000), is_empty());
     expect_that!(membership.join(10_000, &[OTHER]), is_empty());
     expect_that!(membership.next_tick_ms(), eq(u64::MAX));
 }
 
 /// Feeds bytes to a process that has a member, and lets time go by.
-fn feed(all: &[Vec<u8>]) {
+fn feed(datagram_list: &[Vec<u8>]) {
     let mut membership = membership(ME, FLEET);
     let mut now = 1;
-    membership.receive_datagram(now, OTHER, &join_of(FLEET));
-    for bytes in all {
+    membership.receive_datagram(now, OTHER, &join_datagram(FLEET));
+    for bytes in datagram_list {
         now += 10;
         for bytes in datagrams(membership.receive_datagram(now, OTHER, bytes)) {
             assert!(bytes.len() <= fleet_membership::MAX_DATAGRAM);
@@ -125,29 +125,29 @@
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_never_panic(all in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..1_300), 1..8)) {
-        feed(&all);
+    fn arbitrary_bytes_never_panic(datagram_list in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..1_300), 1..8)) {
+        feed(&datagram_list);
     }
 
     #[test]
     fn arbitrary_bytes_behind_a_sound_start_never_panic(
-        all in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 1..20),
+        datagram_list in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 1..20),
     ) {
-        let start = &join_of(FLEET)[..5];
-        feed(&all.iter().map(|bytes| [start, bytes].concat()).collect::<Vec<_>>());
+        let start = &join_datagram(FLEET)[..5];
+        feed(&datagram_list.iter().map(|bytes| [start, bytes].concat()).collect::<Vec<_>>());
     }
 
     #[test]
     fn sound_datagrams_with_byte_mutation_never_panic(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..20),
     ) {
-        let mut bytes = join_of(FLEET);
-        let mut all = Vec::new();
+        let mut bytes = join_datagram(FLEET);
+        let mut datagram_list = Vec::new();
         for (at, byte) in changes {
             let at = at.index(bytes.len() - 5) + 5;
             bytes[at] = byte;
-            all.push(bytes.clone());
+            datagram_list.push(bytes.clone());
         }
-        feed(&all);
+        feed(&datagram_list);
     }
 }
