--- a/system/programs/src/storage.rs
+++ b/system/programs/src/storage.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use turn_store::{Disk, DiskCapacity, Payload, Payloads};
+use turn_store::{Disk, DiskCapacity, Payload, Payloads, RecordCounts};
 
 /// Longest time for one call to the core.
 const CORE_PATIENCE: Duration = Duration::from_millis(700);
@@ -183,10 +183,10 @@
         let answer = match (asked.name, asked.argument) {
             ("disk", _) => Answer::View(disk.to_string()),
             ("turns", _) => {
-                let (turns, accounts, bytes) = replica.state.counts();
+                let RecordCounts { turns, accounts, turn_bytes } = replica.state.counts();
                 self.desk.view(serde_json::json!({
                     "disk": disk, "epoch": replica.state.epoch(), "full": in_sync,
-                    "turns": turns, "accounts": accounts, "bytes": bytes,
+                    "turns": turns, "accounts": accounts, "bytes": turn_bytes,
                 }))
             }
             ("turn", Some(attempt)) => {
@@ -218,10 +218,10 @@
         figures.gauge("storage_node_disk_refusing", flag(self.replica.is_refusing()));
         figures.counter("storage_node_disk_refusals", self.replica.refusals());
         self.replica.with(|replica| {
-            let (turns, accounts, bytes) = replica.state.counts();
+            let RecordCounts { turns, accounts, turn_bytes } = replica.state.counts();
             figures.gauge("storage_node_turns", turns as f64);
             figures.gauge("storage_node_accounts", accounts as f64);
-            figures.gauge("storage_node_turn_bytes", bytes as f64);
+            figures.gauge("storage_node_turn_bytes", turn_bytes as f64);
             figures.gauge("storage_node_damages_found", replica.damages as f64);
             figures.gauge("storage_node_table_bytes", replica.disk.table_bytes() as f64);
             figures.gauge("storage_node_room_scarce", flag(replica.state.capacity() != DiskCapacity::Ample));
--- a/system/programs/src/storage/backfill.rs
+++ b/system/programs/src/storage/backfill.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 use tokio::time::sleep;
-use turn_store::{Backfill, WriteFailed};
+use turn_store::{Backfill, RecordCounts, WriteFailed};
 
 /// Longest time for one call to another storage machine.
 const PATIENCE: Duration = Duration::from_millis(600);
@@ -53,10 +53,10 @@
         }
         match self.finish(&catch_up).await {
             Ok(true) => {
-                let (turns, accounts, bytes) =
+                let RecordCounts { turns, accounts, turn_bytes } =
                     self.replica.with(|replica| replica.state.counts()).unwrap_or_default();
                 log::info!(
-                    "full for epoch {} after {} ms: {turns} turns, {accounts} accounts, {bytes} bytes",
+                    "full for epoch {} after {} ms: {turns} turns, {accounts} accounts, {turn_bytes} bytes",
                     catch_up.epoch,
                     began.elapsed().as_millis()
                 );
--- a/system/programs/src/storage/replica.rs
+++ b/system/programs/src/storage/replica.rs
@@ -8,8 +8,8 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use turn_store::{
-    Disk, DiskError, Durability, Outcome, Replaced, ReplicaState, SPACES, Stored, Write, WriteFailed, Writer,
-    load,
+    Disk, DiskError, Durability, Outcome, RecordCounts, Replaced, ReplicaState, SPACES, Stored, Write,
+    WriteFailed, Writer, load,
 };
 
 /// Called once, on the writer's thread, when the first write or sync has failed.
@@ -101,8 +101,8 @@
             disk: number,
         };
         let state = ReplicaState::new(now_ms, number, machine.losses, kept);
-        let (turns, accounts, bytes) = state.counts();
-        log::info!("disk {number} with {turns} turns, {accounts} accounts, {bytes} bytes");
+        let RecordCounts { turns, accounts, turn_bytes } = state.counts();
+        log::info!("disk {number} with {turns} turns, {accounts} accounts, {turn_bytes} bytes");
         Ok(Self { state, disk, damages, me, durable: Durable::over(writer)? })
     }
 
@@ -122,8 +122,8 @@
         }
         let Outcome { answer, writes, durability } = self.state.handle(now_ms, call, &*self.disk);
         match durability {
-            Durability::Free => Progress::Done(answer),
-            Durability::Lazy => {
+            Durability::NoWrites => Progress::Done(answer),
+            Durability::Deferred => {
                 self.durable.write_lazily(writes);
                 Progress::Done(answer)
             }
--- a/system/turn-store/src/lib.rs
+++ b/system/turn-store/src/lib.rs
@@ -21,5 +21,5 @@
 };
 pub use record_log::{Opened, RecordLog, RecoveredRecord};
 pub use records::{ACCOUNTS, BackfillRecord, REPLICAS, SPACES, STATE, Stored, StoredTurn, TURNS, load};
-pub use replica::{DiskCapacity, Durability, Outcome, ReplicaState};
+pub use replica::{DiskCapacity, Durability, Outcome, RecordCounts, ReplicaState};
 pub use writer::{Completion, WriteFailed, Writer};
--- a/system/turn-store/src/replica.rs
+++ b/system/turn-store/src/replica.rs
@@ -22,6 +22,17 @@
 /// Longest `Attempt-Id` and program name, in bytes.
 const MAX_NAME_BYTES: usize = 4096;
 
+/// Amounts of records that a replica stores.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RecordCounts {
+    /// Turns.
+    pub turns: usize,
+    /// Accounts of programs.
+    pub accounts: usize,
+    /// Bytes of the turns' inputs and outputs.
+    pub turn_bytes: u64,
+}
+
 /// The state of a replica: the turns and accounts that it stores, and its position in the roster.
 ///
 /// It relies on the control plane for this: a set of storage nodes becomes `current` only when each of them has reported,
@@ -70,10 +81,13 @@
         self.roster.epoch
     }
 
-    /// How many turns, accounts and bytes of turns it holds.
-    pub fn counts(&self) -> (usize, usize, u64) {
-        let bytes = self.turns.values().map(|turn| u64::from(turn.length)).sum();
-        (self.turns.len(), self.accounts.len(), bytes)
+    /// The amounts of records that it stores.
+    pub fn counts(&self) -> RecordCounts {
+        RecordCounts {
+            turns: self.turns.len(),
+            accounts: self.accounts.len(),
+            turn_bytes: self.turns.values().map(|turn| u64::from(turn.length)).sum(),
+        }
     }
 
     /// Adopts a newer roster; an older one is ignored. The returned writes need not be synced.
@@ -152,10 +166,10 @@
             | Call::ReadChain { epoch, .. }
             | Call::Backfill { epoch, .. }
             | Call::BackfillDone { epoch, .. } => *epoch,
-            _ => return Outcome::free(Answer::NotReady),
+            _ => return Outcome::without_writes(Answer::NotReady),
         };
         if epoch != self.roster.epoch {
-            return Outcome::free(Answer::WrongEpoch(self.roster.epoch));
+            return Outcome::without_writes(Answer::WrongEpoch(self.roster.epoch));
         }
         match call {
             Call::Reserve { program, reservation, .. } => self.reserve(now_ms, program, *reservation),
@@ -165,7 +179,7 @@
             Call::ReadChain { attempt, .. } => self.read_chain(now_ms, attempt, payloads),
             Call::Backfill { disk, cursor, .. } => self.backfill_page(*disk, cursor, payloads),
             Call::BackfillDone { disk, .. } => self.backfill_done(*disk),
-            _ => Outcome::free(Answer::NotReady),
+            _ => Outcome::without_writes(Answer::NotReady),
         }
     }
 
--- a/system/turn-store/src/replica/accounts.rs
+++ b/system/turn-store/src/replica/accounts.rs
@@ -41,10 +41,10 @@
     /// one, whose write may not be synced yet.
     pub(super) fn reserve(&mut self, now_ms: u64, program: &str, reservation: Reservation) -> Outcome {
         if !self.accepts_writes() || program.len() > MAX_NAME_BYTES {
-            return Outcome::free(Answer::NotReady);
+            return Outcome::without_writes(Answer::NotReady);
         }
         if self.capacity != DiskCapacity::Ample && !self.accounts.contains_key(program) {
-            return Outcome::free(Answer::NotReady);
+            return Outcome::without_writes(Answer::NotReady);
         }
         let account = self.account(now_ms, program);
         let (tokens, _) = account.merge(reservation);
@@ -55,23 +55,23 @@
     /// Lowers a reservation to the tokens that the attempt has used.
     pub(super) fn settle(&mut self, now_ms: u64, program: &str, reservation: Reservation) -> Outcome {
         if !self.accepts_writes() || program.len() > MAX_NAME_BYTES {
-            return Outcome::free(Answer::NotReady);
+            return Outcome::without_writes(Answer::NotReady);
         }
         let (tokens, changed) = self.account(now_ms, program).merge(reservation);
         let writes = changed.then(|| account_write(program, reservation.attempt, tokens));
-        Outcome::lazy(Answer::Done, writes.into_iter().collect())
+        Outcome::deferred(Answer::Done, writes.into_iter().collect())
     }
 
     /// Answers with all reservations of an account. Only a replica that is in sync may answer a read.
     pub(super) fn read_account(&mut self, now_ms: u64, program: &str) -> Outcome {
         if !self.is_founded() || !self.is_in_sync() {
-            return Outcome::free(Answer::NotReady);
+            return Outcome::without_writes(Answer::NotReady);
         }
         let Some(account) = self.accounts.get_mut(program) else {
-            return Outcome::free(Answer::Account(Vec::new()));
+            return Outcome::without_writes(Answer::Account(Vec::new()));
         };
         account.expiry_ms = account.expiry_ms.max(now_ms.saturating_add(ACCOUNT_RETENTION_MS));
-        Outcome::free(Answer::Account(reservations(account)))
+        Outcome::without_writes(Answer::Account(reservations(account)))
     }
 }
 
--- a/system/turn-store/src/replica/backfill.rs
+++ b/system/turn-store/src/replica/backfill.rs
@@ -41,7 +41,7 @@
     }
 
     fn into_outcome(self, cursor: Option<Bytes>) -> Outcome {
-        Outcome::free(Answer::Records { turns: self.turns, accounts: self.accounts, cursor })
+        Outcome::without_writes(Answer::Records { turns: self.turns, accounts: self.accounts, cursor })
     }
 }
 
@@ -120,7 +120,7 @@
 
     /// Answers [`Call::Backfill`](fleet_model::Call::Backfill): the next page of the records that `asker` has to store.
     pub(super) fn backfill_page(&mut self, asker: u64, cursor: &[u8], payloads: &dyn Payloads) -> Outcome {
-        let not_ready = Outcome::free(Answer::NotReady);
+        let not_ready = Outcome::without_writes(Answer::NotReady);
         let cursor = match cursor {
             [] => Ok(Cursor::Accounts { program: "", after: None }),
             bytes => decode(bytes),
@@ -140,7 +140,7 @@
         match self.add_turns(&mut page, target, asker, after, payloads) {
             PageEnd::Records(cursor) => page.into_outcome(cursor),
             PageEnd::NotReady => not_ready,
-            PageEnd::Lost(attempt) => Outcome::lazy(Answer::NotReady, self.mark_lost(&attempt)),
+            PageEnd::Lost(attempt) => Outcome::deferred(Answer::NotReady, self.mark_lost(&attempt)),
         }
     }
 
@@ -213,7 +213,7 @@
     /// they are recorded as replicated there.
     pub(super) fn backfill_done(&mut self, asker: u64) -> Outcome {
         let Some(set) = self.backfill_target(asker).map(<[StorageNode]>::to_vec) else {
-            return Outcome::free(Answer::NotReady);
+            return Outcome::without_writes(Answer::NotReady);
         };
         let mut writes = Vec::new();
         for (attempt, entry) in &mut self.turns {
@@ -223,7 +223,7 @@
                 entry.replicas = wanted;
             }
         }
-        Outcome::lazy(Answer::Done, writes)
+        Outcome::deferred(Answer::Done, writes)
     }
 
     /// Applies a page of backfill from another replica. The page counts when the returned writes, and all earlier ones,
--- a/system/turn-store/src/replica/outcome.rs
+++ b/system/turn-store/src/replica/outcome.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
     /// At once: there are no writes.
-    Free,
+    NoWrites,
     /// At once: the writes may follow later.
-    Lazy,
+    Deferred,
     /// When the writes, and all writes of earlier outcomes, are synced; if that fails, the host answers
     /// [`Answer::NotReady`] instead.
     Synced,
@@ -28,13 +28,13 @@
 
 impl Outcome {
     /// An answer without writes.
-    pub(super) fn free(answer: Answer) -> Self {
-        Self { answer, writes: Vec::new(), durability: Durability::Free }
+    pub(super) fn without_writes(answer: Answer) -> Self {
+        Self { answer, writes: Vec::new(), durability: Durability::NoWrites }
     }
 
     /// An answer that does not wait for its writes.
-    pub(super) fn lazy(answer: Answer, writes: Vec<Write>) -> Self {
-        let durability = if writes.is_empty() { Durability::Free } else { Durability::Lazy };
+    pub(super) fn deferred(answer: Answer, writes: Vec<Write>) -> Self {
+        let durability = if writes.is_empty() { Durability::NoWrites } else { Durability::Deferred };
         Self { answer, writes, durability }
     }
 
--- a/system/turn-store/src/replica/turns.rs
+++ b/system/turn-store/src/replica/turns.rs
@@ -34,11 +34,11 @@
     pub(super) fn store_turn(&mut self, now_ms: u64, turn: &Turn) -> Outcome {
         let is_valid_name = (1..=MAX_NAME_BYTES).contains(&turn.attempt.len());
         if !self.accepts_writes() || !is_valid_name {
-            return Outcome::free(Answer::NotReady);
+            return Outcome::without_writes(Answer::NotReady);
         }
         // A stored record is not rewritten; the answer still waits until its first write is synced.
         let writes = match self.turns.get_mut(turn.attempt.as_str()) {
-            None if self.capacity == DiskCapacity::Full => return Outcome::free(Answer::NotReady),
+            None if self.capacity == DiskCapacity::Full => return Outcome::without_writes(Answer::NotReady),
             None => {
                 self.insert(now_ms, StoredTurn::from(turn));
                 vec![turn_write(turn)]
@@ -88,7 +88,7 @@
                     parts.push(turn.output);
                     parts.push(turn.input);
                 }
-                Payload::Pending => return Outcome::lazy(Answer::NotReady, writes),
+                Payload::Pending => return Outcome::deferred(Answer::NotReady, writes),
                 Payload::Lost => {
                     writes.extend(self.mark_lost(&requested));
                     next = Some(requested);
@@ -103,7 +103,7 @@
             parts.iter().rev().for_each(|part| text.extend_from_slice(part));
             Answer::Chain { text: text.freeze(), missing: next }
         };
-        Outcome::lazy(answer, writes)
+        Outcome::deferred(answer, writes)
     }
 
     /// Removes an unreadable turn from the index; the replica then needs another backfill. The record itself stays on
--- a/system/turn-store/tests/replica/accounts.rs
+++ b/system/turn-store/tests/replica/accounts.rs
@@ -49,9 +49,9 @@
         expect_that!((outcome.durability, outcome.writes.len()), eq((Durability::Synced, 1)));
     }
     let outcome = fleet.at(1).outcome(0, &settle);
-    expect_that!((outcome.durability, outcome.writes.len()), eq((Durability::Lazy, 1)));
+    expect_that!((outcome.durability, outcome.writes.len()), eq((Durability::Deferred, 1)));
     let outcome = fleet.at(1).outcome(0, &settle);
-    expect_that!((outcome.durability, outcome.writes.len()), eq((Durability::Free, 0)));
+    expect_that!((outcome.durability, outcome.writes.len()), eq((Durability::NoWrites, 0)));
 }
 
 #[gtest]
--- a/system/turn-store/tests/replica/backfill.rs
+++ b/system/turn-store/tests/replica/backfill.rs
@@ -95,7 +95,7 @@
             of_new += usize::from(holder == 6);
         }
     }
-    expect_that!(fleet.at(6).state.counts().1, eq(of_new));
+    expect_that!(fleet.at(6).state.counts().accounts, eq(of_new));
 }
 
 #[gtest]
@@ -267,7 +267,7 @@
     fleet.pages = 0;
     // When a new store fills, then all comes over, in pages as large as they may be.
     fleet.change(&[1, 2, 4]);
-    expect_that!(fleet.at(4).state.counts().0, eq(20));
+    expect_that!(fleet.at(4).state.counts().turns, eq(20));
     for program in ["", "p"] {
         expect_that!(sum(&fleet.at(4).account(program)), eq(40_000));
     }
--- a/system/turn-store/tests/replica/membership.rs
+++ b/system/turn-store/tests/replica/membership.rs
@@ -4,6 +4,7 @@
 use bytes::Bytes;
 use fleet_model::{Answer, Call, QuorumSizes};
 use googletest::prelude::*;
+use turn_store::RecordCounts;
 
 #[gtest]
 fn a_call_of_another_epoch_is_told_the_stores_own() {
@@ -22,7 +23,7 @@
             expect_that!(fleet.at(1).ask(&call), eq(&Answer::WrongEpoch(1)));
         }
     }
-    expect_that!(fleet.at(1).state.counts(), eq((0, 0, 0)));
+    expect_that!(fleet.at(1).state.counts(), eq(RecordCounts::default()));
 }
 
 #[gtest]
--- a/system/turn-store/tests/replica/turns.rs
+++ b/system/turn-store/tests/replica/turns.rs
@@ -65,7 +65,7 @@
     machine.outcome(0, &keep(turn("other", None, &[1])));
     machine.outcome(MINUTE, &keep(turn("b", Some("a"), &[1])));
     // When the time of the first is over, then only the one without descendants goes.
-    let count = |machine: &Machine| machine.state.counts().0;
+    let count = |machine: &Machine| machine.state.counts().turns;
     machine.state.expire(2 * MINUTE - 1);
     expect_that!(count(machine), eq(3));
     expect_that!(machine.state.expire(2 * MINUTE).len(), eq(2));
--- a/testbed/src/system/store.rs
+++ b/testbed/src/system/store.rs
@@ -182,8 +182,8 @@
         }
         let outcome = self.state.borrow_mut().handle(self.host.now_ms(), &call, &**self.host.disk());
         match outcome.durability {
-            Durability::Free => {}
-            Durability::Lazy => self.host.disk().write_lazily(&self.host, outcome.writes),
+            Durability::NoWrites => {}
+            Durability::Deferred => self.host.disk().write_lazily(&self.host, outcome.writes),
             Durability::Synced => self.synced(outcome.writes).await,
         }
         match outcome.answer {
