--- a/system/config-register/src/acceptor.rs
+++ b/system/config-register/src/acceptor.rs
@@ -1,6 +1,6 @@
 //! The voter's side.
 
-use crate::stored::StoredRecord;
+use crate::record_format::StoredRecord;
 use bytes::Bytes;
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use serde::{Deserialize, Serialize};
@@ -8,14 +8,14 @@
 
 /// Whether a machine has accepted as one of the voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum VoterState {
     /// It has read the register to join it, and no voters named it then.
-    Blank,
+    NonVoter,
     /// It was founded or restored as a voter, or has accepted since.
-    Member,
+    Voter,
 }
 
-/// What a voter keeps on disk. It is written with the form that it is in, see [`crate::RecordForm`].
+/// What a voter keeps on disk. It is written with the form that it is in, see [`crate::RecordFormat`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "StoredRecord", try_from = "StoredRecord")]
 pub struct AcceptorRecord {
@@ -24,20 +24,20 @@
     /// What it has accepted last.
     pub accepted: Option<AcceptedValue>,
     /// Whether it has accepted as a voter.
-    pub standing: Standing,
+    pub voter_state: VoterState,
     /// The newest voters that it knows to be chosen, with their epoch; the payload is empty. A run after a restart
     /// starts with these: the accepted value itself may be an unfinished change.
-    pub settled: Option<RegisterValue>,
+    pub chosen_voters: Option<RegisterValue>,
 }
 
 /// The record that every founding voter starts with: the same value under the lowest ballot, so it is chosen.
-pub fn found(voters: Vec<Ipv4Addr>) -> AcceptorRecord {
+pub fn founding_record(voters: Vec<Ipv4Addr>) -> AcceptorRecord {
     let value = RegisterValue { epoch: 0, voters, payload: Bytes::new() };
     AcceptorRecord {
         promised: Ballot::default(),
         accepted: Some(AcceptedValue { ballot: Ballot::default(), value: value.clone() }),
-        standing: Standing::Member,
-        settled: Some(value),
+        voter_state: VoterState::Voter,
+        chosen_voters: Some(value),
     }
 }
 
@@ -55,11 +55,11 @@
     }
 
     /// A machine that came up without a record: it may have voted before, and does not until it is restored.
-    pub fn unfit() -> Self {
+    pub fn recovering() -> Self {
         Self { record: None, chosen: Ballot::default() }
     }
 
-    /// Takes the result of a [`crate::Restore`], once it is synced.
+    /// Takes the result of a [`crate::Recovery`], once it is synced.
     pub fn restore(&mut self, record: AcceptorRecord) {
         self.record = Some(record);
     }
@@ -80,20 +80,21 @@
         let accepted = self.record.as_ref().and_then(|record| record.accepted.clone());
         accepted
             .filter(|accepted| accepted.ballot == ballot)
-            .is_some_and(|accepted| self.settle(&accepted.value))
+            .is_some_and(|accepted| self.record_chosen_voters(&accepted.value))
     }
 
     /// Takes note of a chosen value, whether or not it was accepted here. Returns as [`Acceptor::learn_chosen`] does.
     pub fn learn_value(&mut self, chosen: &AcceptedValue) -> bool {
         self.chosen = self.chosen.max(chosen.ballot);
-        self.settle(&chosen.value)
+        self.record_chosen_voters(&chosen.value)
     }
 
-    fn settle(&mut self, value: &RegisterValue) -> bool {
+    fn record_chosen_voters(&mut self, value: &RegisterValue) -> bool {
         let Some(record) = &mut self.record else { return false };
-        let is_newer = record.settled.as_ref().is_none_or(|settled| settled.epoch < value.epoch);
+        let is_newer =
+            record.chosen_voters.as_ref().is_none_or(|chosen_voters| chosen_voters.epoch < value.epoch);
         if is_newer {
-            record.settled = Some(RegisterValue { payload: Bytes::new(), ..value.clone() });
+            record.chosen_voters = Some(RegisterValue { payload: Bytes::new(), ..value.clone() });
         }
         is_newer
     }
@@ -121,7 +122,7 @@
                 let changed = record.promised != offered.ballot || record.accepted.as_ref() != Some(offered);
                 record.promised = offered.ballot;
                 record.accepted = Some(offered.clone());
-                record.standing = Standing::Member;
+                record.voter_state = VoterState::Voter;
                 (RegisterReply::Accepted, changed)
             }
             RegisterRequest::Poll { chosen } => {
--- a/system/config-register/src/ballots.rs
+++ b/system/config-register/src/ballot.rs
@@ -14,7 +14,7 @@
 ///
 /// # Why no two runs share a ballot
 ///
-/// A ballot is `(round, proposer, life)`.
+/// A ballot is `(round, proposer, incarnation)`.
 ///
 /// - Two machines differ in `proposer`: their addresses.
 /// - Two runs of one life differ in `round`: each ballot made is in a higher round than the one before, whatever was
@@ -44,19 +44,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BallotSource {
     proposer: u32,
-    life: u64,
+    incarnation: u64,
     /// The highest round that was made or seen.
     round: u64,
 }
 
 impl BallotSource {
     /// The source of a life of `me` that has just begun. `life` was drawn for it at random, all 64 bits.
-    pub fn new(me: Ipv4Addr, life: u64) -> Self {
-        Self { proposer: u32::from(me), life, round: 0 }
+    pub fn new(me: Ipv4Addr, incarnation: u64) -> Self {
+        Self { proposer: u32::from(me), incarnation, round: 0 }
     }
 
     /// Takes note of a ballot of any proposer: later ones of this source are above it.
-    pub fn saw(&mut self, ballot: Ballot) {
+    pub fn observe(&mut self, ballot: Ballot) {
         if ballot.round <= MOST_ROUND {
             self.round = self.round.max(ballot.round);
         }
@@ -71,6 +71,6 @@
     /// The ballot of a new run: in a round above all that were made or seen.
     pub fn next_ballot(&mut self) -> Ballot {
         self.round += 1;
-        Ballot { round: self.round, proposer: self.proposer, incarnation: self.life }
+        Ballot { round: self.round, proposer: self.proposer, incarnation: self.incarnation }
     }
 }
--- a/system/config-register/src/round.rs
+++ b/system/config-register/src/ballot_run.rs
@@ -1,4 +1,4 @@
-//! The two rounds that [`crate::Proposal`] and [`crate::Restore`] share.
+//! The two rounds that [`crate::Proposer`] and [`crate::Recovery`] share.
 
 use crate::Outbox;
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue};
--- a/system/config-register/src/learner.rs
+++ b/system/config-register/src/learner.rs
@@ -7,9 +7,9 @@
 
 /// What a round of polling has come to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum PollOutcome {
     /// Nothing to tell until more answers come.
-    Wait,
+    Pending,
     /// Nothing newer was chosen when the round began.
     Fresh,
     /// Something newer was chosen, or has a majority: fetch it from one of these, and see if [`Learner::confirms`] it.
@@ -20,7 +20,7 @@
         ballot: Ballot,
     },
     /// Something newer was accepted, and it is not known whether it is chosen: a run that keeps the value tells.
-    Unsettled,
+    Undecided,
     /// Too few machines answered.
     Failed,
 }
@@ -33,7 +33,7 @@
 }
 
 /// The value that a machine knows to be chosen and holds, by what it answered to a poll and then to a fetch.
-pub fn told_chosen(polled: &RegisterReply, fetched: &RegisterReply) -> Option<RegisterValue> {
+pub fn known_chosen_value(polled: &RegisterReply, fetched: &RegisterReply) -> Option<RegisterValue> {
     let RegisterReply::Polled { accepted: Some(accepted), chosen } = polled else { return None };
     let RegisterReply::Fetched(Some(held)) = fetched else { return None };
     (accepted == chosen && held.ballot == *chosen).then(|| held.value.clone())
@@ -48,7 +48,7 @@
 
 impl Learner {
     /// Starts a round at the voters of the value that was chosen under `chosen`.
-    pub fn poll_round(voters: &[Ipv4Addr], chosen: Ballot) -> Self {
+    pub fn start(voters: &[Ipv4Addr], chosen: Ballot) -> Self {
         let answers = BTreeSet::from_iter(voters).into_iter().map(|ip| (*ip, Answer::Asked)).collect();
         Self { known: chosen, answers }
     }
@@ -60,7 +60,7 @@
     }
 
     /// Takes an answer.
-    pub fn on_polled(&mut self, from: Ipv4Addr, accepted: Option<Ballot>, chosen: Ballot) -> Verdict {
+    pub fn on_polled(&mut self, from: Ipv4Addr, accepted: Option<Ballot>, chosen: Ballot) -> PollOutcome {
         if let Some(answer) = self.answers.get_mut(&from) {
             *answer = Answer::Polled { accepted, chosen };
         }
@@ -68,7 +68,7 @@
     }
 
     /// Takes note that a machine did not answer, or is unfit.
-    pub fn on_failure(&mut self, from: Ipv4Addr) -> Verdict {
+    pub fn on_failure(&mut self, from: Ipv4Addr) -> PollOutcome {
         if let Some(answer @ Answer::Asked) = self.answers.get_mut(&from) {
             *answer = Answer::Failed;
         }
@@ -97,7 +97,7 @@
         self.answers.iter().filter(|(_, answer)| holds(answer)).map(|(ip, _)| *ip).collect()
     }
 
-    fn verdict(&self) -> Verdict {
+    fn verdict(&self) -> PollOutcome {
         let asked = self.answers.values().filter(|answer| **answer == Answer::Asked).count();
         let polled: Vec<_> = self
             .answers
@@ -116,31 +116,31 @@
         for ballot in newer.iter().rev() {
             let from = self.holders(*ballot);
             if from.len() >= self.majority() || Some(*ballot) == told {
-                return Verdict::Behind { from, ballot: *ballot };
+                return PollOutcome::Behind { from, ballot: *ballot };
             }
         }
         if polled.len() + asked < self.majority() {
-            return Verdict::Failed;
+            return PollOutcome::Failed;
         }
         if polled.len() < self.majority() {
-            return Verdict::Wait;
+            return PollOutcome::Pending;
         }
         if newer.is_empty() && told.is_none() {
-            return Verdict::Fresh;
+            return PollOutcome::Fresh;
         }
         // One that is not heard of yet may complete a majority, or hold what was told to be chosen.
         if asked > 0
             && (told.is_some() || newer.iter().any(|b| self.holders(*b).len() + asked >= self.majority()))
         {
-            return Verdict::Wait;
+            return PollOutcome::Pending;
         }
-        Verdict::Unsettled
+        PollOutcome::Undecided
     }
 }
 
 /// In which place `me` completes a value that was accepted under `ballot` and stays unsettled: all who see it would
 /// otherwise get into each other's way, and into its proposer's, who comes last.
-pub fn completing_place(me: Ipv4Addr, voters: &[Ipv4Addr], ballot: Ballot) -> usize {
+pub fn completion_rank(me: Ipv4Addr, voters: &[Ipv4Addr], ballot: Ballot) -> usize {
     let mut others: Vec<Ipv4Addr> =
         voters.iter().copied().filter(|ip| u32::from(*ip) != ballot.proposer).collect();
     others.sort_by_key(|ip| (rendezvous_rank(&ip.octets(), ballot.round), *ip));
--- a/system/config-register/src/lib.rs
+++ b/system/config-register/src/lib.rs
@@ -6,13 +6,13 @@
 //!
 //! - No two runs share a ballot, also across restarts and lost disks: all come from a [`BallotSource`], made once in each
 //!   life of the process with a nonce of 64 random bits. It counts on over a restore, a freeze and every lost run.
-//! - Each ballot that is heard of goes to [`BallotSource::saw`]; that is for progress alone, not for safety.
+//! - Each ballot that is heard of goes to [`BallotSource::observe`]; that is for progress alone, not for safety.
 //! - A record that changed is synced before the reply leaves; [`Acceptor::handle`] tells.
 //! - Each request handed out gets at most one `on_reply` or `on_failure`, to the run that asked. A reply that comes
 //!   after its request was given up is dropped. Replies carry no ballot, so they are told apart by their calls.
 //! - The `known` value that a run starts with was chosen: the founding value, a run's `Done`, a fetched value that
-//!   [`Learner::confirms`], or [`AcceptorRecord::settled`].
-//! - A voter without a record is [`Acceptor::unfit`] until a [`Restore`] ends.
+//!   [`Learner::confirms`], or [`AcceptorRecord::chosen_voters`].
+//! - A voter without a record is [`Acceptor::recovering`] until a [`Recovery`] ends.
 //!
 //! # Why it is safe
 //!
@@ -37,7 +37,7 @@
 //!
 //! # Why a restored voter is safe
 //!
-//! A voter M that lost its disk may have promised and accepted anything. [`Restore`] prepares ballot r at `n - q + 1`
+//! A voter M that lost its disk may have promised and accepted anything. [`Recovery`] prepares ballot r at `n - q + 1`
 //! others of its n voters, q being a majority. Any majority with M in it has `q - 1` others, and
 //! `(q - 1) + (n - q + 1) = n > n - 1`: they meet.
 //!
@@ -52,21 +52,21 @@
 //!   than the newest it has seen, unless it was asked for after that: so b' asks M again, and hears what M holds now.
 
 mod acceptor;
-mod ballots;
+mod backoff;
+mod ballot;
+mod ballot_run;
 mod learner;
-mod pacing;
-mod proposal;
-mod restore;
-mod round;
-mod stored;
+mod proposer;
+mod record_format;
+mod recovery;
 
-pub use acceptor::{Acceptor, AcceptorRecord, Standing, found};
-pub use ballots::BallotSource;
-pub use learner::{Learner, Verdict, completing_place, told_chosen};
-pub use pacing::Pacing;
-pub use proposal::{Change, Proposal, Step};
-pub use restore::{Restore, RestoreStep};
-pub use stored::{FirstRecord, RecordForm};
+pub use acceptor::{Acceptor, AcceptorRecord, VoterState, founding_record};
+pub use backoff::ProposerBackoff;
+pub use ballot::BallotSource;
+pub use learner::{Learner, PollOutcome, completion_rank, known_chosen_value};
+pub use proposer::{Change, Proposer, ProposerStep};
+pub use record_format::{RecordFormat, RecordV1};
+pub use recovery::{Recovery, RecoveryStep};
 
 use fleet_model::RegisterRequest;
 use std::net::Ipv4Addr;
--- a/system/config-register/src/proposal.rs
+++ b/system/config-register/src/proposer.rs
@@ -1,7 +1,7 @@
 //! The proposer's side.
 
 use crate::Outbox;
-use crate::round::{Progress, Round, is_single_change};
+use crate::ballot_run::{Progress, Round, is_single_change};
 use bytes::Bytes;
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterValue};
 use std::net::Ipv4Addr;
@@ -20,7 +20,7 @@
 
 /// What a run has come to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ProposerStep {
     /// Nothing to do until more replies come.
     Wait,
     /// Requests to send.
@@ -38,11 +38,11 @@
 
 /// One run by a proposer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Proposal {
+pub struct Proposer {
     round: Round,
 }
 
-impl Proposal {
+impl Proposer {
     /// Starts a run under a ballot that was never used. `known` must have been chosen; it may be old, but a run two
     /// changes of the voters behind may need more than a majority, and had better learn first.
     pub fn start(me: Ipv4Addr, ballot: Ballot, known: &RegisterValue) -> Self {
@@ -65,24 +65,28 @@
         from: Ipv4Addr,
         reply: &RegisterReply,
         change: &mut dyn FnMut(&RegisterValue) -> Change,
-    ) -> Step {
+    ) -> ProposerStep {
         let progress = self.round.on_reply(from, reply);
         self.step(progress, change)
     }
 
-    /// Takes note that a request got no reply. `change` as in [`Proposal::on_reply`].
-    pub fn on_failure(&mut self, from: Ipv4Addr, change: &mut dyn FnMut(&RegisterValue) -> Change) -> Step {
+    /// Takes note that a request got no reply. `change` as in [`Proposer::on_reply`].
+    pub fn on_failure(
+        &mut self,
+        from: Ipv4Addr,
+        change: &mut dyn FnMut(&RegisterValue) -> Change,
+    ) -> ProposerStep {
         let progress = self.round.on_failure(from);
         self.step(progress, change)
     }
 
-    fn step(&mut self, progress: Progress, change: &mut dyn FnMut(&RegisterValue) -> Change) -> Step {
+    fn step(&mut self, progress: Progress, change: &mut dyn FnMut(&RegisterValue) -> Change) -> ProposerStep {
         match progress {
-            Progress::Wait => Step::Wait,
-            Progress::Send(outbox) => Step::Send(outbox),
-            Progress::Accepted(value) => Step::Done(value),
-            Progress::Lost(seen) => Step::Lost { seen },
-            Progress::Failed => Step::Failed,
+            Progress::Wait => ProposerStep::Wait,
+            Progress::Send(outbox) => ProposerStep::Send(outbox),
+            Progress::Accepted(value) => ProposerStep::Done(value),
+            Progress::Lost(seen) => ProposerStep::Lost { seen },
+            Progress::Failed => ProposerStep::Failed,
             Progress::Read { found, settled, chosen } => {
                 let read = &found.value;
                 let value = match change(read) {
@@ -92,11 +96,11 @@
                     }
                     Change::Keep | Change::Voters(_) if chosen => {
                         self.round.end(Progress::Wait);
-                        return Step::Done(found);
+                        return ProposerStep::Done(found);
                     }
                     Change::Keep | Change::Voters(_) => read.clone(),
                 };
-                Step::Send(self.round.propose(value))
+                ProposerStep::Send(self.round.propose(value))
             }
         }
     }
--- a/system/config-register/tests/ballots.rs
+++ b/system/config-register/tests/ballot_uniqueness.rs
@@ -2,7 +2,9 @@
 //! time, and what others used is heard of or not. No clock is among what happens, since a source is given none.
 
 use bytes::Bytes;
-use config_register::{Acceptor, BallotSource, Change, Proposal, Restore, RestoreStep, Step, found};
+use config_register::{
+    Acceptor, BallotSource, Change, Proposer, ProposerStep, Recovery, RecoveryStep, founding_record,
+};
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use googletest::prelude::*;
 use rand_chacha::ChaCha8Rng;
@@ -55,7 +57,7 @@
     fn begin(&mut self, ip: Ipv4Addr, disk: Option<Ballot>) -> Life {
         let mut ballots = BallotSource::new(ip, (self.nonce)(self.rng.next_u64()));
         if let Some(promised) = disk {
-            ballots.saw(promised);
+            ballots.observe(promised);
         }
         Life { ballots, last: None, highest_seen: disk.unwrap_or_default() }
     }
@@ -84,7 +86,7 @@
         let heard = self.made[position];
         let promises = self.below(2) == 0;
         let machine = &mut self.machines[number];
-        machine.life.ballots.saw(heard);
+        machine.life.ballots.observe(heard);
         machine.life.highest_seen = machine.life.highest_seen.max(heard);
         if promises {
             machine.disk = machine.disk.max(Some(heard));
@@ -137,8 +139,8 @@
 #[gtest]
 fn given_a_damaged_ballot_without_measure_when_it_is_seen_then_the_count_goes_on() {
     let mut ballots = BallotSource::new(A, 7);
-    ballots.saw(Ballot { round: 5, proposer: 9, incarnation: 1 });
-    ballots.saw(Ballot { round: u64::MAX, proposer: 9, incarnation: 1 });
+    ballots.observe(Ballot { round: 5, proposer: 9, incarnation: 1 });
+    ballots.observe(Ballot { round: u64::MAX, proposer: 9, incarnation: 1 });
 
     expect_that!(ballots.next_ballot(), eq(Ballot { round: 6, proposer: u32::from(A), incarnation: 7 }));
     expect_that!(ballots.next_ballot(), eq(Ballot { round: 7, proposer: u32::from(A), incarnation: 7 }));
@@ -150,7 +152,7 @@
     let (one, other) = (one.next_ballot(), other.next_ballot());
 
     // A promise to the later holds against the earlier, and an acceptor tells their values apart.
-    let mut acceptor = Acceptor::new(found(VOTERS.to_vec()));
+    let mut acceptor = Acceptor::new(founding_record(VOTERS.to_vec()));
     acceptor.handle(&RegisterRequest::Prepare(other));
     expect_that!(acceptor.handle(&RegisterRequest::Prepare(one)).0, eq(&RegisterReply::Rejected(other)));
 }
@@ -161,7 +163,7 @@
 impl Fleet {
     /// All have promised a ballot far up.
     fn far_up(promised: Ballot) -> Self {
-        let mut acceptor = Acceptor::new(found(VOTERS.to_vec()));
+        let mut acceptor = Acceptor::new(founding_record(VOTERS.to_vec()));
         acceptor.handle(&RegisterRequest::Prepare(promised));
         Self(VOTERS.map(|ip| (ip, acceptor.clone())).into())
     }
@@ -173,12 +175,12 @@
         me: Ipv4Addr,
         ballot: Ballot,
         payload: &'static str,
-    ) -> Step {
+    ) -> ProposerStep {
         let mut change = |_: &RegisterValue| match payload {
             "" => Change::Keep,
             payload => Change::Set(payload.into()),
         };
-        let mut run = Proposal::start(me, ballot, &founding());
+        let mut run = Proposer::start(me, ballot, &founding());
         let mut queue = run.outbox();
         while !queue.is_empty() {
             let (to, request) = queue.remove(0);
@@ -187,32 +189,32 @@
                 false => run.on_failure(to, &mut change),
             };
             match step {
-                Step::Wait => {}
-                Step::Send(outbox) => queue.extend(outbox),
+                ProposerStep::Wait => {}
+                ProposerStep::Send(outbox) => queue.extend(outbox),
                 end => return end,
             }
         }
-        Step::Wait
+        ProposerStep::Wait
     }
 
-    fn restore(&mut self, me: Ipv4Addr, ballot: Ballot) -> RestoreStep {
-        let mut restore = Restore::start_from(me, ballot, &founding(), &VOTERS);
+    fn restore(&mut self, me: Ipv4Addr, ballot: Ballot) -> RecoveryStep {
+        let mut restore = Recovery::start_from(me, ballot, &founding(), &VOTERS);
         let mut queue = restore.outbox();
         while !queue.is_empty() {
             let (to, request) = queue.remove(0);
             let (reply, _) = self.0.get_mut(&to).unwrap().handle(&request);
             match restore.on_reply(to, &reply) {
-                RestoreStep::Wait => {}
-                RestoreStep::Send(outbox) => queue.extend(outbox),
+                RecoveryStep::Wait => {}
+                RecoveryStep::Send(outbox) => queue.extend(outbox),
                 end => return end,
             }
         }
-        RestoreStep::Wait
+        RecoveryStep::Wait
     }
 }
 
 fn founding() -> RegisterValue {
-    found(VOTERS.to_vec()).settled.unwrap()
+    founding_record(VOTERS.to_vec()).chosen_voters.unwrap()
 }
 
 #[gtest]
@@ -220,26 +222,29 @@
     // Given a fleet that is at round 1,000,000, and A back with an empty disk and a clock that stands anywhere.
     let promised = Ballot { round: 1_000_000, proposer: u32::from(B), incarnation: 3 };
     let mut fleet = Fleet::far_up(promised);
-    fleet.0.insert(A, Acceptor::unfit());
+    fleet.0.insert(A, Acceptor::recovering());
     let mut ballots = BallotSource::new(A, 4);
     // When it is to be restored, then the refusal tells how far the others are, and the next run is above it.
-    let RestoreStep::Lost { seen } = fleet.restore(A, ballots.next_ballot()) else { panic!("not refused") };
-    ballots.saw(seen);
-    let RestoreStep::Done(record) = fleet.restore(A, ballots.next_ballot()) else { panic!("not restored") };
+    let RecoveryStep::Lost { seen } = fleet.restore(A, ballots.next_ballot()) else { panic!("not refused") };
+    ballots.observe(seen);
+    let RecoveryStep::Done(record) = fleet.restore(A, ballots.next_ballot()) else { panic!("not restored") };
     expect_that!(record.promised > promised, eq(true));
     // And so for a proposer, such as one that joins.
     let mut ballots = BallotSource::new(C, 5);
-    let Step::Lost { seen } = fleet.propose_to(&VOTERS, C, ballots.next_ballot(), "x") else {
+    let ProposerStep::Lost { seen } = fleet.propose_to(&VOTERS, C, ballots.next_ballot(), "x") else {
         panic!("not refused")
     };
-    ballots.saw(seen);
-    expect_that!(fleet.propose_to(&VOTERS, C, ballots.next_ballot(), "x"), matches_pattern!(Step::Done(_)));
+    ballots.observe(seen);
+    expect_that!(
+        fleet.propose_to(&VOTERS, C, ballots.next_ballot(), "x"),
+        matches_pattern!(ProposerStep::Done(_))
+    );
 }
 
 /// What a reader finds when two lives of one proposer run in the first round under these nonces, and an Accept of the first one
 /// comes late.
 fn read_after_a_late_accept(nonces: [u64; 2]) -> Bytes {
-    let mut voters = Fleet(VOTERS.map(|ip| (ip, Acceptor::new(found(VOTERS.to_vec())))).into());
+    let mut voters = Fleet(VOTERS.map(|ip| (ip, Acceptor::new(founding_record(VOTERS.to_vec())))).into());
     // Given a run that ends with its life before its Accept has arrived anywhere but at A,
     let first = BallotSource::new(PROPOSER, nonces[0]).next_ballot();
     let late =
@@ -251,15 +256,15 @@
     let mut ballots = BallotSource::new(PROPOSER, nonces[1]);
     voters.0.get_mut(&A).unwrap().handle(&RegisterRequest::Prepare(first));
     let mut second = voters.propose_to(&[B, C], PROPOSER, ballots.next_ballot(), "second");
-    if let Step::Lost { seen } = second {
-        ballots.saw(seen);
+    if let ProposerStep::Lost { seen } = second {
+        ballots.observe(seen);
         second = voters.propose_to(&[B, C], PROPOSER, ballots.next_ballot(), "second");
     }
-    assert_that!(second, matches_pattern!(Step::Done(_)));
+    assert_that!(second, matches_pattern!(ProposerStep::Done(_)));
     // when the Accept of the first comes to B, then a reader of A and B is told this.
     voters.0.get_mut(&B).unwrap().handle(&RegisterRequest::Accept(late));
     let read = voters.propose_to(&[A, B], C, Ballot { round: 9, proposer: 9, incarnation: 9 }, "");
-    let Step::Done(read) = read else { panic!("{read:?}") };
+    let ProposerStep::Done(read) = read else { panic!("{read:?}") };
     read.value.payload
 }
 
@@ -275,12 +280,12 @@
     // Given a replica whose first attempt was refused in the midst of others' runs, which have gone on since,
     let (mut other, mut own) = (BallotSource::new(A, 1), BallotSource::new(B, 2));
     let seen = (0..1_000).map(|_| other.next_ballot()).last().unwrap();
-    own.saw(seen);
+    own.observe(seen);
     let newest = (0..20).map(|_| other.next_ballot()).last().unwrap();
     // when it tries again, then its ballot is above theirs, and theirs are above it once they have heard of it.
     let recovery = own.recovery_ballot();
     expect_that!(recovery, gt(newest));
-    other.saw(recovery);
+    other.observe(recovery);
     expect_that!(other.next_ballot(), gt(recovery));
     expect_that!(own.next_ballot(), gt(recovery));
 }
--- a/system/config-register/tests/model.rs
+++ b/system/config-register/tests/exhaustive_schedules.rs
@@ -2,7 +2,9 @@
 //! voters, and one voter that loses its disk once and is restored. Messages come late, in any order or never.
 
 use bytes::Bytes;
-use config_register::{Acceptor, BallotSource, Change, Outbox, Proposal, Restore, RestoreStep, Step, found};
+use config_register::{
+    Acceptor, BallotSource, Change, Outbox, Proposer, ProposerStep, Recovery, RecoveryStep, founding_record,
+};
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use googletest::prelude::*;
 use stateright::{Checker, Model, Property};
@@ -21,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Asker {
     Proposer(usize),
-    Restore(u8),
+    Recovery(u8),
 }
 
 /// A request under way: who asks, which acceptor, what.
@@ -29,7 +31,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Run {
-    Running(Box<Proposal>),
+    Running(Box<Proposer>),
     Done(AcceptedValue),
     Over,
 }
@@ -38,7 +40,7 @@
 struct Fleet {
     acceptors: Vec<Acceptor>,
     runs: Vec<Run>,
-    restore: Option<Restore>,
+    restore: Option<Recovery>,
     tries: u8,
     lost_disk: bool,
     /// What the restore has ended with.
@@ -83,7 +85,7 @@
 /// The ballot above `seen` of a proposer whose life has the nonce 0.
 fn next_round(seen: Ballot, me: Ipv4Addr) -> Ballot {
     let mut ballots = BallotSource::new(me, 0);
-    ballots.saw(seen);
+    ballots.observe(seen);
     ballots.next_ballot()
 }
 
@@ -123,8 +125,8 @@
         }
         self.tries += 1;
         let me = MACHINES[LOSER];
-        let restore = Restore::start_from(me, next_round(seen, me), founding, &founding.voters);
-        self.send(Asker::Restore(self.tries), restore.outbox());
+        let restore = Recovery::start_from(me, next_round(seen, me), founding, &founding.voters);
+        self.send(Asker::Recovery(self.tries), restore.outbox());
         self.restore = Some(restore);
     }
 
@@ -133,30 +135,30 @@
             Asker::Proposer(number) => {
                 let Run::Running(run) = &mut self.runs[number] else { return };
                 match run.on_reply(MACHINES[from], reply, &mut |read| model.change(number, read)) {
-                    Step::Wait => {}
-                    Step::Send(outbox) => self.send(asker, outbox),
-                    Step::Done(value) => self.runs[number] = Run::Done(value),
-                    Step::Lost { .. } | Step::Failed => self.runs[number] = Run::Over,
+                    ProposerStep::Wait => {}
+                    ProposerStep::Send(outbox) => self.send(asker, outbox),
+                    ProposerStep::Done(value) => self.runs[number] = Run::Done(value),
+                    ProposerStep::Lost { .. } | ProposerStep::Failed => self.runs[number] = Run::Over,
                 }
             }
-            Asker::Restore(_) => {
+            Asker::Recovery(_) => {
                 let Some(restore) = &mut self.restore else { return };
                 match restore.on_reply(MACHINES[from], reply) {
-                    RestoreStep::Wait => {}
-                    RestoreStep::Send(outbox) => self.send(asker, outbox),
-                    RestoreStep::Done(record) => {
+                    RecoveryStep::Wait => {}
+                    RecoveryStep::Send(outbox) => self.send(asker, outbox),
+                    RecoveryStep::Done(record) => {
                         self.restored = record.accepted.clone();
                         self.acceptors[LOSER].restore(record);
                         self.restore = None;
                     }
-                    RestoreStep::Lost { seen } => self.start_restore(seen, &model.founding()),
-                    RestoreStep::Failed => self.restore = None,
+                    RecoveryStep::Lost { seen } => self.start_restore(seen, &model.founding()),
+                    RecoveryStep::Failed => self.restore = None,
                 }
             }
         }
     }
 
-    fn told_chosen(&self) -> Vec<&AcceptedValue> {
+    fn known_chosen_value(&self) -> Vec<&AcceptedValue> {
         let done = self.runs.iter().filter_map(|run| match run {
             Run::Done(value) => Some(value),
             _ => None,
@@ -167,7 +169,7 @@
     fn is_past(&self, asker: Asker) -> bool {
         match asker {
             Asker::Proposer(number) => !matches!(self.runs[number], Run::Running(_)),
-            Asker::Restore(number) => self.restore.is_none() || number != self.tries,
+            Asker::Recovery(number) => self.restore.is_none() || number != self.tries,
         }
     }
 
@@ -210,7 +212,7 @@
 
     fn init_states(&self) -> Vec<Fleet> {
         let mut fleet = Fleet {
-            acceptors: vec![Acceptor::new(found(self.founding().voters)); MACHINES.len()],
+            acceptors: vec![Acceptor::new(founding_record(self.founding().voters)); MACHINES.len()],
             runs: vec![],
             restore: None,
             tries: 0,
@@ -222,7 +224,7 @@
         for (number, round) in self.rounds.into_iter().enumerate() {
             let me = proposer(number);
             let ballot = Ballot { round, proposer: u32::from(me), incarnation: 0 };
-            let run = Proposal::start(me, ballot, &self.founding());
+            let run = Proposer::start(me, ballot, &self.founding());
             fleet.send(Asker::Proposer(number), run.outbox());
             fleet.runs.push(Run::Running(Box::new(run)));
         }
@@ -249,10 +251,10 @@
             Event::LoseDisk => {
                 fleet.lost_disk = true;
                 if self.has_amnesia_guard {
-                    fleet.acceptors[LOSER] = Acceptor::unfit();
+                    fleet.acceptors[LOSER] = Acceptor::recovering();
                     fleet.start_restore(Ballot::default(), &self.founding());
                 } else {
-                    fleet.acceptors[LOSER] = Acceptor::new(found(self.founding().voters));
+                    fleet.acceptors[LOSER] = Acceptor::new(founding_record(self.founding().voters));
                 }
             }
             Event::Deliver { message, reply_is_lost } => {
@@ -271,7 +273,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("what was told to be chosen forms one chain", |_, fleet: &Fleet| {
-                let mut chosen = fleet.told_chosen();
+                let mut chosen = fleet.known_chosen_value();
                 chosen.sort_by_key(|value| value.ballot);
                 chosen.is_sorted_by(|older, newer| is_chain(older, newer))
             }),
--- a/system/config-register/tests/pacing.rs
+++ b/system/config-register/tests/proposer_contention.rs
@@ -1,7 +1,9 @@
 //! Proposers beside their acceptors in simulated time, with a value so large that it takes long to carry.
 
 use bytes::Bytes;
-use config_register::{Acceptor, BallotSource, Change, Outbox, Pacing, Proposal, Step, found};
+use config_register::{
+    Acceptor, BallotSource, Change, Outbox, Proposer, ProposerBackoff, ProposerStep, founding_record,
+};
 use fleet_model::{Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use googletest::prelude::*;
 use rand_chacha::ChaCha8Rng;
@@ -21,7 +23,7 @@
 /// The ballot above `seen` of a proposer whose life has the nonce 0.
 fn next_round(seen: Ballot, me: Ipv4Addr) -> Ballot {
     let mut ballots = BallotSource::new(me, 0);
-    ballots.saw(seen);
+    ballots.observe(seen);
     ballots.next_ballot()
 }
 
@@ -32,41 +34,41 @@
 #[gtest]
 fn a_run_begins_at_once_where_nobody_elses_is_under_way() {
     // Given a proposer that has heard nothing.
-    let pacing = Pacing::default();
+    let backoff = ProposerBackoff::default();
     // Then it does not wait.
-    expect_that!(pacing.waits(1_000), eq(0));
+    expect_that!(backoff.remaining_delay_ms(1_000), eq(0));
 }
 
 #[gtest]
 fn anothers_run_is_given_way_to_until_it_is_over_or_silent() {
     // Given a run of another that was heard at 1,000 and, going on, at 1,100.
-    let mut pacing = Pacing::default();
-    pacing.hears(1_000, ballot(5, 2));
-    pacing.hears(1_100, ballot(5, 2));
+    let mut backoff = ProposerBackoff::default();
+    backoff.on_competing_ballot(1_000, ballot(5, 2));
+    backoff.on_competing_ballot(1_100, ballot(5, 2));
     // Then a run here waits from the last sign of life on, and no longer once that is long ago.
-    expect_that!(pacing.waits(1_150), eq(150));
-    expect_that!(pacing.waits(1_300), eq(0));
+    expect_that!(backoff.remaining_delay_ms(1_150), eq(150));
+    expect_that!(backoff.remaining_delay_ms(1_300), eq(0));
     // When an older ballot turns out to be chosen, then the newer run is still under way.
-    pacing.learns_chosen(ballot(4, 3));
-    expect_that!(pacing.waits(1_150), eq(150));
+    backoff.on_chosen(ballot(4, 3));
+    expect_that!(backoff.remaining_delay_ms(1_150), eq(150));
     // When its own is chosen, then the way is free.
-    pacing.learns_chosen(ballot(5, 2));
-    expect_that!(pacing.waits(1_150), eq(0));
+    backoff.on_chosen(ballot(5, 2));
+    expect_that!(backoff.remaining_delay_ms(1_150), eq(0));
 }
 
 #[gtest]
 fn pauses_grow_from_one_change_to_the_next_until_a_run_is_won() {
     // Given a proposer whose runs for several changes were all lost.
-    let mut pacing = Pacing::default();
+    let mut backoff = ProposerBackoff::default();
     for _ in 0..3 {
-        pacing.loses(0, 63);
+        backoff.on_lost(0, 63);
     }
     // Then the pause is drawn from four times the first span.
-    expect_that!(pacing.waits(0), eq(67));
+    expect_that!(backoff.remaining_delay_ms(0), eq(67));
     // When a run is won, then the next pause is drawn from the first span again.
-    pacing.calms();
-    pacing.loses(0, 63);
-    expect_that!(pacing.waits(0), eq(19));
+    backoff.reset();
+    backoff.on_lost(0, 63);
+    expect_that!(backoff.remaining_delay_ms(0), eq(19));
 }
 
 enum Event {
@@ -77,8 +79,8 @@
 
 struct Machine {
     acceptor: Acceptor,
-    pacing: Pacing,
-    run: Option<Proposal>,
+    backoff: ProposerBackoff,
+    run: Option<Proposer>,
     seen: Ballot,
     /// When its link has carried all it was given.
     link_free: u64,
@@ -96,12 +98,12 @@
 
 impl Fleet {
     fn new(count: u8, seed: u64) -> Self {
-        let record = found((1..=count).map(machine).collect());
+        let record = founding_record((1..=count).map(machine).collect());
         let chosen = record.accepted.clone().unwrap().value;
         let new = |number| {
             let machine = Machine {
                 acceptor: Acceptor::new(record.clone()),
-                pacing: Pacing::default(),
+                backoff: ProposerBackoff::default(),
                 run: None,
                 seen: Ballot::default(),
                 link_free: 0,
@@ -140,12 +142,12 @@
         if machine.done || machine.run.is_some() {
             return;
         }
-        if machine.pacing.waits(self.now) > 0 {
+        if machine.backoff.remaining_delay_ms(self.now) > 0 {
             return self.at(again, Event::Wake(number));
         }
         let ballot = next_round(machine.seen, Ipv4Addr::new(10, 0, 0, number));
         machine.seen = ballot;
-        let proposal = Proposal::start(Ipv4Addr::new(10, 0, 0, number), ballot, &self.chosen);
+        let proposal = Proposer::start(Ipv4Addr::new(10, 0, 0, number), ballot, &self.chosen);
         let requests = proposal.outbox();
         machine.run = Some(proposal);
         self.send(number, ballot, requests);
@@ -156,7 +158,7 @@
         let (reply, _) = machine.acceptor.handle(request);
         let lets_pass = matches!(reply, RegisterReply::Promised(_) | RegisterReply::Accepted);
         if from != to && lets_pass {
-            machine.pacing.hears(self.now, run);
+            machine.backoff.on_competing_ballot(self.now, run);
         }
         machine.seen = machine.seen.max(run);
         let at = self.carried(to, matches!(reply, RegisterReply::Promised(_)));
@@ -169,20 +171,20 @@
         let Some(proposal) = machine.run.as_mut().filter(|proposal| proposal.ballot() == run) else { return };
         let mut change = |_: &RegisterValue| Change::Set(Bytes::from(vec![to]));
         match proposal.on_reply(Ipv4Addr::new(10, 0, 0, from), reply, &mut change) {
-            Step::Wait => {}
-            Step::Send(requests) => self.send(to, run, requests),
-            Step::Done(value) => {
+            ProposerStep::Wait => {}
+            ProposerStep::Send(requests) => self.send(to, run, requests),
+            ProposerStep::Done(value) => {
                 machine.run = None;
                 machine.done = true;
-                machine.pacing.calms();
+                machine.backoff.reset();
                 self.chosen = value.value;
                 for machine in self.machines.values_mut() {
-                    machine.pacing.learns_chosen(run);
+                    machine.backoff.on_chosen(run);
                 }
             }
-            Step::Lost { .. } | Step::Failed => {
+            ProposerStep::Lost { .. } | ProposerStep::Failed => {
                 machine.run = None;
-                machine.pacing.loses(self.now, drawn);
+                machine.backoff.on_lost(self.now, drawn);
                 self.at(self.now + 1, Event::Wake(to));
             }
         }
--- a/system/config-register/tests/stories.rs
+++ b/system/config-register/tests/quorum_and_recovery.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use config_register::{
-    Acceptor, AcceptorRecord, BallotSource, Change, Learner, Outbox, Proposal, Restore, RestoreStep,
-    Standing, Step, Verdict, found, told_chosen,
+    Acceptor, AcceptorRecord, BallotSource, Change, Learner, Outbox, PollOutcome, Proposer, ProposerStep,
+    Recovery, RecoveryStep, VoterState, founding_record, known_chosen_value,
 };
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use googletest::prelude::*;
@@ -26,7 +26,7 @@
 /// The ballot above `seen` of a proposer whose life has the nonce 0.
 fn next_round(seen: Ballot, me: Ipv4Addr) -> Ballot {
     let mut ballots = BallotSource::new(me, 0);
-    ballots.saw(seen);
+    ballots.observe(seen);
     ballots.next_ballot()
 }
 
@@ -54,8 +54,8 @@
 impl Fleet {
     /// A, B and C are founded; D and E have joined without a vote.
     fn new() -> Self {
-        let founded = found(vec![A, B, C]);
-        let joined = AcceptorRecord { standing: Standing::Blank, ..founded.clone() };
+        let founded = founding_record(vec![A, B, C]);
+        let joined = AcceptorRecord { voter_state: VoterState::NonVoter, ..founded.clone() };
         let record = |ip| if [A, B, C].contains(&ip) { founded.clone() } else { joined.clone() };
         Self { acceptors: ALL.into_iter().map(|ip| (ip, Acceptor::new(record(ip)))).collect() }
     }
@@ -68,12 +68,12 @@
     /// with `stop_at_accept`. Requests to others fail.
     fn carry(
         &mut self,
-        run: &mut Proposal,
+        run: &mut Proposer,
         outbox: Outbox,
         reach: &[Ipv4Addr],
         change: &mut dyn FnMut(&RegisterValue) -> Change,
         stop_at_accept: bool,
-    ) -> Step {
+    ) -> ProposerStep {
         let mut queue: std::collections::VecDeque<_> = outbox.into();
         while let Some((to, request)) = queue.pop_front() {
             let step = if reach.contains(&to) {
@@ -83,17 +83,17 @@
                 run.on_failure(to, change)
             };
             match step {
-                Step::Wait => {}
-                Step::Send(outbox) => {
+                ProposerStep::Wait => {}
+                ProposerStep::Send(outbox) => {
                     if stop_at_accept && matches!(outbox[0].1, RegisterRequest::Accept(_)) {
-                        return Step::Send(outbox);
+                        return ProposerStep::Send(outbox);
                     }
                     queue.extend(outbox);
                 }
                 end => return end,
             }
         }
-        Step::Wait
+        ProposerStep::Wait
     }
 
     /// A whole run.
@@ -103,8 +103,8 @@
         known: &RegisterValue,
         reach: &[Ipv4Addr],
         mut change: impl FnMut(&RegisterValue) -> Change,
-    ) -> Step {
-        let mut run = Proposal::start(Ipv4Addr::from(ballot.proposer), ballot, known);
+    ) -> ProposerStep {
+        let mut run = Proposer::start(Ipv4Addr::from(ballot.proposer), ballot, known);
         let outbox = run.outbox();
         self.carry(&mut run, outbox, reach, &mut change, false)
     }
@@ -116,20 +116,20 @@
         known: &RegisterValue,
         reach: &[Ipv4Addr],
         mut change: impl FnMut(&RegisterValue) -> Change,
-    ) -> (Proposal, Outbox) {
-        let mut run = Proposal::start(Ipv4Addr::from(ballot.proposer), ballot, known);
+    ) -> (Proposer, Outbox) {
+        let mut run = Proposer::start(Ipv4Addr::from(ballot.proposer), ballot, known);
         let outbox = run.outbox();
-        let Step::Send(outbox) = self.carry(&mut run, outbox, reach, &mut change, true) else {
+        let ProposerStep::Send(outbox) = self.carry(&mut run, outbox, reach, &mut change, true) else {
             panic!("no second round")
         };
         (run, outbox)
     }
 
     fn lose_disk(&mut self, ip: Ipv4Addr) {
-        self.acceptors.insert(ip, Acceptor::unfit());
+        self.acceptors.insert(ip, Acceptor::recovering());
     }
 
-    fn restore(&mut self, me: Ipv4Addr, mut restore: Restore, reach: &[Ipv4Addr]) -> RestoreStep {
+    fn restore(&mut self, me: Ipv4Addr, mut restore: Recovery, reach: &[Ipv4Addr]) -> RecoveryStep {
         let mut queue: std::collections::VecDeque<_> = restore.outbox().into();
         while let Some((to, request)) = queue.pop_front() {
             let step = if reach.contains(&to) {
@@ -139,16 +139,16 @@
                 restore.on_failure(to)
             };
             match step {
-                RestoreStep::Wait => {}
-                RestoreStep::Send(outbox) => queue.extend(outbox),
-                RestoreStep::Done(record) => {
+                RecoveryStep::Wait => {}
+                RecoveryStep::Send(outbox) => queue.extend(outbox),
+                RecoveryStep::Done(record) => {
                     self.acceptors.get_mut(&me).unwrap().restore(record.clone());
-                    return RestoreStep::Done(record);
+                    return RecoveryStep::Done(record);
                 }
                 end => return end,
             }
         }
-        RestoreStep::Wait
+        RecoveryStep::Wait
     }
 
     fn accepted(&self, ip: Ipv4Addr) -> AcceptedValue {
@@ -156,12 +156,12 @@
     }
 }
 
-fn done(step: Step) -> AcceptedValue {
-    let Step::Done(value) = step else { panic!("{step:?}") };
+fn done(step: ProposerStep) -> AcceptedValue {
+    let ProposerStep::Done(value) = step else { panic!("{step:?}") };
     value
 }
 
-fn payload(step: Step) -> String {
+fn payload(step: ProposerStep) -> String {
     String::from_utf8(done(step).value.payload.to_vec()).unwrap()
 }
 
@@ -193,14 +193,14 @@
         expect_that!(fleet.handle(A, &request), eq(&RegisterReply::Recovering));
     }
     // C never heard of the change, and A has lost it.
-    expect_that!(fleet.run(ballot(2, Q), &founding(), &[A, C], keep), eq(&Step::Failed));
+    expect_that!(fleet.run(ballot(2, Q), &founding(), &[A, C], keep), eq(&ProposerStep::Failed));
 
-    let one_other = fleet.restore(A, Restore::start_from(A, ballot(3, A), &founding(), &ALL), &[C]);
-    expect_that!(one_other, eq(&RestoreStep::Failed));
-    let both = fleet.restore(A, Restore::start_from(A, ballot(4, A), &founding(), &ALL), &[B, C]);
-    let RestoreStep::Done(record) = both else { panic!("{both:?}") };
+    let one_other = fleet.restore(A, Recovery::start_from(A, ballot(3, A), &founding(), &ALL), &[C]);
+    expect_that!(one_other, eq(&RecoveryStep::Failed));
+    let both = fleet.restore(A, Recovery::start_from(A, ballot(4, A), &founding(), &ALL), &[B, C]);
+    let RecoveryStep::Done(record) = both else { panic!("{both:?}") };
     expect_that!(record.promised, eq(ballot(4, A)));
-    expect_that!(record.standing, eq(Standing::Member));
+    expect_that!(record.voter_state, eq(VoterState::Voter));
     expect_that!(payload(fleet.run(ballot(5, Q), &founding(), &[A, C], keep)), eq("x"));
 }
 
@@ -210,11 +210,11 @@
     fleet.run(ballot(7, P), &founding(), &ALL, replace("", "x"));
     fleet.lose_disk(A);
 
-    let step = fleet.restore(A, Restore::start(A, ballot(1, A), &ALL), &ALL);
+    let step = fleet.restore(A, Recovery::start(A, ballot(1, A), &ALL), &ALL);
 
-    expect_that!(step, eq(&RestoreStep::Lost { seen: ballot(7, P) }));
-    let again = fleet.restore(A, Restore::start(A, next_round(ballot(7, P), A), &ALL), &ALL);
-    expect_that!(again, matches_pattern!(RestoreStep::Done(_)));
+    expect_that!(step, eq(&RecoveryStep::Lost { seen: ballot(7, P) }));
+    let again = fleet.restore(A, Recovery::start(A, next_round(ballot(7, P), A), &ALL), &ALL);
+    expect_that!(again, matches_pattern!(RecoveryStep::Done(_)));
 }
 
 #[gtest]
@@ -222,7 +222,7 @@
     let mut fleet = Fleet::new();
     let (_, late) = fleet.freeze(ballot(1, P), &founding(), &[A, B], replace("", "late"));
     fleet.lose_disk(A);
-    fleet.restore(A, Restore::start_from(A, ballot(2, A), &founding(), &ALL), &[B, C]);
+    fleet.restore(A, Recovery::start_from(A, ballot(2, A), &founding(), &ALL), &[B, C]);
 
     for (to, request) in late {
         expect_that!(fleet.handle(to, &request), eq(&RegisterReply::Rejected(ballot(2, A))));
@@ -233,22 +233,22 @@
 fn a_promise_from_before_a_restore_does_not_hide_a_change_made_with_the_restored_voter() {
     // Given a run whose Prepare has reached A alone,
     let mut fleet = Fleet::new();
-    let mut slow = Proposal::start(P, ballot(10, P), &founding());
+    let mut slow = Proposer::start(P, ballot(10, P), &founding());
     let prepare = RegisterRequest::Prepare(ballot(10, P));
     let from_a = fleet.handle(A, &prepare);
-    expect_that!(slow.on_reply(A, &from_a, &mut replace("", "slow")), eq(&Step::Wait));
+    expect_that!(slow.on_reply(A, &from_a, &mut replace("", "slow")), eq(&ProposerStep::Wait));
     // and A restored below its ballot, after it lost its disk and the promise with it,
     fleet.lose_disk(A);
-    let restored = fleet.restore(A, Restore::start_from(A, ballot(1, A), &founding(), &ALL), &[B, C]);
-    expect_that!(restored, matches_pattern!(RestoreStep::Done(_)));
+    let restored = fleet.restore(A, Recovery::start_from(A, ballot(1, A), &founding(), &ALL), &[B, C]);
+    expect_that!(restored, matches_pattern!(RecoveryStep::Done(_)));
     // and a change chosen by A and B,
     expect_that!(payload(fleet.run(ballot(2, Q), &founding(), &[A, B], replace("", "kept"))), eq("kept"));
 
     // when the Prepare reaches C, then the run asks A again and finds the change.
     let from_c = fleet.handle(C, &prepare);
     let step = slow.on_reply(C, &from_c, &mut replace("", "slow"));
-    expect_that!(step, eq(&Step::Send(vec![(A, prepare)])));
-    let Step::Send(outbox) = step else { unreachable!() };
+    expect_that!(step, eq(&ProposerStep::Send(vec![(A, prepare)])));
+    let ProposerStep::Send(outbox) = step else { unreachable!() };
     let step = fleet.carry(&mut slow, outbox, &[A, C], &mut replace("", "slow"), false);
     expect_that!(payload(step), eq("kept"));
 }
@@ -261,7 +261,7 @@
 
     let step = fleet.carry(&mut frozen, outbox, &[A, B, C], &mut keep, false);
 
-    expect_that!(step, eq(&Step::Lost { seen: ballot(2, Q) }));
+    expect_that!(step, eq(&ProposerStep::Lost { seen: ballot(2, Q) }));
     // A has accepted the lost value, under the lower ballot: readers take the other.
     expect_that!(payload(fleet.run(ballot(3, P), &founding(), &[A, B], keep)), eq("awake"));
 }
@@ -274,7 +274,7 @@
     expect_that!(payload(second), eq("second"));
 
     let step = fleet.carry(&mut first, outbox, &[A, B, C], &mut keep, false);
-    let Step::Lost { seen } = step else { panic!("{step:?}") };
+    let ProposerStep::Lost { seen } = step else { panic!("{step:?}") };
     let again = fleet.run(next_round(seen, P), &founding(), &[A, B, C], replace("", "first"));
 
     // Its expectation fails now.
@@ -322,7 +322,7 @@
     // The change that A had accepted was carried along, and its own run ends in vain.
     expect_that!(removed.value.payload, eq(&Bytes::from("x")));
     let late = fleet.carry(&mut change, outbox[1..].to_vec(), &[B], &mut keep, false);
-    expect_that!(late, eq(&Step::Lost { seen: ballot(3, Q) }));
+    expect_that!(late, eq(&ProposerStep::Lost { seen: ballot(3, Q) }));
     expect_that!(payload(fleet.run(ballot(4, P), &removed.value, &[B, D], replace("x", "y"))), eq("y"));
 }
 
@@ -343,11 +343,11 @@
 
     // Two of the three, but not three of the four.
     let (mut run, outbox) = fleet.freeze(ballot(1, P), &founding(), &[A, B], voters(&four.voters));
-    expect_that!(fleet.carry(&mut run, outbox, &[A, B], &mut keep, false), eq(&Step::Failed));
+    expect_that!(fleet.carry(&mut run, outbox, &[A, B], &mut keep, false), eq(&ProposerStep::Failed));
 
     // The next run finds it and needs both as well, whatever it wants.
     let short = fleet.run(ballot(2, Q), &founding(), &[A, C], replace("", "x"));
-    expect_that!(short, eq(&Step::Failed));
+    expect_that!(short, eq(&ProposerStep::Failed));
     let whole = done(fleet.run(ballot(3, Q), &founding(), &[A, B, D], replace("", "x")));
     expect_that!((whole.value.epoch, whole.value.voters), eq(&(1, four.voters)));
 }
@@ -359,11 +359,11 @@
 
     // Two of the three that remain, but not three of the four.
     let (mut run, outbox) = fleet.freeze(ballot(2, P), &four, &ALL, voters(&[A, B, C]));
-    expect_that!(fleet.carry(&mut run, outbox, &[A, B], &mut keep, false), eq(&Step::Failed));
+    expect_that!(fleet.carry(&mut run, outbox, &[A, B], &mut keep, false), eq(&ProposerStep::Failed));
 
     // The next run has read it, and is held to the same.
     let (mut run, outbox) = fleet.freeze(ballot(3, P), &four, &ALL, replace("", "x"));
-    expect_that!(fleet.carry(&mut run, outbox, &[A, B], &mut keep, false), eq(&Step::Failed));
+    expect_that!(fleet.carry(&mut run, outbox, &[A, B], &mut keep, false), eq(&ProposerStep::Failed));
 }
 
 #[gtest]
@@ -406,7 +406,7 @@
 fn a_side_without_a_majority_fails() {
     let mut fleet = Fleet::new();
 
-    expect_that!(fleet.run(ballot(1, P), &founding(), &[A], replace("", "x")), eq(&Step::Failed));
+    expect_that!(fleet.run(ballot(1, P), &founding(), &[A], replace("", "x")), eq(&ProposerStep::Failed));
     expect_that!(payload(fleet.run(ballot(2, Q), &founding(), &[B, C], replace("", "y"))), eq("y"));
 }
 
@@ -430,7 +430,7 @@
     let four = done(fleet.run(ballot(1, Q), &founding(), &ALL, voters(&[A, B, C, D]))).value;
     let three = done(fleet.run(ballot(2, Q), &four, &ALL, voters(&[B, C, D]))).value;
 
-    expect_that!(fleet.run(ballot(3, P), &founding(), &[A, B, C], keep), eq(&Step::Failed));
+    expect_that!(fleet.run(ballot(3, P), &founding(), &[A, B, C], keep), eq(&ProposerStep::Failed));
     // One that has learnt needs no more than that.
     expect_that!(payload(fleet.run(ballot(4, P), &three, &[B, C], replace("", "x"))), eq("x"));
 }
@@ -442,12 +442,12 @@
 
     let again = fleet.run(ballot(1, P), &founding(), &ALL, replace("", "y"));
 
-    expect_that!(again, eq(&Step::Lost { seen: ballot(1, P) }));
+    expect_that!(again, eq(&ProposerStep::Lost { seen: ballot(1, P) }));
 }
 
 #[gtest]
 fn an_acceptor_tells_when_its_record_is_to_be_synced() {
-    let mut acceptor = Acceptor::new(found(vec![A, B, C]));
+    let mut acceptor = Acceptor::new(founding_record(vec![A, B, C]));
     let value = AcceptedValue { ballot: ballot(1, P), value: founding() };
 
     expect_that!(acceptor.handle(&RegisterRequest::Prepare(ballot(1, P))).1, eq(true));
@@ -466,14 +466,14 @@
     let mut fleet = Fleet::new();
     let four = done(fleet.run(ballot(1, Q), &founding(), &ALL, voters(&[A, B, C, D])));
     let acceptor = fleet.acceptors.get_mut(&A).unwrap();
-    let settled = |acceptor: &Acceptor| acceptor.record().unwrap().settled.clone().unwrap().epoch;
+    let chosen_voters = |acceptor: &Acceptor| acceptor.record().unwrap().chosen_voters.clone().unwrap().epoch;
 
-    expect_that!(settled(acceptor), eq(0));
+    expect_that!(chosen_voters(acceptor), eq(0));
     expect_that!(acceptor.handle(&RegisterRequest::Poll { chosen: Ballot::default() }).1, eq(false));
     let (reply, changed) = acceptor.handle(&RegisterRequest::Poll { chosen: four.ballot });
     expect_that!(reply, eq(&RegisterReply::Polled { accepted: Some(four.ballot), chosen: four.ballot }));
     expect_that!(changed, eq(true));
-    expect_that!(settled(acceptor), eq(1));
+    expect_that!(chosen_voters(acceptor), eq(1));
 }
 
 #[gtest]
@@ -482,17 +482,17 @@
     fleet.lose_disk(D);
     fleet.run(ballot(1, P), &founding(), &ALL, replace("", "x"));
 
-    let joined = fleet.restore(D, Restore::start(D, ballot(2, D), &[A, E]), &[A, B, E]);
+    let joined = fleet.restore(D, Recovery::start(D, ballot(2, D), &[A, E]), &[A, B, E]);
     // It asks on among the voters that A names; without a chosen value to start from it needs all three.
-    expect_that!(joined, eq(&RestoreStep::Failed));
-    let joined = fleet.restore(D, Restore::start(D, ballot(3, D), &[A, E]), &ALL);
-    let RestoreStep::Done(record) = joined else { panic!("{joined:?}") };
-    expect_that!(record.standing, eq(Standing::Blank));
+    expect_that!(joined, eq(&RecoveryStep::Failed));
+    let joined = fleet.restore(D, Recovery::start(D, ballot(3, D), &[A, E]), &ALL);
+    let RecoveryStep::Done(record) = joined else { panic!("{joined:?}") };
+    expect_that!(record.voter_state, eq(VoterState::NonVoter));
 
     // Three of the four: D's vote counts.
     let added = done(fleet.run(ballot(4, P), &founding(), &[A, B, D], voters(&[A, B, C, D])));
     expect_that!(added.value.payload, eq(&Bytes::from("x")));
-    expect_that!(fleet.acceptors[&D].record().unwrap().standing, eq(Standing::Member));
+    expect_that!(fleet.acceptors[&D].record().unwrap().voter_state, eq(VoterState::Voter));
 }
 
 #[gtest]
@@ -503,19 +503,19 @@
     let chosen = done(fleet.run(ballot(1, P), &founding(), &[A, B], replace("", "x")));
     fleet.acceptors.get_mut(&B).unwrap().learn_value(&chosen);
     // When D goes by nothing, it needs all three.
-    let alone = fleet.restore(D, Restore::start(D, ballot(2, D), &[A, B, C]), &[A, B]);
-    expect_that!(alone, eq(&RestoreStep::Failed));
+    let alone = fleet.restore(D, Recovery::start(D, ballot(2, D), &[A, B, C]), &[A, B]);
+    expect_that!(alone, eq(&RecoveryStep::Failed));
     // When it asks what is chosen, A does not know it and B does.
     let mut told = |from| {
         let polled = fleet.handle(from, &RegisterRequest::Poll { chosen: Ballot::default() });
-        told_chosen(&polled, &fleet.handle(from, &RegisterRequest::Fetch))
+        known_chosen_value(&polled, &fleet.handle(from, &RegisterRequest::Fetch))
     };
     expect_that!(told(A), none());
     let known = told(B);
     expect_that!(known, some(eq(&chosen.value)));
     // Then a majority is enough, and it can be made a voter.
-    let restore = Restore::start_from(D, ballot(3, D), &known.unwrap(), &[A, B, C]);
-    let RestoreStep::Done(record) = fleet.restore(D, restore, &[A, B]) else { panic!("not restored") };
+    let restore = Recovery::start_from(D, ballot(3, D), &known.unwrap(), &[A, B, C]);
+    let RecoveryStep::Done(record) = fleet.restore(D, restore, &[A, B]) else { panic!("not restored") };
     expect_that!(record.accepted.unwrap().value.payload, eq(&Bytes::from("x")));
     let added = done(fleet.run(ballot(4, P), &founding(), &[A, B, D], voters(&[A, B, C, D])));
     expect_that!(added.value.voters, eq(&[A, B, C, D]));
@@ -526,35 +526,35 @@
     let value = AcceptedValue { ballot: ballot(2, P), value: founding() };
     let fetched = RegisterReply::Fetched(Some(value.clone()));
     let polled = |accepted, chosen| RegisterReply::Polled { accepted: Some(accepted), chosen };
-    expect_that!(told_chosen(&polled(ballot(2, P), ballot(2, P)), &fetched), some(eq(&value.value)));
+    expect_that!(known_chosen_value(&polled(ballot(2, P), ballot(2, P)), &fetched), some(eq(&value.value)));
     // It holds a later value than the one that it knows to be chosen, or accepted one after the poll.
-    expect_that!(told_chosen(&polled(ballot(2, P), ballot(1, P)), &fetched), none());
-    expect_that!(told_chosen(&polled(ballot(1, P), ballot(1, P)), &fetched), none());
-    expect_that!(told_chosen(&RegisterReply::Recovering, &fetched), none());
+    expect_that!(known_chosen_value(&polled(ballot(2, P), ballot(1, P)), &fetched), none());
+    expect_that!(known_chosen_value(&polled(ballot(1, P), ballot(1, P)), &fetched), none());
+    expect_that!(known_chosen_value(&RegisterReply::Recovering, &fetched), none());
 }
 
 #[gtest]
 fn a_poll_is_fresh_when_a_majority_has_nothing_newer() {
-    let mut learner = Learner::poll_round(&[A, B, C], ballot(3, P));
+    let mut learner = Learner::start(&[A, B, C], ballot(3, P));
 
-    expect_that!(learner.on_polled(A, Some(ballot(3, P)), Ballot::default()), eq(&Verdict::Wait));
-    expect_that!(learner.on_polled(D, Some(ballot(3, P)), Ballot::default()), eq(&Verdict::Wait));
-    expect_that!(learner.on_polled(B, Some(ballot(2, P)), ballot(2, P)), eq(&Verdict::Fresh));
+    expect_that!(learner.on_polled(A, Some(ballot(3, P)), Ballot::default()), eq(&PollOutcome::Pending));
+    expect_that!(learner.on_polled(D, Some(ballot(3, P)), Ballot::default()), eq(&PollOutcome::Pending));
+    expect_that!(learner.on_polled(B, Some(ballot(2, P)), ballot(2, P)), eq(&PollOutcome::Fresh));
 }
 
 #[gtest]
 fn a_poll_is_behind_when_a_newer_ballot_is_told_to_be_chosen_or_has_a_majority() {
     let newer = ballot(4, P);
-    let behind = |from: &[Ipv4Addr]| Verdict::Behind { from: from.to_vec(), ballot: newer };
+    let behind = |from: &[Ipv4Addr]| PollOutcome::Behind { from: from.to_vec(), ballot: newer };
     let fetched = AcceptedValue { ballot: newer, value: founding() };
     let other_voters = AcceptedValue { ballot: newer, value: RegisterValue { epoch: 1, ..founding() } };
 
-    let mut told = Learner::poll_round(&[A, B, C], ballot(3, P));
+    let mut told = Learner::start(&[A, B, C], ballot(3, P));
     expect_that!(told.on_polled(A, Some(newer), newer), eq(&behind(&[A])));
     expect_that!(told.confirms(&founding(), &other_voters), eq(true));
 
-    let mut majority = Learner::poll_round(&[A, B, C], ballot(3, P));
-    expect_that!(majority.on_polled(A, Some(newer), ballot(3, P)), eq(&Verdict::Wait));
+    let mut majority = Learner::start(&[A, B, C], ballot(3, P));
+    expect_that!(majority.on_polled(A, Some(newer), ballot(3, P)), eq(&PollOutcome::Pending));
     expect_that!(majority.confirms(&founding(), &fetched), eq(false));
     expect_that!(majority.on_polled(C, Some(newer), ballot(3, P)), eq(&behind(&[A, C])));
     expect_that!(majority.confirms(&founding(), &fetched), eq(true));
@@ -564,20 +564,20 @@
 
 #[gtest]
 fn a_poll_is_unsettled_when_a_newer_ballot_can_get_no_majority_from_it() {
-    let mut learner = Learner::poll_round(&[A, B, C], ballot(3, P));
+    let mut learner = Learner::start(&[A, B, C], ballot(3, P));
 
-    expect_that!(learner.on_polled(A, Some(ballot(4, P)), ballot(3, P)), eq(&Verdict::Wait));
-    expect_that!(learner.on_polled(B, Some(ballot(3, P)), ballot(3, P)), eq(&Verdict::Wait));
-    expect_that!(learner.on_failure(C), eq(&Verdict::Unsettled));
+    expect_that!(learner.on_polled(A, Some(ballot(4, P)), ballot(3, P)), eq(&PollOutcome::Pending));
+    expect_that!(learner.on_polled(B, Some(ballot(3, P)), ballot(3, P)), eq(&PollOutcome::Pending));
+    expect_that!(learner.on_failure(C), eq(&PollOutcome::Undecided));
 }
 
 #[gtest]
 fn a_poll_without_a_majority_fails() {
-    let mut learner = Learner::poll_round(&[A, B, C], ballot(3, P));
+    let mut learner = Learner::start(&[A, B, C], ballot(3, P));
 
-    expect_that!(learner.on_polled(A, Some(ballot(3, P)), ballot(3, P)), eq(&Verdict::Wait));
-    expect_that!(learner.on_failure(B), eq(&Verdict::Wait));
-    expect_that!(learner.on_failure(C), eq(&Verdict::Failed));
+    expect_that!(learner.on_polled(A, Some(ballot(3, P)), ballot(3, P)), eq(&PollOutcome::Pending));
+    expect_that!(learner.on_failure(B), eq(&PollOutcome::Pending));
+    expect_that!(learner.on_failure(C), eq(&PollOutcome::Failed));
 }
 
 #[gtest]
@@ -587,7 +587,7 @@
     for round in 1..200 {
         let ballot = Ballot { round, proposer: u32::from(voters[2]), incarnation: 0 };
         let mut places: Vec<usize> =
-            voters.iter().map(|ip| config_register::completing_place(*ip, &voters, ballot)).collect();
+            voters.iter().map(|ip| config_register::completion_rank(*ip, &voters, ballot)).collect();
         expect_that!(places[2], eq(7));
         firsts.insert(places.iter().position(|place| *place == 0));
         places.sort_unstable();
--- a/system/config-register/tests/schedules.rs
+++ b/system/config-register/tests/random_schedules.rs
@@ -3,7 +3,8 @@
 
 use bytes::Bytes;
 use config_register::{
-    Acceptor, BallotSource, Change, Learner, Outbox, Proposal, Restore, RestoreStep, Step, Verdict, found,
+    Acceptor, BallotSource, Change, Learner, Outbox, PollOutcome, Proposer, ProposerStep, Recovery,
+    RecoveryStep, founding_record,
 };
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use googletest::prelude::*;
@@ -48,8 +49,8 @@
 }
 
 enum Run {
-    Proposal(Proposal, Wish),
-    Restore(Restore),
+    Proposer(Proposer, Wish),
+    Recovery(Recovery),
     Poll(Learner, AcceptedValue),
     Fetch(Learner, AcceptedValue),
 }
@@ -112,11 +113,11 @@
 impl Fleet {
     fn new(seed: u64, nonce: fn(u64) -> u64) -> Self {
         let voters: Vec<_> = (0..3).map(ip).collect();
-        let founded = found(voters);
+        let founded = founding_record(voters);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let machines = (0..MACHINES)
             .map(|number| Machine {
-                acceptor: if number < 3 { Acceptor::new(founded.clone()) } else { Acceptor::unfit() },
+                acceptor: if number < 3 { Acceptor::new(founded.clone()) } else { Acceptor::recovering() },
                 known: founded.accepted.clone(),
                 run: None,
                 begun: 0,
@@ -179,32 +180,32 @@
         let toggled = fit[self.below(fit.len())];
         let other = self.below(MACHINES);
         // Any machine may be told by another which voters are in force.
-        let told = self.machines[other].acceptor.record().and_then(|record| record.settled.clone());
+        let told = self.machines[other].acceptor.record().and_then(|record| record.chosen_voters.clone());
         let machine = &mut self.machines[number];
         machine.begun = begun;
         let record = machine.acceptor.record();
-        let settled = record.and_then(|record| record.settled.clone());
+        let chosen_voters = record.and_then(|record| record.chosen_voters.clone());
         let known = machine.known.clone();
-        let start = [known.as_ref().map(|known| known.value.clone()), settled, told];
+        let start = [known.as_ref().map(|known| known.value.clone()), chosen_voters, told];
         let start = start.into_iter().flatten().max_by_key(|start| start.epoch);
         if let Some(record) = record {
-            machine.ballots.saw(record.promised);
+            machine.ballots.observe(record.promised);
         }
         if record.is_none() {
             let ballot = self.next_ballot(number);
             let restore = match start {
-                Some(start) if !is_blind => Restore::start_from(ip(number), ballot, &start, &all()),
-                _ => Restore::start(ip(number), ballot, &all()),
+                Some(start) if !is_blind => Recovery::start_from(ip(number), ballot, &start, &all()),
+                _ => Recovery::start(ip(number), ballot, &all()),
             };
             let outbox = restore.outbox();
-            self.machines[number].run = Some(Run::Restore(restore));
+            self.machines[number].run = Some(Run::Recovery(restore));
             self.send(number, outbox);
             return;
         }
         if kind < 2
             && let Some(known) = known
         {
-            let learner = Learner::poll_round(&known.value.voters, known.ballot);
+            let learner = Learner::start(&known.value.voters, known.ballot);
             let outbox = learner.outbox();
             machine.run = Some(Run::Poll(learner, known));
             self.send(number, outbox);
@@ -212,7 +213,7 @@
         }
         let Some(start) = start else { return };
         let ballot = self.next_ballot(number);
-        let proposal = Proposal::start(ip(number), ballot, &start);
+        let proposal = Proposer::start(ip(number), ballot, &start);
         let outbox = proposal.outbox();
         let wish = match kind {
             2..=3 => Wish::Read,
@@ -222,7 +223,7 @@
                 Wish::Append(self.last_id)
             }
         };
-        self.machines[number].run = Some(Run::Proposal(proposal, wish));
+        self.machines[number].run = Some(Run::Proposer(proposal, wish));
         self.send(number, outbox);
     }
 
@@ -238,7 +239,7 @@
         let begun = self.machines[number].begun;
         match &mut self.machines[number].run {
             None => {}
-            Some(Run::Proposal(proposal, wish)) => {
+            Some(Run::Proposer(proposal, wish)) => {
                 let wish = wish.clone();
                 let mut change = |read: &RegisterValue| wish.change(read);
                 let step = match reply {
@@ -246,9 +247,9 @@
                     None => proposal.on_failure(ip(from), &mut change),
                 };
                 match step {
-                    Step::Wait => {}
-                    Step::Send(outbox) => self.send(number, outbox),
-                    Step::Done(value) => {
+                    ProposerStep::Wait => {}
+                    ProposerStep::Send(outbox) => self.send(number, outbox),
+                    ProposerStep::Done(value) => {
                         match wish {
                             Wish::Append(_) => self.counts.appended += 1,
                             Wish::Toggle(..) if value.value.epoch > 0 => self.counts.changed += 1,
@@ -258,24 +259,24 @@
                         self.learn(number, &value);
                         self.history.push(Told::Chosen { begun, value });
                     }
-                    Step::Lost { seen } => {
+                    ProposerStep::Lost { seen } => {
                         self.end_run(number);
-                        self.machines[number].ballots.saw(seen);
+                        self.machines[number].ballots.observe(seen);
                     }
-                    Step::Failed => {
+                    ProposerStep::Failed => {
                         self.end_run(number);
                     }
                 }
             }
-            Some(Run::Restore(restore)) => {
+            Some(Run::Recovery(restore)) => {
                 let step = match reply {
                     Some(reply) => restore.on_reply(ip(from), reply),
                     None => restore.on_failure(ip(from)),
                 };
                 match step {
-                    RestoreStep::Wait => {}
-                    RestoreStep::Send(outbox) => self.send(number, outbox),
-                    RestoreStep::Done(record) => {
+                    RecoveryStep::Wait => {}
+                    RecoveryStep::Send(outbox) => self.send(number, outbox),
+                    RecoveryStep::Done(record) => {
                         self.end_run(number);
                         let value = record.accepted.clone().unwrap();
                         self.machines[number].acceptor.restore(record);
@@ -284,11 +285,11 @@
                         self.wiped.take_if(|wiped| *wiped == number);
                         self.counts.restored += 1;
                     }
-                    RestoreStep::Lost { seen } => {
+                    RecoveryStep::Lost { seen } => {
                         self.end_run(number);
-                        self.machines[number].ballots.saw(seen);
+                        self.machines[number].ballots.observe(seen);
                     }
-                    RestoreStep::Failed => {
+                    RecoveryStep::Failed => {
                         self.end_run(number);
                     }
                 }
@@ -302,19 +303,19 @@
                 };
                 let known = known.clone();
                 match verdict {
-                    Verdict::Wait => {}
-                    Verdict::Fresh => {
+                    PollOutcome::Pending => {}
+                    PollOutcome::Fresh => {
                         self.end_run(number);
                         self.counts.fresh += 1;
                         self.history.push(Told::Fresh { begun, ballot: known.ballot });
                     }
-                    Verdict::Behind { from, .. } => {
+                    PollOutcome::Behind { from, .. } => {
                         let Some(Run::Poll(learner, known)) = self.end_run(number) else { unreachable!() };
                         self.machines[number].run = Some(Run::Fetch(learner, known));
                         let from = from[self.below(from.len())];
                         self.send(number, vec![(from, RegisterRequest::Fetch)]);
                     }
-                    Verdict::Unsettled | Verdict::Failed => {
+                    PollOutcome::Undecided | PollOutcome::Failed => {
                         self.end_run(number);
                     }
                 }
@@ -363,13 +364,13 @@
         let machine = &mut self.machines[number];
         machine.known = None;
         machine.ballots = BallotSource::new(ip(number), life);
-        machine.acceptor = machine.acceptor.record().cloned().map_or(Acceptor::unfit(), Acceptor::new);
+        machine.acceptor = machine.acceptor.record().cloned().map_or(Acceptor::recovering(), Acceptor::new);
     }
 
     fn lose_disk(&mut self, number: usize) {
         if self.wiped.is_none() && self.machines[number].acceptor.record().is_some() {
             self.restart(number);
-            self.machines[number].acceptor = Acceptor::unfit();
+            self.machines[number].acceptor = Acceptor::recovering();
             self.wiped = Some(number);
         }
     }
--- a/system/control-node/src/durable_acceptor.rs
+++ b/system/control-node/src/durable_acceptor.rs
@@ -50,7 +50,7 @@
 
 /// An answer, and when it may leave.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Handled {
+pub struct PendingReply {
     /// The answer.
     pub reply: RegisterReply,
     /// It may leave once this is synced; at once if there is none.
@@ -77,7 +77,7 @@
     /// One with what the disk holds; without a record it does not vote until one is written by
     /// [`DurableAcceptor::recover`].
     pub fn new(record: Option<AcceptorRecord>) -> Self {
-        let acceptor = record.map_or_else(Acceptor::unfit, Acceptor::new);
+        let acceptor = record.map_or_else(Acceptor::recovering, Acceptor::new);
         Self {
             newest: acceptor.clone(),
             newest_write: WriteNumber::default(),
@@ -121,31 +121,31 @@
     }
 
     /// Answers a request.
-    pub fn handle(&mut self, request: &RegisterRequest) -> Handled {
+    pub fn handle(&mut self, request: &RegisterRequest) -> PendingReply {
         match request {
             RegisterRequest::Prepare(_) | RegisterRequest::Accept(_) => self.vote(request),
             RegisterRequest::Poll { chosen } => self.poll(*chosen),
             RegisterRequest::Fetch => {
                 let (reply, _) = self.synced.handle(request);
-                Handled { reply, after: None, write: None }
+                PendingReply { reply, after: None, write: None }
             }
         }
     }
 
-    fn vote(&mut self, request: &RegisterRequest) -> Handled {
+    fn vote(&mut self, request: &RegisterRequest) -> PendingReply {
         let (reply, changed) = self.newest.handle(request);
         let write = if changed { self.write_newest() } else { None };
         // What an answer tells of promise or value is synced before it is told, whoever's write it was.
         let after = (self.outcome(self.newest_write) != WriteOutcome::Synced).then_some(self.newest_write);
-        Handled { reply, after, write }
+        PendingReply { reply, after, write }
     }
 
     /// That a value was chosen is written some time, and the answer does not wait for it.
-    fn poll(&mut self, chosen: Ballot) -> Handled {
+    fn poll(&mut self, chosen: Ballot) -> PendingReply {
         let newest_changed = self.newest.learn_chosen(chosen);
         let (reply, synced_changed) = self.synced.handle(&RegisterRequest::Poll { chosen });
         let write = if newest_changed || synced_changed { self.write_newest() } else { None };
-        Handled { reply, after: None, write }
+        PendingReply { reply, after: None, write }
     }
 
     /// A write of the newest state, if there is one: to find out whether the disk takes it.
@@ -170,7 +170,7 @@
 
     /// A write has come to its end, and with it those before it that it was written in place of; tells whether the disk's
     /// state changed by it.
-    pub fn write_ended(&mut self, number: WriteNumber, succeeded: bool) -> bool {
+    pub fn on_write_completed(&mut self, number: WriteNumber, succeeded: bool) -> bool {
         let Some(record) = self.under_way.remove(&number) else { return false };
         self.under_way.retain(|other, _| *other > number);
         let was_refusing = self.disk.is_refusing;
--- a/system/control-node/src/event.rs
+++ b/system/control-node/src/event.rs
@@ -29,7 +29,7 @@
         /// The one before.
         before: &'a ControlState,
         /// Whether the configuration or the voters are others than before.
-        is_news: bool,
+        is_changed: bool,
     },
     /// The register holds a value that cannot be read.
     Unreadable(&'a str),
@@ -88,7 +88,11 @@
                 write!(f, "voter {voter} is removed: silent for {silent_ms} ms")
             }
             Self::Recovered(record) => {
-                write!(f, "restored under round {}: standing {:?}", record.promised.round, record.standing)
+                write!(
+                    f,
+                    "restored under round {}: voter_state {:?}",
+                    record.promised.round, record.voter_state
+                )
             }
             Self::DiskRefuses(why) => write!(f, "the disk refuses the acceptor's record, no vote: {why}"),
             Self::DiskAccepts => write!(f, "the disk takes the acceptor's record again"),
--- a/system/control-node/src/polling.rs
+++ b/system/control-node/src/learner.rs
@@ -1,8 +1,8 @@
 //! The node as learner: quorum reads confirm what it knows, and complete what others left undecided.
 
-use crate::proposing::{PATIENCE, Wanted};
+use crate::proposer::{PATIENCE, Wanted};
 use crate::{ControlBackend, ControlNode};
-use config_register::{Learner, Verdict, completing_place};
+use config_register::{Learner, PollOutcome, completion_rank};
 use fleet_model::{Ballot, RegisterReply, RegisterRequest};
 use node_runtime::{Runtime, timeout, timeout_at};
 use std::net::Ipv4Addr;
@@ -43,32 +43,32 @@
 
     /// One round; true if another is to follow at once.
     async fn poll(self: Rc<Self>, undecided: &mut Option<Undecided>) -> bool {
-        let Some(known) = self.known.borrow().clone().filter(|_| self.is_fit()) else { return false };
+        let Some(known) = self.known.borrow().clone().filter(|_| self.can_vote()) else { return false };
         let began = self.runtime.now();
-        let mut learner = Learner::poll_round(&known.voters, self.feed.value().ballot);
+        let mut learner = Learner::start(&known.voters, self.feed.value().ballot);
         let mut answered = self.ask_all(learner.outbox());
-        let (mut verdict, mut newest) = (Verdict::Failed, Ballot::default());
+        let (mut verdict, mut newest) = (PollOutcome::Failed, Ballot::default());
         while let Some((ip, reply)) = answered.recv().await {
             verdict = match reply {
                 Some(RegisterReply::Polled { accepted, chosen }) => {
                     newest = newest.max(accepted.unwrap_or_default());
-                    self.saw(newest);
+                    self.observe_ballot(newest);
                     learner.on_polled(ip, accepted, chosen)
                 }
                 _ => learner.on_failure(ip),
             };
-            if verdict != Verdict::Wait {
+            if verdict != PollOutcome::Pending {
                 break;
             }
         }
         match verdict {
-            Verdict::Fresh => {
+            PollOutcome::Fresh => {
                 *undecided = None;
-                self.pacing.borrow_mut().calms();
+                self.backoff.borrow_mut().reset();
                 self.feed.confirm(began);
                 false
             }
-            Verdict::Behind { from, .. } => {
+            PollOutcome::Behind { from, .. } => {
                 for ip in from {
                     if let Some(RegisterReply::Fetched(Some(value))) =
                         self.ask(ip, RegisterRequest::Fetch, PATIENCE).await
@@ -80,8 +80,8 @@
                 }
                 self.complete(undecided, newest).await
             }
-            Verdict::Unsettled => self.complete(undecided, newest).await,
-            Verdict::Wait | Verdict::Failed => false,
+            PollOutcome::Undecided => self.complete(undecided, newest).await,
+            PollOutcome::Pending | PollOutcome::Failed => false,
         }
     }
 
@@ -107,13 +107,13 @@
     async fn complete(&self, undecided: &mut Option<Undecided>, newest: Ballot) -> bool {
         let waiting = undecided.take().filter(|waiting| waiting.ballot == newest);
         let waiting = waiting.unwrap_or_else(|| {
-            let place = completing_place(self.me, &self.feed.value().voters, newest);
+            let place = completion_rank(self.me, &self.feed.value().voters, newest);
             let chance = self.runtime.random_u64() % UNDECIDED_MS;
             let wait = UNDECIDED_MS + chance + COMPLETING_STEP_MS * place as u64;
             Undecided { ballot: newest, until: self.runtime.now() + Duration::from_millis(wait) }
         });
         let is_early = self.runtime.now() < waiting.until;
-        if is_early || self.pacing.borrow().waits(self.runtime.now_ms()) > 0 {
+        if is_early || self.backoff.borrow().remaining_delay_ms(self.runtime.now_ms()) > 0 {
             *undecided = Some(waiting);
             self.runtime.sleep(Duration::from_millis(25 + self.runtime.random_u64() % 20)).await;
         } else {
--- a/system/control-node/src/lib.rs
+++ b/system/control-node/src/lib.rs
@@ -7,26 +7,28 @@
 
 mod durable_acceptor;
 mod event;
+mod learner;
 mod membership;
 mod node;
-mod orders;
-mod polling;
-mod proposing;
+mod operator_requests;
+mod proposer;
 mod recovery;
 mod replica;
-mod singleton;
+mod singleton_tasks;
 
-pub use durable_acceptor::{DiskState, DurableAcceptor, Handled, PendingWrite, WriteNumber, WriteOutcome};
+pub use durable_acceptor::{
+    DiskState, DurableAcceptor, PendingReply, PendingWrite, WriteNumber, WriteOutcome,
+};
 pub use event::{ControlEvent, StorageLosses};
-pub use node::{Beginning, ControlNode, RoundCounts};
-pub use orders::{CurrentConfig, PutConfig, Retire};
+pub use node::{ControlNode, InitialState, RoundCounts};
+pub use operator_requests::{CurrentConfig, PutConfigOutcome, RetireOutcome};
 
 use config_register::AcceptorRecord;
 use controllers::LeaseCandidate;
 use fleet_model::{ControlState, Endpoint, Lease};
 
 /// The name of the singleton task that reads the platform's list and looks after machines that are gone.
-pub const LIST: &str = "list";
+pub const ENDPOINT_DISCOVERY_TASK: &str = "list";
 
 /// The disk refused a write; what it holds of it is not known.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -1,6 +1,6 @@
 //! Changes of members that machines ask for: voters, storage machines, and what these have caught up with.
 
-use crate::proposing::Wanted;
+use crate::proposer::Wanted;
 use crate::{ControlBackend, ControlNode};
 use controllers::fill;
 use fleet_model::{Answer, ControlState, StorageNode};
@@ -22,7 +22,7 @@
     }
 
     pub(crate) async fn join_core(&self, ip: Ipv4Addr) -> Answer {
-        self.hear_of(ip);
+        self.add_known_core_node(ip);
         if self.feed.value().voters.contains(&ip) {
             return Answer::Done;
         }
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -1,8 +1,8 @@
 //! The node: what it knows, and how it answers its peers.
 
 use crate::replica::Replica;
-use crate::{ControlBackend, ControlEvent, DiskState, LIST, StorageLosses};
-use config_register::{AcceptorRecord, BallotSource, Pacing, Standing};
+use crate::{ControlBackend, ControlEvent, DiskState, ENDPOINT_DISCOVERY_TASK, StorageLosses};
+use config_register::{AcceptorRecord, BallotSource, ProposerBackoff, VoterState};
 use controllers::{LeaseCandidate, LossesBorne, StorageController, VoterController};
 use fleet_model::{
     AcceptedValue, Answer, Ballot, Call, ChosenValue, RegisterReply, RegisterRequest, RegisterValue,
@@ -20,33 +20,33 @@
 
 /// What a replica of the register starts with.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Beginning {
+pub enum InitialState {
     /// Its record.
-    Kept(AcceptorRecord),
+    Existing(AcceptorRecord),
     /// It has never voted: this is to be kept before it does.
-    First(AcceptorRecord),
+    New(AcceptorRecord),
     /// It may have voted and does not know: it votes when it is restored from the others.
-    Unfit,
+    Recovering,
 }
 
-impl Beginning {
+impl InitialState {
     /// Of a machine that has never voted: a seed founds the register, any other knows nothing.
     pub fn never_voted(me: Ipv4Addr, seeds: &[Ipv4Addr]) -> Self {
         if seeds.contains(&me) {
-            return Self::First(config_register::found(seeds.to_vec()));
+            return Self::New(config_register::founding_record(seeds.to_vec()));
         }
-        Self::First(AcceptorRecord {
+        Self::New(AcceptorRecord {
             promised: Ballot::default(),
             accepted: None,
-            standing: Standing::Blank,
-            settled: None,
+            voter_state: VoterState::NonVoter,
+            chosen_voters: None,
         })
     }
 
     fn record(&self) -> Option<&AcceptorRecord> {
         match self {
-            Self::Kept(record) | Self::First(record) => Some(record),
-            Self::Unfit => None,
+            Self::Existing(record) | Self::New(record) => Some(record),
+            Self::Recovering => None,
         }
     }
 }
@@ -83,7 +83,7 @@
     /// One proposal at a time.
     pub(crate) proposing: Mutex<()>,
     /// When a round may begin beside those of others.
-    pub(crate) pacing: RefCell<Pacing>,
+    pub(crate) backoff: RefCell<ProposerBackoff>,
     pub(crate) rounds: Cell<RoundCounts>,
     /// A poll is wanted now.
     pub(crate) poll_now: Notify,
@@ -100,20 +100,20 @@
         backend: B,
         feed: Rc<Feed<R>>,
         mut ballots: BallotSource,
-        beginning: Beginning,
+        beginning: InitialState,
     ) -> Rc<Self> {
         let (me, backend) = (runtime.ip(), Rc::new(backend));
         let record = beginning.record().cloned();
-        let known = record.as_ref().and_then(|record| record.settled.clone());
+        let known = record.as_ref().and_then(|record| record.chosen_voters.clone());
         let heard = known.iter().flat_map(|known| known.voters.clone());
         let heard = heard.chain(runtime.seeds()).chain([me]).collect();
         if let Some(record) = &record {
-            ballots.saw(record.promised);
+            ballots.observe(record.promised);
         }
         let (kept, founding) = match beginning {
-            Beginning::Kept(record) => (Some(record), None),
-            Beginning::First(record) => (None, Some(record)),
-            Beginning::Unfit => (None, None),
+            InitialState::Existing(record) => (Some(record), None),
+            InitialState::New(record) => (None, Some(record)),
+            InitialState::Recovering => (None, None),
         };
         Rc::new(Self {
             me,
@@ -124,9 +124,9 @@
             heard: RefCell::new(heard),
             known: RefCell::new(known),
             ballots: RefCell::new(ballots),
-            candidate: RefCell::new(LeaseCandidate::new(LIST, me)),
+            candidate: RefCell::new(LeaseCandidate::new(ENDPOINT_DISCOVERY_TASK, me)),
             proposing: Mutex::new(()),
-            pacing: RefCell::default(),
+            backoff: RefCell::default(),
             rounds: Cell::default(),
             poll_now: Notify::new(),
             polled: Notify::new(),
@@ -164,17 +164,17 @@
     }
 
     /// Another core machine was heard of, such as by the membership.
-    pub fn hear_of(&self, core_machine: Ipv4Addr) {
+    pub fn add_known_core_node(&self, core_machine: Ipv4Addr) {
         self.heard.borrow_mut().insert(core_machine);
     }
 
     /// How many core machines were heard of, voters or not.
-    pub fn core_machines_heard(&self) -> usize {
+    pub fn known_core_nodes(&self) -> usize {
         self.heard.borrow().len()
     }
 
     /// Whether it has a state to vote by; one that lost it is a recovering replica.
-    pub fn is_fit(&self) -> bool {
+    pub fn can_vote(&self) -> bool {
         self.replica.has_record()
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// The fencing token under which this life of the node holds the lease of the singleton task.
-    pub fn holds_list(&self) -> Option<u64> {
+    pub fn discovery_token(&self) -> Option<u64> {
         self.candidate.borrow().holds(&self.feed.state())
     }
 
@@ -227,7 +227,7 @@
     /// The acceptor's part. What it has promised or accepted is on disk before the answer leaves.
     async fn answer_register(&self, from: Ipv4Addr, request: RegisterRequest) -> Option<RegisterReply> {
         if let RegisterRequest::Prepare(ballot) = &request {
-            self.saw(*ballot);
+            self.observe_ballot(*ballot);
         }
         let handled = self.replica.handle(&request);
         self.listen(from, &request, &handled.reply);
@@ -246,7 +246,7 @@
             _ => return,
         };
         if from != self.me && !matches!(reply, RegisterReply::Rejected(_)) {
-            self.pacing.borrow_mut().hears(self.runtime.now_ms(), ballot);
+            self.backoff.borrow_mut().on_competing_ballot(self.runtime.now_ms(), ballot);
         }
     }
 
@@ -265,7 +265,7 @@
     /// Takes a chosen value.
     pub(crate) fn adopt(&self, accepted: AcceptedValue) {
         self.replica.learn_value(&accepted);
-        self.pacing.borrow_mut().learns_chosen(accepted.ballot);
+        self.backoff.borrow_mut().on_chosen(accepted.ballot);
         self.backend.on_event(&ControlEvent::Chosen(&accepted));
         if accepted.ballot < self.feed.value().ballot {
             return;
@@ -281,12 +281,12 @@
         });
         if learned {
             let (state, value) = (self.feed.state(), self.feed.value());
-            let is_news = state.version() != state_before.version() || value.voters != value_before.voters;
+            let is_changed = state.version() != state_before.version() || value.voters != value_before.voters;
             self.backend.on_event(&ControlEvent::Adopted {
                 value: &value,
                 state: &state,
                 before: &state_before,
-                is_news,
+                is_changed,
             });
         }
     }
--- a/system/control-node/src/orders.rs
+++ b/system/control-node/src/operator_requests.rs
@@ -15,7 +15,7 @@
 
 /// What becomes of a configuration that an operator sends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PutConfig {
+pub enum PutConfigOutcome {
     /// This version is committed, now or before.
     Committed(u64),
     /// The operator goes by another version than the current one, which is this.
@@ -43,13 +43,13 @@
 
 /// What becomes of the retirement of a storage machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Retire {
+pub enum RetireOutcome {
     /// This, where so many machines have to stay.
-    Told {
+    Progress {
         /// How far it is.
         verdict: RetireVerdict,
         /// Machines that have to stay.
-        least: usize,
+        min_storage_nodes: usize,
     },
     /// It is not known: no majority answered in time.
     Unavailable,
@@ -57,12 +57,12 @@
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
     /// Takes a configuration on top of the version `expected`.
-    pub async fn put_config(&self, expected: Option<u64>, body: Bytes) -> PutConfig {
+    pub async fn put_config(&self, expected: Option<u64>, body: Bytes) -> PutConfigOutcome {
         let config = match OperatorConfig::read(&body) {
             Ok(config) => config,
-            Err(findings) => return PutConfig::Invalid(findings),
+            Err(findings) => return PutConfigOutcome::Invalid(findings),
         };
-        let Some(expected) = expected else { return PutConfig::NoBase };
+        let Some(expected) = expected else { return PutConfigOutcome::NoBase };
         let taken = CommittedVersion { version: config.version, digest: digest(&body) };
         let verdict = Cell::new(None);
         let done = self
@@ -73,10 +73,10 @@
             })
             .await;
         match verdict.take().filter(|_| done) {
-            Some(ConfigVerdict::Taken) => PutConfig::Committed(taken.version),
-            Some(ConfigVerdict::OtherVersion(current)) => PutConfig::OtherVersion(current),
-            Some(ConfigVerdict::NotAbove) => PutConfig::NotAbove,
-            Some(ConfigVerdict::Unclear) | None => PutConfig::Unavailable,
+            Some(ConfigVerdict::Taken) => PutConfigOutcome::Committed(taken.version),
+            Some(ConfigVerdict::OtherVersion(current)) => PutConfigOutcome::OtherVersion(current),
+            Some(ConfigVerdict::NotAbove) => PutConfigOutcome::NotAbove,
+            Some(ConfigVerdict::Unclear) | None => PutConfigOutcome::Unavailable,
         }
     }
 
@@ -93,26 +93,29 @@
     }
 
     /// Begins to empty a storage machine.
-    pub async fn retire(&self, name: &str) -> Retire {
-        let least = self.min_storage_nodes();
+    pub async fn retire(&self, name: &str) -> RetireOutcome {
+        let min_storage_nodes = self.min_storage_nodes();
         let verdict = Cell::new(None);
         let done = self
             .change(ANSWER_WITHIN, |state| {
-                let (wanted, judged) = controllers::retire(state, name, least);
+                let (wanted, judged) = controllers::retire(state, name, min_storage_nodes);
                 verdict.set(Some(judged));
                 wanted.into()
             })
             .await;
         let verdict = verdict.take().filter(|_| done);
-        verdict.map_or(Retire::Unavailable, |verdict| Retire::Told { verdict, least })
+        verdict.map_or(RetireOutcome::Unavailable, |verdict| RetireOutcome::Progress {
+            verdict,
+            min_storage_nodes,
+        })
     }
 
     /// How far that is.
-    pub async fn retiring(&self, name: &str) -> Retire {
+    pub async fn retiring(&self, name: &str) -> RetireOutcome {
         if !self.confirm_now(ANSWER_WITHIN).await {
-            return Retire::Unavailable;
+            return RetireOutcome::Unavailable;
         }
         let verdict = controllers::retire_state(&self.feed.state(), name);
-        Retire::Told { verdict, least: self.min_storage_nodes() }
+        RetireOutcome::Progress { verdict, min_storage_nodes: self.min_storage_nodes() }
     }
 }
--- a/system/control-node/src/proposing.rs
+++ b/system/control-node/src/proposer.rs
@@ -2,7 +2,7 @@
 
 use crate::{ControlBackend, ControlEvent, ControlNode};
 use bytes::Bytes;
-use config_register::{Change, Proposal, Step};
+use config_register::{Change, Proposer, ProposerStep};
 use fleet_model::{Ballot, ControlState, RegisterValue};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use node_runtime::{Runtime, timeout_at};
@@ -77,8 +77,8 @@
     }
 
     /// A ballot was seen: later ones of this node are above it.
-    pub(crate) fn saw(&self, ballot: Ballot) {
-        self.ballots.borrow_mut().saw(ballot);
+    pub(crate) fn observe_ballot(&self, ballot: Ballot) {
+        self.ballots.borrow_mut().observe(ballot);
     }
 
     /// Changes the state; true once it is as wanted, by this or by another.
@@ -122,7 +122,7 @@
 
     /// Waits until no other's round is under way and the pause after a lost one is over; false if that is too late.
     pub(crate) async fn way_is_free(&self, deadline: Duration) -> bool {
-        while self.pacing.borrow().waits(self.runtime.now_ms()) > 0 {
+        while self.backoff.borrow().remaining_delay_ms(self.runtime.now_ms()) > 0 {
             // Those who wait do not all begin in the moment in which the way gets free.
             let pause = Duration::from_millis(10 + self.runtime.random_u64() % 15);
             if self.runtime.now() + pause >= deadline {
@@ -138,7 +138,7 @@
         let mut rounds = self.rounds.get();
         rounds.lost += 1;
         self.rounds.set(rounds);
-        self.pacing.borrow_mut().loses(self.runtime.now_ms(), self.runtime.random_u64());
+        self.backoff.borrow_mut().on_lost(self.runtime.now_ms(), self.runtime.random_u64());
     }
 
     /// What is proposed on top of the value that was read.
@@ -175,7 +175,7 @@
         known: &RegisterValue,
         wanted: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> Wanted,
     ) -> Ended {
-        let mut proposal = Proposal::start(self.me, self.next_ballot(), known);
+        let mut proposal = Proposer::start(self.me, self.next_ballot(), known);
         let mut aim: Option<Aim> = None;
         let mut change = |read: &RegisterValue| {
             let (change, aims) = self.proposed(read, wanted);
@@ -193,21 +193,21 @@
                 None => proposal.on_failure(ip, &mut change),
             };
             match step {
-                Step::Wait => {}
-                Step::Send(requests) => calls.extend(requests.into_iter().map(call)),
-                Step::Done(value) => {
+                ProposerStep::Wait => {}
+                ProposerStep::Send(requests) => calls.extend(requests.into_iter().map(call)),
+                ProposerStep::Done(value) => {
                     let as_wanted = aim.as_ref().is_some_and(|aim| aim.is_met_by(&value.value));
-                    self.pacing.borrow_mut().calms();
+                    self.backoff.borrow_mut().reset();
                     self.adopt(value);
                     self.poll_now.notify_one();
                     return Ended::Chosen { as_wanted };
                 }
-                Step::Lost { seen } => {
-                    self.saw(seen);
+                ProposerStep::Lost { seen } => {
+                    self.observe_ballot(seen);
                     self.lost_round();
                     return Ended::Lost;
                 }
-                Step::Failed => break,
+                ProposerStep::Failed => break,
             }
         }
         self.lost_round();
--- a/system/control-node/src/recovery.rs
+++ b/system/control-node/src/recovery.rs
@@ -1,9 +1,9 @@
 //! How a node comes to vote: a new machine's first state is written, a lost one is recovered from the others, a stranger asks
 //! to be taken in, and a disk that refuses is tried again.
 
-use crate::proposing::PATIENCE;
+use crate::proposer::PATIENCE;
 use crate::{ControlBackend, ControlEvent, ControlNode};
-use config_register::{AcceptorRecord, Restore, RestoreStep};
+use config_register::{AcceptorRecord, Recovery, RecoveryStep};
 use fleet_model::{Answer, Ballot, Call, RegisterReply, RegisterRequest, RegisterValue};
 use futures_util::future::join_all;
 use futures_util::stream::{FuturesUnordered, StreamExt};
@@ -21,7 +21,7 @@
     /// Has this machine vote.
     pub(crate) async fn keep_voting(self: Rc<Self>) {
         loop {
-            if !self.is_fit() {
+            if !self.can_vote() {
                 self.recover().await;
             } else if !self.feed.value().voters.contains(&self.me) {
                 self.ask_to_vote().await;
@@ -60,15 +60,15 @@
     }
 
     /// The newest value that one of these knows to be chosen.
-    async fn told_chosen(&self, others: &[Ipv4Addr]) -> Option<RegisterValue> {
+    async fn known_chosen_value(&self, others: &[Ipv4Addr]) -> Option<RegisterValue> {
         let asked = others.iter().map(|ip| async move {
             let poll = RegisterRequest::Poll { chosen: Ballot::default() };
             let polled = self.ask(*ip, poll, PATIENCE).await?;
             if let RegisterReply::Polled { accepted, chosen } = &polled {
-                self.saw(accepted.unwrap_or_default().max(*chosen));
+                self.observe_ballot(accepted.unwrap_or_default().max(*chosen));
             }
             let fetched = self.ask(*ip, RegisterRequest::Fetch, PATIENCE).await?;
-            config_register::told_chosen(&polled, &fetched)
+            config_register::known_chosen_value(&polled, &fetched)
         });
         join_all(asked).await.into_iter().flatten().max_by_key(|known| known.epoch)
     }
@@ -79,9 +79,9 @@
         self.way_is_free(self.runtime.now() + MOST_WAIT).await;
         let others = self.others();
         // With a chosen value to start from, a voter that is gone for good need not answer.
-        let mut restore = match self.told_chosen(&others).await {
-            Some(known) => Restore::start_from(self.me, self.recovery_ballot(), &known, &others),
-            None => Restore::start(self.me, self.recovery_ballot(), &others),
+        let mut restore = match self.known_chosen_value(&others).await {
+            Some(known) => Recovery::start_from(self.me, self.recovery_ballot(), &known, &others),
+            None => Recovery::start(self.me, self.recovery_ballot(), &others),
         };
         let mut calls = FuturesUnordered::new();
         let call = |(ip, request)| async move { (ip, self.ask(ip, request, PATIENCE).await) };
@@ -92,14 +92,14 @@
                 None => restore.on_failure(ip),
             };
             match step {
-                RestoreStep::Wait => {}
-                RestoreStep::Send(requests) => calls.extend(requests.into_iter().map(call)),
-                RestoreStep::Lost { seen } => {
+                RecoveryStep::Wait => {}
+                RecoveryStep::Send(requests) => calls.extend(requests.into_iter().map(call)),
+                RecoveryStep::Lost { seen } => {
                     self.lost_round();
-                    return self.saw(seen);
+                    return self.observe_ballot(seen);
                 }
-                RestoreStep::Failed => return self.lost_round(),
-                RestoreStep::Done(record) => return self.recovered(record).await,
+                RecoveryStep::Failed => return self.lost_round(),
+                RecoveryStep::Done(record) => return self.recovered(record).await,
             }
         }
     }
@@ -108,7 +108,7 @@
         if !self.replica.recover(record.clone()).await {
             return;
         }
-        self.saw(record.promised);
+        self.observe_ballot(record.promised);
         self.backend.on_event(&ControlEvent::Recovered(&record));
         // What a recovery has had accepted anew is chosen.
         if let Some(accepted) = record.accepted {
--- a/system/control-node/src/replica.rs
+++ b/system/control-node/src/replica.rs
@@ -1,6 +1,8 @@
 //! This node's replica of the register: its acceptor, written through the backend.
 
-use crate::durable_acceptor::{DiskState, DurableAcceptor, Handled, PendingWrite, WriteNumber, WriteOutcome};
+use crate::durable_acceptor::{
+    DiskState, DurableAcceptor, PendingReply, PendingWrite, WriteNumber, WriteOutcome,
+};
 use crate::{ControlBackend, ControlEvent};
 use config_register::AcceptorRecord;
 use fleet_model::{AcceptedValue, RegisterReply, RegisterRequest};
@@ -56,7 +58,7 @@
     }
 
     /// Handles a request at once; the answer may leave after [`Replica::release`].
-    pub(crate) fn handle(self: &Rc<Self>, request: &RegisterRequest) -> Handled {
+    pub(crate) fn handle(self: &Rc<Self>, request: &RegisterRequest) -> PendingReply {
         let mut handled = self.acceptor.borrow_mut().handle(request);
         if let Some(write) = handled.write.take() {
             self.write(write);
@@ -65,7 +67,7 @@
     }
 
     /// The answer, once it may leave; none if the disk refuses what it tells.
-    pub(crate) async fn release(&self, handled: Handled) -> Option<RegisterReply> {
+    pub(crate) async fn release(&self, handled: PendingReply) -> Option<RegisterReply> {
         match handled.after {
             Some(number) => self.is_synced(number).await.then_some(handled.reply),
             None => Some(handled.reply),
@@ -107,7 +109,7 @@
         loop {
             let Some(write) = self.queued.take() else { break };
             let written = self.backend.persist(&write.record).await;
-            let changed = self.acceptor.borrow_mut().write_ended(write.number, written.is_ok());
+            let changed = self.acceptor.borrow_mut().on_write_completed(write.number, written.is_ok());
             if changed {
                 self.tell_disk(written.err().map(|e| e.to_string()));
             }
--- a/system/control-node/src/singleton.rs
+++ b/system/control-node/src/singleton_tasks.rs
@@ -2,8 +2,8 @@
 //! gone. What is to be done is decided in `controllers`; here it is carried out.
 
 use crate::membership::CHANGE;
-use crate::proposing::Wanted;
-use crate::{ControlBackend, ControlEvent, ControlNode, LIST, StorageLosses};
+use crate::proposer::Wanted;
+use crate::{ControlBackend, ControlEvent, ControlNode, ENDPOINT_DISCOVERY_TASK, StorageLosses};
 use controllers::{DiscoveryPolls, RosterStep, VoterController, stands, times};
 use fleet_model::{Answer, Call, ControlState, Lease, StorageNode};
 use futures_util::future::join_all;
@@ -24,7 +24,7 @@
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
     /// Who holds the lease of the singleton task.
     fn holder(&self) -> Option<Ipv4Addr> {
-        self.feed.state().leases.get(LIST).and_then(|fence| fence.holder)
+        self.feed.state().leases.get(ENDPOINT_DISCOVERY_TASK).and_then(|fence| fence.holder)
     }
 
     /// Acquires the lease if it is this node's turn.
@@ -41,7 +41,7 @@
         if self.change(CHANGE, wanted).await {
             let token = self.candidate.borrow_mut().settle(&self.feed.state(), &from);
             if let Some(token) = token {
-                self.backend.on_event(&ControlEvent::LeaseAcquired { task: LIST, token });
+                self.backend.on_event(&ControlEvent::LeaseAcquired { task: ENDPOINT_DISCOVERY_TASK, token });
             }
         }
     }
@@ -60,9 +60,9 @@
                 let _ = timeout(&self.runtime, UNTIL_FRESH, self.polled.notified()).await;
                 continue;
             }
-            let Some(token) = self.holds_list() else {
+            let Some(token) = self.discovery_token() else {
                 self.acquire_lease().await;
-                if self.holds_list().is_none() {
+                if self.discovery_token().is_none() {
                     self.runtime.sleep(Duration::from_millis(200 + self.runtime.random_u64() % 50)).await;
                 }
                 continue;
@@ -94,13 +94,13 @@
             if self.stores.borrow().is_due(self.runtime.now_ms()) {
                 self.look_at_stores().await;
                 if self.is_fresh()
-                    && let Some(token) = self.holds_list()
+                    && let Some(token) = self.discovery_token()
                 {
                     self.look_after_stores(token).await;
                 }
             }
             if self.is_fresh()
-                && let Some(token) = self.holds_list()
+                && let Some(token) = self.discovery_token()
             {
                 self.look_after_voters(token).await;
             }
@@ -149,7 +149,7 @@
         let least = self.min_storage_nodes();
         let step = self.stores.borrow().step(self.runtime.now_ms(), &state, self.backend.tolerance());
         // A holder that slept meanwhile may have lost the lease to one that sees better.
-        let still_holds = |state: &ControlState| stands(state, LIST, self.me, token);
+        let still_holds = |state: &ControlState| stands(state, ENDPOINT_DISCOVERY_TASK, self.me, token);
         if let RosterStep::GiveUp { store, silent_ms, .. } = &step {
             self.backend.on_event(&ControlEvent::Evicts { store, silent_ms: *silent_ms });
         }
@@ -166,7 +166,12 @@
         let gone = self.core.borrow().gone(self.runtime.now_ms(), &self.feed.value().voters);
         let Some((voter, silent_ms)) = gone else { return };
         self.backend.on_event(&ControlEvent::RemovesVoter { voter, silent_ms });
-        let wanted = |state: &ControlState, voters: &[Ipv4Addr]| match stands(state, LIST, self.me, token) {
+        let wanted = |state: &ControlState, voters: &[Ipv4Addr]| match stands(
+            state,
+            ENDPOINT_DISCOVERY_TASK,
+            self.me,
+            token,
+        ) {
             true => VoterController::without(voters, voter).map_or(Wanted::Nothing, Wanted::Voters),
             false => Wanted::Nothing,
         };
--- a/system/control-node/tests/disk/fleet.rs
+++ b/system/control-node/tests/cluster/in_memory_cluster.rs
@@ -2,7 +2,7 @@
 
 use config_register::{AcceptorRecord, BallotSource};
 use control_node::{
-    Beginning, ControlBackend, ControlEvent, ControlNode, DiscoveryError, PersistError, PutConfig,
+    ControlBackend, ControlEvent, ControlNode, DiscoveryError, InitialState, PersistError, PutConfigOutcome,
 };
 use fleet_model::{Answer, Call, Endpoint, Push, RegisterReply, RegisterRequest};
 use node_runtime::{Feed, FeedEvent, Runtime, Subscriber, Task, Upstream};
@@ -74,7 +74,7 @@
         let machine = Machine { host: host.clone(), disk: self.disk(ip) };
         let feed = Feed::new(host.clone());
         let ballots = BallotSource::new(ip, u64::from(u32::from(ip)));
-        let node = ControlNode::new(host, machine, feed, ballots, Beginning::never_voted(ip, &seeds()));
+        let node = ControlNode::new(host, machine, feed, ballots, InitialState::never_voted(ip, &seeds()));
         self.nodes.borrow_mut().insert(ip, node.clone());
         node.run();
     }
@@ -115,11 +115,11 @@
     }
 
     /// Sends a configuration to a node until the outcome is clear, a few seconds at most.
-    pub async fn commit(&self, ip: Ipv4Addr, version: u64) -> PutConfig {
-        let mut outcome = PutConfig::Unavailable;
+    pub async fn commit(&self, ip: Ipv4Addr, version: u64) -> PutConfigOutcome {
+        let mut outcome = PutConfigOutcome::Unavailable;
         for _ in 0..8 {
             outcome = self.node(ip).put_config(Some(version - 1), configuration(version)).await;
-            if outcome != PutConfig::Unavailable {
+            if outcome != PutConfigOutcome::Unavailable {
                 break;
             }
         }
--- a/system/control-node/tests/disk/orders.rs
+++ b/system/control-node/tests/cluster/invalid_configurations.rs
@@ -1,9 +1,9 @@
 //! Orders that have more than one fault.
 
-use crate::fleet::{Fleet, configuration};
+use crate::in_memory_cluster::{Fleet, configuration};
 use crate::{ip, run};
 use bytes::Bytes;
-use control_node::{CurrentConfig, PutConfig};
+use control_node::{CurrentConfig, PutConfigOutcome};
 use googletest::prelude::*;
 
 /// Bodies that are no configuration, of the version that would be next and of one that is in force.
@@ -24,16 +24,16 @@
     run(async {
         // Given version 2 in force.
         let fleet = Fleet::start(&[]);
-        expect_that!(fleet.commit(ip(0), 1).await, eq(&PutConfig::Committed(1)));
-        expect_that!(fleet.commit(ip(0), 2).await, eq(&PutConfig::Committed(2)));
+        expect_that!(fleet.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
+        expect_that!(fleet.commit(ip(0), 2).await, eq(&PutConfigOutcome::Committed(2)));
         for body in invalid_bodies() {
             for place in 0..3 {
                 for expected in [None, Some(0), Some(1), Some(2), Some(3), Some(u64::MAX)] {
                     // When an invalid body comes on top of any version, or of none,
                     let outcome = fleet.node(ip(place)).put_config(expected, body.clone()).await;
                     // then it is refused, for its body or also for its version where that is not in force;
-                    let for_body = matches!(outcome, PutConfig::Invalid(_));
-                    let for_version = outcome == PutConfig::OtherVersion(2) && expected != Some(2);
+                    let for_body = matches!(outcome, PutConfigOutcome::Invalid(_));
+                    let for_version = outcome == PutConfigOutcome::OtherVersion(2) && expected != Some(2);
                     expect_true!(for_body || for_version, "{outcome:?} on top of {expected:?}");
                 }
                 // and what is in force stays so, to the byte.
@@ -44,7 +44,7 @@
         }
         // A valid one on top of a version that is not in force is refused for that, and the next is taken.
         let stale = fleet.node(ip(1)).put_config(Some(1), configuration(3)).await;
-        expect_that!(stale, eq(&PutConfig::OtherVersion(2)));
-        expect_that!(fleet.commit(ip(2), 3).await, eq(&PutConfig::Committed(3)));
+        expect_that!(stale, eq(&PutConfigOutcome::OtherVersion(2)));
+        expect_that!(fleet.commit(ip(2), 3).await, eq(&PutConfigOutcome::Committed(3)));
     });
 }
--- a/system/control-node/tests/disk/seeds.rs
+++ b/system/control-node/tests/cluster/seed_discovery.rs
@@ -1,8 +1,8 @@
 //! Seeds are a way in and nothing more: none may listen yet, and later they may be cut off or gone.
 
-use crate::fleet::{Fleet, seeds};
+use crate::in_memory_cluster::{Fleet, seeds};
 use crate::{ip, run, seconds};
-use control_node::{CurrentConfig, PutConfig};
+use control_node::{CurrentConfig, PutConfigOutcome};
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
 /// Three seeds and four further voters, with version 1 in force.
 async fn fleet_of_seven() -> Rc<Fleet> {
     let fleet = Fleet::start(&[]);
-    expect_that!(fleet.commit(ip(0), 1).await, eq(&PutConfig::Committed(1)));
+    expect_that!(fleet.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
     for place in 0..4 {
         fleet.start_node(further(place));
         comes_about("a further machine votes", || votes(&fleet, further(place))).await;
@@ -63,10 +63,10 @@
         // and a seed alone, which is no majority of the seeds.
         fleet.start_node(ip(1));
         sleep(seconds(30)).await;
-        expect_that!(fleet.commit(ip(1), 1).await, eq(&PutConfig::Unavailable));
+        expect_that!(fleet.commit(ip(1), 1).await, eq(&PutConfigOutcome::Unavailable));
         // When a second seed starts, then the fleet is founded, and takes the early one in.
         fleet.start_node(ip(2));
-        expect_that!(fleet.commit(ip(1), 1).await, eq(&PutConfig::Committed(1)));
+        expect_that!(fleet.commit(ip(1), 1).await, eq(&PutConfigOutcome::Committed(1)));
         comes_about("the early machine votes", || votes(&fleet, further(0))).await;
         expect_that!(version_at(&fleet, further(0)).await, some(eq(1)));
         // The last seed finds what was founded without it.
@@ -90,7 +90,7 @@
             comes_about("the new machine votes", || votes(&fleet, further(4))).await;
             // When the last seed is cut off as well, then it takes orders with the voters that it has heard of.
             fleet.cut_off(ip(live));
-            expect_that!(fleet.commit(further(4), 2).await, eq(&PutConfig::Committed(2)));
+            expect_that!(fleet.commit(further(4), 2).await, eq(&PutConfigOutcome::Committed(2)));
             expect_that!(version_at(&fleet, further(4)).await, some(eq(2)));
         });
     }
@@ -105,7 +105,10 @@
         seeds().into_iter().for_each(|seed| fleet.cut_off(seed));
         for place in 0..4 {
             let version = 2 + u64::from(place);
-            expect_that!(fleet.commit(further(place), version).await, eq(&PutConfig::Committed(version)));
+            expect_that!(
+                fleet.commit(further(place), version).await,
+                eq(&PutConfigOutcome::Committed(version))
+            );
         }
         sleep(seconds(30)).await;
         for place in 0..4 {
--- a/system/control-node/tests/durable_acceptor.rs
+++ b/system/control-node/tests/durable_acceptor.rs
@@ -1,7 +1,7 @@
 //! An acceptor tells nothing that its disk lacks, whatever the disk refuses.
 
 use bytes::Bytes;
-use config_register::{AcceptorRecord, found};
+use config_register::{AcceptorRecord, founding_record};
 use control_node::{DurableAcceptor, PendingWrite, WriteNumber, WriteOutcome};
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use googletest::prelude::*;
@@ -35,7 +35,7 @@
 }
 
 fn founded() -> DurableAcceptor {
-    DurableAcceptor::new(Some(found(voters())))
+    DurableAcceptor::new(Some(founding_record(voters())))
 }
 
 fn begun(acceptor: &mut DurableAcceptor, request: &RegisterRequest) -> PendingWrite {
@@ -56,7 +56,7 @@
     let handled = acceptor.handle(&prepare(5));
     let write = handled.write.expect("a promise is written");
     expect_that!(handled.after, some(eq(write.number)));
-    expect_that!(acceptor.write_ended(write.number, false), eq(true));
+    expect_that!(acceptor.on_write_completed(write.number, false), eq(true));
     // then its answer never leaves, the disk counts as refusing, and nothing of it is left in memory:
     expect_that!(acceptor.outcome(write.number), eq(WriteOutcome::Failed));
     expect_that!((acceptor.disk().is_refusing, acceptor.disk().refusals), eq((true, 1)));
@@ -65,7 +65,7 @@
     let handled = acceptor.handle(&prepare(3));
     expect_that!(handled.reply, matches_pattern!(RegisterReply::Promised(_)));
     let again = handled.write.expect("a promise is written");
-    expect_that!(acceptor.write_ended(again.number, true), eq(true));
+    expect_that!(acceptor.on_write_completed(again.number, true), eq(true));
     expect_that!(acceptor.outcome(again.number), eq(WriteOutcome::Synced));
     expect_that!(acceptor.disk().is_refusing, eq(false));
     // The failed one stays so, also now that a later one is synced.
@@ -84,7 +84,7 @@
     let fetched = acceptor.handle(&RegisterRequest::Fetch);
     expect_that!(fetched.after, none());
     // and after it once that is synced.
-    acceptor.write_ended(write.number, true);
+    acceptor.on_write_completed(write.number, true);
     expect_that!(polled(&mut acceptor), some(eq(ballot(4))));
 }
 
@@ -97,7 +97,7 @@
     expect_that!(again.after, some(eq(write.number)));
     // So does a refusal, which tells of the promise.
     expect_that!(acceptor.handle(&prepare(2)).after, some(eq(write.number)));
-    acceptor.write_ended(write.number, true);
+    acceptor.on_write_completed(write.number, true);
     expect_that!(acceptor.handle(&prepare(4)).after, none());
 }
 
@@ -107,17 +107,17 @@
     let mut acceptor = founded();
     let first = begun(&mut acceptor, &prepare(4));
     let second = begun(&mut acceptor, &accept(4));
-    acceptor.write_ended(first.number, false);
+    acceptor.on_write_completed(first.number, false);
     expect_that!(acceptor.disk().is_refusing, eq(true));
     // when the second succeeds, then the disk has both.
-    acceptor.write_ended(second.number, true);
+    acceptor.on_write_completed(second.number, true);
     expect_that!(acceptor.outcome(second.number), eq(WriteOutcome::Synced));
     expect_that!(acceptor.disk().is_refusing, eq(false));
     expect_that!(polled(&mut acceptor), some(eq(ballot(4))));
     // The same if the second is written in the place of the first.
     let first = begun(&mut acceptor, &prepare(6));
     let second = begun(&mut acceptor, &accept(6));
-    acceptor.write_ended(second.number, true);
+    acceptor.on_write_completed(second.number, true);
     expect_that!(acceptor.outcome(first.number), eq(WriteOutcome::Synced));
     expect_that!(acceptor.is_writing(), eq(false));
     expect_that!(acceptor.newest_record(), eq(acceptor.synced_record()));
@@ -128,12 +128,12 @@
 fn without_a_record_it_votes_only_once_one_is_on_disk() {
     let mut acceptor = DurableAcceptor::new(None);
     expect_that!(acceptor.handle(&prepare(1)).reply, eq(&RegisterReply::Recovering));
-    let write = acceptor.recover(found(voters()));
+    let write = acceptor.recover(founding_record(voters()));
     expect_that!(acceptor.handle(&prepare(1)).reply, eq(&RegisterReply::Recovering));
-    acceptor.write_ended(write.number, false);
+    acceptor.on_write_completed(write.number, false);
     expect_that!((acceptor.has_record(), acceptor.outcome(write.number)), eq((false, WriteOutcome::Failed)));
-    let write = acceptor.recover(found(voters()));
-    acceptor.write_ended(write.number, true);
+    let write = acceptor.recover(founding_record(voters()));
+    acceptor.on_write_completed(write.number, true);
     expect_that!(acceptor.has_record(), eq(true));
     expect_that!(acceptor.handle(&prepare(1)).reply, matches_pattern!(RegisterReply::Promised(_)));
 }
@@ -170,7 +170,7 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut below = |most: u64| rng.next_u64() % most;
         let mut acceptor = founded();
-        let mut disk = Disk { holds: found(voters()), queued: None, ended: None };
+        let mut disk = Disk { holds: founding_record(voters()), queued: None, ended: None };
         let mut waiting = Vec::new();
         for _ in 0..120 {
             match below(4) {
@@ -185,7 +185,7 @@
                 }
                 1 => {
                     if let Some((number, takes)) = disk.ended.take() {
-                        acceptor.write_ended(number, takes);
+                        acceptor.on_write_completed(number, takes);
                     }
                 }
                 _ => {
--- a/system/controllers/tests/orders.rs
+++ b/system/controllers/tests/orders.rs
@@ -6,7 +6,7 @@
 //! power are among the schedules: voters keep what they have synced, and what was under way is never heard of again.
 
 use bytes::Bytes;
-use config_register::{Acceptor, BallotSource, Change, Proposal, Step, found};
+use config_register::{Acceptor, BallotSource, Change, Proposer, ProposerStep, founding_record};
 use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
     AcceptedValue, Ballot, CommittedVersion, ControlState, RegisterReply, RegisterRequest, RegisterValue,
@@ -69,7 +69,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Run {
-    proposal: Proposal,
+    proposal: Proposer,
     is_reading: bool,
     judged: Option<ConfigVerdict>,
     wanted: Option<Bytes>,
@@ -166,7 +166,7 @@
     }
 
     fn start(&self) -> Fleet {
-        let acceptor = Acceptor::new(found(founding().voters));
+        let acceptor = Acceptor::new(founding_record(founding().voters));
         let calls = self.tasks.iter().enumerate().map(|(number, (task, tries))| Call {
             task: task.clone(),
             tries: *tries,
@@ -260,9 +260,9 @@
         let step = run.proposal.on_reply(from, reply, &mut change);
         let told = run.judged.filter(|_| self.rules.tells_at_once);
         let outbox = match step {
-            Step::Wait => vec![],
-            Step::Send(outbox) => outbox,
-            Step::Done(value) => {
+            ProposerStep::Wait => vec![],
+            ProposerStep::Send(outbox) => outbox,
+            ProposerStep::Done(value) => {
                 let run = call.run.take().unwrap();
                 fleet.told.insert(Told::InForce(taken(&value.value)));
                 if run.wanted.is_none_or(|wanted| wanted == value.value.payload) {
@@ -270,12 +270,12 @@
                 }
                 vec![]
             }
-            Step::Lost { seen } => {
-                call.ballots.saw(seen);
+            ProposerStep::Lost { seen } => {
+                call.ballots.observe(seen);
                 call.run = None;
                 vec![]
             }
-            Step::Failed => {
+            ProposerStep::Failed => {
                 call.run = None;
                 vec![]
             }
@@ -290,9 +290,9 @@
         let promised = self.acceptors.iter().filter_map(|acceptor| Some(acceptor.record()?.promised)).max();
         let call = &mut self.calls[number];
         call.tries -= 1;
-        call.ballots.saw(promised.unwrap_or_default());
+        call.ballots.observe(promised.unwrap_or_default());
         let ballot = call.ballots.next_ballot();
-        let proposal = Proposal::start(Ipv4Addr::from(ballot.proposer), ballot, &founding());
+        let proposal = Proposer::start(Ipv4Addr::from(ballot.proposer), ballot, &founding());
         call.run = Some(Run { proposal, is_reading: true, judged: None, wanted: None });
     }
 
--- a/system/programs/src/keeper.rs
+++ b/system/programs/src/keeper.rs
@@ -40,7 +40,7 @@
         if let (Change::Joined(member), Some(node)) = (change, weak.upgrade())
             && member.role == Role::Core
         {
-            node.hear_of(member.ip);
+            node.add_known_core_node(member.ip);
         }
     };
     Members::start(process.clone(), node.feed.clone(), Role::Core, hear)
@@ -51,10 +51,10 @@
     fn inspect(&self, topic: &str) -> Answer {
         let node = &self.node;
         self.desk.answer(topic, |figures| {
-            figures.gauge("control_node_fit_to_vote", f64::from(u8::from(node.is_fit())));
+            figures.gauge("control_node_fit_to_vote", f64::from(u8::from(node.can_vote())));
             figures.gauge("control_node_damages_found", self.damages as f64);
             figures.gauge("control_node_fresh", f64::from(u8::from(node.is_fresh())));
-            figures.gauge("control_node_core_machines_heard", node.core_machines_heard() as f64);
+            figures.gauge("control_node_core_machines_heard", node.known_core_nodes() as f64);
             let state = node.feed.state();
             let holds = state.leases.values().filter(|fence| fence.holder == Some(self.me)).count();
             figures.gauge("control_node_duties", holds as f64);
@@ -95,7 +95,7 @@
         opened = record::open_patiently(&folder, settings.first_start, me, &seeds) => opened?,
         () = ended(&process) => return Ok(()),
     };
-    if beginning == control_node::Beginning::Unfit {
+    if beginning == control_node::InitialState::Recovering {
         log::warn!("no record on the disk: no vote before the others have told what they hold");
     }
     let feed = new_feed(&process);
--- a/system/programs/src/keeper/backend.rs
+++ b/system/programs/src/keeper/backend.rs
@@ -48,7 +48,7 @@
 
     fn on_event(&self, event: &ControlEvent<'_>) {
         match event {
-            ControlEvent::Chosen(_) | ControlEvent::Adopted { is_news: false, .. } => {}
+            ControlEvent::Chosen(_) | ControlEvent::Adopted { is_changed: false, .. } => {}
             ControlEvent::DiscoveryFailed(_) => log::debug!("{event}"),
             ControlEvent::Unreadable(_) | ControlEvent::DiskRefuses(_) => log::error!("{event}"),
             ControlEvent::StorageLosses(_) => log::warn!("{event}"),
--- a/system/programs/src/keeper/orders.rs
+++ b/system/programs/src/keeper/orders.rs
@@ -3,7 +3,7 @@
 use super::Keeper;
 use crate::operator::{Operations, Reply};
 use bytes::Bytes;
-use control_node::{CurrentConfig, PutConfig, Retire};
+use control_node::{CurrentConfig, PutConfigOutcome, RetireOutcome};
 use controllers::RetireVerdict;
 use hyper::StatusCode;
 
@@ -31,25 +31,29 @@
     }
 }
 
-fn put_config_reply(outcome: PutConfig) -> Reply {
+fn put_config_reply(outcome: PutConfigOutcome) -> Reply {
     match outcome {
-        PutConfig::Committed(version) => Reply::new(StatusCode::OK, format!(r#"{{"version":{version}}}"#)),
-        PutConfig::OtherVersion(current) => Reply::new(
+        PutConfigOutcome::Committed(version) => {
+            Reply::new(StatusCode::OK, format!(r#"{{"version":{version}}}"#))
+        }
+        PutConfigOutcome::OtherVersion(current) => Reply::new(
             StatusCode::PRECONDITION_FAILED,
             format!(r#"{{"error":"current version","version":{current}}}"#),
         ),
-        PutConfig::NotAbove => {
+        PutConfigOutcome::NotAbove => {
             let place = r#"[{"place":"version","what":"is not above the current one"}]"#;
             Reply::new(StatusCode::BAD_REQUEST, place)
         }
-        PutConfig::Invalid(findings) => Reply::new(StatusCode::BAD_REQUEST, findings.to_json()),
-        PutConfig::NoBase => Reply::new(StatusCode::BAD_REQUEST, r#"{"error":"If-Match: names no version"}"#),
-        PutConfig::Unavailable => Reply::unavailable(),
+        PutConfigOutcome::Invalid(findings) => Reply::new(StatusCode::BAD_REQUEST, findings.to_json()),
+        PutConfigOutcome::NoBase => {
+            Reply::new(StatusCode::BAD_REQUEST, r#"{"error":"If-Match: names no version"}"#)
+        }
+        PutConfigOutcome::Unavailable => Reply::unavailable(),
     }
 }
 
-fn retire_reply(outcome: Retire) -> Reply {
-    let Retire::Told { verdict, least } = outcome else { return Reply::unavailable() };
+fn retire_reply(outcome: RetireOutcome) -> Reply {
+    let RetireOutcome::Progress { verdict, min_storage_nodes } = outcome else { return Reply::unavailable() };
     let state = |state: &str| Reply::new(StatusCode::OK, format!(r#"{{"state":"{state}"}}"#));
     match verdict {
         RetireVerdict::Active => state("active"),
@@ -57,7 +61,8 @@
         RetireVerdict::Serving => state("serving"),
         RetireVerdict::Unknown => Reply::new(StatusCode::NOT_FOUND, r#"{"error":"no such storage machine"}"#),
         RetireVerdict::TooFew { left } => {
-            let body = format!(r#"{{"error":"too few would be left","left":{left},"least":{least}}}"#);
+            let body =
+                format!(r#"{{"error":"too few would be left","left":{left},"least":{min_storage_nodes}}}"#);
             Reply::new(StatusCode::CONFLICT, body)
         }
     }
--- a/system/programs/src/keeper/record.rs
+++ b/system/programs/src/keeper/record.rs
@@ -2,8 +2,8 @@
 
 use crate::disk::{Durable, read};
 use crate::start::StartError;
-use config_register::{AcceptorRecord, FirstRecord, RecordForm};
-use control_node::Beginning;
+use config_register::{AcceptorRecord, RecordFormat, RecordV1};
+use control_node::InitialState;
 use std::net::Ipv4Addr;
 use std::path::Path;
 use std::time::Duration;
@@ -21,17 +21,17 @@
     /// Where its record is kept.
     pub durable: Durable,
     /// What it starts with.
-    pub beginning: Beginning,
+    pub beginning: InitialState,
     /// Damages that were found and set aside.
     pub damages: u64,
 }
 
 /// Reads a record of a form that this program knows.
 fn read_record(folder: &Path, bytes: &[u8]) -> Result<AcceptorRecord, StartError> {
-    match RecordForm::of(bytes) {
-        RecordForm::Present => read(folder, bytes),
-        RecordForm::First => read::<FirstRecord>(folder, bytes).map(AcceptorRecord::from),
-        RecordForm::Unknown(form) => {
+    match RecordFormat::of(bytes) {
+        RecordFormat::Current => read(folder, bytes),
+        RecordFormat::V1 => read::<RecordV1>(folder, bytes).map(AcceptorRecord::from),
+        RecordFormat::Unknown(form) => {
             let place = folder.display();
             Err(StartError::Disk(format!(
                 "{place}: a record of form {form}, which this program does not know"
@@ -74,11 +74,11 @@
         log::error!("set aside: {damage}");
     }
     let beginning = match opened.found {
-        Found::Kept(record) => Beginning::Kept(read_record(folder, &record)?),
+        Found::Kept(record) => InitialState::Existing(read_record(folder, &record)?),
         // It has never voted, so there is nothing that it may have forgotten.
-        Found::Never if first_start => Beginning::never_voted(me, seeds),
+        Found::Never if first_start => InitialState::never_voted(me, seeds),
         // A promise that cannot be read is as good as forgotten.
-        Found::Never | Found::Lost => Beginning::Unfit,
+        Found::Never | Found::Lost => InitialState::Recovering,
     };
     let damages = opened.damages.len() as u64;
     Ok(Opened { durable: Durable::over_log(opened.log)?, beginning, damages })
--- a/system/programs/src/keeper/record/tests.rs
+++ b/system/programs/src/keeper/record/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use bytes::Bytes;
-use config_register::{Acceptor, AcceptorRecord, Standing, found};
+use config_register::{Acceptor, AcceptorRecord, VoterState, founding_record};
 use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
     AcceptedValue, Ballot, CommittedVersion, ControlState, Lease, RegisterReply, RegisterRequest,
@@ -61,7 +61,7 @@
     AcceptorRecord {
         promised: ballot(round),
         accepted: Some(accepted(round, &state(round, 60))),
-        ..found(seeds())
+        ..founding_record(seeds())
     }
 }
 
@@ -81,12 +81,12 @@
 fn a_first_start_founds_and_an_empty_disk_later_is_unfit() {
     let folder = tempfile::tempdir().unwrap();
     let begins = |first_start, me| open_as(folder.path(), first_start, me).beginning;
-    expect_that!(begins(true, ip(1)), eq(&Beginning::First(found(seeds()))));
+    expect_that!(begins(true, ip(1)), eq(&InitialState::New(founding_record(seeds()))));
     expect_that!(
-        matches!(begins(true, ip(9)), Beginning::First(record) if record.accepted.is_none()),
+        matches!(begins(true, ip(9)), InitialState::New(record) if record.accepted.is_none()),
         eq(true)
     );
-    expect_that!(begins(false, ip(1)), eq(&Beginning::Unfit));
+    expect_that!(begins(false, ip(1)), eq(&InitialState::Recovering));
 }
 
 #[googletest::test]
@@ -101,14 +101,14 @@
         // Given settings that still tell of a first start, then it is unfit, or has what it promised last.
         let opened = open_as(folder.path(), true, ip(1));
         match &opened.beginning {
-            Beginning::Kept(record) => expect_that!(*record, eq(&voted(2)), "byte {place}"),
-            other => expect_that!(*other, eq(&Beginning::Unfit), "byte {place}"),
+            InitialState::Existing(record) => expect_that!(*record, eq(&voted(2)), "byte {place}"),
+            other => expect_that!(*other, eq(&InitialState::Recovering), "byte {place}"),
         }
         expect_that!(opened.damages, ge(1));
         drop(opened);
         // And an unfit one stays so in its next life.
         let again = open_as(folder.path(), true, ip(1)).beginning;
-        expect_that!(matches!(again, Beginning::First(_)), eq(false), "byte {place}");
+        expect_that!(matches!(again, InitialState::New(_)), eq(false), "byte {place}");
     }
 }
 
@@ -120,8 +120,8 @@
         let (folder, path) = voted_twice();
         fs::write(path, &whole[..cut]).unwrap();
         let beginning = open_as(folder.path(), true, ip(1)).beginning;
-        let is_former = beginning == Beginning::Kept(voted(1));
-        expect_that!(is_former || beginning == Beginning::Unfit, eq(true), "cut at {cut}");
+        let is_former = beginning == InitialState::Existing(voted(1));
+        expect_that!(is_former || beginning == InitialState::Recovering, eq(true), "cut at {cut}");
     }
 }
 
@@ -134,15 +134,15 @@
     bytes[last] ^= 1;
     fs::write(path, bytes).unwrap();
     let opened = open_as(folder.path(), false, ip(1));
-    expect_that!(opened.beginning, eq(&Beginning::Unfit));
+    expect_that!(opened.beginning, eq(&InitialState::Recovering));
     // Then it answers as one that lost its disk.
-    let mut acceptor = Acceptor::unfit();
+    let mut acceptor = Acceptor::recovering();
     let (reply, _) = acceptor.handle(&RegisterRequest::Prepare(ballot(9)));
     expect_that!(reply, eq(&RegisterReply::Recovering));
     // And what it is restored with is there in its next life.
     put(&opened.durable, &voted(5));
     drop(opened);
-    expect_that!(open_as(folder.path(), false, ip(1)).beginning, eq(&Beginning::Kept(voted(5))));
+    expect_that!(open_as(folder.path(), false, ip(1)).beginning, eq(&InitialState::Existing(voted(5))));
 }
 
 #[googletest::test]
@@ -162,9 +162,9 @@
     let proposer = u32::from(ip(2));
     let value = accepted(6, &state(6, 60)).value;
     let kept =
-        ((7_u64, proposer), Some(((6_u64, proposer), value.clone())), Standing::Member, Some(value.clone()));
+        ((7_u64, proposer), Some(((6_u64, proposer), value.clone())), VoterState::Voter, Some(value.clone()));
     let founding =
-        ((0_u64, 0_u32), None::<((u64, u32), RegisterValue)>, Standing::Blank, None::<RegisterValue>);
+        ((0_u64, 0_u32), None::<((u64, u32), RegisterValue)>, VoterState::NonVoter, None::<RegisterValue>);
     let folder = tempfile::tempdir().unwrap();
     let opened = open_as(folder.path(), true, ip(1));
     wait(opened.durable.put(&kept)).unwrap();
@@ -175,19 +175,19 @@
     let record = AcceptorRecord {
         promised: without_nonce(7),
         accepted: Some(AcceptedValue { ballot: without_nonce(6), value: value.clone() }),
-        standing: Standing::Member,
-        settled: Some(value),
+        voter_state: VoterState::Voter,
+        chosen_voters: Some(value),
     };
-    expect_that!(opened.beginning, eq(&Beginning::Kept(record.clone())));
+    expect_that!(opened.beginning, eq(&InitialState::Existing(record.clone())));
     // And what is written next is of the present form.
     put(&opened.durable, &record);
     drop(opened);
-    expect_that!(open_as(folder.path(), false, ip(1)).beginning, eq(&Beginning::Kept(record.clone())));
+    expect_that!(open_as(folder.path(), false, ip(1)).beginning, eq(&InitialState::Existing(record.clone())));
     // The forms are told apart by how they begin, whatever the first promise was.
-    let form = |bytes: Vec<u8>| RecordForm::of(&bytes);
-    expect_that!(form(postcard::to_allocvec(&record).unwrap()), eq(RecordForm::Present));
-    expect_that!(form(postcard::to_allocvec(&founding).unwrap()), eq(RecordForm::First));
-    expect_that!(form(postcard::to_allocvec(&(u64::MAX, u32::MAX)).unwrap()), eq(RecordForm::First));
+    let form = |bytes: Vec<u8>| RecordFormat::of(&bytes);
+    expect_that!(form(postcard::to_allocvec(&record).unwrap()), eq(RecordFormat::Current));
+    expect_that!(form(postcard::to_allocvec(&founding).unwrap()), eq(RecordFormat::V1));
+    expect_that!(form(postcard::to_allocvec(&(u64::MAX, u32::MAX)).unwrap()), eq(RecordFormat::V1));
 }
 
 #[googletest::test]
@@ -206,7 +206,7 @@
     // Given a voter with a configuration of 20 KB.
     let folder = tempfile::tempdir().unwrap();
     let opened = open_as(folder.path(), true, ip(1));
-    let mut acceptor = Acceptor::new(found(seeds()));
+    let mut acceptor = Acceptor::new(founding_record(seeds()));
     let mut state = ControlState::default();
     let mut most = 0;
     // When 2,000 changes are promised and accepted, each put on disk before its answer.
@@ -233,7 +233,7 @@
     // And the last one is there.
     drop(opened);
     let beginning = open_as(folder.path(), false, ip(1)).beginning;
-    expect_that!(beginning, eq(&Beginning::Kept(acceptor.record().unwrap().clone())));
+    expect_that!(beginning, eq(&InitialState::Existing(acceptor.record().unwrap().clone())));
 }
 
 #[googletest::test]
@@ -252,7 +252,7 @@
         // when it can, then the node begins as if it could from the start.
         fs::remove_file(&folder).unwrap();
         let opened = opening.await.unwrap();
-        expect_that!(opened.beginning, eq(&Beginning::First(found(seeds.clone()))));
+        expect_that!(opened.beginning, eq(&InitialState::New(founding_record(seeds.clone()))));
     });
 }
 
--- a/system/programs/src/keeper/record/tests/recorded.rs
+++ b/system/programs/src/keeper/record/tests/recorded.rs
@@ -21,14 +21,19 @@
     AcceptorRecord {
         promised: ballot(301),
         accepted: Some(AcceptedValue { ballot: ballot(300), value: value(6, b"state") }),
-        standing: Standing::Member,
-        settled: Some(value(5, b"")),
+        voter_state: VoterState::Voter,
+        chosen_voters: Some(value(5, b"")),
     }
 }
 
 /// A record of one that only joined.
 fn blank() -> AcceptorRecord {
-    AcceptorRecord { promised: ballot(2), accepted: None, standing: Standing::Blank, settled: None }
+    AcceptorRecord {
+        promised: ballot(2),
+        accepted: None,
+        voter_state: VoterState::NonVoter,
+        chosen_voters: None,
+    }
 }
 
 /// A folder that holds one recorded file.
@@ -45,7 +50,7 @@
     // When its folder is opened, then the second record is there, under the same bytes.
     let folder = folder_with(&bytes);
     let opened = open_as(folder.path(), false, ip(1));
-    expect_that!(opened.beginning, eq(&Beginning::Kept(record())));
+    expect_that!(opened.beginning, eq(&InitialState::Existing(record())));
     expect_that!(opened.damages, eq(0));
     drop(opened);
     expect_that!(fs::read(folder.path().join("record.1")).unwrap(), eq(&bytes));
@@ -65,7 +70,7 @@
     let (before, after) = (recorded("control-record-blank"), recorded("control-record"));
     let folder = folder_with(&before);
     let opened = open_as(folder.path(), false, ip(1));
-    expect_that!(opened.beginning, eq(&Beginning::Kept(blank())));
+    expect_that!(opened.beginning, eq(&InitialState::Existing(blank())));
     // When one more is put, then the file is as that one.
     put(&opened.durable, &record());
     drop(opened);
@@ -76,9 +81,9 @@
 fn a_control_record_of_the_first_form_is_still_read() {
     let folder = folder_with(&recorded("control-record-first-form"));
     let without_nonce = |ballot: Ballot| Ballot { incarnation: 0, ..ballot };
-    let AcceptorRecord { promised, accepted, standing, settled } = record();
+    let AcceptorRecord { promised, accepted, voter_state, chosen_voters } = record();
     let accepted =
         accepted.map(|held| AcceptedValue { ballot: without_nonce(held.ballot), value: held.value });
-    let read = AcceptorRecord { promised: without_nonce(promised), accepted, standing, settled };
-    expect_that!(open_as(folder.path(), false, ip(1)).beginning, eq(&Beginning::Kept(read)));
+    let read = AcceptorRecord { promised: without_nonce(promised), accepted, voter_state, chosen_voters };
+    expect_that!(open_as(folder.path(), false, ip(1)).beginning, eq(&InitialState::Existing(read)));
 }
--- a/testbed/src/system/control.rs
+++ b/testbed/src/system/control.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use config_register::{AcceptorRecord, BallotSource};
 use control_node::{
-    Beginning, ControlBackend, ControlEvent, ControlNode, CurrentConfig, DiscoveryError, LIST, PersistError,
-    PutConfig, Retire,
+    ControlBackend, ControlEvent, ControlNode, CurrentConfig, DiscoveryError, ENDPOINT_DISCOVERY_TASK,
+    InitialState, PersistError, PutConfigOutcome, RetireOutcome,
 };
 use controllers::{ConfigVerdict, LeaseCandidate, RetireVerdict};
 use fleet_model::{AcceptedValue, Call, ControlState, Endpoint, Lease, Roster, StorageNode, rendezvous_rank};
@@ -35,17 +35,17 @@
     pub feed: Rc<Feed>,
 }
 
-fn beginning(host: &Host, first: bool) -> Beginning {
+fn beginning(host: &Host, first: bool) -> InitialState {
     let record = host.disk().get(ACCEPTOR_SPACE, ACCEPTOR_RECORD);
     let record: Option<AcceptorRecord> = record.and_then(|bytes| postcard::from_bytes(&bytes).ok());
     let never_voted = first && host.machine.first;
     match record {
-        Some(record) => Beginning::Kept(record),
+        Some(record) => InitialState::Existing(record),
         // Broken on purpose: an empty disk is taken for that of a machine that never voted.
         None if never_voted || host.breaks(Mutation::NoAmnesiaGuard) => {
-            Beginning::never_voted(host.machine.ip, &host.seeds())
+            InitialState::never_voted(host.machine.ip, &host.seeds())
         }
-        None => Beginning::Unfit,
+        None => InitialState::Recovering,
     }
 }
 
@@ -75,22 +75,24 @@
 
     /// Whether it may vote.
     pub fn is_fit(&self) -> bool {
-        self.node.is_fit()
+        self.node.can_vote()
     }
 
     /// The fencing token under which this life holds the lease of the singleton task.
     pub fn holds_list(&self) -> Option<u64> {
-        self.node.holds_list()
+        self.node.discovery_token()
     }
 
     /// Takes a configuration on top of the version `expected`; none without a majority.
     pub async fn put_config(&self, expected: u64, body: Bytes) -> Option<ConfigVerdict> {
         match self.node.put_config(Some(expected), body).await {
-            PutConfig::Committed(_) => Some(ConfigVerdict::Taken),
-            PutConfig::OtherVersion(current) => Some(ConfigVerdict::OtherVersion(current)),
-            PutConfig::NotAbove => Some(ConfigVerdict::NotAbove),
-            PutConfig::Unavailable => None,
-            outcome @ (PutConfig::Invalid(_) | PutConfig::NoBase) => unreachable!("{outcome:?}"),
+            PutConfigOutcome::Committed(_) => Some(ConfigVerdict::Taken),
+            PutConfigOutcome::OtherVersion(current) => Some(ConfigVerdict::OtherVersion(current)),
+            PutConfigOutcome::NotAbove => Some(ConfigVerdict::NotAbove),
+            PutConfigOutcome::Unavailable => None,
+            outcome @ (PutConfigOutcome::Invalid(_) | PutConfigOutcome::NoBase) => {
+                unreachable!("{outcome:?}")
+            }
         }
     }
 
@@ -106,8 +108,8 @@
     /// Begins to empty a storage machine; whether that is answered.
     pub async fn retire(&self, name: &str) -> Option<RetireVerdict> {
         match self.node.retire(name).await {
-            Retire::Told { verdict, .. } => Some(verdict),
-            Retire::Unavailable => None,
+            RetireOutcome::Progress { verdict, .. } => Some(verdict),
+            RetireOutcome::Unavailable => None,
         }
     }
 }
@@ -186,7 +188,7 @@
         // Broken on purpose: whatever token stands by now.
         let mut state = state.clone();
         let fence = Lease { token: from.token + 1, holder: Some(self.host.machine.ip) };
-        state.leases.insert(LIST.to_owned(), fence);
+        state.leases.insert(ENDPOINT_DISCOVERY_TASK.to_owned(), fence);
         Some(state)
     }
 }
--- a/testbed/tests/record_log.rs
+++ b/testbed/tests/record_log.rs
@@ -2,7 +2,7 @@
 //! log; a start reads it in a moment at any time between.
 
 use bytes::Bytes;
-use config_register::{Acceptor, AcceptorRecord, found};
+use config_register::{Acceptor, AcceptorRecord, founding_record};
 use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
     AcceptedValue, Ballot, CommittedVersion, ControlState, RegisterReply, RegisterRequest, RegisterValue,
@@ -104,7 +104,7 @@
     let folder = folder();
     let log = RecordLog::open(folder.path()).expect("an empty folder").log;
     let mut voter = Voter {
-        acceptor: Acceptor::new(found(voters())),
+        acceptor: Acceptor::new(founding_record(voters())),
         log,
         state: ControlState::default(),
         largest_payload: 0,
