--- a/system/control-node/src/operator_requests.rs
+++ b/system/control-node/src/operator_requests.rs
@@ -73,10 +73,10 @@
             })
             .await;
         match verdict.take().filter(|_| done) {
-            Some(ConfigVerdict::Taken) => PutConfigOutcome::Committed(taken.version),
-            Some(ConfigVerdict::OtherVersion(current)) => PutConfigOutcome::OtherVersion(current),
-            Some(ConfigVerdict::NotAbove) => PutConfigOutcome::NotAbove,
-            Some(ConfigVerdict::Unclear) | None => PutConfigOutcome::Unavailable,
+            Some(ConfigVerdict::Committed) => PutConfigOutcome::Committed(taken.version),
+            Some(ConfigVerdict::VersionMismatch(current)) => PutConfigOutcome::OtherVersion(current),
+            Some(ConfigVerdict::NotNewer) => PutConfigOutcome::NotAbove,
+            Some(ConfigVerdict::Indeterminate) | None => PutConfigOutcome::Unavailable,
         }
     }
 
@@ -115,7 +115,7 @@
         if !self.confirm_now(ANSWER_WITHIN).await {
             return RetireOutcome::Unavailable;
         }
-        let verdict = controllers::retire_state(&self.feed.state(), name);
+        let verdict = controllers::retire_status(&self.feed.state(), name);
         RetireOutcome::Progress { verdict, min_storage_nodes: self.min_storage_nodes() }
     }
 }
--- a/system/programs/src/bin/fleetctl.rs
+++ b/system/programs/src/bin/fleetctl.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use system_programs::staff::commands::command;
-use system_programs::staff::{Command, Fleet, Verdict, carry_out};
+use system_programs::admin::commands::command;
+use system_programs::admin::{Command, Fleet, Verdict, carry_out};
 use system_programs::start::fleet_number;
 
 /// Asks the running system; each process answers from its own memory, also when the core is cut off.
@@ -51,7 +51,7 @@
     Ok(Fleet {
         number: options.fleet.unwrap_or_else(|| fleet_number(&settings)),
         entries,
-        staff_offset: settings.staff_port() - port,
+        staff_offset: settings.admin_port() - port,
     })
 }
 
--- a/system/programs/src/keeper.rs
+++ b/system/programs/src/control.rs
@@ -2,18 +2,18 @@
 //! log, and operators and staff are served.
 
 mod backend;
-mod orders;
+mod operator_requests;
 mod record;
 
+use crate::admin::Desk;
 use crate::feed::{NodeProcess, SubscriberLink, new_feed};
 use crate::members::Members;
-use crate::operator;
-use crate::staff::Desk;
+use crate::operator_api;
 use crate::start::{Process, StartError, drawn, ended, life_nonce, listen};
 use backend::Backend;
 use config_register::BallotSource;
 use control_node::ControlNode;
-use fleet_membership::{Change, Role};
+use fleet_membership::{MemberEvent, Role};
 use fleet_model::{Answer, Call};
 use peer_wire::{Handler, PeerServer, Pusher};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -36,8 +36,8 @@
 /// Takes part in the membership, which tells the node of core machines.
 fn take_part(process: &Rc<Process>, node: &Rc<Node>) -> Result<Rc<Members>, StartError> {
     let weak = Rc::downgrade(node);
-    let hear = move |change: &Change| {
-        if let (Change::Joined(member), Some(node)) = (change, weak.upgrade())
+    let hear = move |change: &MemberEvent| {
+        if let (MemberEvent::Joined(member), Some(node)) = (change, weak.upgrade())
             && member.role == Role::Core
         {
             node.add_known_core_node(member.ip);
@@ -110,7 +110,7 @@
     spawn_local(async move { server.serve(peers).await });
     node.run();
     let operators = listen(control).await?;
-    spawn_local(operator::serve(operators, keeper));
+    spawn_local(operator_api::serve(operators, keeper));
     ended(&process).await;
     // What is half way ends; nothing else depends on this process.
     sleep(Duration::from_millis(300 + drawn() % 50)).await;
--- a/testbed/src/system/control.rs
+++ b/testbed/src/system/control.rs
@@ -86,9 +86,9 @@
     /// Takes a configuration on top of the version `expected`; none without a majority.
     pub async fn put_config(&self, expected: u64, body: Bytes) -> Option<ConfigVerdict> {
         match self.node.put_config(Some(expected), body).await {
-            PutConfigOutcome::Committed(_) => Some(ConfigVerdict::Taken),
-            PutConfigOutcome::OtherVersion(current) => Some(ConfigVerdict::OtherVersion(current)),
-            PutConfigOutcome::NotAbove => Some(ConfigVerdict::NotAbove),
+            PutConfigOutcome::Committed(_) => Some(ConfigVerdict::Committed),
+            PutConfigOutcome::OtherVersion(current) => Some(ConfigVerdict::VersionMismatch(current)),
+            PutConfigOutcome::NotAbove => Some(ConfigVerdict::NotNewer),
             PutConfigOutcome::Unavailable => None,
             outcome @ (PutConfigOutcome::Invalid(_) | PutConfigOutcome::NoBase) => {
                 unreachable!("{outcome:?}")
@@ -183,7 +183,7 @@
         from: &Lease,
     ) -> Option<ControlState> {
         if !self.host.breaks(Mutation::FenceNotChecked) {
-            return candidate.taken(state, from);
+            return candidate.acquire(state, from);
         }
         // Broken on purpose: whatever token stands by now.
         let mut state = state.clone();
