--- a/system/controllers/tests/config_commit/model.rs
+++ b/system/controllers/tests/config_commit/model.rs
@@ -1,7 +1,7 @@
 //! Model of operators' requests over the register, for the model checker and for random schedules.
 
 use bytes::Bytes;
-use config_register::{Acceptor, BallotSource, Change, Proposal, Step, found};
+use config_register::{Acceptor, BallotSource, Change, Proposer, ProposerStep, founding_record};
 use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
     AcceptedValue, Ballot, CommittedVersion, ControlState, RegisterReply, RegisterRequest, RegisterValue,
@@ -62,7 +62,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Run {
-    proposal: Proposal,
+    proposal: Proposer,
     is_reading: bool,
     verdict: Option<ConfigVerdict>,
     wanted: Option<Bytes>,
@@ -159,7 +159,7 @@
     }
 
     pub(crate) fn start(&self) -> ModelState {
-        let acceptor = Acceptor::new(found(initial_value().voters));
+        let acceptor = Acceptor::new(founding_record(initial_value().voters));
         let calls = self.tasks.iter().enumerate().map(|(number, (task, attempts))| Call {
             task: task.clone(),
             attempts: *attempts,
@@ -253,9 +253,9 @@
         let step = run.proposal.on_reply(from, reply, &mut change);
         let early_verdict = run.verdict.filter(|_| self.rules.reports_early);
         let outbox = match step {
-            Step::Wait => vec![],
-            Step::Send(outbox) => outbox,
-            Step::Done(value) => {
+            ProposerStep::Wait => vec![],
+            ProposerStep::Send(outbox) => outbox,
+            ProposerStep::Done(value) => {
                 let run = call.run.take().unwrap();
                 state.reports.insert(Report::Committed(committed_requests(&value.value)));
                 if run.wanted.is_none_or(|wanted| wanted == value.value.payload) {
@@ -263,12 +263,12 @@
                 }
                 vec![]
             }
-            Step::Lost { seen } => {
-                call.ballots.saw(seen);
+            ProposerStep::Lost { seen } => {
+                call.ballots.observe(seen);
                 call.run = None;
                 vec![]
             }
-            Step::Failed => {
+            ProposerStep::Failed => {
                 call.run = None;
                 vec![]
             }
@@ -283,9 +283,9 @@
         let promised = self.acceptors.iter().filter_map(|acceptor| Some(acceptor.record()?.promised)).max();
         let call = &mut self.calls[number];
         call.attempts -= 1;
-        call.ballots.saw(promised.unwrap_or_default());
+        call.ballots.observe(promised.unwrap_or_default());
         let ballot = call.ballots.next_ballot();
-        let proposal = Proposal::start(Ipv4Addr::from(ballot.proposer), ballot, &initial_value());
+        let proposal = Proposer::start(Ipv4Addr::from(ballot.proposer), ballot, &initial_value());
         call.run = Some(Run { proposal, is_reading: true, verdict: None, wanted: None });
     }
 
