--- a/system/programs/src/admin/views.rs
+++ b/system/programs/src/admin/views.rs
@@ -4,7 +4,7 @@
 use super::{Origin, Topic};
 use crate::feed::Feed;
 use crate::members::Members;
-use crate::start::Process;
+use crate::process::Process;
 use fleet_membership::{MemberState, Role};
 use fleet_model::{Answer, Reservation, Turn};
 use request_routing::{EndpointView, Unused};
--- a/system/programs/src/agent.rs
+++ b/system/programs/src/agent.rs
@@ -3,7 +3,8 @@
 use crate::admin::Desk;
 use crate::feed::{Feed, SubscriberLink, follow, new_feed, run_heartbeats};
 use crate::members::Members;
-use crate::start::{Process, StartError, ended, listen};
+use crate::process::{Process, ended};
+use crate::start::{StartError, listen};
 use fleet_membership::Role;
 use fleet_model::{Answer, Call};
 use peer_wire::{Handler, PeerServer, Pusher};
--- a/system/programs/src/bin/fleetctl.rs
+++ b/system/programs/src/bin/fleetctl.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use system_programs::admin::commands::command;
 use system_programs::admin::{Command, Fleet, Verdict, carry_out};
-use system_programs::start::fleet_number;
+use system_programs::process::fleet_number;
 
 /// Asks the running system; each process answers from its own memory, also when the core is cut off.
 ///
--- a/system/programs/src/control/backend.rs
+++ b/system/programs/src/control/backend.rs
@@ -2,7 +2,7 @@
 
 use crate::disk::Durable;
 use crate::platform::Platform;
-use crate::start::Process;
+use crate::process::Process;
 use config_register::AcceptorRecord;
 use control_node::{ControlBackend, ControlEvent, DiscoveryError, PersistError};
 use fleet_model::Endpoint;
--- a/system/programs/src/feed.rs
+++ b/system/programs/src/feed.rs
@@ -1,6 +1,7 @@
 //! The state feed in this process: `node-runtime` carries it, here it meets sockets, tokio's timers and the log.
 
-use crate::start::{Process, drawn};
+use crate::process::Process;
+use crate::random::drawn;
 use fleet_model::{Answer, Call, Push};
 use node_runtime::{FeedEvent, Runtime, Subscriber, Task, Upstream};
 use peer_wire::{PeerClient, PreparedPush, PushStream, Pusher};
--- a/system/programs/src/members.rs
+++ b/system/programs/src/members.rs
@@ -1,13 +1,18 @@
 //! Which machines of the fleet live: joins `fleet-membership` to a socket and a clock. One process of each machine takes
 //! part. How many proxies there are follows from it.
 
+mod proxy_count;
+
+pub use proxy_count::ProxyCount;
+
 use crate::feed::Feed;
-use crate::start::{Process, StartError, drawn};
+use crate::process::Process;
+use crate::random::drawn;
+use crate::start::StartError;
 use fleet_membership::{
     Change, Config, Counters, Effect, Member, MemberState, Membership, Role, start_number,
 };
 use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
@@ -18,10 +23,6 @@
 
 /// Between two probes of one process.
 const PERIOD_MS: u64 = 1_250;
-/// For so long a count that has fallen is not believed: connections are shared out by it.
-const BELIEVED_MS: u64 = 10_000;
-/// So long after the first other member was met the count is told; before that, few are known.
-const SETTLED_MS: u64 = 2_000;
 /// Longest name and zone that a member tells.
 const MAX_TEXT: usize = 128;
 /// Between two tries to have the socket.
@@ -44,34 +45,6 @@
     }
 }
 
-/// How many proxies there are, as it may be told: the largest number that was seen lately, and none before enough is
-/// known.
-#[derive(Debug, Default)]
-pub struct ProxyCount {
-    /// When the first other member was met.
-    met: Option<u64>,
-    /// Counts that none after them exceeds, with the last time that they held.
-    seen: VecDeque<(u64, u32)>,
-}
-
-impl ProxyCount {
-    /// Takes note that there are `count` proxies now among `members` members; gives what may be told.
-    pub fn note(&mut self, now_ms: u64, members: usize, count: u32) -> Option<u32> {
-        if members > 1 {
-            self.met.get_or_insert(now_ms);
-        }
-        while self.seen.back().is_some_and(|(_, seen)| *seen <= count) {
-            self.seen.pop_back();
-        }
-        self.seen.push_back((now_ms, count));
-        while self.seen.front().is_some_and(|(at, _)| at + BELIEVED_MS < now_ms) {
-            self.seen.pop_front();
-        }
-        let settled = self.met.is_some_and(|met| met + SETTLED_MS <= now_ms);
-        self.seen.front().map(|(_, count)| *count).filter(|count| settled && *count > 0)
-    }
-}
-
 /// A machine's part in the membership.
 pub struct Members {
     process: Rc<Process>,
--- /dev/null
+++ b/system/programs/src/process.rs
@@ -0,0 +1,95 @@
+//! What a program knows of its own process.
+
+use node_settings::Settings;
+use request_routing::RoutingPolicy;
+use std::cell::RefCell;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::sync::watch;
+
+/// A process's time begins so long before it, since ages are taken off it.
+const BEFORE: Duration = Duration::from_secs(100 * 24 * 3_600);
+
+/// What a running program knows of its own process.
+pub struct Process {
+    /// The settings, as last read whole.
+    settings: RefCell<Rc<Settings>>,
+    path: PathBuf,
+    /// Which decision mechanisms are in force.
+    pub routing_policy: RoutingPolicy,
+    /// Turns true with SIGTERM.
+    pub ending: watch::Receiver<bool>,
+    began: Instant,
+}
+
+impl Process {
+    /// One that begins now, with the settings read from `path`. `ending` turns true when it is to end.
+    pub fn new(settings: Settings, path: PathBuf, ending: watch::Receiver<bool>) -> Rc<Self> {
+        Self::with_routing_policy(settings, path, RoutingPolicy::default(), ending)
+    }
+
+    /// The same with another routing policy than the one in service.
+    pub fn with_routing_policy(
+        settings: Settings,
+        path: PathBuf,
+        routing_policy: RoutingPolicy,
+        ending: watch::Receiver<bool>,
+    ) -> Rc<Self> {
+        let settings = RefCell::new(Rc::new(settings));
+        Rc::new(Self { settings, path, routing_policy, ending, began: Instant::now() })
+    }
+
+    /// The settings now in force.
+    pub fn settings(&self) -> Rc<Settings> {
+        self.settings.borrow().clone()
+    }
+
+    /// Milliseconds since the process began.
+    pub fn now_ms(&self) -> u64 {
+        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
+    }
+
+    /// Time that only rises, and begins long before the process.
+    pub fn now(&self) -> Duration {
+        BEFORE + self.began.elapsed()
+    }
+
+    /// The fleet's number: processes of other deployments are strangers.
+    pub fn fleet(&self) -> u16 {
+        fleet_number(&self.settings())
+    }
+
+    /// Where machine `ip` takes calls of its peers.
+    pub fn peer(&self, ip: Ipv4Addr) -> SocketAddrV4 {
+        SocketAddrV4::new(ip, self.settings().peer_port())
+    }
+
+    /// The core machines that the settings name.
+    pub fn seeds(&self) -> Vec<Ipv4Addr> {
+        self.settings().seed_nodes.iter().map(|seed| *seed.ip()).collect()
+    }
+
+    /// Reads the settings again; those in force stay where the file cannot be used.
+    pub fn reload(&self) {
+        match Settings::read(&self.path) {
+            Ok(settings) => *self.settings.borrow_mut() = Rc::new(settings),
+            Err(e) => log::error!("settings kept as they were: {e}"),
+        }
+    }
+}
+
+/// The fleet's number, which follows from its zones.
+pub fn fleet_number(settings: &Settings) -> u16 {
+    let names = settings.zones.iter().flat_map(|(zone, region)| [zone, region]);
+    let bytes: Vec<u8> = names.flat_map(|name| name.bytes().chain([0])).collect();
+    u16::try_from(fleet_model::rendezvous_rank(&bytes, 0) & 0xffff).unwrap_or_default()
+}
+
+/// Waits for SIGTERM.
+pub async fn ended(process: &Process) {
+    let mut ending = process.ending.clone();
+    // The sender lives as long as the process.
+    let _ = ending.wait_for(|ending| *ending).await;
+}
--- a/system/programs/src/proxy.rs
+++ b/system/programs/src/proxy.rs
@@ -2,7 +2,8 @@
 
 use crate::admin::{Desk, Topic, views};
 use crate::feed::{Feed, follow_one, new_feed, run_heartbeats};
-use crate::start::{Process, StartError, ended, listen};
+use crate::process::{Process, ended};
+use crate::start::{StartError, listen};
 use crate::turns::{TurnClient, Turns};
 use fleet_model::{Answer, Call, ListVersion};
 use operator_config::OperatorConfig;
@@ -106,7 +107,7 @@
     let turns = TurnClient::new(process.clone(), feed.clone());
     let forwarder = Forwarder::new(
         settings.zone.clone(),
-        crate::start::drawn(),
+        crate::random::drawn(),
         process.routing_policy.clone(),
         Rc::new(Turns(turns)),
         settings.limits.max_file_descriptors,
--- a/system/programs/src/start.rs
+++ b/system/programs/src/start.rs
@@ -1,15 +1,14 @@
 //! How each program starts: command line, settings, log, one thread, signals.
 
+use crate::process::Process;
 use bpaf::Bpaf;
 use node_settings::Settings;
 use request_routing::RoutingPolicy;
-use std::cell::RefCell;
 use std::future::Future;
-use std::net::{Ipv4Addr, SocketAddrV4};
+use std::net::SocketAddrV4;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::rc::Rc;
-use std::time::Instant;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
@@ -32,9 +31,6 @@
     check: bool,
 }
 
-/// A process's time begins so long before it, since ages are taken off it.
-const BEFORE: Duration = Duration::from_secs(100 * 24 * 3_600);
-
 /// What ends a process early.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
@@ -57,81 +53,6 @@
     Disk(String),
 }
 
-/// What a running program knows of its own process.
-pub struct Process {
-    /// The settings, as last read whole.
-    settings: RefCell<Rc<Settings>>,
-    path: PathBuf,
-    /// Which decision mechanisms are in force.
-    pub routing_policy: RoutingPolicy,
-    /// Turns true with SIGTERM.
-    pub ending: watch::Receiver<bool>,
-    began: Instant,
-}
-
-impl Process {
-    /// One that begins now, with the settings read from `path`. `ending` turns true when it is to end.
-    pub fn new(settings: Settings, path: PathBuf, ending: watch::Receiver<bool>) -> Rc<Self> {
-        Self::with_routing_policy(settings, path, RoutingPolicy::default(), ending)
-    }
-
-    /// The same with another routing policy than the one in service.
-    pub fn with_routing_policy(
-        settings: Settings,
-        path: PathBuf,
-        routing_policy: RoutingPolicy,
-        ending: watch::Receiver<bool>,
-    ) -> Rc<Self> {
-        let settings = RefCell::new(Rc::new(settings));
-        Rc::new(Self { settings, path, routing_policy, ending, began: Instant::now() })
-    }
-
-    /// The settings now in force.
-    pub fn settings(&self) -> Rc<Settings> {
-        self.settings.borrow().clone()
-    }
-
-    /// Milliseconds since the process began.
-    pub fn now_ms(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
-    }
-
-    /// Time that only rises, and begins long before the process.
-    pub fn now(&self) -> Duration {
-        BEFORE + self.began.elapsed()
-    }
-
-    /// The fleet's number: processes of other deployments are strangers.
-    pub fn fleet(&self) -> u16 {
-        fleet_number(&self.settings())
-    }
-
-    /// Where machine `ip` takes calls of its peers.
-    pub fn peer(&self, ip: Ipv4Addr) -> SocketAddrV4 {
-        SocketAddrV4::new(ip, self.settings().peer_port())
-    }
-
-    /// The core machines that the settings name.
-    pub fn seeds(&self) -> Vec<Ipv4Addr> {
-        self.settings().seed_nodes.iter().map(|seed| *seed.ip()).collect()
-    }
-
-    /// Reads the settings again; those in force stay where the file cannot be used.
-    pub fn reload(&self) {
-        match Settings::read(&self.path) {
-            Ok(settings) => *self.settings.borrow_mut() = Rc::new(settings),
-            Err(e) => log::error!("settings kept as they were: {e}"),
-        }
-    }
-}
-
-/// The fleet's number, which follows from its zones.
-pub fn fleet_number(settings: &Settings) -> u16 {
-    let names = settings.zones.iter().flat_map(|(zone, region)| [zone, region]);
-    let bytes: Vec<u8> = names.flat_map(|name| name.bytes().chain([0])).collect();
-    u16::try_from(fleet_model::rendezvous_rank(&bytes, 0) & 0xffff).unwrap_or_default()
-}
-
 /// Ends the command line's and the settings' part of a start, then runs `run` until it returns.
 pub fn run<F: Future<Output = Result<(), StartError>>>(run: impl FnOnce(Rc<Process>) -> F) -> ExitCode {
     let options = options().run();
@@ -231,28 +152,3 @@
         sleep(Duration::from_millis(50)).await;
     }
 }
-
-/// Waits for SIGTERM.
-pub async fn ended(process: &Process) {
-    let mut ending = process.ending.clone();
-    // The sender lives as long as the process.
-    let _ = ending.wait_for(|ending| *ending).await;
-}
-
-/// A number drawn by chance, for what must differ between processes.
-pub fn drawn() -> u64 {
-    let mut bytes = [0; 8];
-    match getrandom::fill(&mut bytes) {
-        Ok(()) => u64::from_le_bytes(bytes),
-        Err(_) => u64::from(std::process::id()) ^ 0x9e37_79b9_7f4a_7c15,
-    }
-}
-
-/// The nonce of this life of the process: 64 random bits. Without a source of them there is none, and nothing in place of it.
-pub fn life_nonce() -> Result<u64, StartError> {
-    let failed = |e: getrandom::Error| StartError::System {
-        what: "random bits for this life's nonce".to_owned(),
-        source: std::io::Error::other(e.to_string()),
-    };
-    getrandom::u64().map_err(failed)
-}
--- /dev/null
+++ b/system/programs/src/storage/inspection.rs
@@ -0,0 +1,74 @@
+//! Views and metrics of a storage machine.
+
+use super::TurnKeeper;
+use super::replica::Replica;
+use crate::admin::metrics::Figures;
+use crate::admin::{Topic, views};
+use fleet_model::{Answer, Call};
+use turn_store::{Bodies, Body, Room};
+
+impl TurnKeeper {
+    /// Answers staff, also while the data directory cannot be opened.
+    pub(super) fn inspect(&self, topic: &str) -> Answer {
+        let asked = Topic::read(topic);
+        let own = self.replica.with(|replica| self.inspect_replica(replica, asked));
+        match (own.flatten(), asked.name) {
+            (Some(answer), _) => answer,
+            (None, "disk" | "turns" | "turn" | "account") => Answer::NotReady,
+            (None, _) => self.desk.answer(topic, |figures| self.figures(figures)),
+        }
+    }
+
+    /// What staff ask of the replica itself.
+    fn inspect_replica(&self, replica: &mut Replica, asked: Topic<'_>) -> Option<Answer> {
+        let in_sync = replica.state.is_full();
+        let disk = replica.me.disk;
+        let answer = match (asked.name, asked.argument) {
+            ("disk", _) => Answer::View(disk.to_string()),
+            ("turns", _) => {
+                let (turns, accounts, bytes) = replica.state.counts();
+                self.desk.view(serde_json::json!({
+                    "disk": disk, "epoch": replica.state.epoch(), "full": in_sync,
+                    "turns": turns, "accounts": accounts, "bytes": bytes,
+                }))
+            }
+            ("turn", Some(attempt)) => {
+                let (state, turn) = match Bodies::get(&*replica.disk, attempt) {
+                    Body::Held(turn) => ("held", Some(turn)),
+                    Body::Lost => ("unreadable", None),
+                    Body::Pending if in_sync => ("absent", None),
+                    Body::Pending => ("not here yet", None),
+                };
+                let losses = self.process.settings().fault_tolerance.machines;
+                self.desk.view(views::turn(disk, losses, state, turn.as_ref()))
+            }
+            ("account", Some(program)) => {
+                let call = Call::ReadAccount { epoch: replica.state.epoch(), program: program.to_owned() };
+                let outcome = replica.state.handle(self.process.now_ms(), &call, &*replica.disk);
+                let reservations = match &outcome.answer {
+                    Answer::Account(reservations) => Some(reservations.as_slice()),
+                    _ => None,
+                };
+                self.desk.view(views::account(disk, reservations))
+            }
+            _ => return None,
+        };
+        Some(answer)
+    }
+
+    fn figures(&self, figures: &mut Figures) {
+        let flag = |set: bool| f64::from(u8::from(set));
+        figures.gauge("storage_node_disk_refusing", flag(self.replica.is_refusing()));
+        figures.counter("storage_node_disk_refusals", self.replica.refusals());
+        self.replica.with(|replica| {
+            let (turns, accounts, bytes) = replica.state.counts();
+            figures.gauge("storage_node_turns", turns as f64);
+            figures.gauge("storage_node_accounts", accounts as f64);
+            figures.gauge("storage_node_turn_bytes", bytes as f64);
+            figures.gauge("storage_node_damages_found", replica.damages as f64);
+            figures.gauge("storage_node_table_bytes", replica.disk.table_bytes() as f64);
+            figures.gauge("storage_node_room_scarce", flag(replica.state.room() != Room::Ample));
+            figures.gauge("storage_node_full", flag(replica.state.is_full()));
+        });
+    }
+}
--- a/system/programs/src/storage/replica.rs
+++ b/system/programs/src/storage/replica.rs
@@ -1,7 +1,8 @@
 //! A storage replica: the engine with what it keeps, and the state in memory that was built from it.
 
 use crate::disk::Durable;
-use crate::start::{StartError, drawn};
+use crate::random::drawn;
+use crate::start::StartError;
 use fleet_model::{Answer, Call, Roster, StorageNode};
 use std::future::Future;
 use std::net::Ipv4Addr;
--- /dev/null
+++ b/system/programs/src/turns/chain_cache.rs
@@ -0,0 +1,35 @@
+//! Chains kept in memory.
+
+use bytes::Bytes;
+use std::collections::{HashMap, VecDeque};
+
+/// Bytes of chains kept in memory.
+const MOST_CACHED: usize = 3 * 1024 * 1024;
+
+/// Chains lately read or written, whole, by the turn that ends them; those unused longest give way.
+#[derive(Default)]
+pub(super) struct ChainCache {
+    texts: HashMap<String, Bytes>,
+    order: VecDeque<String>,
+    bytes: usize,
+}
+
+impl ChainCache {
+    pub(super) fn get(&mut self, attempt: &str) -> Option<Bytes> {
+        self.texts.get(attempt).cloned()
+    }
+
+    pub(super) fn put(&mut self, attempt: &str, text: Bytes) {
+        if text.len() > MOST_CACHED / 4 || self.texts.contains_key(attempt) {
+            return;
+        }
+        self.bytes += text.len();
+        self.texts.insert(attempt.to_owned(), text);
+        self.order.push_back(attempt.to_owned());
+        while self.bytes > MOST_CACHED
+            && let Some(oldest) = self.order.pop_front()
+        {
+            self.bytes -= self.texts.remove(&oldest).map_or(0, |text| text.len());
+        }
+    }
+}
--- /dev/null
+++ b/system/programs/src/turns/quorum.rs
@@ -0,0 +1,106 @@
+//! Accounts, written and read at quorums.
+
+use super::{PATIENCE, Round, TurnClient, more};
+use fleet_model::{Answer, Call, Reservation, StorageNode};
+use futures_util::stream::{FuturesUnordered, StreamExt};
+use request_forwarding::Reserve;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use tokio::time::{sleep, timeout};
+use turn_store::{AccountHolders, merge_reservations};
+
+/// How long the last of an account's holders are waited for, once a quorum has written.
+const GRACE: Duration = Duration::from_millis(6);
+
+impl TurnClient {
+    pub(super) async fn reserve_round(
+        &self,
+        program: &str,
+        reservation: Reservation,
+        budget: u32,
+    ) -> Round<Reserve> {
+        let state = self.feed.state();
+        let roster = &state.roster;
+        let Some(holders) = AccountHolders::of(roster, program, self.losses()) else { return Round::Again };
+        let write =
+            |_: &StorageNode| Call::Reserve { epoch: roster.epoch, program: program.to_owned(), reservation };
+        let Some((written, all)) = self.at_quorum(&holders, write, true).await else { return Round::Again };
+        let account = match all {
+            true => {
+                more(&self.figures.at_once);
+                written
+            }
+            // Someone may have written between: who reads after its own write sees all that were written before it.
+            false => {
+                more(&self.figures.second_round);
+                let read =
+                    |_: &StorageNode| Call::ReadAccount { epoch: roster.epoch, program: program.to_owned() };
+                let Some((mut account, _)) = self.at_quorum(&holders.current_only(), read, false).await
+                else {
+                    return Round::Again;
+                };
+                merge_reservations(
+                    &mut account,
+                    written.into_iter().map(|(attempt, tokens)| Reservation { attempt, tokens }),
+                );
+                account
+            }
+        };
+        let sum: u64 = account.values().map(|tokens| u64::from(*tokens)).sum();
+        Round::Done(if sum <= u64::from(budget) { Reserve::Granted } else { Reserve::Spent })
+    }
+
+    /// Calls all holders and waits for a quorum of the current ones and of the next ones; what the current ones know
+    /// of the account, and whether all of them answered.
+    async fn at_quorum(
+        &self,
+        holders: &AccountHolders<'_>,
+        call: impl Fn(&StorageNode) -> Call,
+        wait_for_all: bool,
+    ) -> Option<(BTreeMap<u64, u32>, bool)> {
+        let mut calls: FuturesUnordered<_> = holders
+            .all()
+            .map(|store| async { (store.disk, self.ask(store, call(store), PATIENCE).await) })
+            .collect();
+        let (mut account, mut answered) = (BTreeMap::new(), BTreeSet::new());
+        loop {
+            let enough = holders.is_quorum(&answered);
+            let all = holders.current.iter().all(|store| answered.contains(&store.disk));
+            if enough && (all || !wait_for_all) {
+                return Some((account, all));
+            }
+            let next = match enough {
+                true => timeout(GRACE, calls.next()).await.ok().flatten(),
+                false => calls.next().await,
+            };
+            match next {
+                Some((disk, Ok(Answer::Account(reservations)))) => {
+                    answered.insert(disk);
+                    if holders.current.iter().any(|store| store.disk == disk) {
+                        merge_reservations(&mut account, reservations);
+                    }
+                }
+                Some(_) => {}
+                None if enough => return Some((account, false)),
+                None => return None,
+            }
+        }
+    }
+
+    pub(super) async fn settle_everywhere(&self, program: &str, reservation: Reservation) {
+        // A count that gets lost leaves the try at its most: the account holds all the same. Twice is enough.
+        for _ in 0..2 {
+            let state = self.feed.state();
+            let Some(holders) = AccountHolders::of(&state.roster, program, self.losses()) else { return };
+            let epoch = state.roster.epoch;
+            let call = |_: &StorageNode| Call::Settle { epoch, program: program.to_owned(), reservation };
+            let calls: FuturesUnordered<_> =
+                holders.all().map(|store| self.ask(store, call(store), PATIENCE)).collect();
+            let answers: Vec<_> = calls.collect().await;
+            if answers.iter().all(|answer| matches!(answer, Ok(Answer::Done | Answer::Account(_)))) {
+                return;
+            }
+            sleep(Duration::from_millis(150)).await;
+        }
+    }
+}
--- /dev/null
+++ b/system/programs/tests/admin_commands/main.rs
@@ -0,0 +1,5 @@
+//! The operators' commands against processes with canned answers, and their parts.
+
+mod canned_fleet;
+mod reports;
+mod views;
--- a/system/programs/tests/loopback/machines.rs
+++ b/system/programs/tests/loopback/machines.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 use system_programs::feed::{Feed, SubscriberLink, new_feed, run_heartbeats};
-use system_programs::start::Process;
+use system_programs::process::Process;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local};
