--- a/system/programs/src/storage/inspection.rs
+++ b/system/programs/src/storage/inspection.rs
@@ -5,7 +5,7 @@
 use crate::admin::metrics::Figures;
 use crate::admin::{Topic, views};
 use fleet_model::{Answer, Call};
-use turn_store::{Bodies, Body, Room};
+use turn_store::{DiskCapacity, Payload, Payloads};
 
 impl TurnKeeper {
     /// Answers staff, also while the data directory cannot be opened.
@@ -21,7 +21,7 @@
 
     /// What staff ask of the replica itself.
     fn inspect_replica(&self, replica: &mut Replica, asked: Topic<'_>) -> Option<Answer> {
-        let in_sync = replica.state.is_full();
+        let in_sync = replica.state.is_in_sync();
         let disk = replica.me.disk;
         let answer = match (asked.name, asked.argument) {
             ("disk", _) => Answer::View(disk.to_string()),
@@ -33,11 +33,11 @@
                 }))
             }
             ("turn", Some(attempt)) => {
-                let (state, turn) = match Bodies::get(&*replica.disk, attempt) {
-                    Body::Held(turn) => ("held", Some(turn)),
-                    Body::Lost => ("unreadable", None),
-                    Body::Pending if in_sync => ("absent", None),
-                    Body::Pending => ("not here yet", None),
+                let (state, turn) = match Payloads::get(&*replica.disk, attempt) {
+                    Payload::Present(turn) => ("held", Some(turn)),
+                    Payload::Lost => ("unreadable", None),
+                    Payload::Pending if in_sync => ("absent", None),
+                    Payload::Pending => ("not here yet", None),
                 };
                 let losses = self.process.settings().fault_tolerance.machines;
                 self.desk.view(views::turn(disk, losses, state, turn.as_ref()))
@@ -67,8 +67,8 @@
             figures.gauge("storage_node_turn_bytes", bytes as f64);
             figures.gauge("storage_node_damages_found", replica.damages as f64);
             figures.gauge("storage_node_table_bytes", replica.disk.table_bytes() as f64);
-            figures.gauge("storage_node_room_scarce", flag(replica.state.room() != Room::Ample));
-            figures.gauge("storage_node_full", flag(replica.state.is_full()));
+            figures.gauge("storage_node_room_scarce", flag(replica.state.capacity() != DiskCapacity::Ample));
+            figures.gauge("storage_node_full", flag(replica.state.is_in_sync()));
         });
     }
 }
--- a/system/programs/src/storage/placement.rs
+++ b/system/programs/src/storage/placement.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout;
-use turn_store::{Disk, Room};
+use turn_store::{Disk, DiskCapacity};
 
 /// Longest time for one call to the core.
 const CORE_PATIENCE: Duration = Duration::from_millis(700);
@@ -36,8 +36,8 @@
     fn of(replica: &Replica, roster: Rc<Roster>) -> Self {
         let me = replica.me.clone();
         let is_placed = roster.next.as_ref().unwrap_or(&roster.current).contains(&me);
-        let in_sync = replica.state.is_filled_for_next();
-        Self { me, is_placed, in_sync, is_behind: replica.state.filling().is_some(), roster }
+        let in_sync = replica.state.is_in_sync_for_next();
+        Self { me, is_placed, in_sync, is_behind: replica.state.backfill().is_some(), roster }
     }
 
     /// It is to ask for being taken in.
@@ -62,12 +62,12 @@
         let settings = self.process.settings();
         let limit = (settings.limits.disk_mb * 1e6) as u64;
         let news = self.replica.with(|replica| {
-            let room = Room::of(replica.disk.table_bytes(), limit);
-            replica.state.set_room(room).then_some(room)
+            let room = DiskCapacity::from_usage(replica.disk.table_bytes(), limit);
+            replica.state.set_capacity(room).then_some(room)
         });
         let Some(room) = news.flatten() else { return };
         log::warn!("the disk's room: {room:?}");
-        if let (true, Some(folder)) = (room != Room::Ample, &settings.data_directory)
+        if let (true, Some(folder)) = (room != DiskCapacity::Ample, &settings.data_directory)
             && let Err(e) = Disk::remove_aside(folder)
         {
             log::error!("what was set aside stays: {e}");
@@ -116,7 +116,7 @@
         if self.feed.fresh_at().is_some() && before.must_join() {
             self.tell_core(Call::JoinStorage { store: before.me }).await;
         }
-        if let Some(filling) = self.replica.with(|replica| replica.state.filling()).flatten() {
+        if let Some(filling) = self.replica.with(|replica| replica.state.backfill()).flatten() {
             self.catch_up(filling).await;
         }
         let Some(after) = place() else { return BUSY_PAUSE_MS };
--- a/system/programs/src/turns.rs
+++ b/system/programs/src/turns.rs
@@ -12,7 +12,7 @@
 use chain_cache::ChainCache;
 use fleet_model::{Answer, Call, Reservation, StorageNode, rendezvous_rank};
 use peer_wire::{CallFailure, PeerClient};
-use request_forwarding::{Chain, NewTurn, Reserve, TurnKeeping};
+use request_forwarding::{ChainLookup, CompletedTurn, ReserveOutcome, TurnStorage};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -136,11 +136,11 @@
 /// What a proxy's forwarder holds of the storage machines.
 pub struct Turns(pub Rc<TurnClient>);
 
-impl TurnKeeping for Turns {
-    async fn reserve(&self, program: &str, attempt: &str, most: u32, budget: u32) -> Reserve {
+impl TurnStorage for Turns {
+    async fn reserve(&self, program: &str, attempt: &str, most: u32, budget: u32) -> ReserveOutcome {
         let round = async || self.0.reserve_round(program, reservation(attempt, most), budget).await;
-        let reserved = self.0.rounds(TRY_FOR, round).await.unwrap_or(Reserve::Unavailable);
-        if matches!(reserved, Reserve::Spent) {
+        let reserved = self.0.rounds(TRY_FOR, round).await.unwrap_or(ReserveOutcome::Unavailable);
+        if matches!(reserved, ReserveOutcome::BudgetExhausted) {
             // Whatever was written of it stands for nothing; the forwarder says so of the other ends itself.
             self.settle(program, attempt, 0);
         }
@@ -153,7 +153,7 @@
         tokio::task::spawn_local(async move { client.settle_everywhere(&program, reservation).await });
     }
 
-    async fn chain(&self, previous: &str) -> Chain {
+    async fn chain(&self, previous: &str) -> ChainLookup {
         let mut pieces: Vec<Bytes> = Vec::new();
         let mut wanted = previous.to_owned();
         loop {
@@ -172,8 +172,8 @@
                         None => break,
                     }
                 }
-                Some(Found::Nowhere) if pieces.is_empty() => return Chain::NoSuchTurn,
-                _ => return Chain::Unavailable,
+                Some(Found::Nowhere) if pieces.is_empty() => return ChainLookup::NotFound,
+                _ => return ChainLookup::Unavailable,
             }
         }
         let whole = match pieces.as_slice() {
@@ -185,10 +185,10 @@
             }
         };
         self.0.cache.borrow_mut().put(previous, whole.clone());
-        Chain::Text(whole)
+        ChainLookup::Text(whole)
     }
 
-    async fn keep(&self, turn: NewTurn) -> bool {
+    async fn store_turn(&self, turn: CompletedTurn) -> bool {
         let kept = self.0.rounds(KEEP_FOR, async || self.0.keep_round(&turn).await).await.is_some();
         more(if kept { &self.0.figures.kept } else { &self.0.figures.not_kept });
         if kept {
--- a/system/programs/src/turns/quorum.rs
+++ b/system/programs/src/turns/quorum.rs
@@ -3,11 +3,11 @@
 use super::{PATIENCE, Round, TurnClient, more};
 use fleet_model::{Answer, Call, Reservation, StorageNode};
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use request_forwarding::Reserve;
+use request_forwarding::ReserveOutcome;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
-use turn_store::{AccountHolders, merge_reservations};
+use turn_store::{AccountReplicas, merge_reservations};
 
 /// How long the last of an account's holders are waited for, once a quorum has written.
 const GRACE: Duration = Duration::from_millis(6);
@@ -18,10 +18,12 @@
         program: &str,
         reservation: Reservation,
         budget: u32,
-    ) -> Round<Reserve> {
+    ) -> Round<ReserveOutcome> {
         let state = self.feed.state();
         let roster = &state.roster;
-        let Some(holders) = AccountHolders::of(roster, program, self.losses()) else { return Round::Again };
+        let Some(holders) = AccountReplicas::for_program(roster, program, self.losses()) else {
+            return Round::Again;
+        };
         let write =
             |_: &StorageNode| Call::Reserve { epoch: roster.epoch, program: program.to_owned(), reservation };
         let Some((written, all)) = self.at_quorum(&holders, write, true).await else { return Round::Again };
@@ -47,14 +49,18 @@
             }
         };
         let sum: u64 = account.values().map(|tokens| u64::from(*tokens)).sum();
-        Round::Done(if sum <= u64::from(budget) { Reserve::Granted } else { Reserve::Spent })
+        Round::Done(if sum <= u64::from(budget) {
+            ReserveOutcome::Granted
+        } else {
+            ReserveOutcome::BudgetExhausted
+        })
     }
 
     /// Calls all holders and waits for a quorum of the current ones and of the next ones; what the current ones know
     /// of the account, and whether all of them answered.
     async fn at_quorum(
         &self,
-        holders: &AccountHolders<'_>,
+        holders: &AccountReplicas<'_>,
         call: impl Fn(&StorageNode) -> Call,
         wait_for_all: bool,
     ) -> Option<(BTreeMap<u64, u32>, bool)> {
@@ -91,7 +97,9 @@
         // A count that gets lost leaves the try at its most: the account holds all the same. Twice is enough.
         for _ in 0..2 {
             let state = self.feed.state();
-            let Some(holders) = AccountHolders::of(&state.roster, program, self.losses()) else { return };
+            let Some(holders) = AccountReplicas::for_program(&state.roster, program, self.losses()) else {
+                return;
+            };
             let epoch = state.roster.epoch;
             let call = |_: &StorageNode| Call::Settle { epoch, program: program.to_owned(), reservation };
             let calls: FuturesUnordered<_> =
--- a/system/programs/src/turns/store.rs
+++ b/system/programs/src/turns/store.rs
@@ -3,13 +3,13 @@
 use super::{HEDGE, PATIENCE, Round, TurnClient};
 use fleet_model::{Answer, Call, StorageNode, Turn, rendezvous_rank};
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use request_forwarding::NewTurn;
+use request_forwarding::CompletedTurn;
 use std::collections::BTreeSet;
 use tokio::time::timeout;
 use turn_store::{copies_needed, copy_order, has_copies};
 
 impl TurnClient {
-    pub(super) async fn keep_round(&self, turn: &NewTurn) -> Round<()> {
+    pub(super) async fn keep_round(&self, turn: &CompletedTurn) -> Round<()> {
         let state = self.feed.state();
         let roster = &state.roster;
         let zone = self.process.settings().zone.clone();
--- a/system/turn-store/tests/changes/losses.rs
+++ b/system/turn-store/tests/changes/losses.rs
@@ -68,7 +68,7 @@
     }
 }
 
-fn lose(fleet: &mut Fleet, name: &str, loss: Loss) {
+fn mark_lost(fleet: &mut Fleet, name: &str, loss: Loss) {
     match loss {
         Loss::Wiped => fleet.wipe(name, false),
         Loss::Destroyed => fleet.destroy(name),
@@ -124,7 +124,7 @@
     for victim in victims {
         let name = fleet.machines[victim % fleet.machines.len()].store.name.clone();
         if fleet.may_hurt() > 0 && !fleet.hurt.contains(&name) {
-            lose(&mut fleet, &name, loss);
+            mark_lost(&mut fleet, &name, loss);
             lost.push(name);
         }
         fleet.check_turns();
@@ -211,7 +211,7 @@
 #[test]
 fn a_retire_that_would_leave_too_few_is_refused_and_the_machine_stays() {
     let mut fleet = Fleet::new(1, 3, 1, Mutation::None);
-    assert_eq!(fleet.retire("s1"), RetireVerdict::TooFew { left: 2 });
+    assert_eq!(fleet.retire("s1"), RetireVerdict::TooFew { remaining: 2 });
     write(&mut fleet, "after");
     assert_eq!(fleet.turns.len(), 4);
 }
