--- a/sender-membership/src/disk.rs
+++ b/sender-membership/src/disk.rs
@@ -1,14 +1,14 @@
 //! What a sender keeps of its fleet on disk: records that add up to a state. Whoever drives the machines writes each record
 //! before it carries out what comes after it.
-use crate::roster::{Change, Roster};
+use crate::roster::{Change, MemberList};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::StopSign;
 use serde::{Deserialize, Serialize};
 
-/// What a keeper has promised and accepted, as a write to its log.
+/// What a voter has promised and accepted, as a write to its log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum KeeperRecord {
-    /// A keeper of this group from now on, with an empty log.
+pub enum VoterRecord {
+    /// A voter of this group from now on, with an empty log.
     Began(u32),
     /// Steps accepted, from this place in the log on; what stood there goes.
     Accepted(usize, Vec<Change>),
@@ -32,19 +32,19 @@
     /// The founder that this blank seed has promised to follow.
     Promise(u64),
     /// The latest record of who belongs.
-    Roster(Box<Roster>),
+    MemberList(Box<MemberList>),
     /// The step that has this number: it follows the record before it, and nothing else. Where a write in between failed, the
     /// disk goes on holding what it held, which is old and sound.
     Step(u64, Change),
-    /// A keeper's log.
-    Keeper(KeeperRecord),
+    /// A voter's log.
+    Voter(VoterRecord),
     /// All of it, in one: what a log written anew begins with.
     Whole(Box<State>),
 }
 
-/// A keeper's log.
+/// A voter's log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct KeeperState {
+pub struct VoterState {
     pub(crate) group: u32,
     pub(crate) log: Vec<Change>,
     pub(crate) promised: Option<Ballot>,
@@ -53,18 +53,18 @@
     pub(crate) stop: Option<StopSign>,
 }
 
-impl KeeperState {
-    pub(crate) fn apply(&mut self, record: KeeperRecord) {
+impl VoterState {
+    pub(crate) fn apply(&mut self, record: VoterRecord) {
         match record {
-            KeeperRecord::Began(group) => *self = Self { group, ..Self::default() },
-            KeeperRecord::Accepted(from, changes) => {
+            VoterRecord::Began(group) => *self = Self { group, ..Self::default() },
+            VoterRecord::Accepted(from, changes) => {
                 self.log.truncate(from);
                 self.log.extend(changes);
             }
-            KeeperRecord::Promised(ballot) => self.promised = Some(ballot),
-            KeeperRecord::Decided(count) => self.decided = count,
-            KeeperRecord::Round(ballot) => self.round = Some(ballot),
-            KeeperRecord::Stop(stop) => self.stop = stop,
+            VoterRecord::Promised(ballot) => self.promised = Some(ballot),
+            VoterRecord::Decided(count) => self.decided = count,
+            VoterRecord::Round(ballot) => self.round = Some(ballot),
+            VoterRecord::Stop(stop) => self.stop = stop,
         }
     }
 }
@@ -79,9 +79,9 @@
     /// The founder that it has promised to follow, while it belongs to no fleet.
     pub promise: Option<u64>,
     /// Who belongs.
-    pub roster: Option<Roster>,
-    /// Its log as a keeper.
-    pub keeper: Option<KeeperState>,
+    pub member_list: Option<MemberList>,
+    /// Its log as a voter.
+    pub voter: Option<VoterState>,
 }
 
 impl State {
@@ -91,13 +91,15 @@
             Record::Folder(folder) => self.folder = folder,
             Record::Incarnation(incarnation) => self.incarnation = incarnation,
             Record::Promise(founder) => self.promise = Some(founder),
-            Record::Roster(roster) => self.roster = Some(*roster),
+            Record::MemberList(member_list) => self.member_list = Some(*member_list),
             Record::Step(number, change) => {
-                if let Some(roster) = self.roster.as_mut().filter(|roster| roster.number + 1 == number) {
-                    roster.apply(change);
+                if let Some(member_list) =
+                    self.member_list.as_mut().filter(|member_list| member_list.number + 1 == number)
+                {
+                    member_list.apply(change);
                 }
             }
-            Record::Keeper(record) => self.keeper.get_or_insert_default().apply(record),
+            Record::Voter(record) => self.voter.get_or_insert_default().apply(record),
             Record::Whole(state) => *self = *state,
         }
     }
--- a/sender-membership/src/disk/tests.rs
+++ b/sender-membership/src/disk/tests.rs
@@ -1,6 +1,6 @@
 //! Records that earlier versions wrote are read as they meant them, and written again by the same bytes.
 use super::*;
-use crate::roster::{Farewell, Info};
+use crate::roster::{Departure, Info};
 use omnipaxos::ClusterConfig;
 
 /// Recorded records, a line each: a word on it, and its bytes in hexadecimal digits.
@@ -27,20 +27,20 @@
     let mut changes = vec![
         Change::Start { folder: 5, incarnation: 2, boot: 1 << 60, info: info("five") },
         Change::Leaving { folder: 1 },
-        Change::Keepers { group: 2, folders: vec![3, 2, 1] },
+        Change::Voters { group: 2, folders: vec![3, 2, 1] },
     ];
-    let why = [Farewell::Left, Farewell::Removed, Farewell::Replaced];
-    changes.extend(why.into_iter().zip(2..).map(|(why, folder)| Change::Farewell { folder, why }));
+    let why = [Departure::Left, Departure::Removed, Departure::Replaced];
+    changes.extend(why.into_iter().zip(2..).map(|(why, folder)| Change::Departure { folder, why }));
     changes
 }
 
-/// A roster with members and former members.
-fn roster() -> Roster {
+/// A member list with members and former members.
+fn member_list() -> MemberList {
     let founders =
         (1..=4).map(|folder| (folder, 300 + folder as u32, folder << 40, info(&folder.to_string())));
-    let mut roster = Roster::found(0x0123_4567_89ab_cdef, 1, founders.collect());
-    changes().into_iter().for_each(|change| roster.apply(change));
-    roster
+    let mut member_list = MemberList::found(0x0123_4567_89ab_cdef, 1, founders.collect());
+    changes().into_iter().for_each(|change| member_list.apply(change));
+    member_list
 }
 
 fn ballot(n: u32) -> Ballot {
@@ -53,7 +53,7 @@
 }
 
 fn state() -> State {
-    let keeper = KeeperState {
+    let voter = VoterState {
         group: 2,
         log: changes(),
         promised: Some(ballot(10)),
@@ -61,30 +61,36 @@
         round: Some(ballot(11)),
         stop: Some(stop()),
     };
-    State { folder: 77, incarnation: 6, promise: Some(88), roster: Some(roster()), keeper: Some(keeper) }
+    State {
+        folder: 77,
+        incarnation: 6,
+        promise: Some(88),
+        member_list: Some(member_list()),
+        voter: Some(voter),
+    }
 }
 
 /// A record of every kind.
 fn records() -> Vec<Record> {
-    let keeper = [
-        KeeperRecord::Began(4),
-        KeeperRecord::Accepted(300, changes()),
-        KeeperRecord::Promised(ballot(1)),
-        KeeperRecord::Decided(301),
-        KeeperRecord::Round(ballot(2)),
-        KeeperRecord::Stop(Some(stop())),
-        KeeperRecord::Stop(None),
+    let voter = [
+        VoterRecord::Began(4),
+        VoterRecord::Accepted(300, changes()),
+        VoterRecord::Promised(ballot(1)),
+        VoterRecord::Decided(301),
+        VoterRecord::Round(ballot(2)),
+        VoterRecord::Stop(Some(stop())),
+        VoterRecord::Stop(None),
     ];
     let mut records = vec![
         Record::Folder(u64::MAX),
         Record::Incarnation(70_000),
         Record::Promise(3),
-        Record::Roster(Box::new(roster())),
+        Record::MemberList(Box::new(member_list())),
         Record::Whole(Box::new(state())),
         Record::Whole(Box::default()),
     ];
     records.extend(changes().into_iter().zip(500..).map(|(change, number)| Record::Step(number, change)));
-    records.extend(keeper.map(Record::Keeper));
+    records.extend(voter.map(Record::Voter));
     records
 }
 
--- a/sender-membership/src/keeper.rs
+++ b/sender-membership/src/keeper.rs
@@ -1,8 +1,8 @@
-//! One keeper's part in agreeing on the roster's steps: the consensus library `omnipaxos` over a log in memory, each of whose
-//! writes is also handed out as a record for the disk. Keepers of one group have the numbers 1 and up, in the order in
-//! which the roster names their folders. A group ends with a stop sign, which names the next one; that is also how the log
+//! One voter's part in agreeing on the member list's steps: the consensus library `omnipaxos` over a log in memory, each of whose
+//! writes is also handed out as a record for the disk. Voters of one group have the numbers 1 and up, in the order in
+//! which the member list names their folders. A group ends with a stop sign, which names the next one; that is also how the log
 //! stays short.
-use crate::disk::{KeeperRecord, KeeperState};
+use crate::disk::{VoterRecord, VoterState};
 use crate::roster::Change;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
@@ -17,18 +17,18 @@
     type Snapshot = NoSnapshot;
 }
 
-type Writes = Rc<RefCell<Vec<KeeperRecord>>>;
+type Writes = Rc<RefCell<Vec<VoterRecord>>>;
 
 /// The log: in memory, with the writes that the disk has not been given yet.
 struct Log {
-    state: KeeperState,
+    state: VoterState,
     writes: Writes,
     /// How many steps it has; a stop sign is none.
     steps: Rc<Cell<usize>>,
 }
 
 impl Log {
-    fn write(&mut self, record: KeeperRecord) {
+    fn write(&mut self, record: VoterRecord) {
         self.writes.borrow_mut().push(record.clone());
         self.state.apply(record);
         self.steps.set(self.state.log.len());
@@ -62,19 +62,19 @@
     }
 
     fn append_on_prefix(&mut self, from: usize, entries: Vec<Change>) -> StorageResult<()> {
-        self.write(KeeperRecord::Accepted(from, entries));
+        self.write(VoterRecord::Accepted(from, entries));
         Ok(())
     }
 
     fn set_promise(&mut self, ballot: Ballot) -> StorageResult<()> {
         if self.state.promised != Some(ballot) {
-            self.write(KeeperRecord::Promised(ballot));
+            self.write(VoterRecord::Promised(ballot));
         }
         Ok(())
     }
 
     fn set_decided_idx(&mut self, index: usize) -> StorageResult<()> {
-        self.write(KeeperRecord::Decided(index));
+        self.write(VoterRecord::Decided(index));
         Ok(())
     }
 
@@ -84,7 +84,7 @@
 
     fn set_accepted_round(&mut self, ballot: Ballot) -> StorageResult<()> {
         if self.state.round != Some(ballot) {
-            self.write(KeeperRecord::Round(ballot));
+            self.write(VoterRecord::Round(ballot));
         }
         Ok(())
     }
@@ -111,7 +111,7 @@
 
     fn set_stopsign(&mut self, stop: Option<StopSign>) -> StorageResult<()> {
         if self.state.stop != stop {
-            self.write(KeeperRecord::Stop(stop));
+            self.write(VoterRecord::Stop(stop));
         }
         Ok(())
     }
@@ -141,15 +141,15 @@
     }
 }
 
-/// Calls of [`Keeper::tick`] between two looks at who leads.
+/// Calls of [`Voter::tick`] between two looks at who leads.
 const ELECTION_TICKS: u64 = 4;
 /// Calls between two tellings of what was not answered. Well above a round trip: the library begins a session anew for
 /// each answer that it gets twice, and a group whose answers all come twice agrees on nothing (seen at 5, with answers
 /// that took 2).
 const RESEND_TICKS: u64 = 10;
 
-/// A keeper at work in one group.
-pub(crate) struct Keeper {
+/// A voter at work in one group.
+pub(crate) struct Voter {
     paxos: OmniPaxos<Change, Log>,
     pub(crate) group: u32,
     pub(crate) folders: Vec<u64>,
@@ -158,15 +158,15 @@
     steps: Rc<Cell<usize>>,
 }
 
-impl Keeper {
-    /// The keeper with that folder, with the log that its disk holds, if that is of the same group. None if the folder is not
+impl Voter {
+    /// The voter with that folder, with the log that its disk holds, if that is of the same group. None if the folder is not
     /// of the group, or the library does not take the group.
-    pub(crate) fn new(group: u32, folders: &[u64], folder: u64, disk: Option<&KeeperState>) -> Option<Self> {
+    pub(crate) fn new(group: u32, folders: &[u64], folder: u64, disk: Option<&VoterState>) -> Option<Self> {
         let own = folders.iter().position(|other| *other == folder)? as NodeId + 1;
         let writes = Writes::default();
         let state = disk.filter(|state| state.group == group).cloned().unwrap_or_else(|| {
-            writes.borrow_mut().push(KeeperRecord::Began(group));
-            KeeperState { group, ..KeeperState::default() }
+            writes.borrow_mut().push(VoterRecord::Began(group));
+            VoterState { group, ..VoterState::default() }
         });
         let cluster = ClusterConfig {
             configuration_id: group,
@@ -191,7 +191,7 @@
         Some(Self { paxos, group, folders: folders.to_vec(), own, writes, steps })
     }
 
-    /// The folder of the keeper that leads, as far as this one knows.
+    /// The folder of the voter that leads, as far as this one knows.
     pub(crate) fn leader(&self) -> Option<u64> {
         let (leader, accepts) = self.paxos.get_current_leader()?;
         let folder = self.folders.get(usize::try_from(leader).ok()?.checked_sub(1)?)?;
@@ -208,7 +208,7 @@
         self.paxos.tick();
     }
 
-    /// What another keeper of the group, the one with that folder, says. Nothing is taken from one that says it is another.
+    /// What another voter of the group, the one with that folder, says. Nothing is taken from one that says it is another.
     pub(crate) fn hear(&mut self, folder: u64, message: Message<Change>) -> bool {
         let from = self.folders.iter().position(|other| *other == folder);
         let sound = from.is_some_and(|at| at as NodeId + 1 == message.get_sender())
@@ -221,8 +221,8 @@
     }
 
     /// Where a log is told anew to one that has its stop sign already, the library counts that sign among the steps that
-    /// are there, and then once more: with each telling this keeper would say that it has one step more, until the leader
-    /// takes steps for agreed that nobody has. So the telling is made to begin where the steps end. None where this keeper
+    /// are there, and then once more: with each telling this voter would say that it has one step more, until the leader
+    /// takes steps for agreed that nobody has. So the telling is made to begin where the steps end. None where this voter
     /// knows that the group has ended: it needs no telling.
     fn counted_once(&self, mut message: Message<Change>) -> Option<Message<Change>> {
         let sync: Option<&mut LogSync<Change>> = match &mut message {
@@ -248,7 +248,7 @@
         self.paxos.try_become_leader();
     }
 
-    /// Has a keeper tell anew what may have been lost between the two.
+    /// Has a voter tell anew what may have been lost between the two.
     pub(crate) fn reconnected(&mut self, folder: u64) {
         if let Some(at) = self.folders.iter().position(|other| *other == folder) {
             self.paxos.reconnected(at as NodeId + 1);
@@ -283,7 +283,7 @@
             LogEntry::Decided(change) => Some(change),
             LogEntry::StopSign(stop, true) => {
                 let folders = postcard::from_bytes(stop.metadata.as_deref()?).ok()?;
-                Some(Change::Keepers { group: stop.next_config.configuration_id, folders })
+                Some(Change::Voters { group: stop.next_config.configuration_id, folders })
             }
             _ => None,
         };
@@ -291,11 +291,11 @@
     }
 
     /// What the disk has to be given before anything else is told.
-    pub(crate) fn writes(&mut self) -> Vec<KeeperRecord> {
+    pub(crate) fn writes(&mut self) -> Vec<VoterRecord> {
         std::mem::take(&mut self.writes.borrow_mut())
     }
 
-    /// What is to be told, each with the folder of the keeper that it is for.
+    /// What is to be told, each with the folder of the voter that it is for.
     pub(crate) fn messages(&mut self) -> Vec<(u64, Message<Change>)> {
         let mut messages = Vec::new();
         self.paxos.take_outgoing_messages(&mut messages);
--- a/sender-membership/src/lib.rs
+++ b/sender-membership/src/lib.rs
@@ -12,12 +12,12 @@
 mod view;
 mod wire;
 
-pub use disk::{KeeperRecord, KeeperState, Record, State};
-pub use node::{Counts, Effect, Halt, Node, Note, Order, OrderError};
-pub use roster::{Change, Farewell, Gone, Info, Member, Roster};
-pub use settings::{Broken, Settings, SettingsError};
-pub use view::{Health, Mark, Row, Standing, View};
-pub use wire::{Identity, MOST_DATAGRAM, MOST_FRAME, WireError};
+pub use disk::{Record, State, VoterRecord, VoterState};
+pub use node::{Command, CommandError, Counts, Effect, Halt, Node, Notification};
+pub use roster::{Change, DepartedMember, Departure, Info, Member, MemberList};
+pub use settings::{InjectedFaults, Settings, SettingsError};
+pub use view::{Health, MemberState, Row, View, ViewDigest};
+pub use wire::{Identity, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, WireError};
 
 /// Milliseconds of a clock that never steps, from any beginning.
 pub type Millis = u64;
--- a/sender-membership/src/node.rs
+++ b/sender-membership/src/node.rs
@@ -1,22 +1,22 @@
-//! One sender's part in its fleet: the roster, who answers, and its work as a keeper, behind one state machine.
+//! One sender's part in its fleet: the member list, who answers, and its work as a voter, behind one state machine.
 use crate::Millis;
 use crate::disk::{Record, State};
-use crate::keeper::Keeper;
-use crate::roster::{Change, Farewell, Info, Member, Roster};
+use crate::keeper::Voter;
+use crate::roster::{Change, Departure, Info, Member, MemberList};
 use crate::settings::Settings;
-use crate::view::{Health, Heard, Mark, Row, Standing, View, Watch};
-use crate::wire::{Identity, MOST_DATAGRAM, Packet, WireError, decode, encode};
+use crate::view::{Health, Heard, MemberState, Row, View, ViewDigest, Watch};
+use crate::wire::{Identity, MAX_DATAGRAM_BYTES, Packet, WireError, decode, encode};
 use omnipaxos::messages::Message;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// A keeper's clock ticks this often.
+/// A voter's clock ticks this often.
 const KEEPER_TICK: Millis = 200;
-/// One member is told this often how far the roster here is.
+/// One member is told this often how far the member list here is.
 const DIGEST: Millis = 1_000;
-/// What is asked of the keepers is asked again after this, until it is agreed or given up.
+/// What is asked of the voters is asked again after this, until it is agreed or given up.
 const PROPOSE: Millis = 700;
 /// A blank sender asks the seeds this often, and later this often.
 const HELLO: Millis = 500;
@@ -26,24 +26,24 @@
 const GREET: Millis = 2_000;
 /// The same while some of them are so new here that they could not be heard yet.
 const GREET_FRESH: Millis = 250;
-/// The leader of the keepers looks at their group this often, and changes it no sooner than this after the last change.
+/// The leader of the voters looks at their group this often, and changes it no sooner than this after the last change.
 const HOUSEKEEPING: Millis = 1_000;
 const SETTLED: Millis = 4_000;
-/// One peer is asked for the roster no more often than this.
+/// One peer is asked for the member list no more often than this.
 const PULL: Millis = 250;
-/// A keeper that hears of steps its group has agreed on without it asks its leader after this.
+/// A voter that hears of steps its group has agreed on without it asks its leader after this.
 const LAGGING: Millis = 1_500;
 /// A disk that took no record is tried again after this.
 const RELOAD: Millis = 3_000;
 /// The so many-th time it tries to lead, as asking has not helped.
 const LAGS: u32 = 3;
-/// Staff have an answer by then.
+/// Operators have an answer by then.
 const ORDER_PATIENCE: Millis = 8_000;
 /// Members that are told at once of a new step, so that it spreads as a rumour does.
 const FANOUT: usize = 3;
 /// Steps that are kept for those that are a little behind; others get the whole.
 const RECENT: usize = 256;
-/// A group of keepers that has agreed on so many steps begins anew, with an empty log.
+/// A group of voters that has agreed on so many steps begins anew, with an empty log.
 const MOST_LOG: usize = 256;
 /// Steps that may wait for a majority.
 const MOST_WAITING: usize = 64;
@@ -67,36 +67,36 @@
         connection: bool,
     },
     /// A line for the log.
-    Note(Note),
+    Notify(Notification),
     /// The disk took no record, and may again: try it, and tell what it holds by [`Node::reloaded`].
     Reload,
     /// This sender takes no part any more.
     Halt(Halt),
     /// The answer to an order.
-    Answer(u64, Result<(), OrderError>),
+    Answer(u64, Result<(), CommandError>),
 }
 
-/// What staff can ask for.
+/// What operators can ask for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Command {
     /// This sender leaves in order.
     Leave,
     /// The member of that name does not belong any more.
     Remove(String),
-    /// A majority of the keepers is lost for good: go on from the roster that this sender has. To be asked of one sender only.
+    /// A majority of the voters is lost for good: go on from the member list that this sender has. To be asked of one sender only.
     Refound,
 }
 
 /// Why an order is not carried out.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum OrderError {
+pub enum CommandError {
     /// This sender belongs to no fleet.
     #[error("this sender belongs to no fleet: {0}")]
     NoFleet(String),
-    /// The roster has no such member.
+    /// The member list has no such member.
     #[error("no member is called {0:?}; `fleet roster` names them all")]
     Unknown(String),
-    /// The keepers did not agree in time.
+    /// The voters did not agree in time.
     #[error(
         "not agreed on within {0} s: no majority of the keepers answers; ask again, it does no harm twice"
     )]
@@ -124,12 +124,12 @@
     },
     /// It does not belong any more.
     #[error("this sender does not belong to the fleet any more: {0}")]
-    Gone(&'static str),
+    Departed(&'static str),
 }
 
 /// A line for the log: what changed, and why.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum Notification {
     /// A member's health changed.
     Health {
         /// Its name.
@@ -141,8 +141,8 @@
         /// Its incarnation.
         incarnation: u32,
     },
-    /// The roster has a new number.
-    Roster {
+    /// The member list has a new number.
+    MemberList {
         /// The number before.
         before: u64,
         /// The number now.
@@ -156,8 +156,8 @@
     Waiting(String),
     /// A fleet of the same name, but another one, was heard.
     OtherFleet(SocketAddr),
-    /// The keepers' group that this one works in.
-    Keeper(Option<u32>),
+    /// The voters' group that this one works in.
+    Voter(Option<u32>),
 }
 
 /// What came and went.
@@ -170,7 +170,7 @@
     /// Bytes sent in both.
     pub bytes: u64,
     /// Packets taken in.
-    pub taken: u64,
+    pub received: u64,
     /// Dropped: of another fleet, of another version, damaged or unreadable.
     pub foreign: u64,
     /// Dropped, being of another version.
@@ -196,18 +196,18 @@
     began: Millis,
     promise: Option<u64>,
     promises: BTreeMap<SocketAddr, (u64, u32, u64, Info)>,
-    roster: Option<Roster>,
+    member_list: Option<MemberList>,
     recent: VecDeque<Change>,
     watch: Watch,
     watching: Option<Millis>,
-    keeper: Option<Keeper>,
-    keeper_disk: Option<crate::disk::KeeperState>,
+    voter: Option<Voter>,
+    stored_voter: Option<crate::disk::VoterState>,
     disk_broken: bool,
     hellos: u32,
     next_hello: Millis,
     next_digest: Millis,
     next_propose: Millis,
-    next_keeper: Millis,
+    next_voter_tick: Millis,
     next_housekeeping: Millis,
     next_greet: Millis,
     next_reload: Millis,
@@ -215,7 +215,7 @@
     pulled: Millis,
     lagging: Option<Millis>,
     lags: u32,
-    /// The incarnation of each member that the roster has, and since when it is known here.
+    /// The incarnation of each member that the member list has, and since when it is known here.
     learned: BTreeMap<u64, (u32, Millis)>,
     /// What the log was told last of who answers.
     told: BTreeMap<u64, Health>,
@@ -252,18 +252,18 @@
             began: now,
             promise: state.promise,
             promises: BTreeMap::new(),
-            roster: state.roster,
+            member_list: state.member_list,
             recent: VecDeque::new(),
             watch,
             watching: None,
-            keeper: None,
-            keeper_disk: state.keeper,
+            voter: None,
+            stored_voter: state.voter,
             disk_broken: false,
             hellos: 0,
             next_hello: now,
             next_digest: now + spread,
             next_propose: now,
-            next_keeper: now,
+            next_voter_tick: now,
             next_housekeeping: now + HOUSEKEEPING,
             next_greet: now,
             next_reload: now,
@@ -282,7 +282,7 @@
             counts: Counts::default(),
             settings,
         };
-        node.roster_changed(now, None);
+        node.member_list_changed(now, None);
         node
     }
 
@@ -292,8 +292,8 @@
     }
 
     /// The latest record of who belongs.
-    pub fn roster(&self) -> Option<&Roster> {
-        self.roster.as_ref()
+    pub fn member_list(&self) -> Option<&MemberList> {
+        self.member_list.as_ref()
     }
 
     /// What came and went.
@@ -306,29 +306,29 @@
         self.halted.as_ref()
     }
 
-    /// The name of the keeper that leads the others, as far as this one, a keeper, knows.
+    /// The name of the voter that leads the others, as far as this one, a voter, knows.
     pub fn leader(&self) -> Option<&str> {
-        let folder = self.keeper.as_ref()?.leader()?;
-        Some(&self.roster.as_ref()?.members.get(&folder)?.info.name)
+        let folder = self.voter.as_ref()?.leader()?;
+        Some(&self.member_list.as_ref()?.members.get(&folder)?.info.name)
     }
 
-    /// Whether it works as a keeper.
-    pub fn keeps(&self) -> bool {
-        self.keeper.is_some()
+    /// Whether it works as a voter.
+    pub fn is_voter(&self) -> bool {
+        self.voter.is_some()
     }
 
     /// What is to be done.
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     /// When [`Node::tick`] is to be called at the latest; none when it takes no part any more.
-    pub fn next(&self) -> Option<Millis> {
+    pub fn next_tick(&self) -> Option<Millis> {
         if self.halted.is_some() {
             return None;
         }
         let mut next = self.next_digest;
-        if self.roster.is_none() {
+        if self.member_list.is_none() {
             next = next.min(self.next_hello);
         }
         if self.watching.is_some() {
@@ -337,8 +337,8 @@
         if !self.confirmed() || !self.orders.is_empty() {
             next = next.min(self.next_propose);
         }
-        if self.keeper.is_some() {
-            next = next.min(self.next_keeper).min(self.next_housekeeping);
+        if self.voter.is_some() {
+            next = next.min(self.next_voter_tick).min(self.next_housekeeping);
         }
         if self.disk_broken {
             next = next.min(self.next_reload);
@@ -351,7 +351,7 @@
         if self.halted.is_some() {
             return;
         }
-        if self.roster.is_none() && self.next_hello <= now {
+        if self.member_list.is_none() && self.next_hello <= now {
             self.hello(now);
         }
         self.watch.tick(now);
@@ -370,13 +370,13 @@
             self.propose_own();
             self.give_up_orders(now);
         }
-        if self.keeper.is_some() && self.next_keeper <= now {
-            self.next_keeper = now + KEEPER_TICK;
-            if let Some(keeper) = &mut self.keeper {
-                keeper.tick();
+        if self.voter.is_some() && self.next_voter_tick <= now {
+            self.next_voter_tick = now + KEEPER_TICK;
+            if let Some(voter) = &mut self.voter {
+                voter.tick();
             }
         }
-        if self.keeper.is_some() && self.next_housekeeping <= now {
+        if self.voter.is_some() && self.next_housekeeping <= now {
             self.next_housekeeping = now + HOUSEKEEPING;
             self.housekeeping(now);
         }
@@ -384,11 +384,11 @@
             self.next_reload = now + RELOAD;
             self.effects.push(Effect::Reload);
         }
-        self.after_keeper(now);
+        self.after_voter(now);
     }
 
     /// Takes in a datagram or a frame.
-    pub fn hear(&mut self, now: Millis, bytes: &[u8]) -> Result<(), WireError> {
+    pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> Result<(), WireError> {
         if self.halted.is_some() {
             return Ok(());
         }
@@ -397,29 +397,29 @@
             WireError::Version(_) => self.counts.versions += 1,
             WireError::Damaged | WireError::Unreadable => self.counts.damaged += 1,
         })?;
-        self.counts.taken += 1;
+        self.counts.received += 1;
         self.taken_in(now, from, packet);
         self.after_watch(now);
-        self.after_keeper(now);
+        self.after_voter(now);
         Ok(())
     }
 
     /// A connection to the peer at that address broke, and frames may be lost with it.
-    pub fn broke(&mut self, address: SocketAddr) {
-        let folder = self.roster.as_ref().and_then(|roster| {
-            roster.members.iter().find(|(_, m)| m.info.address == address).map(|(folder, _)| *folder)
+    pub fn connection_broken(&mut self, address: SocketAddr) {
+        let folder = self.member_list.as_ref().and_then(|member_list| {
+            member_list.members.iter().find(|(_, m)| m.info.address == address).map(|(folder, _)| *folder)
         });
         // Nothing is told to it until it is heard again: it may be gone.
-        self.broken.extend(folder.filter(|_| self.keeper.is_some()));
+        self.broken.extend(folder.filter(|_| self.voter.is_some()));
     }
 
     fn taken_in(&mut self, now: Millis, from: Identity, packet: Packet) {
         match packet {
-            Packet::Hello if self.roster.is_some() => self.tell_digest(from.address),
+            Packet::Hello if self.member_list.is_some() => self.tell_digest(from.address),
             Packet::Hello => self.promise_to(from),
             Packet::Promise { founder, incarnation, boot, info } => {
                 let seeds = &self.settings.seeds;
-                if self.roster.is_none() && founder == self.folder && seeds.contains(&info.address) {
+                if self.member_list.is_none() && founder == self.folder && seeds.contains(&info.address) {
                     self.promises.insert(info.address, (from.folder, incarnation, boot, info));
                     self.found(now);
                 }
@@ -427,17 +427,17 @@
             Packet::Digest { fleet, epoch, number } => self.digest(now, from, fleet, (epoch, number)),
             Packet::Pull { epoch, number } => self.pulled_by(from.address, epoch, number),
             Packet::Steps { fleet, epoch, after, changes } => {
-                let Some(roster) = &self.roster else { return };
-                if roster.fleet != fleet || roster.epoch != epoch || after > roster.number {
+                let Some(member_list) = &self.member_list else { return };
+                if member_list.fleet != fleet || member_list.epoch != epoch || after > member_list.number {
                     return;
                 }
-                let known = usize::try_from(roster.number - after).unwrap_or(usize::MAX);
+                let known = usize::try_from(member_list.number - after).unwrap_or(usize::MAX);
                 self.heard = Some(now);
                 for change in changes.into_iter().skip(known) {
                     self.step(now, change);
                 }
             }
-            Packet::Whole(roster) => self.whole(now, *roster),
+            Packet::Whole(member_list) => self.whole(now, *member_list),
             Packet::Propose(change) => {
                 if let Change::Start { folder, boot, info, .. } = &change
                     && let Some(incarnation) = self.copied(*folder, info)
@@ -449,52 +449,52 @@
                     // Whoever asks has not heard of it: the frame that told it may have been lost with its connection.
                     return self.tell_digest(from.address);
                 }
-                self.put_to_keepers(&change);
+                self.propose_to_voters(&change);
             }
             Packet::Refused { boot, incarnation } => {
                 if boot == self.boot && !self.confirmed() {
                     self.halt(now, Halt::Copied { theirs: incarnation, own: self.incarnation });
                 }
             }
-            Packet::Keeper { fleet, epoch, group, message } => {
-                let ours = self.roster.as_ref().is_some_and(|r| r.fleet == fleet && r.epoch == epoch);
+            Packet::Voter { fleet, epoch, group, message } => {
+                let ours = self.member_list.as_ref().is_some_and(|r| r.fleet == fleet && r.epoch == epoch);
                 if !ours {
                     return;
                 }
                 self.heard = Some(now);
-                match &mut self.keeper {
-                    Some(keeper) if keeper.group == group => {
+                match &mut self.voter {
+                    Some(voter) if voter.group == group => {
                         let again = self.broken.remove(&from.folder);
                         if again {
-                            keeper.reconnected(from.folder);
+                            voter.reconnected(from.folder);
                         }
-                        keeper.hear(from.folder, *message);
+                        voter.hear(from.folder, *message);
                         if again {
                             self.send(from.address, Packet::Again { group });
                         }
                     }
-                    // One of the two has an old roster.
+                    // One of the two has an old member list.
                     _ => self.tell_digest(from.address),
                 }
             }
             Packet::Again { group } => {
-                if let Some(keeper) = self.keeper.as_mut().filter(|keeper| keeper.group == group) {
-                    keeper.reconnected(from.folder);
+                if let Some(voter) = self.voter.as_mut().filter(|voter| voter.group == group) {
+                    voter.reconnected(from.folder);
                 }
             }
             Packet::Swim { fleet, data } => {
-                let Some(roster) = &self.roster else { return };
+                let Some(member_list) = &self.member_list else { return };
                 // Only members are listened to: so nobody else can have this sender hold anything.
-                let member = roster.members.contains_key(&from.folder);
-                if roster.fleet == fleet && self.watching.is_none() {
+                let member = member_list.members.contains_key(&from.folder);
+                if member_list.fleet == fleet && self.watching.is_none() {
                     // It counts as a member there, and does not know so.
                     self.tell_digest(from.address);
-                } else if roster.fleet == fleet {
+                } else if member_list.fleet == fleet {
                     if member {
                         self.heard = Some(now);
                         self.watch.hear(now, &data);
                     } else {
-                        // Either it is gone and has to learn so, or it is new and this roster is old.
+                        // Either it is gone and has to learn so, or it is new and this member list is old.
                         self.tell_digest(from.address);
                     }
                 }
@@ -527,7 +527,7 @@
             } else {
                 "no member of a fleet has answered at any seed".to_owned()
             };
-            self.effects.push(Effect::Note(Note::Waiting(what)));
+            self.effects.push(Effect::Notify(Notification::Waiting(what)));
         }
     }
 
@@ -558,7 +558,7 @@
                 self.promise.unwrap_or_default(),
                 from.folder
             );
-            self.effects.push(Effect::Note(Note::Waiting(what)));
+            self.effects.push(Effect::Notify(Notification::Waiting(what)));
         }
     }
 
@@ -573,33 +573,33 @@
         let mut founders = vec![(self.folder, self.incarnation, self.boot, self.settings.info.clone())];
         founders.extend(promised);
         let fleet = self.rng.random();
-        let roster = Roster::found(fleet, self.folder, founders);
-        self.effects.push(Effect::Persist(Record::Roster(Box::new(roster.clone()))));
-        self.roster = Some(roster);
-        self.effects.push(Effect::Note(Note::Roster { before: 0, now: 1, change: None }));
-        self.roster_changed(now, None);
+        let member_list = MemberList::found(fleet, self.folder, founders);
+        self.effects.push(Effect::Persist(Record::MemberList(Box::new(member_list.clone()))));
+        self.member_list = Some(member_list);
+        self.effects.push(Effect::Notify(Notification::MemberList { before: 0, now: 1, change: None }));
+        self.member_list_changed(now, None);
     }
 
-    // ----- the roster, from peer to peer
+    // ----- the member list, from peer to peer
 
     fn tell_digest(&mut self, to: SocketAddr) {
-        if let Some(roster) = &self.roster
+        if let Some(member_list) = &self.member_list
             && to != self.settings.info.address
         {
-            let (epoch, number) = roster.age();
-            let fleet = roster.fleet;
+            let (epoch, number) = member_list.age();
+            let fleet = member_list.fleet;
             self.send(to, Packet::Digest { fleet, epoch, number });
         }
     }
 
     fn digest(&mut self, now: Millis, from: Identity, fleet: u64, theirs: (u32, u64)) {
-        let own = self.roster.as_ref().map(|roster| (roster.fleet, roster.age()));
+        let own = self.member_list.as_ref().map(|member_list| (member_list.fleet, member_list.age()));
         if let Some((own, _)) = own
             && own != fleet
         {
             if self.other_fleet != Some(from.address) {
                 self.other_fleet = Some(from.address);
-                self.effects.push(Effect::Note(Note::OtherFleet(from.address)));
+                self.effects.push(Effect::Notify(Notification::OtherFleet(from.address)));
             }
             return;
         }
@@ -620,93 +620,101 @@
         }
     }
 
-    /// A keeper that others are ahead of has missed something of its leader's, which does not tell it twice.
+    /// A voter that others are ahead of has missed something of its leader's, which does not tell it twice.
     fn lag(&mut self, now: Millis) {
         let since = *self.lagging.get_or_insert(now);
         if now >= since + LAGGING
-            && let Some(keeper) = &mut self.keeper
+            && let Some(voter) = &mut self.voter
         {
             self.lagging = Some(now);
             self.lags += 1;
             if self.lags.is_multiple_of(LAGS) {
-                keeper.lead();
-            } else if let Some(leader) = keeper.leader().filter(|leader| *leader != self.folder) {
-                keeper.reconnected(leader);
+                voter.lead();
+            } else if let Some(leader) = voter.leader().filter(|leader| *leader != self.folder) {
+                voter.reconnected(leader);
             }
         }
     }
 
     fn pulled_by(&mut self, to: SocketAddr, epoch: u32, number: u64) {
-        let Some(roster) = &self.roster else { return };
-        if (epoch, number) >= roster.age() {
+        let Some(member_list) = &self.member_list else { return };
+        if (epoch, number) >= member_list.age() {
             return;
         }
-        let behind = usize::try_from(roster.number.saturating_sub(number)).unwrap_or(usize::MAX);
-        let packet = if epoch == roster.epoch && behind <= self.recent.len() {
+        let behind = usize::try_from(member_list.number.saturating_sub(number)).unwrap_or(usize::MAX);
+        let packet = if epoch == member_list.epoch && behind <= self.recent.len() {
             let changes = self.recent.iter().skip(self.recent.len() - behind).cloned().collect();
-            Packet::Steps { fleet: roster.fleet, epoch, after: number, changes }
+            Packet::Steps { fleet: member_list.fleet, epoch, after: number, changes }
         } else {
-            Packet::Whole(Box::new(roster.clone()))
+            Packet::Whole(Box::new(member_list.clone()))
         };
         self.send(to, packet);
     }
 
-    fn whole(&mut self, now: Millis, roster: Roster) {
-        match &self.roster {
-            Some(own) if own.fleet != roster.fleet || own.age() >= roster.age() => return,
+    fn whole(&mut self, now: Millis, member_list: MemberList) {
+        match &self.member_list {
+            Some(own) if own.fleet != member_list.fleet || own.age() >= member_list.age() => return,
             // One that promised to follow another founder, and is named as if it had followed this one, is not to be
             // counted twice.
-            None if self.promise.is_some_and(|founder| founder != roster.founder)
-                && roster.members.contains_key(&self.folder) =>
+            None if self.promise.is_some_and(|founder| founder != member_list.founder)
+                && member_list.members.contains_key(&self.folder) =>
             {
                 return;
             }
             _ => {}
         }
         self.heard = Some(now);
-        let before = self.roster.as_ref().map_or(0, |own| own.number);
-        self.effects.push(Effect::Note(Note::Roster { before, now: roster.number, change: None }));
-        self.effects.push(Effect::Persist(Record::Roster(Box::new(roster.clone()))));
-        self.roster = Some(roster);
+        let before = self.member_list.as_ref().map_or(0, |own| own.number);
+        self.effects.push(Effect::Notify(Notification::MemberList {
+            before,
+            now: member_list.number,
+            change: None,
+        }));
+        self.effects.push(Effect::Persist(Record::MemberList(Box::new(member_list.clone()))));
+        self.member_list = Some(member_list);
         self.recent.clear();
-        self.roster_changed(now, None);
+        self.member_list_changed(now, None);
     }
 
     fn step(&mut self, now: Millis, change: Change) {
-        let Some(roster) = &mut self.roster else { return };
-        let before = roster.number;
-        let keepers = roster.keepers.clone();
-        roster.apply(change.clone());
+        let Some(member_list) = &mut self.member_list else { return };
+        let before = member_list.number;
+        let voters = member_list.voters.clone();
+        member_list.apply(change.clone());
         self.effects.push(Effect::Persist(Record::Step(before + 1, change.clone())));
         self.recent.push_back(change.clone());
         if self.recent.len() > RECENT {
             self.recent.pop_front();
         }
-        self.effects.push(Effect::Note(Note::Roster { before, now: before + 1, change: Some(change) }));
-        self.roster_changed(now, Some(keepers));
+        self.effects.push(Effect::Notify(Notification::MemberList {
+            before,
+            now: before + 1,
+            change: Some(change),
+        }));
+        self.member_list_changed(now, Some(voters));
     }
 
-    /// Whatever follows from a new roster. `former` are the keepers before, where they may have changed.
-    fn roster_changed(&mut self, now: Millis, former: Option<Vec<u64>>) {
-        let Some(roster) = &self.roster else { return };
-        if let Some(gone) = roster.farewell_of(self.folder) {
+    /// Whatever follows from a new member list. `former` are the voters before, where they may have changed.
+    fn member_list_changed(&mut self, now: Millis, former: Option<Vec<u64>>) {
+        let Some(member_list) = &self.member_list else { return };
+        if let Some(gone) = member_list.departure_of(self.folder) {
             let why = match gone.why {
-                Farewell::Left => "it left",
-                Farewell::Removed => "staff removed it; empty its folder to have it join as a new one",
-                Farewell::Replaced => "another one has its name",
+                Departure::Left => "it left",
+                Departure::Removed => "staff removed it; empty its folder to have it join as a new one",
+                Departure::Replaced => "another one has its name",
             };
-            return self.halt(now, Halt::Gone(why));
+            return self.halt(now, Halt::Departed(why));
         }
-        self.learned.retain(|folder, _| roster.members.contains_key(folder));
-        self.told.retain(|folder, _| roster.members.contains_key(folder));
-        for (folder, member) in &roster.members {
+        self.learned.retain(|folder, _| member_list.members.contains_key(folder));
+        self.told.retain(|folder, _| member_list.members.contains_key(folder));
+        for (folder, member) in &member_list.members {
             let known = self.learned.entry(*folder).or_insert((member.incarnation, now));
             if known.0 != member.incarnation {
                 *known = (member.incarnation, now);
             }
         }
         let mut here = false;
-        if let Some(member) = roster.members.get(&self.folder) {
+        if let Some(member) = member_list.members.get(&self.folder) {
             let theirs = (member.incarnation, member.boot);
             let copied =
                 theirs.0 > self.incarnation || (theirs.0 == self.incarnation && theirs.1 != self.boot);
@@ -720,24 +728,24 @@
                 self.next_greet = now;
             }
         }
-        let (group, keepers) = (roster.group, roster.keepers.clone());
+        let (group, voters) = (member_list.group, member_list.voters.clone());
         let mut to: Vec<SocketAddr> = Vec::new();
-        if former.as_ref().is_none_or(|former| *former != keepers) {
-            let folders = keepers.iter().chain(former.iter().flatten());
-            to.extend(folders.filter_map(|folder| roster.members.get(folder)).map(|m| m.info.address));
+        if former.as_ref().is_none_or(|former| *former != voters) {
+            let folders = voters.iter().chain(former.iter().flatten());
+            to.extend(folders.filter_map(|folder| member_list.members.get(folder)).map(|m| m.info.address));
         }
-        if self.keeper.as_ref().is_none_or(|keeper| keeper.group != group) {
-            let before = self.keeper.take().map(|keeper| keeper.group);
+        if self.voter.as_ref().is_none_or(|voter| voter.group != group) {
+            let before = self.voter.take().map(|voter| voter.group);
             if !self.disk_broken && here {
-                self.keeper = Keeper::new(group, &keepers, self.folder, self.keeper_disk.as_ref());
+                self.voter = Voter::new(group, &voters, self.folder, self.stored_voter.as_ref());
             }
-            self.keeper_disk = None;
+            self.stored_voter = None;
             self.broken.clear();
-            let now_in = self.keeper.as_ref().map(|keeper| keeper.group);
+            let now_in = self.voter.as_ref().map(|voter| voter.group);
             if before != now_in {
-                self.effects.push(Effect::Note(Note::Keeper(now_in)));
+                self.effects.push(Effect::Notify(Notification::Voter(now_in)));
             }
-            self.next_keeper = now;
+            self.next_voter_tick = now;
             self.settled_at = now;
         }
         // The news spreads: to a few members, and to those who agree on the next step.
@@ -753,11 +761,11 @@
 
     fn halt(&mut self, now: Millis, halt: Halt) {
         if self.halted.is_none() {
-            if matches!(halt, Halt::Gone(_)) && self.watching.is_some() {
+            if matches!(halt, Halt::Departed(_)) && self.watching.is_some() {
                 self.watch.leave(now);
                 self.after_watch(now);
             }
-            self.keeper = None;
+            self.voter = None;
             self.settle_orders();
             self.effects.push(Effect::Halt(halt.clone()));
             self.halted = Some(halt);
@@ -766,8 +774,8 @@
 
     /// Some member besides this one, by chance; a seed while none is known.
     fn some_member(&mut self) -> Option<SocketAddr> {
-        let roster = self.roster.as_ref()?;
-        let others: Vec<SocketAddr> = roster
+        let member_list = self.member_list.as_ref()?;
+        let others: Vec<SocketAddr> = member_list
             .members
             .iter()
             .filter(|(folder, _)| **folder != self.folder)
@@ -780,7 +788,7 @@
 
     fn greet(&mut self, now: Millis) {
         self.next_greet = now + GREET;
-        let Some(roster) = &self.roster else { return };
+        let Some(member_list) = &self.member_list else { return };
         let health = self.watch.health();
         let unheard = |folder: &u64, incarnation: u32| {
             *folder != self.folder
@@ -788,7 +796,7 @@
                     .get(folder)
                     .is_none_or(|(known, health)| *health == Health::Lost || *known < incarnation)
         };
-        let lost: Vec<Identity> = roster
+        let lost: Vec<Identity> = member_list
             .members
             .iter()
             .filter(|(folder, member)| unheard(folder, member.incarnation))
@@ -816,34 +824,35 @@
 
     /// Sends what the watch wants sent, and tells what changed.
     fn after_watch(&mut self, _now: Millis) {
-        let Some(fleet) = self.roster.as_ref().map(|roster| roster.fleet) else { return };
+        let Some(fleet) = self.member_list.as_ref().map(|member_list| member_list.fleet) else { return };
         for (to, data) in std::mem::take(&mut self.watch.sends) {
             self.send(to.address, Packet::Swim { fleet, data });
         }
         for change in std::mem::take(&mut self.watch.changes) {
             let name = |id: &Identity| {
-                let member = self.roster.as_ref().and_then(|roster| roster.members.get(&id.folder));
+                let member =
+                    self.member_list.as_ref().and_then(|member_list| member_list.members.get(&id.folder));
                 member.map_or_else(|| format!("folder {:016x}", id.folder), |m| m.info.name.clone())
             };
             let (id, now) = match change {
                 Heard::Up(id) => (id, Health::Answers),
                 Heard::Down(id) => (id, Health::Lost),
                 Heard::Returned(id) => {
-                    self.effects.push(Effect::Note(Note::Returned(id.returns)));
+                    self.effects.push(Effect::Notify(Notification::Returned(id.returns)));
                     continue;
                 }
             };
             let before = self.told.insert(id.folder, now).unwrap_or(Health::Unknown);
-            let note = Note::Health { name: name(&id), before, now, incarnation: id.incarnation };
-            self.effects.push(Effect::Note(note));
+            let note = Notification::Health { name: name(&id), before, now, incarnation: id.incarnation };
+            self.effects.push(Effect::Notify(note));
         }
     }
 
-    // ----- what is asked of the keepers
+    // ----- what is asked of the voters
 
     /// Whether this sender's start is agreed on.
     pub fn confirmed(&self) -> bool {
-        let member = self.roster.as_ref().and_then(|roster| roster.members.get(&self.folder));
+        let member = self.member_list.as_ref().and_then(|member_list| member_list.members.get(&self.folder));
         member.is_some_and(|member| {
             member.incarnation == self.incarnation
                 && member.boot == self.boot
@@ -853,7 +862,7 @@
 
     fn propose_own(&mut self) {
         let mut changes: Vec<Change> = self.orders.iter().map(|order| order.change.clone()).collect();
-        if !self.confirmed() && self.roster.is_some() {
+        if !self.confirmed() && self.member_list.is_some() {
             changes.push(Change::Start {
                 folder: self.folder,
                 incarnation: self.incarnation,
@@ -862,143 +871,145 @@
             });
         }
         for change in changes {
-            // A keeper that is cut off from its group may still reach one that is not.
-            if self.keeper.is_some() && self.rng.random_range(0..2) == 0 {
-                self.put_to_keepers(&change);
-            } else if let Some(address) = self.some_keeper() {
+            // A voter that is cut off from its group may still reach one that is not.
+            if self.voter.is_some() && self.rng.random_range(0..2) == 0 {
+                self.propose_to_voters(&change);
+            } else if let Some(address) = self.random_voter() {
                 self.send(address, Packet::Propose(change));
             }
         }
     }
 
-    /// A keeper that answers, or else any.
-    fn some_keeper(&mut self) -> Option<SocketAddr> {
-        let roster = self.roster.as_ref()?;
-        let keepers: Vec<(u64, SocketAddr)> = roster
-            .keepers
+    /// A voter that answers, or else any.
+    fn random_voter(&mut self) -> Option<SocketAddr> {
+        let member_list = self.member_list.as_ref()?;
+        let voters: Vec<(u64, SocketAddr)> = member_list
+            .voters
             .iter()
             .filter(|folder| **folder != self.folder)
-            .filter_map(|folder| Some((*folder, roster.members.get(folder)?.info.address)))
+            .filter_map(|folder| Some((*folder, member_list.members.get(folder)?.info.address)))
             .collect();
         let answers = |folder: u64| self.watch.health_of(folder) == Some(Health::Answers);
-        let answering: Vec<_> = keepers.iter().filter(|(folder, _)| answers(*folder)).collect();
+        let answering: Vec<_> = voters.iter().filter(|(folder, _)| answers(*folder)).collect();
         if !answering.is_empty() && self.rng.random_range(0..4) > 0 {
             return Some(answering[self.rng.random_range(0..answering.len())].1);
         }
-        (!keepers.is_empty()).then(|| keepers[self.rng.random_range(0..keepers.len())].1)
+        (!voters.is_empty()).then(|| voters[self.rng.random_range(0..voters.len())].1)
     }
 
     /// The incarnation of a member with that folder that answers from another address than the one told.
     fn copied(&self, folder: u64, info: &Info) -> Option<u32> {
-        let member = self.roster.as_ref()?.members.get(&folder)?;
+        let member = self.member_list.as_ref()?.members.get(&folder)?;
         let answers = folder == self.folder
             || matches!(self.watch.health_of(folder), Some(Health::Answers | Health::Suspected));
         (answers && member.info.address != info.address).then_some(member.incarnation)
     }
 
-    /// Whether the roster here has what a step asks for.
+    /// Whether the member list here has what a step asks for.
     fn agreed_already(&self, change: &Change) -> bool {
-        let Some(roster) = &self.roster else { return false };
+        let Some(member_list) = &self.member_list else { return false };
         match change {
-            Change::Start { folder, incarnation, boot, .. } => {
-                roster.members.get(folder).is_some_and(|m| m.incarnation == *incarnation && m.boot == *boot)
-            }
-            Change::Leaving { folder } => roster.members.get(folder).is_none_or(|member| member.leaving),
-            Change::Farewell { folder, .. } => !roster.members.contains_key(folder),
-            Change::Keepers { .. } => false,
+            Change::Start { folder, incarnation, boot, .. } => member_list
+                .members
+                .get(folder)
+                .is_some_and(|m| m.incarnation == *incarnation && m.boot == *boot),
+            Change::Leaving { folder } => member_list.members.get(folder).is_none_or(|member| member.leaving),
+            Change::Departure { folder, .. } => !member_list.members.contains_key(folder),
+            Change::Voters { .. } => false,
         }
     }
 
     /// Has the group agree on a step, unless it changes nothing or must not be.
-    fn put_to_keepers(&mut self, change: &Change) {
-        let Some(roster) = &self.roster else { return };
+    fn propose_to_voters(&mut self, change: &Change) {
+        let Some(member_list) = &self.member_list else { return };
         let wanted = match change {
             Change::Start { folder, incarnation, info, .. } => {
-                let known = roster.members.get(folder).is_some_and(|m| m.incarnation >= *incarnation);
+                let known = member_list.members.get(folder).is_some_and(|m| m.incarnation >= *incarnation);
                 // Another one has the name: while that one answers, from another address, it keeps it.
-                let holder = roster.folder_of(&info.name).filter(|holder| holder != folder);
+                let holder = member_list.folder_of(&info.name).filter(|holder| holder != folder);
                 let taken = holder.is_some_and(|holder| {
                     let elsewhere =
-                        roster.members.get(&holder).is_some_and(|m| m.info.address != info.address);
+                        member_list.members.get(&holder).is_some_and(|m| m.info.address != info.address);
                     let lost = self.watch.health_of(holder) == Some(Health::Lost);
                     elsewhere && (holder == self.folder || !lost)
                 });
-                !known && !taken && roster.farewell_of(*folder).is_none()
+                !known && !taken && member_list.departure_of(*folder).is_none()
             }
-            Change::Leaving { .. } | Change::Farewell { .. } => !self.agreed_already(change),
-            // That is the keepers' own.
-            Change::Keepers { .. } => false,
+            Change::Leaving { .. } | Change::Departure { .. } => !self.agreed_already(change),
+            // That is the voters' own.
+            Change::Voters { .. } => false,
         };
-        let in_group = roster.in_group();
-        if let Some(keeper) = &mut self.keeper
+        let in_group = member_list.in_group();
+        if let Some(voter) = &mut self.voter
             && wanted
-            && keeper.waiting(in_group) < MOST_WAITING
+            && voter.waiting(in_group) < MOST_WAITING
         {
-            keeper.propose(change.clone());
+            voter.propose(change.clone());
         }
     }
 
-    /// Carries out, or begins to carry out, what staff ask; the answer comes as an effect with that id.
-    pub fn order(&mut self, now: Millis, id: u64, order: &Order) {
+    /// Carries out, or begins to carry out, what operators ask; the answer comes as an effect with that id.
+    pub fn execute(&mut self, now: Millis, id: u64, order: &Command) {
         let done = self.ordered(now, id, order);
         if let Err(e) = done {
             self.effects.push(Effect::Answer(id, Err(e)));
         }
-        self.after_keeper(now);
+        self.after_voter(now);
     }
 
-    fn ordered(&mut self, now: Millis, id: u64, order: &Order) -> Result<(), OrderError> {
+    fn ordered(&mut self, now: Millis, id: u64, order: &Command) -> Result<(), CommandError> {
         if let Some(halt) = &self.halted {
-            return Err(OrderError::NoFleet(halt.to_string()));
+            return Err(CommandError::NoFleet(halt.to_string()));
         }
-        let Some(roster) = &self.roster else {
-            return Err(OrderError::NoFleet("none has been found or founded yet".to_owned()));
+        let Some(member_list) = &self.member_list else {
+            return Err(CommandError::NoFleet("none has been found or founded yet".to_owned()));
         };
         let change = match order {
-            // First that it leaves, so that others see it going and the keepers give its seat away; then that it is gone.
-            Order::Leave => Change::Leaving { folder: self.folder },
-            Order::Remove(name) => {
-                let folder = roster.folder_of(name).ok_or_else(|| OrderError::Unknown(name.clone()))?;
-                Change::Farewell { folder, why: Farewell::Removed }
+            // First that it leaves, so that others see it going and the voters give its seat away; then that it is gone.
+            Command::Leave => Change::Leaving { folder: self.folder },
+            Command::Remove(name) => {
+                let folder =
+                    member_list.folder_of(name).ok_or_else(|| CommandError::Unknown(name.clone()))?;
+                Change::Departure { folder, why: Departure::Removed }
             }
-            Order::Refound => return self.refound(now, id),
+            Command::Refound => return self.refound(now, id),
         };
         self.orders.push(Waiting { id, change, until: now + ORDER_PATIENCE });
         self.next_propose = now;
         Ok(())
     }
 
-    fn refound(&mut self, now: Millis, id: u64) -> Result<(), OrderError> {
-        let Some(roster) = &self.roster else { return Ok(()) };
-        let (answering, all) = self.keepers_answering();
+    fn refound(&mut self, now: Millis, id: u64) -> Result<(), CommandError> {
+        let Some(member_list) = &self.member_list else { return Ok(()) };
+        let (answering, all) = self.voters_answering();
         if answering * 2 > all {
-            return Err(OrderError::Majority(answering, all));
+            return Err(CommandError::Majority(answering, all));
         }
         let mut candidates = self.candidates(&[self.folder]);
         candidates.insert(0, self.folder);
-        candidates.truncate(self.settings.keepers);
+        candidates.truncate(self.settings.voters);
         if candidates.len() < 2 {
-            return Err(OrderError::Alone);
+            return Err(CommandError::Alone);
         }
         if candidates.len().is_multiple_of(2) && candidates.len() > 2 {
             candidates.pop();
         }
-        let roster = roster.refounded(candidates);
-        self.effects.push(Effect::Persist(Record::Roster(Box::new(roster.clone()))));
+        let member_list = member_list.refounded(candidates);
+        self.effects.push(Effect::Persist(Record::MemberList(Box::new(member_list.clone()))));
         self.recent.clear();
-        self.roster = Some(roster);
-        self.roster_changed(now, None);
+        self.member_list = Some(member_list);
+        self.member_list_changed(now, None);
         self.effects.push(Effect::Answer(id, Ok(())));
         Ok(())
     }
 
     fn settle_orders(&mut self) {
-        let Some(roster) = &self.roster else { return };
+        let Some(member_list) = &self.member_list else { return };
         for order in &mut self.orders {
             if let Change::Leaving { folder } = order.change
-                && roster.members.get(&folder).is_none_or(|member| member.leaving)
+                && member_list.members.get(&folder).is_none_or(|member| member.leaving)
             {
-                order.change = Change::Farewell { folder, why: Farewell::Left };
+                order.change = Change::Departure { folder, why: Departure::Left };
                 // It is due at once.
                 self.next_propose = 0;
             }
@@ -1014,49 +1025,53 @@
         let (over, open): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.orders).into_iter().partition(|order| order.until <= now);
         self.orders = open;
-        let error = || OrderError::NoMajority(ORDER_PATIENCE / 1_000);
+        let error = || CommandError::NoMajority(ORDER_PATIENCE / 1_000);
         self.effects.extend(over.into_iter().map(|order| Effect::Answer(order.id, Err(error()))));
     }
 
-    // ----- the keeper's work
+    // ----- the voter's work
 
-    /// The disk took no record: what this keeper has said since is not to be relied on, so it says no more until the disk
+    /// The disk took no record: what this voter has said since is not to be relied on, so it says no more until the disk
     /// takes records again.
     pub fn disk_failed(&mut self) {
         self.disk_broken = true;
-        self.keeper_disk = None;
-        if self.keeper.take().is_some() {
-            self.effects.push(Effect::Note(Note::Keeper(None)));
+        self.stored_voter = None;
+        if self.voter.take().is_some() {
+            self.effects.push(Effect::Notify(Notification::Voter(None)));
         }
     }
 
-    /// The disk takes records again, and holds this of a keeper's log.
-    pub fn reloaded(&mut self, now: Millis, keeper: Option<crate::disk::KeeperState>) {
+    /// The disk takes records again, and holds this of a voter's log.
+    pub fn reloaded(&mut self, now: Millis, voter: Option<crate::disk::VoterState>) {
         if std::mem::take(&mut self.disk_broken) {
-            self.keeper_disk = keeper;
+            self.stored_voter = voter;
             // What was not written meanwhile stands in it.
-            let whole = self.roster.clone().map(|roster| Effect::Persist(Record::Roster(Box::new(roster))));
+            let whole = self
+                .member_list
+                .clone()
+                .map(|member_list| Effect::Persist(Record::MemberList(Box::new(member_list))));
             self.effects.extend(whole);
-            self.roster_changed(now, None);
-            self.after_keeper(now);
+            self.member_list_changed(now, None);
+            self.after_voter(now);
         }
     }
 
-    /// Writes, steps agreed on, and messages of the keeper, in this order.
-    fn after_keeper(&mut self, now: Millis) {
+    /// Writes, steps agreed on, and messages of the voter, in this order.
+    fn after_voter(&mut self, now: Millis) {
         loop {
-            let Some(keeper) = &mut self.keeper else { return };
-            let group = keeper.group;
+            let Some(voter) = &mut self.voter else { return };
+            let group = voter.group;
             let persist: Vec<Effect> =
-                keeper.writes().into_iter().map(|write| Effect::Persist(Record::Keeper(write))).collect();
-            let messages = keeper.messages();
-            let Some(roster) = &self.roster else { return };
-            let agreed = if roster.group == group { keeper.agreed(roster.in_group()) } else { Vec::new() };
-            let late = self.settings.broken.tells_before_disk;
+                voter.writes().into_iter().map(|write| Effect::Persist(Record::Voter(write))).collect();
+            let messages = voter.messages();
+            let Some(member_list) = &self.member_list else { return };
+            let agreed =
+                if member_list.group == group { voter.agreed(member_list.in_group()) } else { Vec::new() };
+            let late = self.settings.injected_faults.tells_before_disk;
             if !late {
                 self.effects.extend(persist.iter().cloned());
             }
-            self.tell_keepers(group, messages);
+            self.send_voter_messages(group, messages);
             if late {
                 self.effects.extend(persist);
             }
@@ -1069,49 +1084,49 @@
         }
     }
 
-    fn tell_keepers(&mut self, group: u32, messages: Vec<(u64, Message<Change>)>) {
-        let Some(roster) = &self.roster else { return };
-        let (fleet, epoch) = (roster.fleet, roster.epoch);
+    fn send_voter_messages(&mut self, group: u32, messages: Vec<(u64, Message<Change>)>) {
+        let Some(member_list) = &self.member_list else { return };
+        let (fleet, epoch) = (member_list.fleet, member_list.epoch);
         let addressed: Vec<_> = messages
             .into_iter()
-            .filter_map(|(folder, message)| Some((roster.members.get(&folder)?.info.address, message)))
+            .filter_map(|(folder, message)| Some((member_list.members.get(&folder)?.info.address, message)))
             .collect();
         for (to, message) in addressed {
-            self.send(to, Packet::Keeper { fleet, epoch, group, message: Box::new(message) });
+            self.send(to, Packet::Voter { fleet, epoch, group, message: Box::new(message) });
         }
     }
 
-    fn keepers_answering(&self) -> (usize, usize) {
-        let Some(roster) = &self.roster else { return (0, 0) };
+    fn voters_answering(&self) -> (usize, usize) {
+        let Some(member_list) = &self.member_list else { return (0, 0) };
         let answers = |folder: &&u64| {
             **folder == self.folder
                 || matches!(self.watch.health_of(**folder), Some(Health::Answers | Health::Suspected))
         };
-        (roster.keepers.iter().filter(answers).count(), roster.keepers.len())
+        (member_list.voters.iter().filter(answers).count(), member_list.voters.len())
     }
 
-    /// Members that answer and could be keepers beside those, the best first: of zones and machines that have none.
+    /// Members that answer and could be voters beside those, the best first: of zones and machines that have none.
     fn candidates(&self, beside: &[u64]) -> Vec<u64> {
-        let Some(roster) = &self.roster else { return Vec::new() };
+        let Some(member_list) = &self.member_list else { return Vec::new() };
         let health = self.watch.health();
         let answers = |folder: &u64| {
             *folder == self.folder || health.get(folder).is_some_and(|(_, h)| *h == Health::Answers)
         };
         let mut chosen: Vec<u64> = beside.to_vec();
-        let mut left: Vec<u64> = roster
+        let mut left: Vec<u64> = member_list
             .members
             .iter()
             .filter(|(folder, member)| answers(folder) && !member.leaving && !beside.contains(folder))
             .map(|(folder, _)| *folder)
             .collect();
         let mut order = Vec::new();
-        while !left.is_empty() && order.len() < self.settings.keepers {
+        while !left.is_empty() && order.len() < self.settings.voters {
             let alike = |folder: &u64, part: fn(&Info) -> &String| {
-                let of = |folder: &u64| roster.members.get(folder).map(|m| part(&m.info));
+                let of = |folder: &u64| member_list.members.get(folder).map(|m| part(&m.info));
                 chosen.iter().filter(|other| of(other) == of(folder)).count()
             };
             let rank = |folder: &u64| {
-                let number = roster.members.get(folder).map_or(u32::MAX, |member| member.number);
+                let number = member_list.members.get(folder).map_or(u32::MAX, |member| member.number);
                 (alike(folder, |info| &info.machine), alike(folder, |info| &info.zone), number)
             };
             let Some(at) = (0..left.len()).min_by_key(|at| rank(&left[*at])) else { break };
@@ -1125,15 +1140,19 @@
     /// The group that the leader wants: without those that are gone, leaving or lost for long, up to the wanted number, of
     /// as many zones as there are.
     fn wanted_group(&self, now: Millis) -> Option<Vec<u64>> {
-        let roster = self.roster.as_ref()?;
+        let member_list = self.member_list.as_ref()?;
         let lost = |folder: &u64| {
             *folder != self.folder
-                && self.watch.lost_since(*folder).is_some_and(|at| now >= at + self.settings.replace_keeper)
+                && self
+                    .watch
+                    .lost_since(*folder)
+                    .is_some_and(|at| now >= at + self.settings.replace_voter_after)
         };
-        let belongs = |folder: &u64| roster.members.get(folder).is_some_and(|member| !member.leaving);
-        let size = self.settings.keepers.min(roster.members.len());
+        let belongs = |folder: &u64| member_list.members.get(folder).is_some_and(|member| !member.leaving);
+        let size = self.settings.voters.min(member_list.members.len());
         let size = if size > 2 && size.is_multiple_of(2) { size - 1 } else { size };
-        let mut group: Vec<u64> = roster.keepers.iter().filter(|folder| belongs(folder)).copied().collect();
+        let mut group: Vec<u64> =
+            member_list.voters.iter().filter(|folder| belongs(folder)).copied().collect();
         let candidates = self.candidates(&group);
         let mut spare = candidates.into_iter();
         // One that is lost goes only for one that answers: a smaller group is no safer.
@@ -1157,10 +1176,10 @@
         Some(group)
     }
 
-    /// Gives the place of one keeper, in a zone that has several, to one of a zone that has none.
+    /// Gives the place of one voter, in a zone that has several, to one of a zone that has none.
     fn spread(&self, group: &mut [u64]) {
-        let Some(roster) = &self.roster else { return };
-        let zone = |folder: &u64| roster.members.get(folder).map(|member| member.info.zone.as_str());
+        let Some(member_list) = &self.member_list else { return };
+        let zone = |folder: &u64| member_list.members.get(folder).map(|member| member.info.zone.as_str());
         let next = self.candidates(group).into_iter().find(|c| !group.iter().any(|k| zone(k) == zone(c)));
         let crowded = group
             .iter()
@@ -1171,25 +1190,25 @@
     }
 
     fn housekeeping(&mut self, now: Millis) {
-        if now < self.settled_at + SETTLED || !self.keeper.as_ref().is_some_and(Keeper::leads) {
+        if now < self.settled_at + SETTLED || !self.voter.as_ref().is_some_and(Voter::leads) {
             return;
         }
-        if self.settings.broken.removes_the_silent {
-            let Some(roster) = &self.roster else { return };
-            let silent = roster.members.keys().find(|folder| self.watch.lost_since(**folder).is_some());
-            if let (Some(folder), Some(keeper)) = (silent.copied(), &mut self.keeper) {
-                keeper.propose(Change::Farewell { folder, why: Farewell::Removed });
+        if self.settings.injected_faults.removes_the_silent {
+            let Some(member_list) = &self.member_list else { return };
+            let silent = member_list.members.keys().find(|folder| self.watch.lost_since(**folder).is_some());
+            if let (Some(folder), Some(voter)) = (silent.copied(), &mut self.voter) {
+                voter.propose(Change::Departure { folder, why: Departure::Removed });
             }
         }
         let Some(wanted) = self.wanted_group(now) else { return };
-        let Some(roster) = &self.roster else { return };
-        let differs = wanted.iter().any(|folder| !roster.keepers.contains(folder))
-            || wanted.len() != roster.keepers.len();
-        let long = roster.in_group() >= MOST_LOG;
+        let Some(member_list) = &self.member_list else { return };
+        let differs = wanted.iter().any(|folder| !member_list.voters.contains(folder))
+            || wanted.len() != member_list.voters.len();
+        let long = member_list.in_group() >= MOST_LOG;
         if wanted.len() >= 2
             && (differs || long)
-            && let Some(keeper) = &mut self.keeper
-            && keeper.hand_on(&wanted)
+            && let Some(voter) = &mut self.voter
+            && voter.hand_on(&wanted)
         {
             self.settled_at = now;
         }
@@ -1200,12 +1219,12 @@
     fn send(&mut self, to: SocketAddr, packet: Packet) {
         // What has to come in order goes on a connection; a heartbeat does not.
         let ordered = match &packet {
-            Packet::Keeper { message, .. } => !matches!(**message, Message::BLE(_)),
+            Packet::Voter { message, .. } => !matches!(**message, Message::BLE(_)),
             Packet::Steps { .. } | Packet::Whole(_) | Packet::Again { .. } => true,
             _ => false,
         };
         let Some(bytes) = encode(self.hash, self.watch.own(), packet) else { return };
-        let connection = ordered || bytes.len() > MOST_DATAGRAM;
+        let connection = ordered || bytes.len() > MAX_DATAGRAM_BYTES;
         *(if connection { &mut self.counts.frames } else { &mut self.counts.datagrams }) += 1;
         self.counts.bytes += bytes.len() as u64;
         self.effects.push(Effect::Send { to, bytes, connection });
@@ -1219,16 +1238,16 @@
     }
 
     /// Members in the order of their folders, how each belongs, and whether it answers.
-    fn rows(&self, now: Millis) -> impl Iterator<Item = (u64, &Member, Standing, Health)> {
+    fn rows(&self, now: Millis) -> impl Iterator<Item = (u64, &Member, MemberState, Health)> {
         let health = self.watch.health();
-        self.roster.iter().flat_map(|roster| &roster.members).map(move |(folder, member)| {
+        self.member_list.iter().flat_map(|member_list| &member_list.members).map(move |(folder, member)| {
             let own = *folder == self.folder;
             // Of an earlier process of the member, nothing is believed any more.
             let heard = health.get(folder).filter(|(incarnation, _)| *incarnation >= member.incarnation);
-            let standing = match (own && !self.confirmed(), member.leaving) {
-                (true, _) => Standing::Joining,
-                (false, true) => Standing::Leaving,
-                (false, false) => Standing::In,
+            let state = match (own && !self.confirmed(), member.leaving) {
+                (true, _) => MemberState::Joining,
+                (false, true) => MemberState::Leaving,
+                (false, false) => MemberState::Active,
             };
             let health = match heard {
                 _ if own && self.halted.is_none() => Health::Answers,
@@ -1239,23 +1258,23 @@
                 None if self.fresh(*folder, now) => Health::Unknown,
                 None => Health::Lost,
             };
-            (*folder, member, standing, health)
+            (*folder, member, state, health)
         })
     }
 
     /// A short sign of what this sender knows: two that have the same one see the same members, in the same states.
-    pub fn mark(&self, now: Millis) -> Mark {
+    pub fn view_digest(&self, now: Millis) -> ViewDigest {
         let mut sum = crc32fast::Hasher::new();
-        for (folder, member, standing, health) in self.rows(now) {
+        for (folder, member, state, health) in self.rows(now) {
             sum.update(&folder.to_le_bytes());
             sum.update(&member.incarnation.to_le_bytes());
-            sum.update(&[standing as u8, health as u8]);
+            sum.update(&[state as u8, health as u8]);
         }
-        let roster = self.roster.as_ref();
-        Mark {
-            fleet: roster.map(|roster| roster.fleet),
-            epoch: roster.map_or(0, |roster| roster.epoch),
-            number: roster.map_or(0, |roster| roster.number),
+        let member_list = self.member_list.as_ref();
+        ViewDigest {
+            fleet: member_list.map(|member_list| member_list.fleet),
+            epoch: member_list.map_or(0, |member_list| member_list.epoch),
+            number: member_list.map_or(0, |member_list| member_list.number),
             confirmed: self.confirmed(),
             halted: self.halted.is_some(),
             view: sum.finalize(),
@@ -1264,16 +1283,16 @@
 
     /// What this sender knows of its fleet.
     pub fn view(&self, now: Millis) -> View {
-        let keepers = self.roster.as_ref().map_or(&[][..], |roster| &roster.keepers);
+        let voters = self.member_list.as_ref().map_or(&[][..], |member_list| &member_list.voters);
         let mut members: Vec<Row> = self
             .rows(now)
-            .map(|(folder, member, standing, health)| Row {
+            .map(|(folder, member, state, health)| Row {
                 name: member.info.name.clone(),
                 number: member.number,
                 incarnation: member.incarnation,
-                standing,
+                state,
                 health,
-                keeper: keepers.contains(&folder),
+                voter: voters.contains(&folder),
                 zone: member.info.zone.clone(),
                 machine: member.info.machine.clone(),
                 version: member.info.version.clone(),
@@ -1281,15 +1300,15 @@
             })
             .collect();
         members.sort_by_key(|row| row.number);
-        let (keepers_answering, keepers) = self.keepers_answering();
-        let roster = self.roster.as_ref();
+        let (voters_answering, voters) = self.voters_answering();
+        let member_list = self.member_list.as_ref();
         View {
-            fleet: roster.map(|roster| roster.fleet),
-            epoch: roster.map_or(0, |roster| roster.epoch),
-            number: roster.map_or(0, |roster| roster.number),
+            fleet: member_list.map(|member_list| member_list.fleet),
+            epoch: member_list.map_or(0, |member_list| member_list.epoch),
+            number: member_list.map_or(0, |member_list| member_list.number),
             age_ms: self.heard.map(|heard| now.saturating_sub(heard)),
-            keepers_answering,
-            keepers,
+            voters_answering,
+            voters,
             confirmed: self.confirmed(),
             halted: self.halted.as_ref().map(Halt::to_string),
             members,
@@ -1297,7 +1316,7 @@
     }
 
     /// The last of those that do not belong any more, the latest first.
-    pub fn gone(&self) -> impl Iterator<Item = &crate::roster::Gone> {
-        self.roster.iter().flat_map(|roster| roster.gone.iter().rev()).take(GONE_SHOWN)
+    pub fn departed(&self) -> impl Iterator<Item = &crate::roster::DepartedMember> {
+        self.member_list.iter().flat_map(|member_list| member_list.departed.iter().rev()).take(GONE_SHOWN)
     }
 }
--- a/sender-membership/src/roster.rs
+++ b/sender-membership/src/roster.rs
@@ -41,10 +41,10 @@
 
 /// Why one does not belong any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Farewell {
+pub enum Departure {
     /// It left in order.
     Left,
-    /// Staff removed it.
+    /// Operators removed it.
     Removed,
     /// Another one has its name: it came back with an empty folder.
     Replaced,
@@ -52,7 +52,7 @@
 
 /// One that belonged to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Gone {
+pub struct DepartedMember {
     /// The folder it had.
     pub folder: u64,
     /// Its name.
@@ -60,7 +60,7 @@
     /// Its last incarnation.
     pub incarnation: u32,
     /// Why.
-    pub why: Farewell,
+    pub why: Departure,
 }
 
 /// A step.
@@ -83,14 +83,14 @@
         folder: u64,
     },
     /// A sender goes for good.
-    Farewell {
+    Departure {
         /// Its folder.
         folder: u64,
         /// Why.
-        why: Farewell,
+        why: Departure,
     },
     /// The senders with these folders agree on the steps from here on.
-    Keepers {
+    Voters {
         /// The number of this group.
         group: u32,
         /// In the order of their numbers within it.
@@ -100,49 +100,49 @@
 
 /// Who belongs to the fleet, as of a number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Roster {
+pub struct MemberList {
     /// Drawn at the founding: no other fleet has it, not even one of the same name.
     pub fleet: u64,
     /// The folder of the sender that founded it.
     pub founder: u64,
-    /// Raised by staff alone, when a majority of the keepers is lost for good.
+    /// Raised by operators alone, when a majority of the voters is lost for good.
     pub epoch: u32,
     /// How many steps there were.
     pub number: u64,
-    /// The number of the group of keepers, and the number of steps at its beginning.
+    /// The number of the group of voters, and the number of steps at its beginning.
     pub group: u32,
     /// How many steps there were when the group began.
     pub group_began: u64,
-    /// Folders of the keepers.
-    pub keepers: Vec<u64>,
+    /// Folders of the voters.
+    pub voters: Vec<u64>,
     /// Members by folder.
     pub members: BTreeMap<u64, Member>,
     /// Former members, the latest last.
-    pub gone: VecDeque<Gone>,
+    pub departed: VecDeque<DepartedMember>,
     next: u32,
 }
 
-impl Roster {
-    /// The first record: the founders, who are also its keepers.
+impl MemberList {
+    /// The first record: the founders, who are also its voters.
     pub fn found(fleet: u64, founder: u64, founders: Vec<(u64, u32, u64, Info)>) -> Self {
-        let keepers = founders.iter().map(|(folder, ..)| *folder).collect();
-        let mut roster = Self {
+        let voters = founders.iter().map(|(folder, ..)| *folder).collect();
+        let mut member_list = Self {
             fleet,
             founder,
             epoch: 1,
             number: 0,
             group: 1,
             group_began: 1,
-            keepers,
+            voters,
             members: BTreeMap::new(),
-            gone: VecDeque::new(),
+            departed: VecDeque::new(),
             next: 1,
         };
         for (folder, incarnation, boot, info) in founders {
-            roster.start(folder, incarnation, boot, info);
+            member_list.start(folder, incarnation, boot, info);
         }
-        roster.number = 1;
-        roster
+        member_list.number = 1;
+        member_list
     }
 
     /// A checksum of all of it: two records of one fleet, epoch and number have the same one.
@@ -155,7 +155,7 @@
         (self.epoch, self.number)
     }
 
-    /// Steps that the present group of keepers has agreed on.
+    /// Steps that the present group of voters has agreed on.
     pub fn in_group(&self) -> usize {
         usize::try_from(self.number - self.group_began).unwrap_or(usize::MAX)
     }
@@ -170,19 +170,19 @@
                     member.leaving = true;
                 }
             }
-            Change::Farewell { folder, why } => self.farewell(folder, why),
-            Change::Keepers { group, folders } => {
+            Change::Departure { folder, why } => self.depart(folder, why),
+            Change::Voters { group, folders } => {
                 if group > self.group {
                     self.group = group;
                     self.group_began = self.number;
-                    self.keepers = folders;
+                    self.voters = folders;
                 }
             }
         }
     }
 
     fn start(&mut self, folder: u64, incarnation: u32, boot: u64, info: Info) {
-        if self.gone.iter().any(|gone| gone.folder == folder) {
+        if self.departed.iter().any(|gone| gone.folder == folder) {
             return;
         }
         if let Some(member) = self.members.get_mut(&folder) {
@@ -197,23 +197,23 @@
             return;
         }
         if let Some(former) = self.folder_of(&info.name) {
-            self.farewell(former, Farewell::Replaced);
+            self.depart(former, Departure::Replaced);
         }
         let number = self.next;
         self.next += 1;
         self.members.insert(folder, Member { info, number, incarnation, boot, leaving: false });
     }
 
-    fn farewell(&mut self, folder: u64, why: Farewell) {
+    fn depart(&mut self, folder: u64, why: Departure) {
         if let Some(member) = self.members.remove(&folder) {
-            self.gone.push_back(Gone {
+            self.departed.push_back(DepartedMember {
                 folder,
                 name: member.info.name,
                 incarnation: member.incarnation,
                 why,
             });
-            if self.gone.len() > MOST_GONE {
-                self.gone.pop_front();
+            if self.departed.len() > MOST_GONE {
+                self.departed.pop_front();
             }
         }
     }
@@ -224,19 +224,19 @@
     }
 
     /// The former member with that folder.
-    pub fn farewell_of(&self, folder: u64) -> Option<&Gone> {
-        self.gone.iter().find(|gone| gone.folder == folder)
+    pub fn departure_of(&self, folder: u64) -> Option<&DepartedMember> {
+        self.departed.iter().find(|gone| gone.folder == folder)
     }
 
-    /// What staff do when a majority of the keepers is lost for good: the same members, under new keepers.
-    pub(crate) fn refounded(&self, keepers: Vec<u64>) -> Self {
+    /// What operators do when a majority of the voters is lost for good: the same members, under new voters.
+    pub(crate) fn refounded(&self, voters: Vec<u64>) -> Self {
         let number = self.number + 1;
         Self {
             epoch: self.epoch + 1,
             number,
             group: self.group + 1,
             group_began: number,
-            keepers,
+            voters,
             ..self.clone()
         }
     }
--- a/sender-membership/src/settings.rs
+++ b/sender-membership/src/settings.rs
@@ -7,7 +7,7 @@
 const MOST_NAME: usize = 64;
 /// The most seeds.
 const MOST_SEEDS: usize = 9;
-/// The most keepers: each one more has to hear each step before it counts.
+/// The most voters: each one more has to hear each step before it counts.
 const MOST_KEEPERS: usize = 9;
 
 /// Why settings cannot be used.
@@ -24,9 +24,9 @@
     /// A seed stands twice.
     #[error("seeds: {0} stands twice")]
     SeedTwice(SocketAddr),
-    /// Keepers that cannot have a majority.
+    /// Voters that cannot have a majority.
     #[error("keepers: {0} is not an odd number from 3 to {MOST_KEEPERS}")]
-    Keepers(usize),
+    Voters(usize),
     /// Times that make the living look lost, or the lost living.
     #[error("{0}: {1} ms is not between {2} and {3}")]
     Time(&'static str, Millis, Millis, Millis),
@@ -37,12 +37,12 @@
 
 /// Ways to break a promise on purpose, so that the checkers can be seen to catch it. Never set by a configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Broken {
-    /// Keepers remove members that do not answer: breaks V3.
+pub struct InjectedFaults {
+    /// Voters remove members that do not answer: breaks V3.
     pub removes_the_silent: bool,
     /// One whose folder was emptied keeps its record and its vote: breaks V4.
     pub forgets_incarnation: bool,
-    /// A keeper tells before its disk has it: breaks V3 at a crash.
+    /// A voter tells before its disk has it: breaks V3 at a crash.
     pub tells_before_disk: bool,
 }
 
@@ -55,8 +55,8 @@
     pub info: Info,
     /// Where a blank sender asks first; on its first start the fleet is founded by them together.
     pub seeds: Vec<SocketAddr>,
-    /// How many senders agree on the roster, once there are so many.
-    pub keepers: usize,
+    /// How many senders agree on the member list, once there are so many.
+    pub voters: usize,
     /// One member is asked this often whether it lives.
     pub probe: Millis,
     /// It has so long to answer before others are asked to ask it.
@@ -66,10 +66,10 @@
     /// One that is held lost counts as lost after this: when two halves meet again, each hears from the other that some of its
     /// own are lost, and those object within two seconds.
     pub confirm: Millis,
-    /// A keeper that is held lost for so long is replaced.
-    pub replace_keeper: Millis,
+    /// A voter that is held lost for so long is replaced.
+    pub replace_voter_after: Millis,
     /// For the checkers only.
-    pub broken: Broken,
+    pub injected_faults: InjectedFaults,
 }
 
 fn named(what: &'static str, name: &str) -> Result<(), SettingsError> {
@@ -87,13 +87,13 @@
             fleet: fleet.to_owned(),
             info,
             seeds,
-            keepers: 5,
+            voters: 5,
             probe: 1_000,
             answer: 400,
             suspect: 4_000,
             confirm: 2_500,
-            replace_keeper: 20_000,
-            broken: Broken::default(),
+            replace_voter_after: 20_000,
+            injected_faults: InjectedFaults::default(),
         }
     }
 
@@ -116,14 +116,14 @@
                 faults.push(SettingsError::SeedTwice(*seed));
             }
         }
-        if self.keepers.is_multiple_of(2) || !(3..=MOST_KEEPERS).contains(&self.keepers) {
-            faults.push(SettingsError::Keepers(self.keepers));
+        if self.voters.is_multiple_of(2) || !(3..=MOST_KEEPERS).contains(&self.voters) {
+            faults.push(SettingsError::Voters(self.voters));
         }
         let times = [
             ("probe_ms", self.probe, 100, 60_000),
             ("answer_ms", self.answer, 20, self.probe * 2 / 3),
             ("suspect_ms", self.suspect, self.probe, 600_000),
-            ("replace_keeper_ms", self.replace_keeper, self.suspect, 86_400_000),
+            ("replace_keeper_ms", self.replace_voter_after, self.suspect, 86_400_000),
         ];
         for (what, time, least, most) in times {
             if time < least || time > most {
--- a/sender-membership/src/view.rs
+++ b/sender-membership/src/view.rs
@@ -46,15 +46,17 @@
 /// How a member belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
-    /// It has asked, and the keepers have not agreed yet.
+pub enum MemberState {
+    /// It has asked, and the voters have not agreed yet.
     Joining,
     /// It belongs.
-    In,
+    #[serde(rename = "in")]
+    Active,
     /// It is about to go.
     Leaving,
     /// It does not belong any more.
-    Gone,
+    #[serde(rename = "gone")]
+    Departed,
 }
 
 /// A member, as a line of the view.
@@ -67,11 +69,13 @@
     /// How often it has started.
     pub incarnation: u32,
     /// How it belongs.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: MemberState,
     /// Whether it answers.
     pub health: Health,
-    /// Whether it is one of the keepers.
-    pub keeper: bool,
+    /// Whether it is one of the voters.
+    #[serde(rename = "keeper")]
+    pub voter: bool,
     /// Its zone.
     pub zone: String,
     /// Its machine.
@@ -87,16 +91,18 @@
 pub struct View {
     /// The fleet's own number; none while there is no fleet.
     pub fleet: Option<u64>,
-    /// How often staff founded it anew.
+    /// How often operators founded it anew.
     pub epoch: u32,
-    /// The number of the roster that this is of.
+    /// The number of the member list that this is of.
     pub number: u64,
     /// Milliseconds since another member was last heard; none if none ever was.
     pub age_ms: Option<Millis>,
-    /// Keepers that answer, this one included, and keepers in all: with half of them or fewer nothing is agreed on.
-    pub keepers_answering: usize,
-    /// Keepers in all.
-    pub keepers: usize,
+    /// Voters that answer, this one included, and voters in all: with half of them or fewer nothing is agreed on.
+    #[serde(rename = "keepers_answering")]
+    pub voters_answering: usize,
+    /// Voters in all.
+    #[serde(rename = "keepers")]
+    pub voters: usize,
     /// Whether this sender's own start is agreed on.
     pub confirmed: bool,
     /// Why it takes no part, where it does not.
@@ -107,10 +113,10 @@
 
 /// A short sign of a view, to compare those of many senders by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
-pub struct Mark {
+pub struct ViewDigest {
     /// The fleet's own number; none while there is no fleet.
     pub fleet: Option<u64>,
-    /// The epoch of the roster.
+    /// The epoch of the member list.
     pub epoch: u32,
     /// Its number.
     pub number: u64,
@@ -207,7 +213,8 @@
             max_transmissions: NonZeroU8::new(TELLINGS).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: Duration::from_millis(settings.suspect),
             remove_down_after: Some(FORGET),
-            max_packet_size: NonZeroUsize::new(crate::MOST_DATAGRAM - ENVELOPE).unwrap_or(NonZeroUsize::MIN),
+            max_packet_size: NonZeroUsize::new(crate::MAX_DATAGRAM_BYTES - ENVELOPE)
+                .unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
             periodic_announce: None,
             periodic_announce_to_down_members: periodic(GREET_LOST, 1),
--- a/sender-membership/src/wire.rs
+++ b/sender-membership/src/wire.rs
@@ -1,5 +1,5 @@
 //! What peers tell each other: a version, the fleet's name and a checksum round one packet, in postcard.
-use crate::roster::{Change, Info, Roster};
+use crate::roster::{Change, Info, MemberList};
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -7,9 +7,9 @@
 /// The version of all this. A peer of another one is not understood, and not guessed at.
 const VERSION: u8 = 1;
 /// The longest datagram, in bytes: it fits one Ethernet frame.
-pub const MOST_DATAGRAM: usize = 1_400;
+pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 /// The longest frame of a connection, in bytes: the record of the largest fleet.
-pub const MOST_FRAME: usize = 2 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
 /// Version, fleet's name, checksum.
 const HEAD: usize = 1 + 8 + 4;
 
@@ -58,14 +58,14 @@
     /// The steps after a number.
     Steps { fleet: u64, epoch: u32, after: u64, changes: Vec<Change> },
     /// The whole record.
-    Whole(Box<Roster>),
-    /// A step, for the keepers to agree on.
+    Whole(Box<MemberList>),
+    /// A step, for the voters to agree on.
     Propose(Change),
     /// A start is not agreed on: the process that this folder is known by answers, at another address.
     Refused { boot: u64, incarnation: u32 },
-    /// Between keepers of one group.
-    Keeper { fleet: u64, epoch: u32, group: u32, message: Box<Message<Change>> },
-    /// What this keeper told on a connection may be lost: ask for it anew.
+    /// Between voters of one group.
+    Voter { fleet: u64, epoch: u32, group: u32, message: Box<Message<Change>> },
+    /// What this voter told on a connection may be lost: ask for it anew.
     Again { group: u32 },
     /// Whether one lives.
     Swim { fleet: u64, data: Vec<u8> },
--- a/sender-membership/src/wire/tests.rs
+++ b/sender-membership/src/wire/tests.rs
@@ -54,10 +54,10 @@
         Packet::Digest { fleet: 6, epoch: 7, number: 8 },
         Packet::Pull { epoch: 9, number: 10 },
         Packet::Steps { fleet: 11, epoch: 12, after: 13, changes: vec![start.clone(), start.clone()] },
-        Packet::Whole(Box::new(Roster::found(14, 15, vec![(15, 16, 17, info)]))),
+        Packet::Whole(Box::new(MemberList::found(14, 15, vec![(15, 16, 17, info)]))),
         Packet::Propose(start),
         Packet::Refused { boot: 18, incarnation: 19 },
-        Packet::Keeper { fleet: 20, epoch: 21, group: 22, message: Box::new(message) },
+        Packet::Voter { fleet: 20, epoch: 21, group: 22, message: Box::new(message) },
         Packet::Again { group: 23 },
         Packet::Swim { fleet: 24, data: vec![25, 0, 255] },
     ]
--- a/src/config.rs
+++ b/src/config.rs
@@ -140,7 +140,7 @@
             address: self.advertise.unwrap_or(self.listen),
         };
         let mut settings = sender_membership::Settings::new(&self.name, info, self.seeds.clone());
-        settings.keepers = self.keepers.unwrap_or(settings.keepers);
+        settings.voters = self.keepers.unwrap_or(settings.voters);
         settings.suspect = self.suspect_ms.unwrap_or(settings.suspect);
         settings
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -245,7 +245,7 @@
 /// Leaves the fleet in order. Whoever cannot be told in time goes all the same, and is held lost.
 async fn leave(to_fleet: &mpsc::Sender<fleet::Asked>) {
     let (answer, answered) = oneshot::channel();
-    let asked = fleet::Asked::Order(sender_membership::Order::Leave, answer);
+    let asked = fleet::Asked::Order(sender_membership::Command::Leave, answer);
     if to_fleet.send(asked).await.is_ok() {
         match timeout(LAST_LEAVE, answered).await {
             Ok(Ok(Ok(_))) => tracing::info!("fleet: left"),
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -5,7 +5,8 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use sender_membership::{
-    Change, Effect, Halt, Health, MOST_DATAGRAM, MOST_FRAME, Node, Note, Order, Record, Settings, State,
+    Change, Command, Effect, Halt, Health, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, Node, Notification, Record,
+    Settings, State,
 };
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
@@ -50,7 +51,7 @@
     /// What it knows, in figures.
     Figures(oneshot::Sender<Result<telemetry::Fleet, String>>),
     /// Something to be done.
-    Order(Order, oneshot::Sender<Result<String, String>>),
+    Order(Command, oneshot::Sender<Result<String, String>>),
 }
 
 /// What staff look at.
@@ -108,7 +109,7 @@
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes).map_err(error)?;
         let mut state = State::default();
-        let (sound, damage) = wal::read(&bytes, MOST_FRAME, |record: Record| state.apply(record));
+        let (sound, damage) = wal::read(&bytes, MAX_FRAME_BYTES, |record: Record| state.apply(record));
         if damage != wal::Damage::default() {
             tracing::error!(
                 "fleet's record: {} bytes cut off at the end, {} passed over",
@@ -210,7 +211,7 @@
 
 /// Writes down that a node begins.
 fn begin(node: &mut Node, disk: &mut Disk) -> io::Result<()> {
-    for effect in node.effects() {
+    for effect in node.take_effects() {
         if let Effect::Persist(record) = effect {
             disk.write(record)?;
         }
@@ -263,10 +264,10 @@
     tokio::spawn(accept(listener, came.clone()));
     let (peers, answers) = (HashMap::new(), HashMap::new());
     let mut part = Part { node, disk, datagrams, own: listen, began, came, peers, answers, next_answer: 0 };
-    let mut buffer = vec![0; MOST_DATAGRAM + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     part.carry_out();
     loop {
-        let due = part.node.next().map(|due| part.began + Duration::from_millis(due));
+        let due = part.node.next_tick().map(|due| part.began + Duration::from_millis(due));
         tokio::select! {
             // What has come counts before what is due: else a pause would look like silence of the others.
             biased;
@@ -307,7 +308,7 @@
     fn hear(&mut self, bytes: &[u8]) {
         let now = self.now();
         // What cannot be read is counted by the node, and nothing else.
-        let _ = self.node.hear(now, bytes);
+        let _ = self.node.receive(now, bytes);
     }
 
     fn took(&mut self, came: Came) {
@@ -315,7 +316,7 @@
             Came::Frame(bytes) => self.hear(&bytes),
             Came::Broke(address) => {
                 self.peers.remove(&address);
-                self.node.broke(address);
+                self.node.connection_broken(address);
             }
         }
     }
@@ -338,14 +339,14 @@
                 self.answers.insert(self.next_answer, answer);
                 let now = self.now();
                 tracing::info!("staff: fleet: {order:?}");
-                self.node.order(now, self.next_answer, &order);
+                self.node.execute(now, self.next_answer, &order);
             }
         }
     }
 
     fn roster(&self) -> serde_json::Value {
-        let Some(roster) = self.node.roster() else { return serde_json::Value::Null };
-        let gone = self.node.gone().map(|gone| {
+        let Some(roster) = self.node.member_list() else { return serde_json::Value::Null };
+        let gone = self.node.departed().map(|gone| {
             serde_json::json!({"name": gone.name, "incarnation": gone.incarnation, "why": format!("{:?}", gone.why)})
         });
         let members = roster.members.iter().map(|(folder, member)| {
@@ -371,39 +372,39 @@
         let count = |health: Health| view.members.iter().filter(|row| row.health == health).count();
         telemetry::Fleet {
             members: health.into_iter().map(|(word, health)| (word, count(health))).collect(),
-            keepers: [view.keepers_answering, view.keepers],
+            keepers: [view.voters_answering, view.voters],
             roster: [u64::from(view.epoch), view.number],
             heard: view.age_ms.map(Duration::from_millis),
             confirmed: view.confirmed,
-            packets: [counts.datagrams, counts.frames, counts.bytes, counts.taken],
+            packets: [counts.datagrams, counts.frames, counts.bytes, counts.received],
             dropped: [counts.foreign, counts.versions, counts.damaged],
         }
     }
 
     fn mark(&self) -> serde_json::Value {
-        let mark = self.node.mark(self.now());
-        let digest = self.node.roster().map(|roster| format!("{:08x}", roster.digest()));
+        let mark = self.node.view_digest(self.now());
+        let digest = self.node.member_list().map(|roster| format!("{:08x}", roster.digest()));
         serde_json::json!({"fleet": mark.fleet.map(|fleet| format!("{fleet:016x}")), "epoch": mark.epoch,
             "number": mark.number, "digest": digest, "view": format!("{:08x}", mark.view),
             "confirmed": mark.confirmed, "halted": mark.halted})
     }
 
     fn keepers(&self) -> serde_json::Value {
-        let Some(roster) = self.node.roster() else { return serde_json::Value::Null };
+        let Some(roster) = self.node.member_list() else { return serde_json::Value::Null };
         let view = self.node.view(self.now());
-        let keepers = view.members.iter().filter(|row| row.keeper);
+        let keepers = view.members.iter().filter(|row| row.voter);
         let counts = self.node.counts();
-        serde_json::json!({"group": roster.group, "answering": view.keepers_answering, "of": view.keepers,
+        serde_json::json!({"group": roster.group, "answering": view.voters_answering, "of": view.voters,
             "leader": self.node.leader(), "keepers": keepers.collect::<Vec<_>>(),
             "sent": {"datagrams": counts.datagrams, "frames": counts.frames, "bytes": counts.bytes},
-            "taken": counts.taken,
+            "taken": counts.received,
             "dropped": {"foreign": counts.foreign, "versions": counts.versions, "damaged": counts.damaged}})
     }
 
     /// Carries out what the node wants, in its order. A write that fails ends what depends on it.
     fn carry_out(&mut self) {
         loop {
-            let effects = self.node.effects();
+            let effects = self.node.take_effects();
             if effects.is_empty() {
                 return;
             }
@@ -430,12 +431,12 @@
                 let _ = self.datagrams.try_send_to(&bytes, to);
             }
             Effect::Send { to, bytes, connection: true } => self.send(to, bytes.into()),
-            Effect::Note(note) => self.tell(&note),
+            Effect::Notify(note) => self.tell(&note),
             Effect::Reload => {
                 let state = self.disk.state.clone();
                 if self.disk.write(Record::Incarnation(state.incarnation)).is_ok() {
                     let now = self.now();
-                    self.node.reloaded(now, state.keeper);
+                    self.node.reloaded(now, state.voter);
                 }
             }
             Effect::Halt(halt) => {
@@ -456,19 +457,19 @@
     }
 
     /// A line in the log for what changed: what was believed before, what is now, and why.
-    fn tell(&self, note: &Note) {
+    fn tell(&self, note: &Notification) {
         let (_, own, _) = self.node.identity();
         match note {
-            Note::Health { name, before, now: now @ Health::Lost, incarnation } => tracing::warn!(
+            Notification::Health { name, before, now: now @ Health::Lost, incarnation } => tracing::warn!(
                 peer = %name, incarnation, ?before, ?now, own,
                 reason = "it did not answer, nor object within its time to being held lost",
                 "fleet: {name} is lost"
             ),
-            Note::Health { name, before, now, incarnation } => tracing::info!(
+            Notification::Health { name, before, now, incarnation } => tracing::info!(
                 peer = %name, incarnation, ?before, ?now, own, reason = "it was heard, by this sender or another",
                 "fleet: {name} answers"
             ),
-            Note::Roster { before, now, change } => {
+            Notification::MemberList { before, now, change } => {
                 let text = change.as_ref().map_or_else(
                     || "taken over whole from a peer".to_owned(),
                     |change| match change {
@@ -476,10 +477,10 @@
                             format!("start {incarnation} of {}, at {}", info.name, info.address)
                         }
                         Change::Leaving { folder } => format!("{} is leaving", self.name(*folder)),
-                        Change::Farewell { folder, why } => {
+                        Change::Departure { folder, why } => {
                             format!("{} is gone: {why:?}", self.name(*folder))
                         }
-                        Change::Keepers { group, folders } => {
+                        Change::Voters { group, folders } => {
                             let names: Vec<String> =
                                 folders.iter().map(|folder| self.name(*folder)).collect();
                             format!("keepers of group {group} are {}", names.join(", "))
@@ -488,27 +489,27 @@
                 );
                 tracing::info!(before, number = now, own, reason = %text, "fleet: roster {now}: {text}");
             }
-            Note::Returned(times) => tracing::warn!(
+            Notification::Returned(times) => tracing::warn!(
                 own,
                 times,
                 "fleet: others held this sender lost; it has objected, and is back"
             ),
-            Note::Waiting(what) => tracing::warn!(own, "fleet: waiting: {what}"),
-            Note::OtherFleet(peer) => {
+            Notification::Waiting(what) => tracing::warn!(own, "fleet: waiting: {what}"),
+            Notification::OtherFleet(peer) => {
                 tracing::warn!(%peer, own, "fleet: another fleet of the same name is at {peer}, and is not listened to");
             }
-            Note::Keeper(Some(group)) => {
+            Notification::Voter(Some(group)) => {
                 tracing::info!(own, term = group, "fleet: a keeper, of group {group}")
             }
-            Note::Keeper(None) => tracing::info!(own, "fleet: no keeper any more"),
+            Notification::Voter(None) => tracing::info!(own, "fleet: no keeper any more"),
         }
     }
 
     /// The name that goes with a folder, as far as the roster has it or had it.
     fn name(&self, folder: u64) -> String {
-        let roster = self.node.roster();
+        let roster = self.node.member_list();
         let member = roster.and_then(|r| r.members.get(&folder)).map(|member| member.info.name.clone());
-        let gone = || roster.and_then(|r| r.farewell_of(folder)).map(|gone| gone.name.clone());
+        let gone = || roster.and_then(|r| r.departure_of(folder)).map(|gone| gone.name.clone());
         member.or_else(gone).unwrap_or_else(|| format!("folder {folder:016x}"))
     }
 
@@ -516,7 +517,7 @@
     fn send(&mut self, to: SocketAddr, bytes: Bytes) {
         self.peers.retain(|_, peer| !peer.is_closed());
         if self.peers.len() >= MOST_PEERS && !self.peers.contains_key(&to) {
-            return self.node.broke(to);
+            return self.node.connection_broken(to);
         }
         let peer = self.peers.entry(to).or_insert_with(|| {
             let (frames, waiting) = mpsc::channel(MOST_WAITING);
@@ -525,13 +526,13 @@
         });
         if peer.try_send(bytes).is_err() {
             self.peers.remove(&to);
-            self.node.broke(to);
+            self.node.connection_broken(to);
         }
     }
 }
 
 fn framed(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
-    LengthDelimitedCodec::builder().max_frame_length(MOST_FRAME).new_framed(stream)
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream)
 }
 
 /// Tells a peer what waits for it, on one connection, until that breaks or nothing more comes.
--- a/src/net/mgmt.rs
+++ b/src/net/mgmt.rs
@@ -84,20 +84,20 @@
     Figures,
     Order(Order),
     Look(Look),
-    Fleet(sender_membership::Order),
+    Fleet(sender_membership::Command),
 }
 
 /// What is asked of the fleet's part.
 fn parse_fleet<'a>(mut words: impl Iterator<Item = &'a str>) -> Result<Parsed, CallError> {
-    use sender_membership::Order;
+    use sender_membership::Command;
     Ok(match words.next().ok_or(CallError::Fleet)? {
         "view" => Parsed::Look(Look::View),
         "roster" => Parsed::Look(Look::Roster),
         "keepers" => Parsed::Look(Look::Keepers),
         "mark" => Parsed::Look(Look::Mark),
-        "remove" => Parsed::Fleet(Order::Remove(words.next().ok_or(CallError::Fleet)?.to_owned())),
-        "leave" => Parsed::Fleet(Order::Leave),
-        "refound" => Parsed::Fleet(Order::Refound),
+        "remove" => Parsed::Fleet(Command::Remove(words.next().ok_or(CallError::Fleet)?.to_owned())),
+        "leave" => Parsed::Fleet(Command::Leave),
+        "refound" => Parsed::Fleet(Command::Refound),
         _ => return Err(CallError::Fleet),
     })
 }
--- a/src/net/mgmt/tests.rs
+++ b/src/net/mgmt/tests.rs
@@ -13,7 +13,7 @@
     assert_eq!(parse("activate"), Ok(Parsed::Order(Order::Activate)));
     assert_eq!(parse("fleet view"), Ok(Parsed::Look(Look::View)));
     assert_eq!(parse("fleet mark"), Ok(Parsed::Look(Look::Mark)));
-    let remove = sender_membership::Order::Remove("n1".to_owned());
+    let remove = sender_membership::Command::Remove("n1".to_owned());
     assert_eq!(parse("fleet remove n1"), Ok(Parsed::Fleet(remove)));
     assert_eq!(parse("fleet remove"), Err(CallError::Fleet));
     assert_eq!(parse("fleet leave now"), Err(CallError::Extra("now".to_owned())));
--- a/testbed/src/peers/history.rs
+++ b/testbed/src/peers/history.rs
@@ -1,7 +1,7 @@
 //! What was done and what was seen in a play of a fleet, event by event, as JSON lines.
 use super::campaign::Break;
 use super::schedule::Fault;
-use sender_membership::{Health, Standing};
+use sender_membership::{Health, MemberState};
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, Write};
 use std::path::{Path, PathBuf};
@@ -38,13 +38,13 @@
     Gone,
 }
 
-impl From<Standing> for SeenStanding {
-    fn from(standing: Standing) -> Self {
+impl From<MemberState> for SeenStanding {
+    fn from(standing: MemberState) -> Self {
         match standing {
-            Standing::Joining => Self::Joining,
-            Standing::In => Self::In,
-            Standing::Leaving => Self::Leaving,
-            Standing::Gone => Self::Gone,
+            MemberState::Joining => Self::Joining,
+            MemberState::Active => Self::In,
+            MemberState::Leaving => Self::Leaving,
+            MemberState::Departed => Self::Gone,
         }
     }
 }
--- a/testbed/src/peers/plain.rs
+++ b/testbed/src/peers/plain.rs
@@ -1,7 +1,8 @@
 //! What the fleet's machines are compared with: a fixed list of all senders, a datagram to each of them every second, and a
 //! fixed time after which one that was not heard counts as lost. Simulated only.
 use sender_membership::{
-    Counts, Effect, Halt, Health, KeeperState, Mark, Node, Order, Roster, Row, Standing, View, WireError,
+    Command, Counts, Effect, Halt, Health, MemberList, MemberState, Node, Row, View, ViewDigest, VoterState,
+    WireError,
 };
 use std::net::SocketAddr;
 
@@ -77,9 +78,9 @@
                 name: name.clone(),
                 number: number as u32 + 1,
                 incarnation: if own { self.start } else { self.heard[number].map_or(0, |(start, _)| start) },
-                standing: Standing::In,
+                state: MemberState::Active,
                 health: if own || heard.is_some() { Health::Answers } else { Health::Lost },
-                keeper: false,
+                voter: false,
                 zone: zone.clone(),
                 machine: name.clone(),
                 version: "plain".to_owned(),
@@ -91,21 +92,21 @@
             epoch: 1,
             number: 1,
             age_ms: None,
-            keepers_answering: 0,
-            keepers: 0,
+            voters_answering: 0,
+            voters: 0,
             confirmed: true,
             halted: None,
             members: self.peers.iter().enumerate().map(row).collect(),
         }
     }
 
-    fn mark(&self, now: u64) -> Mark {
+    fn mark(&self, now: u64) -> ViewDigest {
         let mut view = 0;
         for (number, row) in self.view(now).members.iter().enumerate() {
             let state = u32::from(row.health == Health::Answers) + 2 * row.incarnation;
             view = u32::rotate_left(view, 5) ^ state.wrapping_mul(0x9E37_79B9 ^ number as u32);
         }
-        Mark { fleet: Some(1), epoch: 1, number: 1, confirmed: true, halted: false, view }
+        ViewDigest { fleet: Some(1), epoch: 1, number: 1, confirmed: true, halted: false, view }
     }
 }
 
@@ -128,9 +129,9 @@
 }
 
 impl Machine {
-    /// See [`Node::next`].
+    /// See [`Node::next_tick`].
     pub fn next(&self) -> Option<u64> {
-        either!(self, node => node.next(), beat => Some(beat.next))
+        either!(self, node => node.next_tick(), beat => Some(beat.next))
     }
 
     /// See [`Node::tick`].
@@ -138,19 +139,19 @@
         either!(self, node => node.tick(now), beat => beat.tick(now));
     }
 
-    /// See [`Node::hear`].
+    /// See [`Node::receive`].
     pub fn hear(&mut self, now: u64, bytes: &[u8]) -> Result<(), WireError> {
-        either!(self, node => node.hear(now, bytes), beat => beat.hear(now, bytes))
+        either!(self, node => node.receive(now, bytes), beat => beat.hear(now, bytes))
     }
 
-    /// See [`Node::effects`].
+    /// See [`Node::take_effects`].
     pub fn effects(&mut self) -> Vec<Effect> {
-        either!(self, node => node.effects(), beat => std::mem::take(&mut beat.effects))
+        either!(self, node => node.take_effects(), beat => std::mem::take(&mut beat.effects))
     }
 
-    /// See [`Node::broke`].
+    /// See [`Node::connection_broken`].
     pub fn broke(&mut self, address: SocketAddr) {
-        either!(self, node => node.broke(address), _beat => ());
+        either!(self, node => node.connection_broken(address), _beat => ());
     }
 
     /// See [`Node::disk_failed`].
@@ -159,18 +160,18 @@
     }
 
     /// See [`Node::reloaded`].
-    pub fn reloaded(&mut self, now: u64, keeper: Option<KeeperState>) {
+    pub fn reloaded(&mut self, now: u64, keeper: Option<VoterState>) {
         either!(self, node => node.reloaded(now, keeper), _beat => ());
     }
 
-    /// See [`Node::order`].
-    pub fn order(&mut self, now: u64, id: u64, order: &Order) {
-        either!(self, node => node.order(now, id, order), _beat => ());
+    /// See [`Node::execute`].
+    pub fn order(&mut self, now: u64, id: u64, order: &Command) {
+        either!(self, node => node.execute(now, id, order), _beat => ());
     }
 
-    /// See [`Node::roster`].
-    pub fn roster(&self) -> Option<&Roster> {
-        either!(self, node => node.roster(), _beat => None)
+    /// See [`Node::member_list`].
+    pub fn roster(&self) -> Option<&MemberList> {
+        either!(self, node => node.member_list(), _beat => None)
     }
 
     /// See [`Node::halted`].
@@ -178,9 +179,9 @@
         either!(self, node => node.halted(), _beat => None)
     }
 
-    /// See [`Node::mark`].
-    pub fn mark(&self, now: u64) -> Mark {
-        either!(self, node => node.mark(now), beat => beat.mark(now))
+    /// See [`Node::view_digest`].
+    pub fn mark(&self, now: u64) -> ViewDigest {
+        either!(self, node => node.view_digest(now), beat => beat.mark(now))
     }
 
     /// See [`Node::view`].
--- a/testbed/src/peers/sim.rs
+++ b/testbed/src/peers/sim.rs
@@ -6,7 +6,9 @@
 use super::schedule::{Kind, Met, Peers};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use sender_membership::{Broken, Effect, Halt, Info, Mark, Node, Note, Record, Settings, State};
+use sender_membership::{
+    Effect, Halt, Info, InjectedFaults, Node, Notification, Record, Settings, State, ViewDigest,
+};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -101,7 +103,7 @@
     dies_in: Option<usize>,
     inbox: VecDeque<(usize, Vec<u8>)>,
     woken_at: Option<u64>,
-    marked: Option<Mark>,
+    marked: Option<ViewDigest>,
     number: Option<(u32, u64)>,
     copy_of: Option<usize>,
 }
@@ -264,12 +266,12 @@
         let peers = self.play.peers;
         let seeds = (0..peers.seeds).map(address).collect();
         let mut settings = Settings::new("lab", self.info(sender), seeds);
-        settings.keepers = peers.keepers;
+        settings.voters = peers.keepers;
         settings.suspect = peers.suspect_ms;
         if self.play.how == Some(Break::NoSuspicion) {
             (settings.suspect, settings.confirm) = (1, 0);
         }
-        settings.broken = Broken {
+        settings.injected_faults = InjectedFaults {
             removes_the_silent: self.play.how == Some(Break::RemovalBySilence),
             forgets_incarnation: self.play.how == Some(Break::IncarnationLost),
             tells_before_disk: self.play.how == Some(Break::TellsBeforeDisk),
@@ -277,7 +279,7 @@
         let seed = self.rng.random();
         let now = self.now;
         let process = &mut self.processes[sender];
-        if settings.broken.forgets_incarnation {
+        if settings.injected_faults.forgets_incarnation {
             process.disk.incarnation = 0;
         }
         process.start += 1;
@@ -438,7 +440,7 @@
                     if let Some(node) = &mut process.node {
                         node.disk_failed();
                     }
-                    return !matches!(record, Record::Promise(_) | Record::Keeper(_));
+                    return !matches!(record, Record::Promise(_) | Record::Voter(_));
                 }
                 process.disk.apply(record);
             }
@@ -448,15 +450,15 @@
                 if !process.full
                     && let Some(node) = &mut process.node
                 {
-                    node.reloaded(now, process.disk.keeper.clone());
+                    node.reloaded(now, process.disk.voter.clone());
                 }
             }
             Effect::Halt(halt) => {
                 let copied = matches!(halt, Halt::Copied { .. });
                 self.tell(What::Halted { sender, why: halt.to_string(), copied });
             }
-            Effect::Note(Note::Roster { .. }) => self.note_number(sender),
-            Effect::Note(_) | Effect::Answer(..) => {}
+            Effect::Notify(Notification::MemberList { .. }) => self.note_number(sender),
+            Effect::Notify(_) | Effect::Answer(..) => {}
         }
         true
     }
@@ -646,7 +648,7 @@
             self.tell(What::Asked { name: name.clone() });
             let now = self.now;
             if let Some(node) = &mut self.processes[asked].node {
-                node.order(now, 0, &sender_membership::Order::Remove(name));
+                node.order(now, 0, &sender_membership::Command::Remove(name));
             }
             self.carry_out(asked);
         }
@@ -677,7 +679,7 @@
                         name: row.name,
                         number: row.number,
                         incarnation: row.incarnation,
-                        standing: row.standing.into(),
+                        standing: row.state.into(),
                         health: row.health.into(),
                     })
                     .collect(),
