--- a/system/programs/src/control/record.rs
+++ b/system/programs/src/control/record.rs
@@ -50,7 +50,7 @@
     let mut is_told = false;
     loop {
         match RecordLog::open(folder) {
-            Err(refused @ DiskError::Folder { .. }) => {
+            Err(refused @ DiskError::Io { .. }) => {
                 if !is_told {
                     log::error!("the disk refuses the acceptor's record, tried again: {refused}");
                 }
--- a/system/programs/src/disk.rs
+++ b/system/programs/src/disk.rs
@@ -112,6 +112,6 @@
 
     /// Writes these with the next batch, or soon.
     pub fn write_lazily(&self, writes: Vec<Write>) {
-        self.writer.submit_lazy(writes);
+        self.writer.submit_deferred(writes);
     }
 }
--- a/system/programs/src/storage.rs
+++ b/system/programs/src/storage.rs
@@ -104,7 +104,7 @@
         let Some(room) = news.flatten() else { return };
         log::warn!("the disk's room: {room:?}");
         if let (true, Some(folder)) = (room != DiskCapacity::Ample, &settings.data_directory)
-            && let Err(e) = Disk::remove_aside(folder)
+            && let Err(e) = Disk::remove_quarantined(folder)
         {
             log::error!("what was set aside stays: {e}");
         }
--- a/system/programs/src/storage/recovery.rs
+++ b/system/programs/src/storage/recovery.rs
@@ -92,7 +92,7 @@
     pub async fn start(&self) -> Result<(), StartError> {
         match self.open_again().await {
             Ok(()) => Ok(()),
-            Err(OpenError::Disk(error)) if error.may_pass() => {
+            Err(OpenError::Disk(error)) if error.is_transient() => {
                 self.refuse(&error.to_string());
                 Ok(())
             }
--- a/system/programs/src/storage/recovery/tests.rs
+++ b/system/programs/src/storage/recovery/tests.rs
@@ -52,7 +52,7 @@
 
     fn refused() -> DiskError {
         let source = std::io::Error::from(std::io::ErrorKind::StorageFull);
-        DiskError::Folder { path: "data".into(), source }
+        DiskError::Io { path: "data".into(), source }
     }
 
     fn commit(&self, disk: &Disk, writes: &[Write]) -> std::result::Result<(), WriteFailed> {
--- a/system/programs/src/storage/replica.rs
+++ b/system/programs/src/storage/replica.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use turn_store::{
-    Disk, DiskError, Durability, Outcome, RecordCounts, Replaced, ReplicaState, SPACES, Stored, Write,
+    Disk, DiskError, Durability, KEYSPACES, OpenedDisk, Outcome, RecordCounts, ReplicaState, Stored, Write,
     WriteFailed, Writer, load,
 };
 
@@ -44,8 +44,8 @@
     }
 
     fn open(&self, on_failure: OnFailure) -> Result<OpenedDirectory, DiskError> {
-        let Replaced { disk, read: (kept, damages), lost } =
-            Disk::open_or_replace(&self.0, SPACES, drawn, load)?;
+        let OpenedDisk { disk, read: (kept, damages), lost } =
+            Disk::open_or_replace(&self.0, KEYSPACES, drawn, load)?;
         if !damages.is_empty() {
             log::error!("{} damaged records set aside: this machine fills again", damages.len());
         }
--- a/system/programs/tests/loopback/storage_cluster.rs
+++ b/system/programs/tests/loopback/storage_cluster.rs
@@ -10,7 +10,7 @@
 use tempfile::TempDir;
 use tokio::net::TcpListener;
 use tokio::task::{AbortHandle, spawn_local};
-use turn_store::{BackfillRecord, Disk, ReplicaState, SPACES, load};
+use turn_store::{BackfillRecord, Disk, KEYSPACES, ReplicaState, load};
 
 /// Losses that are to be borne.
 const LOSSES: usize = 1;
@@ -24,7 +24,7 @@
 impl Replica {
     /// Built from what lies on the disk. Whether it has caught up is not what these stories are about: it has.
     fn open(folder: &Path, number: u64, roster: &Roster) -> Self {
-        let disk = Disk::open(folder, SPACES, || number).unwrap();
+        let disk = Disk::open(folder, KEYSPACES, || number).unwrap();
         let (mut kept, damages) = load(&disk).unwrap();
         assert!(damages.is_empty());
         let members = roster.current.iter().map(|store| store.disk).collect();
--- a/system/turn-store/src/disk.rs
+++ b/system/turn-store/src/disk.rs
@@ -9,10 +9,10 @@
 #[cfg(test)]
 mod tests;
 
-pub use directory::Replaced;
+pub use directory::OpenedDisk;
 pub use error::DiskError;
-pub(crate) use error::at;
-pub use record::{Damage, Space, Write};
+pub(crate) use error::io_error_at;
+pub use record::{DamageReason, DamagedRecord, KeyspaceConfig, Write};
 
 use fjall::{Database, Keyspace, PersistMode, UserKey};
 use frame::{Fault, frame, unframe};
@@ -20,12 +20,12 @@
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
 
-const ASIDE: &str = "aside";
+const QUARANTINE: &str = "aside";
 
-/// A folder of records.
+/// A directory of records.
 pub struct Disk {
     db: Database,
-    spaces: BTreeMap<&'static str, Keyspace>,
+    keyspaces: BTreeMap<&'static str, Keyspace>,
     number: u64,
 }
 
@@ -36,88 +36,106 @@
 }
 
 impl Disk {
-    /// The number that was drawn when the folder was made.
+    /// The random number that identifies this disk, chosen when the directory was created.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    fn space(&self, name: &'static str) -> Result<&Keyspace, DiskError> {
-        self.spaces.get(name).ok_or(DiskError::NoSpace(name))
+    fn keyspace(&self, name: &'static str) -> Result<&Keyspace, DiskError> {
+        self.keyspaces.get(name).ok_or(DiskError::UnknownKeyspace(name))
     }
 
-    /// The value of a record, checked.
-    pub fn get(&self, space: &'static str, key: &[u8]) -> Result<Option<Vec<u8>>, DiskError> {
+    /// The value of a record, verified.
+    ///
+    /// # Errors
+    ///
+    /// The keyspace is unknown, the key is too long, or the record cannot be read, is damaged or of an unknown version.
+    pub fn get(&self, keyspace: &'static str, key: &[u8]) -> Result<Option<Vec<u8>>, DiskError> {
         check_key(key)?;
-        match self.space(space)?.get(key)? {
+        match self.keyspace(keyspace)?.get(key)? {
             None => Ok(None),
-            Some(framed) => {
-                unframe(key, &framed).map(|value| Some(value.to_vec())).map_err(|fault| fault.of(space, key))
-            }
+            Some(framed) => unframe(key, &framed)
+                .map(|value| Some(value.to_vec()))
+                .map_err(|fault| fault.into_error(keyspace, key)),
         }
     }
 
-    /// Pass over the records of a keyspace by key. Those that are damaged, or that `visit` refuses, are told.
-    pub fn scan(
+    /// Visits the records of a keyspace in the order of their keys. Returns those that are damaged, or that `visit` refuses.
+    ///
+    /// # Errors
+    ///
+    /// The keyspace is unknown or cannot be read, or a record is of an unknown version.
+    pub fn scan<E: std::error::Error>(
         &self,
-        space: &'static str,
-        mut visit: impl FnMut(&[u8], &[u8]) -> Result<(), String>,
-    ) -> Result<Vec<Damage>, DiskError> {
-        let mut damages = Vec::new();
-        let keyspace = self.space(space)?;
-        let mut take = |key: &[u8], framed: Result<&[u8], String>| {
-            let fault = match framed.map(|framed| unframe(key, framed)) {
-                Ok(Ok(value)) => visit(key, value).err(),
-                Ok(Err(Fault::Version(found))) => return Err(Fault::Version(found).of(space, key)),
-                Ok(Err(Fault::Damage(what))) => Some(what),
-                Err(unreadable) => Some(unreadable),
+        keyspace: &'static str,
+        mut visit: impl FnMut(&[u8], &[u8]) -> Result<(), E>,
+    ) -> Result<Vec<DamagedRecord>, DiskError> {
+        let mut damaged = Vec::new();
+        let records = self.keyspace(keyspace)?;
+        let mut check = |key: &[u8], framed: Result<&[u8], fjall::Error>| {
+            let reason = match framed.map(|framed| unframe(key, framed)) {
+                Ok(Ok(value)) => {
+                    visit(key, value).err().map(|error| DamageReason::Content(error.to_string()))
+                }
+                Ok(Err(Fault::Version(found))) => return Err(Fault::Version(found).into_error(keyspace, key)),
+                Ok(Err(Fault::Damaged(reason))) => Some(reason),
+                Err(error) => Some(DamageReason::Unreadable(error.to_string())),
             };
-            damages.extend(fault.map(|what| Damage { space, key: key.to_vec(), what }));
+            damaged.extend(reason.map(|reason| DamagedRecord { keyspace, key: key.to_vec(), reason }));
             Ok(())
         };
         let mut last: Option<UserKey> = None;
-        for guard in keyspace.iter() {
+        for guard in records.iter() {
             match guard.into_inner() {
                 Ok((key, framed)) => {
-                    take(&key, Ok(&framed))?;
+                    check(&key, Ok(&framed))?;
                     last = Some(key);
                 }
                 Err(_) => {
-                    // A value cannot be read: from here on each is asked for by its key.
+                    // A value cannot be read: from here on each value is read by its key.
                     let unreadable =
-                        |error: fjall::Error| DiskError::Unreadable { space, what: error.to_string() };
-                    for guard in keyspace.range::<UserKey, _>((last.map_or(Unbounded, Excluded), Unbounded)) {
+                        |error: fjall::Error| DiskError::Unreadable { keyspace, what: error.to_string() };
+                    for guard in records.range::<UserKey, _>((last.map_or(Unbounded, Excluded), Unbounded)) {
                         let key = guard.key().map_err(unreadable)?;
-                        match keyspace.get(&key) {
-                            Ok(Some(framed)) => take(&key, Ok(&framed))?,
+                        match records.get(&key) {
+                            Ok(Some(framed)) => check(&key, Ok(&framed))?,
                             Ok(None) => {}
-                            Err(error) => take(&key, Err(error.to_string()))?,
+                            Err(error) => check(&key, Err(error))?,
                         }
                     }
                     break;
                 }
             }
         }
-        Ok(damages)
+        Ok(damaged)
     }
 
-    /// Move damaged records out of the way, as they are, together with other writes; synced.
-    pub fn set_aside(&self, damages: &[Damage], writes: &[Write]) -> Result<(), DiskError> {
-        let aside = self.space(ASIDE)?;
+    /// Moves damaged records unchanged to the quarantine, in one synced batch with other writes.
+    ///
+    /// # Errors
+    ///
+    /// A keyspace is unknown, a key is too long, or the batch was not synced.
+    pub fn quarantine(&self, damaged: &[DamagedRecord], writes: &[Write]) -> Result<(), DiskError> {
+        let quarantine = self.keyspace(QUARANTINE)?;
         let mut batch = self.db.batch().durability(Some(PersistMode::SyncData));
-        for damage in damages {
-            log::error!("damaged record in {}: {}", damage.space, damage.what);
-            let space = self.space(damage.space)?;
-            // What cannot be read at all stays until it is replaced.
-            if let Ok(Some(raw)) = space.get(&damage.key) {
-                batch.insert(aside, [damage.space.as_bytes(), b"/", &damage.key].concat(), raw);
-                batch.remove(space, damage.key.as_slice());
+        for damage in damaged {
+            log::error!("damaged record in {}: {}", damage.keyspace, damage.reason);
+            let keyspace = self.keyspace(damage.keyspace)?;
+            // A record that cannot be read at all stays until it is replaced.
+            if let Ok(Some(raw)) = keyspace.get(&damage.key) {
+                batch.insert(quarantine, [damage.keyspace.as_bytes(), b"/", &damage.key].concat(), raw);
+                batch.remove(keyspace, damage.key.as_slice());
             }
         }
         self.add(&mut batch, writes)?;
         Ok(batch.commit()?)
     }
 
-    /// Write all of these or none, and sync them. Of two writes of one key the later counts.
+    /// Applies all writes or none, and syncs them. Of two writes of one key the later counts.
+    ///
+    /// # Errors
+    ///
+    /// A keyspace is unknown, a key is too long, or the batch was not synced: it may or may not be on the disk then.
     pub fn write(&self, writes: &[Write]) -> Result<(), DiskError> {
         let mut batch = self.db.batch().durability(Some(PersistMode::SyncData));
         self.add(&mut batch, writes)?;
@@ -128,29 +146,37 @@
         let mut last = BTreeMap::new();
         for write in writes {
             check_key(&write.key)?;
-            last.insert((write.space, write.key.as_slice()), write.value.as_ref());
+            last.insert((write.keyspace, write.key.as_slice()), write.value.as_ref());
         }
-        for ((space, key), value) in last {
+        for ((keyspace, key), value) in last {
             match value {
-                Some(value) => batch.insert(self.space(space)?, key, frame(key, value)),
-                None => batch.remove(self.space(space)?, key),
+                Some(value) => batch.insert(self.keyspace(keyspace)?, key, frame(key, value)),
+                None => batch.remove(self.keyspace(keyspace)?, key),
             }
         }
         Ok(())
     }
 
-    /// Sync what was written.
+    /// Syncs all earlier writes.
+    ///
+    /// # Errors
+    ///
+    /// They were not synced.
     pub fn sync(&self) -> Result<(), DiskError> {
         Ok(self.db.persist(PersistMode::SyncData)?)
     }
 
-    /// Bytes that the folder takes.
+    /// Bytes on disk of the directory.
+    ///
+    /// # Errors
+    ///
+    /// The engine cannot tell its size.
     pub fn bytes(&self) -> Result<u64, DiskError> {
         Ok(self.db.disk_space()?)
     }
 
-    /// Bytes of it in tables; the others are in journals, whose files are longer than what they hold.
+    /// Bytes on disk of the tables. The remaining ones are in journals, whose files are allocated ahead of their content.
     pub fn table_bytes(&self) -> u64 {
-        self.spaces.values().map(Keyspace::disk_space).sum()
+        self.keyspaces.values().map(Keyspace::disk_space).sum()
     }
 }
--- a/system/turn-store/src/disk/directory.rs
+++ b/system/turn-store/src/disk/directory.rs
@@ -1,6 +1,6 @@
 //! The data directory: creating, opening, probing and replacing it.
 
-use super::{ASIDE, Disk, DiskError, Space, Write, at, journal, manifest};
+use super::{Disk, DiskError, KeyspaceConfig, QUARANTINE, Write, io_error_at, journal, manifest};
 use bytes::Bytes;
 use fjall::compaction::Leveled;
 use fjall::{Database, KeyspaceCreateOptions, KvSeparationOptions, PersistMode};
@@ -11,176 +11,204 @@
 use std::path::Path;
 use std::sync::Arc;
 
-const FORMAT: u8 = 1;
+const FORMAT_VERSION: u8 = 1;
 const CACHE_BYTES: u64 = 4 << 20;
-const JOURNAL_BYTES: u64 = 64 << 20;
-/// Files of keys are written from memory when they are merged: their size bounds what that takes.
-const TABLE_BYTES: u64 = 4 << 20;
-/// Values from this size on are kept apart from their keys, and stay where they are when keys are merged.
-const LARGE_BYTES: u32 = 1 << 10;
-const OPEN_FILES: usize = 64;
-/// What a folder that could not be read is called.
-pub(super) const DAMAGED: &str = "records.damaged";
-/// A file that is written to see whether the disk takes writes.
-pub(super) const PROBE: &str = "probe.new";
+const MAX_JOURNALING_BYTES: u64 = 64 << 20;
+/// Target size of tables, in bytes. They are built in memory when they are merged, which this bounds.
+const TARGET_TABLE_BYTES: u64 = 4 << 20;
+/// Size in bytes from which on values are stored apart from their keys, and not rewritten when keys are merged.
+const SEPARATED_VALUE_MIN_BYTES: u32 = 1 << 10;
+const MAX_OPEN_FILES: usize = 64;
+/// Name of a directory that could not be read.
+pub(super) const QUARANTINE_DIRECTORY: &str = "records.damaged";
+/// Name of the file that is written to check whether the disk accepts writes.
+pub(super) const PROBE_FILE: &str = "probe.new";
 const PROBE_BYTES: usize = 64 << 10;
-pub(super) const OWN: &str = "own";
+pub(super) const METADATA: &str = "own";
 pub(super) const NUMBER_KEY: &[u8] = b"number";
 pub(super) const FORMAT_KEY: &[u8] = b"format";
 
-/// A folder that was opened, if need be in place of one that could not be read.
+/// A disk that was opened, possibly in place of one that could not be read.
 #[derive(Debug)]
-pub struct Replaced<T> {
+pub struct OpenedDisk<T> {
     /// The disk.
     pub disk: Disk,
-    /// What was read of it.
+    /// Its content, as the caller read it.
     pub read: T,
-    /// Why the former folder was set aside; this is another disk then, and it holds nothing.
+    /// Why the former directory was quarantined; this is another, empty disk then.
     pub lost: Option<DiskError>,
 }
 
 impl Disk {
-    /// Open the folder, or make it: then it gets the number that `random_u64` gives. It is made under another name and renamed
-    /// when all is synced, so that a half-made one is never taken for a disk.
-    pub fn open(dir: &Path, spaces: &[Space], random_u64: impl FnOnce() -> u64) -> Result<Self, DiskError> {
-        let (made, half) = (dir.join("records"), dir.join("records.new"));
-        if !made.try_exists().map_err(at(&made))? {
-            fs::create_dir_all(dir).map_err(at(dir))?;
-            if half.try_exists().map_err(at(&half))? {
-                fs::remove_dir_all(&half).map_err(at(&half))?;
+    /// Opens the data directory, or creates it with the number that `random_u64` returns. A new one is created under
+    /// another name and renamed when all of it is synced, so that an incomplete one is never opened as a disk.
+    ///
+    /// # Errors
+    ///
+    /// The directory cannot be accessed, is damaged, or is of another format.
+    pub fn open(
+        dir: &Path,
+        keyspaces: &[KeyspaceConfig],
+        random_u64: impl FnOnce() -> u64,
+    ) -> Result<Self, DiskError> {
+        let (records, incomplete) = (dir.join("records"), dir.join("records.new"));
+        if !records.try_exists().map_err(io_error_at(&records))? {
+            fs::create_dir_all(dir).map_err(io_error_at(dir))?;
+            if incomplete.try_exists().map_err(io_error_at(&incomplete))? {
+                fs::remove_dir_all(&incomplete).map_err(io_error_at(&incomplete))?;
             }
-            Self::create(&half, spaces, random_u64())?;
-            fs::rename(&half, &made).map_err(at(&made))?;
-            sync_folder(dir)?;
-            if let Some(parent) = dir.canonicalize().map_err(at(dir))?.parent() {
-                sync_folder(parent)?;
+            Self::create(&incomplete, keyspaces, random_u64())?;
+            fs::rename(&incomplete, &records).map_err(io_error_at(&records))?;
+            sync_directory(dir)?;
+            if let Some(parent) = dir.canonicalize().map_err(io_error_at(dir))?.parent() {
+                sync_directory(parent)?;
             }
         }
-        if let Some(journal::Broken { path, byte }) = journal::look_through(&made)? {
+        if let Some(journal::DamagedJournal { path, byte }) = journal::repair_tail(&records)? {
             return Err(DiskError::Journal { path, byte });
         }
-        journal::sync_newest(&made)?;
-        if let Some(manifest) = manifest::look_through(&made)? {
+        journal::resync_newest(&records)?;
+        if let Some(manifest) = manifest::find_damaged(&records)? {
             return Err(DiskError::Manifest(manifest));
         }
-        let mut disk = Self::open_engine(&made, spaces)?;
-        match disk.own("format", FORMAT_KEY)?.as_slice() {
-            [FORMAT] => {}
+        let mut disk = Self::open_engine(&records, keyspaces)?;
+        match disk.read_metadata("format", FORMAT_KEY)?.as_slice() {
+            [FORMAT_VERSION] => {}
             [found] => {
-                let (found, known) = (u16::from(*found), u16::from(FORMAT));
-                return Err(DiskError::Format { path: made, found, known });
+                let (found, known) = (u16::from(*found), u16::from(FORMAT_VERSION));
+                return Err(DiskError::Format { path: records, found, known });
             }
-            _ => return Err(DiskError::Own { record: "format", what: "another length".into() }),
+            _ => return Err(DiskError::Metadata { record: "format", what: "another length".into() }),
         }
-        let number = disk.own("number", NUMBER_KEY)?;
+        let number = disk.read_metadata("number", NUMBER_KEY)?;
         let number =
-            number.try_into().map_err(|_| DiskError::Own { record: "number", what: "length".into() })?;
+            number.try_into().map_err(|_| DiskError::Metadata { record: "number", what: "length".into() })?;
         disk.number = u64::from_be_bytes(number);
         Ok(disk)
     }
 
-    /// Open the folder and read it. One whose content cannot be read as a whole is set aside, and another takes its
-    /// place: as if the disk had been lost.
+    /// Opens the data directory and reads it. One whose content cannot be read is quarantined and replaced by an empty
+    /// one, as if the disk had been lost.
+    ///
+    /// # Errors
+    ///
+    /// The directory cannot be accessed or is of another format, or the disk refuses writes, so that it cannot be replaced.
     pub fn open_or_replace<T>(
         dir: &Path,
-        spaces: &[Space],
+        keyspaces: &[KeyspaceConfig],
         random_u64: impl Fn() -> u64,
         read: impl Fn(&Self) -> Result<T, DiskError>,
-    ) -> Result<Replaced<T>, DiskError> {
+    ) -> Result<OpenedDisk<T>, DiskError> {
         let open = || {
-            // What the engine does with bytes that it never wrote is its own affair: it may break off.
+            // The engine may panic on bytes that it has not written.
             let opened = AssertUnwindSafe(|| {
-                let disk = Self::open(dir, spaces, &random_u64)?;
+                let disk = Self::open(dir, keyspaces, &random_u64)?;
                 let read = read(&disk)?;
                 Ok((disk, read))
             });
-            catch_unwind(opened).unwrap_or_else(|broke_off| {
-                let told = broke_off.downcast_ref::<String>().cloned();
-                let told = told.or_else(|| broke_off.downcast_ref::<&str>().map(|told| told.to_string()));
-                Err(DiskError::BrokeOff(told.unwrap_or_default()))
+            catch_unwind(opened).unwrap_or_else(|panic| {
+                let message = panic.downcast_ref::<String>().cloned();
+                let message = message.or_else(|| panic.downcast_ref::<&str>().map(|text| text.to_string()));
+                Err(DiskError::EnginePanicked(message.unwrap_or_default()))
             })
         };
         let (lost, (disk, read)) = match open() {
             Ok(opened) => (None, opened),
             Err(error) if error.is_damage() => {
-                // Without room the engine may break off over a folder that is whole; nor could another be made.
+                // Without free space the engine may panic over an intact directory, and no other could be created.
                 Self::probe(dir)?;
                 log::error!("{}: set aside, and this is another disk from now on: {error}", dir.display());
-                let (made, aside) = (dir.join("records"), dir.join(DAMAGED));
-                if aside.try_exists().map_err(at(&aside))? {
-                    fs::remove_dir_all(&aside).map_err(at(&aside))?;
+                let (records, quarantine) = (dir.join("records"), dir.join(QUARANTINE_DIRECTORY));
+                if quarantine.try_exists().map_err(io_error_at(&quarantine))? {
+                    fs::remove_dir_all(&quarantine).map_err(io_error_at(&quarantine))?;
                 }
-                fs::rename(&made, &aside).map_err(at(&made))?;
-                sync_folder(dir)?;
+                fs::rename(&records, &quarantine).map_err(io_error_at(&records))?;
+                sync_directory(dir)?;
                 (Some(error), open()?)
             }
             Err(error) => return Err(error),
         };
-        Ok(Replaced { disk, read, lost })
+        Ok(OpenedDisk { disk, read, lost })
     }
 
-    /// See whether the disk takes writes: a small file is written, synced and removed.
+    /// Checks whether the disk accepts writes: a small file is written, synced and removed.
+    ///
+    /// # Errors
+    ///
+    /// One of these operations failed.
     pub fn probe(dir: &Path) -> Result<(), DiskError> {
-        let path = dir.join(PROBE);
+        let path = dir.join(PROBE_FILE);
         let written = File::create(&path).and_then(|mut file| {
             file.write_all(&[0x5a; PROBE_BYTES])?;
             file.sync_all()
         });
         let removed = fs::remove_file(&path);
-        written.and(removed).map_err(at(&path))
+        written.and(removed).map_err(io_error_at(&path))
     }
 
-    /// Remove what was set aside as a whole: its room is needed.
-    pub fn remove_aside(dir: &Path) -> Result<(), DiskError> {
-        let aside = dir.join(DAMAGED);
-        match fs::remove_dir_all(&aside) {
-            Err(error) if error.kind() != std::io::ErrorKind::NotFound => Err(at(&aside)(error)),
+    /// Removes a quarantined directory, to free its space.
+    ///
+    /// # Errors
+    ///
+    /// It cannot be removed.
+    pub fn remove_quarantined(dir: &Path) -> Result<(), DiskError> {
+        let quarantine = dir.join(QUARANTINE_DIRECTORY);
+        match fs::remove_dir_all(&quarantine) {
+            Err(error) if error.kind() != std::io::ErrorKind::NotFound => {
+                Err(io_error_at(&quarantine)(error))
+            }
             _ => Ok(()),
         }
     }
 
-    fn create(path: &Path, spaces: &[Space], number: u64) -> Result<(), DiskError> {
-        let disk = Self::open_engine(path, spaces)?;
+    fn create(path: &Path, keyspaces: &[KeyspaceConfig], number: u64) -> Result<(), DiskError> {
+        let disk = Self::open_engine(path, keyspaces)?;
         let number = Bytes::copy_from_slice(&number.to_be_bytes());
-        disk.write(&[Write::put(OWN, FORMAT_KEY, vec![FORMAT]), Write::put(OWN, NUMBER_KEY, number)])?;
+        disk.write(&[
+            Write::put(METADATA, FORMAT_KEY, vec![FORMAT_VERSION]),
+            Write::put(METADATA, NUMBER_KEY, number),
+        ])?;
         disk.db.persist(PersistMode::SyncAll)?;
         drop(disk);
-        sync_folder(path)
+        sync_directory(path)
     }
 
-    fn open_engine(path: &Path, spaces: &[Space]) -> Result<Self, DiskError> {
+    fn open_engine(path: &Path, keyspaces: &[KeyspaceConfig]) -> Result<Self, DiskError> {
         let db = Database::builder(path)
             .cache_size(CACHE_BYTES)
-            .max_journaling_size(JOURNAL_BYTES)
-            .max_cached_files(Some(OPEN_FILES))
+            .max_journaling_size(MAX_JOURNALING_BYTES)
+            .max_cached_files(Some(MAX_OPEN_FILES))
             .worker_threads(1)
             .open()?;
-        let own = [OWN, ASIDE].map(|name| Space { name, memtable_bytes: 64 << 10 });
-        let large =
-            KvSeparationOptions::default().separation_threshold(LARGE_BYTES).file_target_size(TABLE_BYTES);
+        let internal = [METADATA, QUARANTINE].map(|name| KeyspaceConfig { name, memtable_bytes: 64 << 10 });
+        let large = KvSeparationOptions::default()
+            .separation_threshold(SEPARATED_VALUE_MIN_BYTES)
+            .file_target_size(TARGET_TABLE_BYTES);
         let mut opened = BTreeMap::new();
-        for space in own.iter().chain(spaces) {
+        for keyspace in internal.iter().chain(keyspaces) {
             let options = || {
                 KeyspaceCreateOptions::default()
-                    .max_memtable_size(space.memtable_bytes)
-                    .compaction_strategy(Arc::new(Leveled::default().with_table_target_size(TABLE_BYTES)))
+                    .max_memtable_size(keyspace.memtable_bytes)
+                    .compaction_strategy(Arc::new(
+                        Leveled::default().with_table_target_size(TARGET_TABLE_BYTES),
+                    ))
                     .with_kv_separation(Some(large.clone()))
             };
-            opened.insert(space.name, db.keyspace(space.name, options)?);
+            opened.insert(keyspace.name, db.keyspace(keyspace.name, options)?);
         }
-        Ok(Self { db, spaces: opened, number: 0 })
+        Ok(Self { db, keyspaces: opened, number: 0 })
     }
 
-    fn own(&self, record: &'static str, key: &[u8]) -> Result<Vec<u8>, DiskError> {
-        match self.get(OWN, key) {
+    fn read_metadata(&self, record: &'static str, key: &[u8]) -> Result<Vec<u8>, DiskError> {
+        match self.get(METADATA, key) {
             Ok(Some(value)) => Ok(value),
-            Ok(None) => Err(DiskError::Own { record, what: "it is missing".into() }),
-            Err(DiskError::Damaged(what)) => Err(DiskError::Own { record, what }),
+            Ok(None) => Err(DiskError::Metadata { record, what: "it is missing".into() }),
+            Err(DiskError::Damaged(reason)) => Err(DiskError::Metadata { record, what: reason.to_string() }),
             Err(error) => Err(error),
         }
     }
 }
 
-fn sync_folder(path: &Path) -> Result<(), DiskError> {
-    File::open(path).and_then(|folder| folder.sync_all()).map_err(at(path))
+fn sync_directory(path: &Path) -> Result<(), DiskError> {
+    File::open(path).and_then(|folder| folder.sync_all()).map_err(io_error_at(path))
 }
--- a/system/turn-store/src/disk/error.rs
+++ b/system/turn-store/src/disk/error.rs
@@ -1,105 +1,106 @@
-//! Why a disk cannot be used, and whether that is damage, passing, or another version.
+//! Why a disk cannot be used, and whether that is damage or transient.
 
+use super::DamageReason;
 use super::frame::RECORD_VERSION;
 use std::path::{Path, PathBuf};
 
 /// Why a disk cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// The folder or its files.
+    /// An operation on the directory or its files failed.
     #[error("{}: {source}", path.display())]
-    Folder {
-        /// The place.
+    Io {
+        /// The path.
         path: PathBuf,
-        /// What failed.
+        /// The error of the operation.
         source: std::io::Error,
     },
-    /// The engine.
+    /// The storage engine returned an error.
     #[error("storage engine: {0}")]
     Engine(#[from] fjall::Error),
-    /// The folder was written in another format.
+    /// The directory was written in another format.
     #[error("{}: written in format {found}, this program knows format {known}", path.display())]
     Format {
-        /// The place.
+        /// The path.
         path: PathBuf,
         /// Its format.
         found: u16,
         /// The format that this program writes.
         known: u16,
     },
-    /// The folder's own records are damaged.
+    /// A record of the directory about itself is damaged or missing.
     #[error("the folder's own record `{record}` is damaged: {what}")]
-    Own {
-        /// Which one.
+    Metadata {
+        /// The name of the record.
         record: &'static str,
-        /// What is wrong.
+        /// A description of the damage.
         what: String,
     },
-    /// A journal of the engine is damaged at a place that was synced.
+    /// A journal of the engine is damaged at an offset that was synced.
     #[error("{}: damaged at byte {byte}", path.display())]
     Journal {
         /// The journal.
         path: PathBuf,
-        /// From where on.
+        /// The offset from which on it is damaged.
         byte: u64,
     },
-    /// A manifest of the engine is not as it was written.
+    /// A manifest of the engine does not match its checksum.
     #[error("{}: damaged", .0.display())]
     Manifest(PathBuf),
     /// A part of a keyspace cannot be read, not even its keys.
-    #[error("keyspace `{space}` cannot be read: {what}")]
+    #[error("keyspace `{keyspace}` cannot be read: {what}")]
     Unreadable {
         /// The keyspace.
-        space: &'static str,
-        /// What is wrong.
+        keyspace: &'static str,
+        /// A description of the damage.
         what: String,
     },
-    /// The engine gave up in a way that is not foreseen.
+    /// The engine panicked.
     #[error("the storage engine broke off: {0}")]
-    BrokeOff(String),
+    EnginePanicked(String),
     /// A record is damaged.
     #[error("damaged record: {0}")]
-    Damaged(String),
-    /// A record is whole, and written by a program that is not known here.
+    Damaged(DamageReason),
+    /// A record is intact, and written by a later program.
     #[error(
-        "record {key:?} of keyspace `{space}`: written in version {found}, this program knows version {RECORD_VERSION}"
+        "record {key:?} of keyspace `{keyspace}`: written in version {found}, this program knows version {RECORD_VERSION}"
     )]
     RecordVersion {
         /// The keyspace.
-        space: &'static str,
+        keyspace: &'static str,
         /// The key.
         key: String,
         /// Its version.
         found: u8,
     },
-    /// There is no such keyspace.
+    /// There is no keyspace of this name.
     #[error("no keyspace `{0}`")]
-    NoSpace(&'static str),
-    /// The key is empty or too long.
+    UnknownKeyspace(&'static str),
+    /// The key, of this many bytes, is empty or too long.
     #[error("a key of {0} bytes")]
-    Key(usize),
+    KeyLength(usize),
 }
 
 impl DiskError {
-    /// Whether the folder's content is damaged, and not just out of reach now or written by another program.
+    /// Whether the directory's content is damaged, rather than temporarily out of reach or written by another program.
     pub fn is_damage(&self) -> bool {
         match self {
-            Self::Own { .. }
+            Self::Metadata { .. }
             | Self::Journal { .. }
             | Self::Manifest(_)
             | Self::Unreadable { .. }
-            | Self::BrokeOff(_) => true,
+            | Self::EnginePanicked(_) => true,
             Self::Engine(error) => is_damage(error),
             _ => false,
         }
     }
 
-    /// Whether it may pass by itself: a file operation was refused, or the folder is still in use. The folder's content
-    /// and its version are not at fault then.
-    pub fn may_pass(&self) -> bool {
+    /// Whether a retry may succeed: a file operation was refused, or the directory is still in use. Neither its content nor
+    /// its version is the cause then.
+    pub fn is_transient(&self) -> bool {
         use fjall::Error::{Io, Locked, Poisoned, Storage};
         match self {
-            Self::Folder { .. } => true,
+            Self::Io { .. } => true,
             Self::Engine(Io(_) | Locked | Poisoned | Storage(fjall::LsmError::Io(_))) => !self.is_damage(),
             _ => false,
         }
@@ -108,19 +109,20 @@
 
 fn is_damage(error: &fjall::Error) -> bool {
     use fjall::Error;
-    let gone = |error: &std::io::Error| {
+    let is_content_error = |error: &std::io::Error| {
         use std::io::ErrorKind::{InvalidData, InvalidInput, NotFound, UnexpectedEof};
         matches!(error.kind(), InvalidData | InvalidInput | NotFound | UnexpectedEof)
     };
     match error {
-        Error::Io(error) | Error::Storage(fjall::LsmError::Io(error)) => gone(error),
-        // Another version is no damage, and neither is a folder in use.
+        Error::Io(error) | Error::Storage(fjall::LsmError::Io(error)) => is_content_error(error),
+        // Neither another version nor a directory in use is damage.
         Error::InvalidVersion(Some(_)) | Error::Storage(fjall::LsmError::InvalidVersion(_)) => false,
         Error::Locked | Error::Poisoned | Error::KeyspaceDeleted => false,
         _ => true,
     }
 }
 
-pub(crate) fn at(path: &Path) -> impl FnOnce(std::io::Error) -> DiskError + use<'_> {
-    move |source| DiskError::Folder { path: path.to_owned(), source }
+/// Maps an I/O error to [`DiskError::Io`] with its path.
+pub(crate) fn io_error_at(path: &Path) -> impl FnOnce(std::io::Error) -> DiskError + use<'_> {
+    move |source| DiskError::Io { path: path.to_owned(), source }
 }
--- a/system/turn-store/src/disk/frame.rs
+++ b/system/turn-store/src/disk/frame.rs
@@ -1,28 +1,33 @@
 //! The frame of a stored value: format version, checksum, value.
 
-use super::DiskError;
+use super::{DamageReason, DiskError};
 
+/// Version of the frame.
 pub(super) const RECORD_VERSION: u8 = 1;
+/// Version byte and checksum.
 const FRAME_BYTES: usize = 5;
 
-/// Why the value of a record is not to be had.
+/// Why a framed value cannot be read.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Fault {
-    Damage(String),
+    /// It is damaged.
+    Damaged(DamageReason),
+    /// It is intact, in a frame of a version that is not known here.
     Version(u8),
 }
 
 impl Fault {
-    pub(super) fn of(self, space: &'static str, key: &[u8]) -> DiskError {
+    pub(super) fn into_error(self, keyspace: &'static str, key: &[u8]) -> DiskError {
         match self {
-            Self::Damage(what) => DiskError::Damaged(what),
+            Self::Damaged(reason) => DiskError::Damaged(reason),
             Self::Version(found) => {
-                DiskError::RecordVersion { space, key: String::from_utf8_lossy(key).into_owned(), found }
+                DiskError::RecordVersion { keyspace, key: String::from_utf8_lossy(key).into_owned(), found }
             }
         }
     }
 }
 
+/// CRC-32 over version, key and value, little-endian.
 pub(super) fn checksum(version: u8, key: &[u8], value: &[u8]) -> [u8; 4] {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&[version]);
@@ -31,6 +36,7 @@
     hasher.finalize().to_le_bytes()
 }
 
+/// The frame of a value: version, checksum, value.
 pub(super) fn frame(key: &[u8], value: &[u8]) -> Vec<u8> {
     let mut framed = Vec::with_capacity(FRAME_BYTES + value.len());
     framed.push(RECORD_VERSION);
@@ -39,15 +45,15 @@
     framed
 }
 
-/// A record of another version is one only if its checksum is that version's.
+/// The value in a frame. A frame counts as one of another version only if its checksum matches with that version.
 pub(super) fn unframe<'a>(key: &[u8], framed: &'a [u8]) -> Result<&'a [u8], Fault> {
     let Some((head, value)) = framed.split_first_chunk::<FRAME_BYTES>() else {
-        return Err(Fault::Damage("cut short".into()));
+        return Err(Fault::Damaged(DamageReason::CutShort));
     };
     match (head[0], head[1..] == checksum(head[0], key, value)) {
         (RECORD_VERSION, true) => Ok(value),
-        (RECORD_VERSION, false) => Err(Fault::Damage("wrong checksum".into())),
+        (RECORD_VERSION, false) => Err(Fault::Damaged(DamageReason::Checksum)),
         (version, true) => Err(Fault::Version(version)),
-        (version, false) => Err(Fault::Damage(format!("version {version} of a record"))),
+        (version, false) => Err(Fault::Damaged(DamageReason::UnknownVersion(version))),
     }
 }
--- a/system/turn-store/src/disk/journal.rs
+++ b/system/turn-store/src/disk/journal.rs
@@ -4,8 +4,8 @@
 //! torn; it ends where a batch is whole but for its checksum; and it trusts lengths. Each batch is synced before the
 //! next begins, so a torn one has none after it: here it is cut off. All else that cannot be read was synced once.
 
-use super::{DiskError, at};
-use crate::record_log::lacks_nothing;
+use super::{DiskError, io_error_at};
+use crate::record_log::is_fully_written;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, BufReader, Read, Seek, SeekFrom};
 use std::os::unix::fs::FileExt;
@@ -13,23 +13,23 @@
 use xxhash_rust::xxh3::Xxh3;
 
 const MAGIC: &[u8; 4] = b"FJL\x03";
-const START: u8 = 1;
-const ITEM: u8 = 2;
-const END: u8 = 3;
-const CLEAR: u8 = 4;
+const BATCH_START_TAG: u8 = 1;
+const ITEM_TAG: u8 = 2;
+const BATCH_END_TAG: u8 = 3;
+const CLEAR_TAG: u8 = 4;
 /// Tag, count, number.
-const START_BYTES: usize = 13;
+const BATCH_START_BYTES: usize = 13;
 /// The engine keeps the highest bit for itself.
-const MOST_NUMBER: u64 = u64::MAX >> 2;
+const MAX_SEQUENCE_NUMBER: u64 = u64::MAX >> 2;
 /// After so many zeros nothing more is looked for: files are made longer than what is written.
-const ZEROS: usize = 256 << 10;
-const BUFFER: usize = 64 << 10;
+const MAX_ZERO_RUN_BYTES: usize = 256 << 10;
+const BUFFER_BYTES: usize = 64 << 10;
 /// A torn end longer than this is not looked at for gaps.
-const LONGEST_END: u64 = 32 << 20;
+const MAX_TORN_TAIL_BYTES: u64 = 32 << 20;
 
 /// What is wrong with the journals of a folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Broken {
+pub(super) struct DamagedJournal {
     pub(super) path: PathBuf,
     pub(super) byte: u64,
 }
@@ -37,8 +37,8 @@
 /// The journals of a folder with their numbers, rising.
 fn journals(folder: &Path) -> Result<Vec<(u64, PathBuf)>, DiskError> {
     let mut journals = Vec::new();
-    for entry in fs::read_dir(folder).map_err(at(folder))? {
-        let path = entry.map_err(at(folder))?.path();
+    for entry in fs::read_dir(folder).map_err(io_error_at(folder))? {
+        let path = entry.map_err(io_error_at(folder))?.path();
         let name = path.file_name().and_then(|name| name.to_str()).and_then(|name| name.strip_suffix(".jnl"));
         if let Some(number) = name.and_then(|number| number.parse::<u64>().ok()) {
             journals.push((number, path));
@@ -52,49 +52,49 @@
 ///
 /// After a failed sync the system may hold content as written that the disk lacks, and a later sync does not write it. So
 /// the same bytes are written again first, in place. Older journals were synced whole before the newest was begun.
-pub(super) fn sync_newest(folder: &Path) -> Result<(), DiskError> {
+pub(super) fn resync_newest(folder: &Path) -> Result<(), DiskError> {
     match journals(folder)?.pop() {
-        Some((_, path)) => write_again(&path).map_err(at(&path)),
+        Some((_, path)) => rewrite_in_place(&path).map_err(io_error_at(&path)),
         None => Ok(()),
     }
 }
 
 /// Writes a journal's content over itself and syncs it. The zeros that the file was made longer by stay unwritten.
-fn write_again(path: &Path) -> io::Result<()> {
+fn rewrite_in_place(path: &Path) -> io::Result<()> {
     let file = OpenOptions::new().read(true).write(true).open(path)?;
     let length = file.metadata()?.len();
-    let (mut buffer, mut place) = (vec![0; BUFFER], 0);
-    while place < length {
-        let part = (length - place).min(BUFFER as u64) as usize;
-        let piece = &mut buffer[..part];
-        file.read_exact_at(piece, place)?;
-        if piece.iter().any(|byte| *byte != 0) {
-            file.write_all_at(piece, place)?;
+    let (mut buffer, mut position) = (vec![0; BUFFER_BYTES], 0);
+    while position < length {
+        let part = (length - position).min(BUFFER_BYTES as u64) as usize;
+        let chunk = &mut buffer[..part];
+        file.read_exact_at(chunk, position)?;
+        if chunk.iter().any(|byte| *byte != 0) {
+            file.write_all_at(chunk, position)?;
         }
-        place += part as u64;
+        position += part as u64;
     }
     file.sync_all()
 }
 
 /// Look through the journals, cut off a torn end, and tell what was damaged.
-pub(super) fn look_through(folder: &Path) -> Result<Option<Broken>, DiskError> {
-    let mut torn: Option<Broken> = None;
+pub(super) fn repair_tail(folder: &Path) -> Result<Option<DamagedJournal>, DiskError> {
+    let mut torn: Option<DamagedJournal> = None;
     for (_, path) in journals(folder)? {
-        let found = examine(&path).map_err(at(&path))?;
+        let found = examine(&path).map_err(io_error_at(&path))?;
         // A journal is followed by another only when all of it is synced.
-        if let (Some(torn), true) = (&torn, found.holds_any) {
+        if let (Some(torn), true) = (&torn, found.has_batches) {
             return Ok(Some(torn.clone()));
         }
         match found.end {
             JournalEnd::Complete => {}
-            JournalEnd::Damaged => return Ok(Some(Broken { path, byte: found.end_byte })),
-            JournalEnd::Torn => torn = Some(Broken { path, byte: found.end_byte }),
+            JournalEnd::Damaged => return Ok(Some(DamagedJournal { path, byte: found.intact_bytes })),
+            JournalEnd::Torn => torn = Some(DamagedJournal { path, byte: found.intact_bytes }),
         }
     }
     if let Some(torn) = torn {
         log::warn!("{}: a batch was not finished, cut at byte {}", torn.path.display(), torn.byte);
-        let file = OpenOptions::new().write(true).open(&torn.path).map_err(at(&torn.path))?;
-        file.set_len(torn.byte).and_then(|()| file.sync_all()).map_err(at(&torn.path))?;
+        let file = OpenOptions::new().write(true).open(&torn.path).map_err(io_error_at(&torn.path))?;
+        file.set_len(torn.byte).and_then(|()| file.sync_all()).map_err(io_error_at(&torn.path))?;
     }
     Ok(None)
 }
@@ -107,26 +107,26 @@
 }
 
 struct JournalExamination {
-    holds_any: bool,
+    has_batches: bool,
     /// After the last batch in a row that is whole.
-    end_byte: u64,
+    intact_bytes: u64,
     end: JournalEnd,
 }
 
 fn examine(path: &Path) -> io::Result<JournalExamination> {
     let file = File::open(path)?;
     let length = file.metadata()?.len();
-    let mut reader = Reader { inner: BufReader::with_capacity(BUFFER, file), at: 0, length };
-    let (mut end_byte, mut number) = (0, 0);
+    let mut reader = Reader { inner: BufReader::with_capacity(BUFFER_BYTES, file), at: 0, length };
+    let (mut intact_bytes, mut number) = (0, 0);
     while let Some(next) = reader.batch()? {
         // Numbers are outside the checksum. In their order, what they are does not matter.
-        if next < number || next > MOST_NUMBER {
-            return Ok(JournalExamination { holds_any: true, end_byte, end: JournalEnd::Damaged });
+        if next < number || next > MAX_SEQUENCE_NUMBER {
+            return Ok(JournalExamination { has_batches: true, intact_bytes, end: JournalEnd::Damaged });
         }
-        (end_byte, number) = (reader.at, next);
+        (intact_bytes, number) = (reader.at, next);
     }
-    let end = reader.end_after(end_byte)?;
-    Ok(JournalExamination { holds_any: end_byte > 0, end_byte, end })
+    let end = reader.end_after(intact_bytes)?;
+    Ok(JournalExamination { has_batches: intact_bytes > 0, intact_bytes, end })
 }
 
 struct Reader {
@@ -136,9 +136,9 @@
 }
 
 impl Reader {
-    fn seek(&mut self, place: u64) -> io::Result<()> {
-        self.inner.seek(SeekFrom::Start(place))?;
-        self.at = place;
+    fn seek(&mut self, position: u64) -> io::Result<()> {
+        self.inner.seek(SeekFrom::Start(position))?;
+        self.at = position;
         Ok(())
     }
 
@@ -171,25 +171,27 @@
 
     /// Passes over a batch and tells its number; none if there is no whole one here.
     fn batch(&mut self) -> io::Result<Option<u64>> {
-        let Some(start) = self.take::<START_BYTES>()? else { return Ok(None) };
-        let [START, c0, c1, c2, c3, number @ ..] = start else { return Ok(None) };
+        let Some(start) = self.take::<BATCH_START_BYTES>()? else { return Ok(None) };
+        let [BATCH_START_TAG, c0, c1, c2, c3, number @ ..] = start else { return Ok(None) };
         let mut hasher = Xxh3::new();
         for _ in 0..u32::from_le_bytes([c0, c1, c2, c3]) {
             if !self.entry(&mut hasher)? {
                 return Ok(None);
             }
         }
-        let Some([END, checksum @ .., m0, m1, m2, m3]) = self.take::<13>()? else { return Ok(None) };
-        let whole = [m0, m1, m2, m3] == *MAGIC && checksum == hasher.digest().to_le_bytes();
-        Ok(whole.then(|| u64::from_le_bytes(number)))
+        let Some([BATCH_END_TAG, checksum @ .., m0, m1, m2, m3]) = self.take::<13>()? else {
+            return Ok(None);
+        };
+        let is_complete = [m0, m1, m2, m3] == *MAGIC && checksum == hasher.digest().to_le_bytes();
+        Ok(is_complete.then(|| u64::from_le_bytes(number)))
     }
 
     fn entry(&mut self, hasher: &mut Xxh3) -> io::Result<bool> {
         let Some(tag) = self.take::<1>()? else { return Ok(false) };
         hasher.update(&tag);
         match tag {
-            [CLEAR] => self.hash(hasher, 8),
-            [ITEM] => {
+            [CLEAR_TAG] => self.hash(hasher, 8),
+            [ITEM_TAG] => {
                 // Type, compression, keyspace, lengths of the key, of the value, and of the value on disk.
                 let Some(head) = self.take::<20>()? else { return Ok(false) };
                 hasher.update(&head);
@@ -202,33 +204,35 @@
     }
 
     /// What follows the last whole batch: a batch further on, or the end of one, was synced.
-    fn end_after(&mut self, begin: u64) -> io::Result<JournalEnd> {
-        if begin == self.length {
+    fn end_after(&mut self, intact_bytes: u64) -> io::Result<JournalEnd> {
+        if intact_bytes == self.length {
             return Ok(JournalEnd::Complete);
         }
-        self.seek(begin)?;
-        let (mut buffer, mut zeros) = (vec![0; BUFFER], 0);
-        let (mut place, mut written) = (begin, begin);
-        while place < self.length && zeros < ZEROS {
+        self.seek(intact_bytes)?;
+        let (mut buffer, mut zeros) = (vec![0; BUFFER_BYTES], 0);
+        let (mut position, mut written) = (intact_bytes, intact_bytes);
+        while position < self.length && zeros < MAX_ZERO_RUN_BYTES {
             // Each piece laps over the next one by a start and the tag behind it.
-            let part = (self.length - place).min(BUFFER as u64) as usize;
-            self.seek(place)?;
+            let part = (self.length - position).min(BUFFER_BYTES as u64) as usize;
+            self.seek(position)?;
             self.inner.read_exact(&mut buffer[..part])?;
-            let piece = &buffer[..part];
-            match piece.iter().rposition(|byte| *byte != 0) {
+            let chunk = &buffer[..part];
+            match chunk.iter().rposition(|byte| *byte != 0) {
                 Some(last) => {
-                    written = place + last as u64 + 1;
+                    written = position + last as u64 + 1;
                     zeros = part - 1 - last;
                 }
                 None => zeros += part,
             }
-            let is_start = |window: &[u8]| window[0] == START && matches!(window[START_BYTES], ITEM | CLEAR);
-            let starts: Vec<u64> = piece
-                .windows(START_BYTES + 1)
+            let is_start = |window: &[u8]| {
+                window[0] == BATCH_START_TAG && matches!(window[BATCH_START_BYTES], ITEM_TAG | CLEAR_TAG)
+            };
+            let starts: Vec<u64> = chunk
+                .windows(BATCH_START_BYTES + 1)
                 .enumerate()
                 .filter(|(_, window)| is_start(window))
-                .map(|(offset, _)| place + offset as u64)
-                .filter(|start| *start > begin)
+                .map(|(offset, _)| position + offset as u64)
+                .filter(|start| *start > intact_bytes)
                 .collect();
             for start in starts {
                 self.seek(start)?;
@@ -236,16 +240,16 @@
                     return Ok(JournalEnd::Damaged);
                 }
             }
-            place += (part.saturating_sub(START_BYTES)).max(1) as u64;
+            position += (part.saturating_sub(BATCH_START_BYTES)).max(1) as u64;
         }
-        match written - begin {
+        match written - intact_bytes {
             0 => Ok(JournalEnd::Complete),
-            long if long > LONGEST_END => Ok(JournalEnd::Torn),
+            long if long > MAX_TORN_TAIL_BYTES => Ok(JournalEnd::Torn),
             long => {
-                self.seek(begin)?;
+                self.seek(intact_bytes)?;
                 let mut tail = vec![0; long as usize];
                 self.inner.read_exact(&mut tail)?;
-                Ok(if lacks_nothing(&tail, MAGIC) { JournalEnd::Damaged } else { JournalEnd::Torn })
+                Ok(if is_fully_written(&tail, MAGIC) { JournalEnd::Damaged } else { JournalEnd::Torn })
             }
         }
     }
--- a/system/turn-store/src/disk/tests.rs
+++ b/system/turn-store/src/disk/tests.rs
@@ -1,7 +1,7 @@
-use super::directory::{DAMAGED, FORMAT_KEY, NUMBER_KEY, OWN, PROBE};
+use super::directory::{FORMAT_KEY, METADATA, NUMBER_KEY, PROBE_FILE, QUARANTINE_DIRECTORY};
 use super::frame::{Fault, checksum, frame, unframe};
-use super::{ASIDE, Damage, Disk, DiskError, Replaced, Write, journal};
-use crate::{ACCOUNTS, BackfillRecord, Payload, Payloads, ReplicaState, SPACES, STATE, TURNS, load};
+use super::{DamagedRecord, Disk, DiskError, OpenedDisk, QUARANTINE, Write, journal};
+use crate::{ACCOUNTS, BackfillRecord, KEYSPACES, Payload, Payloads, ReplicaState, STATE, TURNS, load};
 use bytes::Bytes;
 use fjall::{Keyspace, PersistMode};
 use fleet_model::{Call, Reservation, Turn};
@@ -15,7 +15,7 @@
 mod recorded;
 
 fn open(dir: &Path) -> Disk {
-    Disk::open(dir, SPACES, || 7).unwrap()
+    Disk::open(dir, KEYSPACES, || 7).unwrap()
 }
 
 fn turn(attempt: &str) -> Turn {
@@ -34,12 +34,12 @@
 }
 
 /// Put a value as it is, past the frame.
-fn put_raw(disk: &Disk, space: &'static str, key: &[u8], raw: &[u8]) {
-    disk.space(space).unwrap().insert(key, raw).unwrap();
+fn put_raw(disk: &Disk, keyspace: &'static str, key: &[u8], raw: &[u8]) {
+    disk.keyspace(keyspace).unwrap().insert(key, raw).unwrap();
 }
 
-fn raw(disk: &Disk, space: &'static str, key: &[u8]) -> Option<Vec<u8>> {
-    disk.space(space).unwrap().get(key).unwrap().map(|value| value.to_vec())
+fn raw(disk: &Disk, keyspace: &'static str, key: &[u8]) -> Option<Vec<u8>> {
+    disk.keyspace(keyspace).unwrap().get(key).unwrap().map(|value| value.to_vec())
 }
 
 /// The newest journal and where its last byte is that is not zero.
@@ -92,10 +92,10 @@
     (dir, path, bytes, end)
 }
 
-type Loaded = Replaced<(crate::Stored, Vec<Damage>)>;
+type Loaded = OpenedDisk<(crate::Stored, Vec<DamagedRecord>)>;
 
 fn open_or_replace(dir: &Path) -> std::result::Result<Loaded, DiskError> {
-    Disk::open_or_replace(dir, SPACES, || 8, load)
+    Disk::open_or_replace(dir, KEYSPACES, || 8, load)
 }
 
 fn attempts(loaded: &Loaded) -> Vec<&str> {
--- a/system/turn-store/src/disk/tests/damaged_records.rs
+++ b/system/turn-store/src/disk/tests/damaged_records.rs
@@ -19,27 +19,28 @@
     put_raw(&disk, ACCOUNTS, b"short", &frame(b"short", b"1234"));
     // When it is loaded.
     expect_that!(Payloads::get(&disk, "flipped"), eq(&Payload::Lost));
-    let (kept, damages) = load(&disk).unwrap();
+    let (kept, damaged) = load(&disk).unwrap();
     // Then the good one is there, the others are told.
-    let told: Vec<_> = damages.iter().map(|damage| (&damage.key[..], damage.what.as_str())).collect();
+    let reported: Vec<_> =
+        damaged.iter().map(|damage| (&damage.key[..], damage.reason.to_string())).collect();
     expect_that!(kept.turns.iter().map(|turn| turn.attempt.as_str()).collect::<Vec<_>>(), eq(&vec!["good"]));
     expect_that!(
-        told,
+        reported,
         eq(&vec![
-            (&b"cut"[..], "cut short"),
-            (b"flipped", "wrong checksum"),
-            (b"moved", "wrong checksum"),
-            (b"other", "version 2 of a record"),
-            (b"short", "a key too short"),
+            (&b"cut"[..], "cut short".to_owned()),
+            (b"flipped", "wrong checksum".to_owned()),
+            (b"moved", "wrong checksum".to_owned()),
+            (b"other", "version 2 of a record".to_owned()),
+            (b"short", "a key too short".to_owned()),
         ])
     );
     expect_that!(kept.backfill, eq(&BackfillRecord { in_sync: vec![], damaged: true }));
     // And they are kept aside as they were, and the store stays not full over a reopening.
-    expect_that!(raw(&disk, ASIDE, b"turns/flipped"), eq(&Some(flipped)));
+    expect_that!(raw(&disk, QUARANTINE, b"turns/flipped"), eq(&Some(flipped)));
     drop(disk);
     let disk = open(dir.path());
-    let (kept, damages) = load(&disk).unwrap();
-    expect_that!(damages, is_empty());
+    let (kept, damaged) = load(&disk).unwrap();
+    expect_that!(damaged, is_empty());
     expect_that!(kept.backfill.damaged, eq(true));
     expect_that!(raw(&disk, STATE, b"fill").is_some(), eq(true));
 }
@@ -59,9 +60,9 @@
 fn keys_that_cannot_be_kept_are_errors() {
     let dir = tempfile::tempdir().unwrap();
     let disk = open(dir.path());
-    expect_that!(matches!(disk.write(&[Write::put(STATE, "", "1")]), Err(DiskError::Key(0))), eq(true));
+    expect_that!(matches!(disk.write(&[Write::put(STATE, "", "1")]), Err(DiskError::KeyLength(0))), eq(true));
     expect_that!(disk.write(&[Write::put(STATE, vec![1; 70_000], "1")]).is_err(), eq(true));
-    expect_that!(matches!(disk.get("nowhere", b"k"), Err(DiskError::NoSpace("nowhere"))), eq(true));
+    expect_that!(matches!(disk.get("nowhere", b"k"), Err(DiskError::UnknownKeyspace("nowhere"))), eq(true));
 }
 
 #[gtest]
@@ -95,7 +96,7 @@
     let large = |attempt: &str| Turn { input: Bytes::from(vec![b'x'; 20_000]), ..turn(attempt) };
     let puts = ["a", "b", "c"].map(|attempt| crate::records::turn_write(&large(attempt)));
     disk.write(&puts).unwrap();
-    disk.space(TURNS).unwrap().rotate_memtable_and_wait().unwrap();
+    disk.keyspace(TURNS).unwrap().rotate_memtable_and_wait().unwrap();
     // When one is removed, and the bytes of another change in its file.
     disk.write(&[Write::remove(TURNS, "a")]).unwrap();
     expect_that!(Payloads::get(&disk, "b"), eq(&Payload::Present(large("b"))));
@@ -104,8 +105,8 @@
     expect_that!(changed, eq(1));
     // Then the first is gone, the second is told, and the third is whole.
     let disk = open(dir.path());
-    let (_, damages) = load(&disk).unwrap();
-    expect_that!(damages.iter().map(|damage| damage.space).collect::<Vec<_>>(), eq(&vec![TURNS]));
+    let (_, damaged) = load(&disk).unwrap();
+    expect_that!(damaged.iter().map(|damage| damage.keyspace).collect::<Vec<_>>(), eq(&vec![TURNS]));
     expect_that!(Payloads::get(&disk, "a"), eq(&Payload::Pending));
     expect_that!(Payloads::get(&disk, "b"), eq(&Payload::Lost));
     expect_that!(Payloads::get(&disk, "c"), eq(&Payload::Present(large("c"))));
@@ -122,7 +123,7 @@
         let full = BackfillRecord { in_sync: vec![(1, [7].into())], damaged: false };
         disk.write(&written.iter().map(crate::records::turn_write).collect::<Vec<_>>()).unwrap();
         disk.write(&[full.write()]).unwrap();
-        disk.space(TURNS).unwrap().rotate_memtable_and_wait().unwrap();
+        disk.keyspace(TURNS).unwrap().rotate_memtable_and_wait().unwrap();
         disk.write(&[put_turn("late")]).unwrap();
     }
     let all = ["a", "b", "c", "d", "late"];
@@ -203,11 +204,11 @@
     let framed = frame(b"a", &value);
     expect_that!(unframe(b"a", &framed), eq(&Ok(&value[..])));
     for place in 0..framed.len() {
-        expect_that!(matches!(unframe(b"a", &framed[..place]), Err(Fault::Damage(_))), eq(true));
+        expect_that!(matches!(unframe(b"a", &framed[..place]), Err(Fault::Damaged(_))), eq(true));
         for bit in 0..8 {
             let mut changed = framed.clone();
             changed[place] ^= 1 << bit;
-            expect_that!(matches!(unframe(b"a", &changed), Err(Fault::Damage(_))), eq(true));
+            expect_that!(matches!(unframe(b"a", &changed), Err(Fault::Damaged(_))), eq(true));
         }
     }
 }
--- a/system/turn-store/src/disk/tests/data_directory.rs
+++ b/system/turn-store/src/disk/tests/data_directory.rs
@@ -11,11 +11,11 @@
         disk.write(&[put_turn("a"), crate::records::account_write("program", 5, 40)]).unwrap();
     }
     // When it is opened again, by one who would draw another number.
-    let disk = Disk::open(dir.path(), SPACES, || 8).unwrap();
-    let (kept, damages) = load(&disk).unwrap();
+    let disk = Disk::open(dir.path(), KEYSPACES, || 8).unwrap();
+    let (kept, damaged) = load(&disk).unwrap();
     // Then all is there.
     expect_that!(disk.number(), eq(7));
-    expect_that!(damages, is_empty());
+    expect_that!(damaged, is_empty());
     expect_that!(kept.turns.len(), eq(1));
     expect_that!(kept.accounts, eq(&vec![("program".to_owned(), Reservation { attempt: 5, tokens: 40 })]));
     expect_that!(Payloads::get(&disk, "a"), eq(&Payload::Present(turn("a"))));
@@ -36,26 +36,26 @@
 #[gtest]
 fn a_folder_of_another_format_is_refused_by_name() {
     let dir = tempfile::tempdir().unwrap();
-    open(dir.path()).write(&[Write::put(OWN, FORMAT_KEY, vec![9])]).unwrap();
-    let error = Disk::open(dir.path(), SPACES, || 7).unwrap_err();
+    open(dir.path()).write(&[Write::put(METADATA, FORMAT_KEY, vec![9])]).unwrap();
+    let error = Disk::open(dir.path(), KEYSPACES, || 7).unwrap_err();
     expect_that!(error.to_string(), contains_substring("format 9"));
 }
 
 #[gtest]
 fn a_damaged_number_is_told_and_not_drawn_anew() {
     let dir = tempfile::tempdir().unwrap();
-    put_raw(&open(dir.path()), OWN, NUMBER_KEY, b"?");
-    let error = Disk::open(dir.path(), SPACES, || 8).unwrap_err();
-    expect_that!(matches!(error, DiskError::Own { record: "number", .. }), eq(true));
+    put_raw(&open(dir.path()), METADATA, NUMBER_KEY, b"?");
+    let error = Disk::open(dir.path(), KEYSPACES, || 8).unwrap_err();
+    expect_that!(matches!(error, DiskError::Metadata { record: "number", .. }), eq(true));
 }
 
 #[gtest]
 fn a_disk_that_is_set_aside_twice_keeps_the_last_one_only() {
     let dir = tempfile::tempdir().unwrap();
     for _ in 0..2 {
-        put_raw(&open(dir.path()), OWN, NUMBER_KEY, b"?");
+        put_raw(&open(dir.path()), METADATA, NUMBER_KEY, b"?");
         let loaded = open_or_replace(dir.path()).unwrap();
-        expect_that!(matches!(loaded.lost, Some(DiskError::Own { record: "number", .. })), eq(true));
+        expect_that!(matches!(loaded.lost, Some(DiskError::Metadata { record: "number", .. })), eq(true));
         expect_that!(loaded.disk.number(), eq(8));
     }
     expect_that!(fs::read_dir(dir.path()).unwrap().count(), eq(2));
@@ -64,7 +64,7 @@
 #[gtest]
 fn a_folder_of_another_format_is_refused_and_not_replaced() {
     let dir = tempfile::tempdir().unwrap();
-    open(dir.path()).write(&[Write::put(OWN, FORMAT_KEY, vec![9])]).unwrap();
+    open(dir.path()).write(&[Write::put(METADATA, FORMAT_KEY, vec![9])]).unwrap();
     let told = open_or_replace(dir.path()).unwrap_err().to_string();
     let place = dir.path().join("records").display().to_string();
     expect_that!(told, eq(&format!("{place}: written in format 9, this program knows format 1")));
@@ -76,9 +76,9 @@
     Disk::probe(dir.path()).unwrap();
     expect_that!(fs::read_dir(dir.path()).unwrap().count(), eq(0));
     // Given a place where no file can be written.
-    fs::create_dir(dir.path().join(PROBE)).unwrap();
+    fs::create_dir(dir.path().join(PROBE_FILE)).unwrap();
     let error = Disk::probe(dir.path()).unwrap_err();
-    expect_that!(error.may_pass(), eq(true));
+    expect_that!(error.is_transient(), eq(true));
     expect_that!(error.is_damage(), eq(false));
 }
 
@@ -89,12 +89,12 @@
     let mut bytes = whole.clone();
     bytes[begin - 20] ^= 1;
     fs::write(&path, &bytes).unwrap();
-    fs::create_dir(dir.path().join(PROBE)).unwrap();
+    fs::create_dir(dir.path().join(PROBE_FILE)).unwrap();
     // When it is opened, then it is an error that may pass, and nothing is set aside.
     let error = open_or_replace(dir.path()).unwrap_err();
-    expect_that!(error.may_pass(), eq(true), "{error}");
+    expect_that!(error.is_transient(), eq(true), "{error}");
     expect_that!(fs::read(&path).unwrap(), eq(&bytes));
     // And once the disk takes files, it is.
-    fs::remove_dir(dir.path().join(PROBE)).unwrap();
+    fs::remove_dir(dir.path().join(PROBE_FILE)).unwrap();
     expect_that!(open_or_replace(dir.path()).unwrap().lost, some(anything()));
 }
--- a/system/turn-store/src/disk/tests/journal_recovery.rs
+++ b/system/turn-store/src/disk/tests/journal_recovery.rs
@@ -79,7 +79,7 @@
                 expect_that!(error.is_damage(), eq(true), "byte {place}");
                 expect_that!(attempts(&loaded), is_empty());
                 expect_that!(loaded.disk.number(), eq(8));
-                expect_that!(copy.path().join(DAMAGED).exists(), eq(true));
+                expect_that!(copy.path().join(QUARANTINE_DIRECTORY).exists(), eq(true));
             }
             // Or it was the number of a batch, which stays in its order.
             None => {
@@ -110,7 +110,7 @@
     let long_ago = std::time::SystemTime::UNIX_EPOCH + std::time::Duration::from_secs(1);
     File::options().write(true).open(&path).unwrap().set_modified(long_ago).unwrap();
     // When it is synced for an opening, then it was written again, and is as it was.
-    journal::sync_newest(&dir.path().join("records")).unwrap();
+    journal::resync_newest(&dir.path().join("records")).unwrap();
     expect_that!(fs::metadata(&path).unwrap().modified().unwrap(), gt(long_ago));
     expect_that!(fs::read(&path).unwrap() == whole, eq(true));
 }
--- a/system/turn-store/src/disk/tests/recorded.rs
+++ b/system/turn-store/src/disk/tests/recorded.rs
@@ -29,14 +29,14 @@
 /// All records of a folder as they are kept, frames and all: keyspace, key and value a line, in hexadecimal digits.
 fn listing(disk: &Disk) -> String {
     let digits = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
-    let line = |space: &str, guard: fjall::Guard| {
+    let line = |keyspace: &str, guard: fjall::Guard| {
         let (key, value) = guard.into_inner().unwrap();
-        format!("{space} {} {}\n", digits(&key), digits(&value))
+        format!("{keyspace} {} {}\n", digits(&key), digits(&value))
     };
-    let lines = |(space, keyspace): (&&str, &Keyspace)| -> String {
-        keyspace.iter().map(|guard| line(space, guard)).collect()
+    let lines = |(name, keyspace): (&&str, &Keyspace)| -> String {
+        keyspace.iter().map(|guard| line(name, guard)).collect()
     };
-    disk.spaces.iter().map(lines).collect()
+    disk.keyspaces.iter().map(lines).collect()
 }
 
 /// A turn that continues from another, with a text that is kept apart from its key.
@@ -92,9 +92,9 @@
     let disk = open(dir.path());
     // When it is read, then all is there as it was meant, in the same bytes.
     expect_that!(disk.number(), eq(7));
-    let (read, damages) = load(&disk).unwrap();
+    let (read, damaged) = load(&disk).unwrap();
     expect_that!(read, eq(&kept()));
-    expect_that!(damages, is_empty());
+    expect_that!(damaged, is_empty());
     expect_that!(Payloads::get(&disk, "attempt-1"), eq(&Payload::Present(turn("attempt-1"))));
     expect_that!(Payloads::get(&disk, "attempt-2"), eq(&Payload::Present(long_turn())));
     expect_that!(Payloads::get(&disk, "gone"), eq(&Payload::Pending));
@@ -137,18 +137,21 @@
     // Given a folder in which a damaged turn was set aside.
     let dir = recorded("storage-folder-quarantined.txt");
     let disk = open(dir.path());
-    let damaged = BackfillRecord { in_sync: vec![], damaged: true };
-    let (read, damages) = load(&disk).unwrap();
-    expect_that!(damages, is_empty());
-    expect_that!(read, eq(&Stored { backfill: damaged, ..kept() }));
-    expect_that!(raw(&disk, ASIDE, b"turns/spoilt"), some(eq(&vec![1, 0xde, 0xad, 0xbe, 0xef, 1, 2, 3])));
+    let out_of_sync = BackfillRecord { in_sync: vec![], damaged: true };
+    let (read, damaged) = load(&disk).unwrap();
+    expect_that!(damaged, is_empty());
+    expect_that!(read, eq(&Stored { backfill: out_of_sync, ..kept() }));
+    expect_that!(
+        raw(&disk, QUARANTINE, b"turns/spoilt"),
+        some(eq(&vec![1, 0xde, 0xad, 0xbe, 0xef, 1, 2, 3]))
+    );
     expect_that!(listing(&disk), eq(&recorded_text("storage-records-quarantined.txt")));
     // When the same turn is damaged in the other folder, then it is set aside in the same bytes.
     let dir = recorded("storage-folder.txt");
     let disk = open(dir.path());
     spoil(&disk);
-    let (_, damages) = load(&disk).unwrap();
-    expect_that!(damages.len(), eq(1));
+    let (_, damaged) = load(&disk).unwrap();
+    expect_that!(damaged.len(), eq(1));
     expect_that!(listing(&disk), eq(&recorded_text("storage-records-quarantined.txt")));
 }
 
--- a/system/turn-store/src/lib.rs
+++ b/system/turn-store/src/lib.rs
@@ -14,12 +14,12 @@
 mod writer;
 
 pub use backfill::Backfill;
-pub use disk::{Damage, Disk, DiskError, Replaced, Space, Write};
+pub use disk::{DamageReason, DamagedRecord, Disk, DiskError, KeyspaceConfig, OpenedDisk, Write};
 pub use payload::{Payload, Payloads};
 pub use placement::{
     AccountReplicas, copies_needed, copy_order, has_copies, is_surely_absent, merge_reservations,
 };
 pub use record_log::{Opened, RecordLog, RecoveredRecord};
-pub use records::{ACCOUNTS, BackfillRecord, REPLICAS, SPACES, STATE, Stored, StoredTurn, TURNS, load};
+pub use records::{ACCOUNTS, BackfillRecord, KEYSPACES, REPLICAS, STATE, Stored, StoredTurn, TURNS, load};
 pub use replica::{DiskCapacity, Durability, Outcome, RecordCounts, ReplicaState};
 pub use writer::{Completion, WriteFailed, Writer};
--- a/system/turn-store/src/placement.rs
+++ b/system/turn-store/src/placement.rs
@@ -1,10 +1,12 @@
-//! Where turns and accounts are kept, as one who writes and reads them goes by the roster.
+//! Placement of turns and accounts on storage nodes by the roster, for those who write and read them.
 
 use fleet_model::{QuorumSizes, Reservation, Roster, StorageNode, account_replicas};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The machines that may hold a turn, best first: while the roster changes, those that are in both sets before the others;
-/// then by `order`, with machines of a zone that has one already after those of others, since a zone may go as a whole.
+/// The storage nodes that may store a turn, best first: while the roster changes, those in both sets before the others; then
+/// by `order`, with nodes of a zone that has one already after those of other zones, since a zone may fail as a whole.
+///
+/// `order` returns whether a node is down, whether it is in a remote zone, and its rank among otherwise equal ones.
 pub fn copy_order<K: Ord>(
     roster: &Roster,
     order: impl Fn(&StorageNode) -> (bool, bool, K),
@@ -26,22 +28,22 @@
     placed.into_iter().map(|(.., store)| store).collect()
 }
 
-/// Whether a turn on these disks has its copies, in each of the sets that count: while the roster changes, whichever of
-/// them comes to stand must hold it by itself. A set with fewer machines than `copies` has one on each of them.
-pub fn has_copies(roster: &Roster, kept: &BTreeSet<u64>, copies: usize) -> bool {
-    let held = |stores: &[StorageNode]| {
-        stores.iter().filter(|store| kept.contains(&store.disk)).count() >= copies.min(stores.len())
+/// Whether a turn on these disks has enough copies in each of the current and the next set: while the roster changes,
+/// either of them may become the only one. A set with fewer nodes than `copies` has one on each of them.
+pub fn has_copies(roster: &Roster, stored: &BTreeSet<u64>, copies: usize) -> bool {
+    let has_enough = |stores: &[StorageNode]| {
+        stores.iter().filter(|store| stored.contains(&store.disk)).count() >= copies.min(stores.len())
     };
-    !roster.current.is_empty() && held(&roster.current) && roster.next.as_deref().is_none_or(held)
+    !roster.current.is_empty() && has_enough(&roster.current) && roster.next.as_deref().is_none_or(has_enough)
 }
 
-/// Whether no copy of a turn can exist that was answered whole, if these disks, each of them full, do not have it.
+/// Whether no copy of an acknowledged turn can exist, if these disks, each of them in sync, do not have it.
 pub fn is_surely_absent(roster: &Roster, absent: &BTreeSet<u64>, losses: usize) -> bool {
     let count = roster.current.iter().filter(|store| absent.contains(&store.disk)).count();
     QuorumSizes::for_machines(roster.current.len(), losses).is_some_and(|sizes| count >= sizes.absent)
 }
 
-/// The first of `stores` that give a turn its copies, if all of them do.
+/// The disks of the shortest prefix of `stores` that gives a turn enough copies, if there is one.
 pub fn copies_needed(roster: &Roster, stores: &[&StorageNode], copies: usize) -> Option<Vec<u64>> {
     let disks: Vec<u64> = stores.iter().map(|store| store.disk).collect();
     (1..=disks.len())
@@ -50,25 +52,25 @@
         .map(<[u64]>::to_vec)
 }
 
-/// What a quorum of an account's holders is for.
+/// The access that a quorum of an account's replicas is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Access {
     Write,
     Read,
 }
 
-/// Who holds an account: among the current machines, and among the next ones while a change is under way.
+/// The replicas of an account: in the current set, and in the next one while a change is in progress.
 pub struct AccountReplicas<'a> {
-    /// Among the current machines.
+    /// In the current set.
     pub current: Vec<&'a StorageNode>,
-    /// Among the next ones.
+    /// In the next set; empty if there is none.
     pub next: Vec<&'a StorageNode>,
     losses: usize,
     access: Access,
 }
 
 impl<'a> AccountReplicas<'a> {
-    /// Those of a program, to be written; none before the roster is founded.
+    /// The replicas of a program's account, for writes; `None` before there is a current set.
     pub fn for_program(roster: &'a Roster, program: &str, losses: usize) -> Option<Self> {
         if roster.current.is_empty() {
             return None;
@@ -82,24 +84,24 @@
         })
     }
 
-    /// The current ones, which are read.
+    /// The replicas in the current set, for reads.
     pub fn current_only(&self) -> Self {
         Self { current: self.current.clone(), next: Vec::new(), losses: self.losses, access: Access::Read }
     }
 
-    /// All of them, which are written.
+    /// The replicas in both sets, each once.
     pub fn all(&self) -> impl Iterator<Item = &'a StorageNode> {
         let further = self.next.iter().filter(|store| !self.current.contains(store));
         self.current.iter().chain(further).copied()
     }
 
-    /// Whether these are a quorum for the access in each set.
+    /// Whether these disks are a quorum for the access in each set.
     pub fn is_quorum(&self, answered: &BTreeSet<u64>) -> bool {
         self.answers_suffice(&self.current, answered) && self.answers_suffice(&self.next, answered)
     }
 
     fn answers_suffice(&self, replicas: &[&StorageNode], answered: &BTreeSet<u64>) -> bool {
-        // Of a set's machines its holders are as many as they may be: their sizes are the set's.
+        // A set has as many replicas of an account as its size allows, so their quorums are those of the set.
         let Some(sizes) = QuorumSizes::for_machines(replicas.len(), self.losses) else { return true };
         let needed = match self.access {
             Access::Write => sizes.write,
@@ -109,7 +111,7 @@
     }
 }
 
-/// Takes reservations in: of two records of one try the lower count holds.
+/// Merges reservations into an account: of two counts of one attempt the lower one holds.
 pub fn merge_reservations(
     account: &mut BTreeMap<u64, u32>,
     reservations: impl IntoIterator<Item = Reservation>,
--- a/system/turn-store/src/record_log/faults.rs
+++ b/system/turn-store/src/record_log/faults.rs
@@ -16,7 +16,7 @@
     /// Number of the last record that was put.
     put: usize,
     /// Number of the last record that was told synced.
-    told: usize,
+    describe: usize,
 }
 
 fn record(number: usize) -> Bytes {
@@ -37,7 +37,7 @@
 impl Story {
     fn begin() -> Self {
         let folder = tempfile::tempdir().unwrap();
-        let mut story = Self { folder, files: FaultyFiles::default(), log: None, put: 0, told: 0 };
+        let mut story = Self { folder, files: FaultyFiles::default(), log: None, put: 0, describe: 0 };
         story.restart().unwrap();
         story
     }
@@ -50,10 +50,10 @@
         let opened = RecordLog::open_with(&folder, Box::new(files))?;
         // What is found is told from now on, as soon as the log says that it is synced.
         let found = number(&opened.found);
-        expect_that!(found, ge(self.told));
+        expect_that!(found, ge(self.describe));
         self.log = Some(opened.log);
-        if self.log().settle().is_ok() {
-            self.told = found;
+        if self.log().sync_newest().is_ok() {
+            self.describe = found;
         }
         Ok(())
     }
@@ -67,7 +67,7 @@
         let record = record(self.put);
         let synced = self.log().put(&record).is_ok();
         if synced {
-            self.told = self.put;
+            self.describe = self.put;
         }
         synced
     }
@@ -78,7 +78,7 @@
         let files = InFolder { files: FaultyFiles::default(), folder: left.path().to_owned() };
         let opened = RecordLog::open_with(left.path(), Box::new(files)).unwrap();
         let found = number(&opened.found);
-        expect_that!(found, all!(ge(self.told), le(self.put)), "{when}");
+        expect_that!(found, all!(ge(self.describe), le(self.put)), "{when}");
     }
 
     fn names(&self) -> Vec<String> {
@@ -156,7 +156,7 @@
     expect_that!(story.put(), eq(true));
     story.files.refuse(Operation::SyncData, 0, 1);
     expect_that!(story.put(), eq(false));
-    expect_that!(story.log().is_behind(), eq(true));
+    expect_that!(story.log().has_unsynced_record(), eq(true));
     let before = fs::read(story.folder.path().join("record.1")).unwrap();
     // When the next one is put while the new file cannot be synced, then the former file is as it was.
     story.files.refuse(Operation::Sync, 0, 1);
@@ -165,7 +165,7 @@
     // And the next one has a file of its own.
     expect_that!(story.put(), eq(true));
     expect_that!(story.names(), eq(&vec!["record.3".to_owned()]));
-    expect_that!(story.log().is_behind(), eq(false));
+    expect_that!(story.log().has_unsynced_record(), eq(false));
 }
 
 #[gtest]
@@ -175,8 +175,8 @@
     story.files.refuse(Operation::SyncData, 0, 1);
     expect_that!(story.put(), eq(false));
     // When the log is settled, then the newest record is synced.
-    expect_that!(story.log().settle().is_ok(), eq(true));
-    story.told = story.put;
+    expect_that!(story.log().sync_newest().is_ok(), eq(true));
+    story.describe = story.put;
     story.check("settled");
 }
 
@@ -206,7 +206,7 @@
     writer.submit(vec![], note(&log, 5));
     expect_that!(completed.recv().unwrap(), eq((5, true)));
     expect_that!(writer.is_failing(), eq(false));
-    (story.put, story.told) = (4, 4);
+    (story.put, story.describe) = (4, 4);
     story.check("after the writer");
 }
 
@@ -251,8 +251,8 @@
     expect_that!(story.put(), eq(true));
     let older = fs::read(story.folder.path().join("record.1")).unwrap();
     let mut damaged = older.clone();
-    let place = damaged.len() - 10;
-    damaged[place] ^= 1;
+    let position = damaged.len() - 10;
+    damaged[position] ^= 1;
     fs::write(story.folder.path().join("record.2"), damaged).unwrap();
     story.log = None;
     story.files.refuse(Operation::Remove, 0, 1);
--- a/system/turn-store/src/record_log/faults/power.rs
+++ b/system/turn-store/src/record_log/faults/power.rs
@@ -97,8 +97,8 @@
             return;
         }
         let mut bytes = fs::read(path_of(inode, folder)).unwrap();
-        for place in &content.cache_only {
-            if let Some(byte) = bytes.get_mut(*place as usize) {
+        for position in &content.cache_only {
+            if let Some(byte) = bytes.get_mut(*position as usize) {
                 *byte = 0;
             }
         }
@@ -140,9 +140,9 @@
         SystemFiles.write(file, written)?;
         let mut disk = self.files.0.lock().unwrap();
         let content = disk.contents.entry(file.metadata()?.ino()).or_default();
-        for place in begin..begin + written.len() as u64 {
-            content.dirty.insert(place);
-            content.cache_only.remove(&place);
+        for position in begin..begin + written.len() as u64 {
+            content.dirty.insert(position);
+            content.cache_only.remove(&position);
         }
         if refused { Err(Error::from(ErrorKind::StorageFull)) } else { Ok(()) }
     }
@@ -177,7 +177,7 @@
         SystemFiles.remove(path)
     }
 
-    fn sync_folder(&mut self, path: &Path) -> Result<()> {
+    fn sync_directory(&mut self, path: &Path) -> Result<()> {
         if path != self.folder {
             return Ok(());
         }
--- a/system/turn-store/src/record_log/files.rs
+++ b/system/turn-store/src/record_log/files.rs
@@ -1,39 +1,39 @@
-//! The file operations of a [`RecordLog`](super::RecordLog), so that tests can have each of them fail.
+//! The file operations of a [`RecordLog`](super::RecordLog), which tests replace to inject faults.
 
 use std::fmt::Debug;
 use std::fs::{self, File};
 use std::io::{Result, Write as _};
 use std::path::Path;
 
-/// What is done to files. Each operation does what the system does unless it is overridden.
+/// Operations on files. The provided methods are those of the operating system.
 pub(super) trait FileOperations: Debug + Send {
-    /// Write these bytes at the file's position.
+    /// Writes bytes at the file's position.
     fn write(&mut self, file: &mut File, bytes: &[u8]) -> Result<()> {
         file.write_all(bytes)
     }
 
-    /// Sync the content.
+    /// Syncs the content.
     fn sync_data(&mut self, file: &File) -> Result<()> {
         file.sync_data()
     }
 
-    /// Sync the content and all that belongs to the file.
+    /// Syncs the content and the metadata.
     fn sync(&mut self, file: &File) -> Result<()> {
         file.sync_all()
     }
 
-    /// Give a file another name.
+    /// Renames a file.
     fn rename(&mut self, from: &Path, to: &Path) -> Result<()> {
         fs::rename(from, to)
     }
 
-    /// Remove a file.
+    /// Removes a file.
     fn remove(&mut self, path: &Path) -> Result<()> {
         fs::remove_file(path)
     }
 
-    /// Sync the names in a folder.
-    fn sync_folder(&mut self, path: &Path) -> Result<()> {
+    /// Syncs the entries of a directory.
+    fn sync_directory(&mut self, path: &Path) -> Result<()> {
         File::open(path)?.sync_all()
     }
 }
--- a/system/turn-store/src/record_log/tests/recorded.rs
+++ b/system/turn-store/src/record_log/tests/recorded.rs
@@ -22,7 +22,7 @@
     opened.log.put(&record(3)).unwrap();
     expect_that!(fs::read(&path).unwrap(), eq(&recorded("three-records")));
     // A new log's file is written alike.
-    let (_folder, path, _) = kept(3);
+    let (_folder, path, _) = persisted(3);
     expect_that!(fs::read(path).unwrap(), eq(&recorded("three-records")));
 }
 
--- a/system/turn-store/src/records.rs
+++ b/system/turn-store/src/records.rs
@@ -1,6 +1,6 @@
-//! The records of a store: which keyspaces there are, and how keys and values look.
+//! The records of a storage node: the keyspaces, and the encoding of keys and values.
 
-use crate::disk::{Damage, Disk, DiskError, Space, Write};
+use crate::disk::{DamagedRecord, Disk, DiskError, KeyspaceConfig, Write};
 use crate::payload::{Payload, Payloads};
 use bytes::Bytes;
 use fleet_model::{Reservation, Turn};
@@ -12,28 +12,28 @@
 
 /// Turns by `Attempt-Id`, written once.
 pub const TURNS: &str = "turns";
-/// Disks that hold a turn, by `Attempt-Id`, where they are no longer those of the turn's own record.
+/// Disks that store a turn, by `Attempt-Id`, where they differ from those in the turn's own record.
 pub const REPLICAS: &str = "holders";
-/// Tokens by program and try.
+/// Tokens by program and attempt.
 pub const ACCOUNTS: &str = "accounts";
-/// What the store knows of itself.
+/// State of the replica itself.
 pub const STATE: &str = "state";
-/// The keyspaces of a store.
-pub const SPACES: &[Space] = &[
-    Space { name: TURNS, memtable_bytes: 2 << 20 },
-    Space { name: REPLICAS, memtable_bytes: 256 << 10 },
-    Space { name: ACCOUNTS, memtable_bytes: 1 << 20 },
-    Space { name: STATE, memtable_bytes: 64 << 10 },
+/// The keyspaces of a storage node.
+pub const KEYSPACES: &[KeyspaceConfig] = &[
+    KeyspaceConfig { name: TURNS, memtable_bytes: 2 << 20 },
+    KeyspaceConfig { name: REPLICAS, memtable_bytes: 256 << 10 },
+    KeyspaceConfig { name: ACCOUNTS, memtable_bytes: 1 << 20 },
+    KeyspaceConfig { name: STATE, memtable_bytes: 64 << 10 },
 ];
 
 const BACKFILL_KEY: &[u8] = b"fill";
 
-/// What a store knows of its own completeness.
+/// For which sets of storage nodes a replica is in sync.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackfillRecord {
-    /// Epochs of filling, with the disks of the set that was filled for.
+    /// Epochs at which it was in sync, with the disks of the set that it was in sync for.
     pub in_sync: Vec<(u64, BTreeSet<u64>)>,
-    /// A record was lost, and the store has not filled since.
+    /// Whether a record was lost since the last backfill.
     pub damaged: bool,
 }
 
@@ -50,11 +50,11 @@
     pub attempt: String,
     /// The turn it continues from.
     pub previous: Option<String>,
-    /// How long it is held, in milliseconds.
+    /// Its retention, in milliseconds.
     pub retention_ms: u64,
     /// Bytes of input and output.
     pub length: u32,
-    /// Disks that hold it.
+    /// Disks that store it.
     pub replicas: Vec<u64>,
 }
 
@@ -70,59 +70,78 @@
     }
 }
 
-/// What was found on the disk.
+/// The records of a disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stored {
     /// Turns.
     pub turns: Vec<StoredTurn>,
     /// Reservations with their programs.
     pub accounts: Vec<(String, Reservation)>,
-    /// The store's completeness.
+    /// For which sets it is in sync.
     pub backfill: BackfillRecord,
 }
 
-/// Read what a disk holds. Damaged records are set aside and told; a store that lost one has to fill again, and that is
-/// kept before they go.
-pub fn load(disk: &Disk) -> Result<(Stored, Vec<Damage>), DiskError> {
-    let mut kept = Stored::default();
-    let mut damages = Vec::new();
+/// Why the content of a record is not valid.
+#[derive(Debug, thiserror::Error)]
+enum InvalidRecord {
+    #[error(transparent)]
+    Encoding(#[from] postcard::Error),
+    #[error("another turn's record")]
+    OtherTurn,
+    #[error("a key too short")]
+    KeyTooShort,
+    #[error(transparent)]
+    ProgramName(#[from] std::str::Utf8Error),
+    #[error("a count of another length")]
+    CountLength,
+}
+
+/// Reads the records of a disk. Damaged records are quarantined and returned. A replica that lost one needs another
+/// backfill, which is recorded in the same batch.
+///
+/// # Errors
+///
+/// A keyspace cannot be read, or the damaged records cannot be quarantined.
+pub fn load(disk: &Disk) -> Result<(Stored, Vec<DamagedRecord>), DiskError> {
+    let mut stored = Stored::default();
+    let mut damaged = Vec::new();
     let mut turns = BTreeMap::new();
-    damages.extend(disk.scan(TURNS, |key, value| {
+    damaged.extend(disk.scan(TURNS, |key, value| {
         let turn: Turn = decode(value)?;
         if turn.attempt.as_bytes() != key {
-            return Err("another turn's record".into());
+            return Err(InvalidRecord::OtherTurn);
         }
         turns.insert(turn.attempt.clone(), StoredTurn::from(&turn));
-        Ok(())
+        Ok::<_, InvalidRecord>(())
     })?);
     let mut orphans = Vec::new();
-    damages.extend(disk.scan(REPLICAS, |key, value| {
+    damaged.extend(disk.scan(REPLICAS, |key, value| {
         let replicas: Vec<u64> = decode(value)?;
         match std::str::from_utf8(key).ok().and_then(|attempt| turns.get_mut(attempt)) {
             Some(turn) => turn.replicas = replicas,
             None => orphans.push(Write::remove(REPLICAS, key.to_vec())),
         }
-        Ok(())
+        Ok::<_, InvalidRecord>(())
     })?);
-    damages.extend(disk.scan(ACCOUNTS, |key, value| {
-        kept.accounts.push(account_entry(key, value)?);
-        Ok(())
+    damaged.extend(disk.scan(ACCOUNTS, |key, value| {
+        stored.accounts.push(account_entry(key, value)?);
+        Ok::<_, InvalidRecord>(())
     })?);
-    damages.extend(disk.scan(STATE, |key, value| {
+    damaged.extend(disk.scan(STATE, |key, value| {
         if key == BACKFILL_KEY {
-            kept.backfill = decode(value)?;
+            stored.backfill = decode(value)?;
         }
-        Ok(())
+        Ok::<_, InvalidRecord>(())
     })?);
-    kept.turns = turns.into_values().collect();
-    if !damages.is_empty() {
-        kept.backfill = BackfillRecord { in_sync: Vec::new(), damaged: true };
-        orphans.push(kept.backfill.write());
-        disk.set_aside(&damages, &orphans)?;
+    stored.turns = turns.into_values().collect();
+    if !damaged.is_empty() {
+        stored.backfill = BackfillRecord { in_sync: Vec::new(), damaged: true };
+        orphans.push(stored.backfill.write());
+        disk.quarantine(&damaged, &orphans)?;
     } else if !orphans.is_empty() {
         disk.write(&orphans)?;
     }
-    Ok((kept, damages))
+    Ok((stored, damaged))
 }
 
 impl Payloads for Disk {
@@ -166,20 +185,20 @@
     Write::remove(ACCOUNTS, account_key(program, attempt))
 }
 
-fn account_entry(key: &[u8], value: &[u8]) -> Result<(String, Reservation), String> {
-    let (program, attempt) = key.split_last_chunk::<8>().ok_or("a key too short")?;
-    let program = std::str::from_utf8(program).map_err(|error| error.to_string())?;
-    let tokens = value.try_into().map_err(|_| "a count of another length")?;
+fn account_entry(key: &[u8], value: &[u8]) -> Result<(String, Reservation), InvalidRecord> {
+    let (program, attempt) = key.split_last_chunk::<8>().ok_or(InvalidRecord::KeyTooShort)?;
+    let program = std::str::from_utf8(program)?;
+    let tokens = value.try_into().map_err(|_| InvalidRecord::CountLength)?;
     let reservation =
         Reservation { attempt: u64::from_be_bytes(*attempt), tokens: u32::from_be_bytes(tokens) };
     Ok((program.to_owned(), reservation))
 }
 
-/// Postcard's form; plain types in memory do not fail to encode.
+/// The postcard encoding, which does not fail for plain types in memory.
 pub(crate) fn encode<T: Serialize + ?Sized>(value: &T) -> Bytes {
     postcard::to_allocvec(value).map(Bytes::from).unwrap_or_default()
 }
 
-pub(crate) fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, String> {
-    postcard::from_bytes(bytes).map_err(|error| error.to_string())
+pub(crate) fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, postcard::Error> {
+    postcard::from_bytes(bytes)
 }
--- a/system/turn-store/src/writer.rs
+++ b/system/turn-store/src/writer.rs
@@ -1,8 +1,8 @@
-//! Group commit: all that waits goes to the disk in one batch with one sync.
+//! Group commit: all pending writes go to the disk in one batch with one sync.
 //!
-//! What a failure means differs. An engine is not to be trusted after one: its writer fails all that follows, until the
-//! engine is opened again and gets another writer. The log of a record can be used further: each batch of its writer tells
-//! for itself whether it was synced, and one without a record waits until the newest record is.
+//! A failure has different consequences. An engine is not reliable after one: its writer fails all that follows, until the
+//! engine is opened again and gets another writer. The log of a record can still be used: each batch of its writer has its
+//! own result, and one without a record waits until the newest record is synced.
 
 use crate::disk::{Disk, Write};
 use crate::record_log::RecordLog;
@@ -16,21 +16,22 @@
 #[cfg(test)]
 mod tests;
 
-const LAZY: Duration = Duration::from_millis(200);
+/// Longest time that deferred writes wait for a batch.
+const MAX_DEFERRED_DELAY: Duration = Duration::from_millis(200);
 
-/// A batch was not synced: what it was to write may be on the disk or not.
+/// A batch was not synced: its writes may or may not be on the disk. Holds the cause.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not written: {0}")]
 pub struct WriteFailed(pub String);
 
-/// What is called when a request is synced, or could not be; on the writer's thread.
+/// Callback for the result of a request, called on the writer's thread.
 pub type Completion = Box<dyn FnOnce(Result<(), WriteFailed>) + Send>;
 
 #[derive(Default)]
 struct Queue {
     writes: Vec<Write>,
     completions: Vec<Completion>,
-    lazy_since: Option<Instant>,
+    deferred_since: Option<Instant>,
     closing: bool,
 }
 
@@ -47,8 +48,8 @@
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes note of a batch's result, before anybody is told; a change goes to the log, not each of many failures.
-    fn note(&self, result: &Result<(), WriteFailed>) {
+    /// Records a batch's result, before it is reported to anyone. Only a change is logged, not each of many failures.
+    fn record_result(&self, result: &Result<(), WriteFailed>) {
         let failed = self.failing.swap(result.is_err(), Ordering::AcqRel);
         match result {
             Err(error) if !failed => log::error!("{error}"),
@@ -58,20 +59,24 @@
     }
 }
 
-/// The thread that writes to a disk. When dropped it first writes what waits.
+/// The thread that writes to a disk. When dropped it first writes what is pending.
 pub struct Writer {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Writer {
-    /// Start the thread over an engine. After the first failure `failed` is called, and nothing is told synced any more.
+    /// Starts the thread over an engine. At the first failure `failed` is called, and nothing is reported as synced after it.
+    ///
+    /// # Errors
+    ///
+    /// The thread cannot be started.
     pub fn start(
         disk: Arc<Disk>,
         failed: impl FnOnce(WriteFailed) + Send + 'static,
     ) -> std::io::Result<Self> {
         let commit = move |writes: &[Write]| {
-            // An engine whose own thread broke off may break off here too.
+            // An engine whose own thread panicked may panic here too.
             match catch_unwind(AssertUnwindSafe(|| disk.write(writes))) {
                 Ok(written) => written.map_err(|error| WriteFailed(error.to_string())),
                 Err(_) => Err(WriteFailed("the storage engine broke off".to_owned())),
@@ -80,7 +85,11 @@
         Self::start_engine(commit, failed)
     }
 
-    /// As [`Writer::start`], over any function that writes and syncs a batch.
+    /// Like [`Writer::start`], over any function that writes and syncs a batch.
+    ///
+    /// # Errors
+    ///
+    /// The thread cannot be started.
     pub fn start_engine(
         mut commit: impl FnMut(&[Write]) -> Result<(), WriteFailed> + Send + 'static,
         failed: impl FnOnce(WriteFailed) + Send + 'static,
@@ -88,7 +97,7 @@
         let mut failed = Some(failed);
         let mut result = Ok(());
         let latched = move |writes: &[Write]| {
-            // What failed may be what a later request waits for.
+            // A later request may wait for the write that failed.
             if result.is_ok() {
                 result = commit(writes);
             }
@@ -99,33 +108,37 @@
             }
             result.clone()
         };
-        Self::over(latched, false)
+        Self::spawn(latched, false)
     }
 
-    /// Start the thread over the log of a record: of all writes that wait, the last one counts.
+    /// Starts the thread over the log of a record: of all pending writes the last one counts.
+    ///
+    /// # Errors
+    ///
+    /// The thread cannot be started.
     pub fn start_log(mut log: RecordLog) -> std::io::Result<Self> {
-        let behind = log.is_behind();
+        let has_unsynced_record = log.has_unsynced_record();
         let commit = move |writes: &[Write]| {
             let record: Option<&Bytes> = writes.iter().rev().find_map(|write| write.value.as_ref());
             let synced = match record {
                 Some(record) => log.put(record),
-                None => log.settle(),
+                None => log.sync_newest(),
             };
             synced.map_err(|error| WriteFailed(error.to_string()))
         };
-        Self::over(commit, behind)
+        Self::spawn(commit, has_unsynced_record)
     }
 
-    fn over(
+    fn spawn(
         mut commit: impl FnMut(&[Write]) -> Result<(), WriteFailed> + Send + 'static,
         failing: bool,
     ) -> std::io::Result<Self> {
         let shared = Arc::new(Shared { failing: AtomicBool::new(failing), ..Shared::default() });
-        let theirs = Arc::clone(&shared);
+        let thread_shared = Arc::clone(&shared);
         let run = move || {
-            while let Some((writes, completions)) = next_batch(&theirs) {
+            while let Some((writes, completions)) = next_batch(&thread_shared) {
                 let result = commit(&writes);
-                theirs.note(&result);
+                thread_shared.record_result(&result);
                 for completion in completions {
                     completion(result.clone());
                 }
@@ -135,13 +148,13 @@
         Ok(Self { shared, thread: Some(thread) })
     }
 
-    /// Whether the last batch was not synced. After `true` turns `false` all that was submitted before it is synced.
+    /// Whether the last batch was not synced. When it changes to `false`, all that was submitted before is synced.
     pub fn is_failing(&self) -> bool {
         self.shared.failing.load(Ordering::Acquire)
     }
 
-    /// Have these written, and `done` called when they and all earlier ones are synced. Without writes it waits for the
-    /// earlier ones alone.
+    /// Submits writes; `done` is called when they and all earlier ones are synced. Without writes it waits for the earlier
+    /// ones only.
     pub fn submit(&self, writes: Vec<Write>, done: Completion) {
         let mut queue = self.shared.lock();
         queue.writes.extend(writes);
@@ -150,14 +163,14 @@
         self.shared.wake.notify_one();
     }
 
-    /// Have these written with the next batch, or after 200 ms.
-    pub fn submit_lazy(&self, writes: Vec<Write>) {
+    /// Submits writes that nobody waits for: they go with the next batch, after 200 ms at the latest.
+    pub fn submit_deferred(&self, writes: Vec<Write>) {
         if writes.is_empty() {
             return;
         }
         let mut queue = self.shared.lock();
         queue.writes.extend(writes);
-        queue.lazy_since.get_or_insert_with(Instant::now);
+        queue.deferred_since.get_or_insert_with(Instant::now);
         drop(queue);
         self.shared.wake.notify_one();
     }
@@ -178,17 +191,21 @@
 fn next_batch(shared: &Shared) -> Option<(Vec<Write>, Vec<Completion>)> {
     let mut queue = shared.lock();
     loop {
-        let left = queue.lazy_since.map(|since| LAZY.saturating_sub(since.elapsed()));
-        if !queue.completions.is_empty() || left == Some(Duration::ZERO) || (queue.closing && left.is_some())
+        let remaining = queue.deferred_since.map(|since| MAX_DEFERRED_DELAY.saturating_sub(since.elapsed()));
+        if !queue.completions.is_empty()
+            || remaining == Some(Duration::ZERO)
+            || (queue.closing && remaining.is_some())
         {
-            queue.lazy_since = None;
+            queue.deferred_since = None;
             return Some((std::mem::take(&mut queue.writes), std::mem::take(&mut queue.completions)));
         }
         if queue.closing {
             return None;
         }
-        queue = match left {
-            Some(left) => shared.wake.wait_timeout(queue, left).unwrap_or_else(PoisonError::into_inner).0,
+        queue = match remaining {
+            Some(remaining) => {
+                shared.wake.wait_timeout(queue, remaining).unwrap_or_else(PoisonError::into_inner).0
+            }
             None => shared.wake.wait(queue).unwrap_or_else(PoisonError::into_inner),
         };
     }
--- a/system/turn-store/src/writer/tests.rs
+++ b/system/turn-store/src/writer/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::{SPACES, STATE};
+use crate::{KEYSPACES, STATE};
 use googletest::prelude::*;
 use std::sync::mpsc;
 
@@ -38,7 +38,7 @@
     expect_that!(told.recv().unwrap(), eq(&keys(&["a"])));
     // When three more come, a lazy one, and one that waits only.
     writer.submit(vec![put("b")], note(&log, 2));
-    writer.submit_lazy(vec![put("lazy")]);
+    writer.submit_deferred(vec![put("lazy")]);
     writer.submit(vec![], note(&log, 3));
     writer.submit(vec![put("c"), put("d")], note(&log, 4));
     expect_that!(completed.try_recv().is_err(), eq(true));
@@ -70,9 +70,9 @@
 #[gtest]
 fn lazy_writes_go_alone_after_a_while_and_at_the_end() {
     let (writer, go, told) = held_writer();
-    writer.submit_lazy(vec![put("a")]);
+    writer.submit_deferred(vec![put("a")]);
     expect_that!(told.recv().unwrap(), eq(&keys(&["a"])));
-    writer.submit_lazy(vec![put("b")]);
+    writer.submit_deferred(vec![put("b")]);
     go.send(Ok(())).unwrap();
     go.send(Ok(())).unwrap();
     drop(writer);
@@ -82,7 +82,7 @@
 #[gtest]
 fn what_was_told_synced_is_there_when_the_disk_is_opened_again() {
     let dir = tempfile::tempdir().unwrap();
-    let disk = Arc::new(Disk::open(dir.path(), SPACES, || 1).unwrap());
+    let disk = Arc::new(Disk::open(dir.path(), KEYSPACES, || 1).unwrap());
     let writer = Writer::start(Arc::clone(&disk), |_| ()).unwrap();
     let (log, completed) = mpsc::channel();
     for number in 0..50 {
@@ -92,11 +92,11 @@
     expect_that!(order, eq(&(0..50).map(|number| (number, true)).collect::<Vec<_>>()));
     drop(writer);
     drop(disk);
-    let disk = Disk::open(dir.path(), SPACES, || 1).unwrap();
+    let disk = Disk::open(dir.path(), KEYSPACES, || 1).unwrap();
     let mut found = 0;
     disk.scan(STATE, |_, _| {
         found += 1;
-        Ok(())
+        Ok::<_, std::convert::Infallible>(())
     })
     .unwrap();
     expect_that!(found, eq(50));
--- a/system/turn-store/tests/membership_changes/cluster.rs
+++ b/system/turn-store/tests/membership_changes/cluster.rs
@@ -46,7 +46,7 @@
 
 impl Shelf {
     fn write(&mut self, writes: &[Write]) {
-        for write in writes.iter().filter(|write| write.space == TURNS) {
+        for write in writes.iter().filter(|write| write.keyspace == TURNS) {
             match &write.value {
                 Some(value) => {
                     let turn = postcard::from_bytes(value).expect("a store writes what it reads");
--- a/system/turn-store/tests/replica/cluster.rs
+++ b/system/turn-store/tests/replica/cluster.rs
@@ -60,7 +60,7 @@
     }
 
     pub(crate) fn write(&mut self, writes: &[Write]) {
-        for write in writes.iter().filter(|write| write.space == TURNS) {
+        for write in writes.iter().filter(|write| write.keyspace == TURNS) {
             match &write.value {
                 Some(value) => {
                     self.shelf.written.insert(write.key.clone(), postcard::from_bytes(value).unwrap());
--- a/testbed/src/system/disk.rs
+++ b/testbed/src/system/disk.rs
@@ -53,7 +53,7 @@
 
 fn apply(records: &mut Records, batch: &[Write]) {
     for write in batch {
-        let place = (write.space, write.key.clone());
+        let place = (write.keyspace, write.key.clone());
         match &write.value {
             Some(value) => drop(records.insert(place, value.clone())),
             None => drop(records.remove(&place)),
@@ -183,7 +183,7 @@
     }
 
     fn remember_former(&self, seen: &Records, batch: &[Write]) {
-        let is_record = |write: &Write| write.space == ACCEPTOR_SPACE && write.key == ACCEPTOR_RECORD;
+        let is_record = |write: &Write| write.keyspace == ACCEPTOR_SPACE && write.key == ACCEPTOR_RECORD;
         if !batch.iter().any(is_record) {
             return;
         }
