--- a/system/turn-store/src/backfill.rs
+++ b/system/turn-store/src/backfill.rs
@@ -1,10 +1,10 @@
-//! The asker's side of filling a store.
+//! The receiving side of a backfill: which sources to call next, and when enough of them are drained.
 
 use bytes::Bytes;
 use fleet_model::{Call, StorageNode};
 use std::collections::BTreeMap;
 
-/// One filling of a store: whom to ask, how far each has come, and whether it is enough.
+/// The progress of one backfill: its sources, the position in each, and whether enough of them are drained.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Backfill {
     epoch: u64,
@@ -28,7 +28,7 @@
 }
 
 impl Backfill {
-    /// From so many full stores, of which the one that fills is one if it `relies_on_local_records`.
+    /// A backfill of `disk` that needs `covering` replicas in sync, itself included if it `relies_on_local_records`.
     pub(crate) fn new(
         epoch: u64,
         disk: u64,
@@ -42,17 +42,17 @@
         Self { epoch, disk, needed, relies_on_local_records, sources }
     }
 
-    /// Whether it relies on what the one that fills holds itself.
+    /// Whether it counts the records that the receiving replica already stores.
     pub(crate) fn relies_on_local_records(&self) -> bool {
         self.relies_on_local_records
     }
 
-    /// The epoch that it fills for: under another it is worth nothing.
+    /// The epoch that it is for. It is void under any other.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whom to ask what next: one call for each that is neither drained nor given up.
+    /// The next calls: one for each source that is neither drained nor given up.
     pub fn calls(&self) -> impl Iterator<Item = (&StorageNode, Call)> {
         self.sources.values().filter_map(|source| match &source.progress {
             Progress::Asking(cursor) => {
@@ -63,19 +63,19 @@
         })
     }
 
-    /// The next call to one source, if it is still asked.
+    /// The next call to one source, if it is neither drained nor given up.
     pub fn call(&self, source: u64) -> Option<Call> {
         self.calls().find(|(store, _)| store.disk == source).map(|(_, call)| call)
     }
 
-    /// A page of this source has been absorbed; `cursor` came with it.
+    /// Records that a page of this source was applied, with the cursor of the next page; `None` if it was the last one.
     pub fn page_applied(&mut self, source: u64, cursor: Option<Bytes>) {
         if let Some(source) = self.sources.get_mut(&source) {
             source.progress = cursor.map_or(Progress::Drained, Progress::Asking);
         }
     }
 
-    /// This source does not answer, or cannot.
+    /// Records that this source does not answer, or cannot.
     pub fn give_up(&mut self, source: u64) {
         if let Some(source) = self.sources.get_mut(&source)
             && source.progress != Progress::Drained
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Ask those again, from the start, that were given up.
+    /// Restarts the sources that were given up, from their first page.
     pub fn retry(&mut self) {
         for source in self.sources.values_mut() {
             if source.progress == Progress::GivenUp {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Those that gave all they had: once it is synced here, they are told with `FillDone`.
+    /// The drained sources. Once their records are synced here, the host notifies them with [`Call::BackfillDone`].
     pub fn drained(&self) -> impl Iterator<Item = &StorageNode> {
         self.sources
             .values()
@@ -101,13 +101,13 @@
             .map(|source| &source.store)
     }
 
-    /// Enough are drained that no record was on the others alone. The rest is not waited for: one that is silent would cost
-    /// the time until it is given up.
+    /// Whether enough sources are drained that no record is on the others only. The others are not waited for, since an
+    /// unresponsive one would delay the backfill until it is given up.
     pub fn is_done(&self) -> bool {
         self.drained().count() >= self.needed
     }
 
-    /// All are drained or given up, and too few are drained: time to [`retry`](Self::retry).
+    /// Whether all sources are drained or given up, and too few are drained: then [`retry`](Self::retry).
     pub fn is_stuck(&self) -> bool {
         self.calls().next().is_none() && self.drained().count() < self.needed
     }
--- a/system/turn-store/src/disk/directory.rs
+++ b/system/turn-store/src/disk/directory.rs
@@ -108,7 +108,7 @@
             });
             catch_unwind(opened).unwrap_or_else(|panic| {
                 let message = panic.downcast_ref::<String>().cloned();
-                let message = message.or_else(|| panic.downcast_ref::<&str>().map(|text| text.to_string()));
+                let message = message.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
                 Err(DiskError::EnginePanicked(message.unwrap_or_default()))
             })
         };
--- a/system/turn-store/src/disk/journal.rs
+++ b/system/turn-store/src/disk/journal.rs
@@ -1,8 +1,9 @@
-//! A look through the engine's journals before it opens them.
+//! Verification and repair of the engine's journals before it opens them.
 //!
-//! The engine drops all from the first place on that it cannot read, as is right for a batch that a loss of power has
-//! torn; it ends where a batch is whole but for its checksum; and it trusts lengths. Each batch is synced before the
-//! next begins, so a torn one has none after it: here it is cut off. All else that cannot be read was synced once.
+//! The engine discards everything from the first position on that it cannot read, which is right for a batch that a loss
+//! of power has torn; it stops at a batch whose checksum alone is wrong; and it trusts lengths. Each batch is synced before
+//! the next one begins, so none follows a torn one, which is cut off here. Anything else that cannot be read was synced
+//! once, and is damage.
 
 use super::{DiskError, io_error_at};
 use crate::record_log::is_fully_written;
@@ -17,24 +18,24 @@
 const ITEM_TAG: u8 = 2;
 const BATCH_END_TAG: u8 = 3;
 const CLEAR_TAG: u8 = 4;
-/// Tag, count, number.
+/// Tag, count of items, sequence number.
 const BATCH_START_BYTES: usize = 13;
-/// The engine keeps the highest bit for itself.
+/// The engine reserves the highest bits.
 const MAX_SEQUENCE_NUMBER: u64 = u64::MAX >> 2;
-/// After so many zeros nothing more is looked for: files are made longer than what is written.
+/// Length of a run of zeros after which the search ends: files are allocated ahead of their content.
 const MAX_ZERO_RUN_BYTES: usize = 256 << 10;
 const BUFFER_BYTES: usize = 64 << 10;
-/// A torn end longer than this is not looked at for gaps.
+/// A torn tail longer than this is not searched for gaps.
 const MAX_TORN_TAIL_BYTES: u64 = 32 << 20;
 
-/// What is wrong with the journals of a folder.
+/// A journal that is damaged, and the offset from which on it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct DamagedJournal {
     pub(super) path: PathBuf,
     pub(super) byte: u64,
 }
 
-/// The journals of a folder with their numbers, rising.
+/// The journals of a directory with their numbers, ascending.
 fn journals(folder: &Path) -> Result<Vec<(u64, PathBuf)>, DiskError> {
     let mut journals = Vec::new();
     for entry in fs::read_dir(folder).map_err(io_error_at(folder))? {
@@ -48,19 +49,19 @@
     Ok(journals)
 }
 
-/// Have the newest journal's content synced as it is read now.
+/// Syncs the newest journal with the content that is read now.
 ///
-/// After a failed sync the system may hold content as written that the disk lacks, and a later sync does not write it. So
-/// the same bytes are written again first, in place. Older journals were synced whole before the newest was begun.
+/// After a failed sync the page cache may have content marked as written that the disk lacks, which a later sync does not
+/// write. So the same bytes are written again first. Older journals were synced completely before the newest one began.
 pub(super) fn resync_newest(folder: &Path) -> Result<(), DiskError> {
     match journals(folder)?.pop() {
-        Some((_, path)) => rewrite_in_place(&path).map_err(io_error_at(&path)),
+        Some((_, path)) => rewrite(&path).map_err(io_error_at(&path)),
         None => Ok(()),
     }
 }
 
-/// Writes a journal's content over itself and syncs it. The zeros that the file was made longer by stay unwritten.
-fn rewrite_in_place(path: &Path) -> io::Result<()> {
+/// Writes a journal's content over itself and syncs it. Allocated zeros stay unwritten.
+fn rewrite(path: &Path) -> io::Result<()> {
     let file = OpenOptions::new().read(true).write(true).open(path)?;
     let length = file.metadata()?.len();
     let (mut buffer, mut position) = (vec![0; BUFFER_BYTES], 0);
@@ -76,12 +77,12 @@
     file.sync_all()
 }
 
-/// Look through the journals, cut off a torn end, and tell what was damaged.
+/// Verifies the journals and cuts off a torn tail. Returns the first damaged journal, if any.
 pub(super) fn repair_tail(folder: &Path) -> Result<Option<DamagedJournal>, DiskError> {
     let mut torn: Option<DamagedJournal> = None;
     for (_, path) in journals(folder)? {
         let found = examine(&path).map_err(io_error_at(&path))?;
-        // A journal is followed by another only when all of it is synced.
+        // A journal is followed by another only after all of it is synced.
         if let (Some(torn), true) = (&torn, found.has_batches) {
             return Ok(Some(torn.clone()));
         }
@@ -99,6 +100,7 @@
     Ok(None)
 }
 
+/// How a journal ends behind its intact batches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JournalEnd {
     Complete,
@@ -108,7 +110,7 @@
 
 struct JournalExamination {
     has_batches: bool,
-    /// After the last batch in a row that is whole.
+    /// Offset behind the last of the intact batches at the beginning.
     intact_bytes: u64,
     end: JournalEnd,
 }
@@ -119,7 +121,7 @@
     let mut reader = Reader { inner: BufReader::with_capacity(BUFFER_BYTES, file), at: 0, length };
     let (mut intact_bytes, mut number) = (0, 0);
     while let Some(next) = reader.batch()? {
-        // Numbers are outside the checksum. In their order, what they are does not matter.
+        // Sequence numbers are not covered by the checksum. Only their order matters.
         if next < number || next > MAX_SEQUENCE_NUMBER {
             return Ok(JournalExamination { has_batches: true, intact_bytes, end: JournalEnd::Damaged });
         }
@@ -169,7 +171,7 @@
         Ok(true)
     }
 
-    /// Passes over a batch and tells its number; none if there is no whole one here.
+    /// Reads a batch and returns its sequence number; `None` if there is no intact one here.
     fn batch(&mut self) -> io::Result<Option<u64>> {
         let Some(start) = self.take::<BATCH_START_BYTES>()? else { return Ok(None) };
         let [BATCH_START_TAG, c0, c1, c2, c3, number @ ..] = start else { return Ok(None) };
@@ -186,6 +188,7 @@
         Ok(is_complete.then(|| u64::from_le_bytes(number)))
     }
 
+    /// Reads an item or a clear of a batch; false if there is none.
     fn entry(&mut self, hasher: &mut Xxh3) -> io::Result<bool> {
         let Some(tag) = self.take::<1>()? else { return Ok(false) };
         hasher.update(&tag);
@@ -203,7 +206,7 @@
         }
     }
 
-    /// What follows the last whole batch: a batch further on, or the end of one, was synced.
+    /// How the journal ends behind the intact batches: another batch, or the end of one, was synced.
     fn end_after(&mut self, intact_bytes: u64) -> io::Result<JournalEnd> {
         if intact_bytes == self.length {
             return Ok(JournalEnd::Complete);
@@ -212,7 +215,7 @@
         let (mut buffer, mut zeros) = (vec![0; BUFFER_BYTES], 0);
         let (mut position, mut written) = (intact_bytes, intact_bytes);
         while position < self.length && zeros < MAX_ZERO_RUN_BYTES {
-            // Each piece laps over the next one by a start and the tag behind it.
+            // Each chunk overlaps the next one by a batch start and the tag behind it.
             let part = (self.length - position).min(BUFFER_BYTES as u64) as usize;
             self.seek(position)?;
             self.inner.read_exact(&mut buffer[..part])?;
@@ -244,10 +247,10 @@
         }
         match written - intact_bytes {
             0 => Ok(JournalEnd::Complete),
-            long if long > MAX_TORN_TAIL_BYTES => Ok(JournalEnd::Torn),
-            long => {
+            length if length > MAX_TORN_TAIL_BYTES => Ok(JournalEnd::Torn),
+            length => {
                 self.seek(intact_bytes)?;
-                let mut tail = vec![0; long as usize];
+                let mut tail = vec![0; length as usize];
                 self.inner.read_exact(&mut tail)?;
                 Ok(if is_fully_written(&tail, MAGIC) { JournalEnd::Damaged } else { JournalEnd::Torn })
             }
--- a/system/turn-store/src/disk/manifest.rs
+++ b/system/turn-store/src/disk/manifest.rs
@@ -1,14 +1,14 @@
-//! A look at the engine's manifests before it reads them: it trusts the counts in them.
+//! Verification of the engine's manifests before it reads them, since it trusts the counts in them.
 
 use super::{DiskError, io_error_at};
 use std::fs;
 use std::path::{Path, PathBuf};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Longest manifest that is read; they list files of some megabytes each.
+/// Longest manifest that is read, in bytes. Manifests list files of some megabytes each.
 const MAX_MANIFEST_BYTES: u64 = 16 << 20;
 
-/// The manifest of a keyspace that is not as it was written, if there is one.
+/// The first manifest that does not match its checksum, if there is one.
 pub(super) fn find_damaged(folder: &Path) -> Result<Option<PathBuf>, DiskError> {
     let keyspaces = folder.join("keyspaces");
     let entries = match fs::read_dir(&keyspaces) {
@@ -19,7 +19,7 @@
     for entry in entries {
         let keyspace = entry.map_err(io_error_at(&keyspaces))?.path();
         let current = keyspace.join("current");
-        // Without it, the keyspace was not finished when it was made, and the engine drops it.
+        // Without it, the creation of the keyspace was not completed, and the engine removes it.
         if !current.try_exists().map_err(io_error_at(&current))? {
             continue;
         }
--- a/system/turn-store/src/disk/tests/damaged_records.rs
+++ b/system/turn-store/src/disk/tests/damaged_records.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[gtest]
-fn damaged_records_are_told_and_set_aside_and_the_store_is_not_full() {
+fn damaged_records_are_reported_and_quarantined_and_the_replica_is_out_of_sync() {
     // Given good records, and one each that is cut, flipped, moved to another key, and of another version.
     let dir = tempfile::tempdir().unwrap();
     let disk = open(dir.path());
@@ -19,11 +19,14 @@
     put_raw(&disk, ACCOUNTS, b"short", &frame(b"short", b"1234"));
     // When it is loaded.
     expect_that!(Payloads::get(&disk, "flipped"), eq(&Payload::Lost));
-    let (kept, damaged) = load(&disk).unwrap();
+    let (stored, damaged) = load(&disk).unwrap();
     // Then the good one is there, the others are told.
     let reported: Vec<_> =
         damaged.iter().map(|damage| (&damage.key[..], damage.reason.to_string())).collect();
-    expect_that!(kept.turns.iter().map(|turn| turn.attempt.as_str()).collect::<Vec<_>>(), eq(&vec!["good"]));
+    expect_that!(
+        stored.turns.iter().map(|turn| turn.attempt.as_str()).collect::<Vec<_>>(),
+        eq(&vec!["good"])
+    );
     expect_that!(
         reported,
         eq(&vec![
@@ -34,14 +37,14 @@
             (b"short", "a key too short".to_owned()),
         ])
     );
-    expect_that!(kept.backfill, eq(&BackfillRecord { in_sync: vec![], damaged: true }));
+    expect_that!(stored.backfill, eq(&BackfillRecord { in_sync: vec![], damaged: true }));
     // And they are kept aside as they were, and the store stays not full over a reopening.
     expect_that!(raw(&disk, QUARANTINE, b"turns/flipped"), eq(&Some(flipped)));
     drop(disk);
     let disk = open(dir.path());
-    let (kept, damaged) = load(&disk).unwrap();
+    let (stored, damaged) = load(&disk).unwrap();
     expect_that!(damaged, is_empty());
-    expect_that!(kept.backfill.damaged, eq(true));
+    expect_that!(stored.backfill.damaged, eq(true));
     expect_that!(raw(&disk, STATE, b"fill").is_some(), eq(true));
 }
 
@@ -57,7 +60,7 @@
 }
 
 #[gtest]
-fn keys_that_cannot_be_kept_are_errors() {
+fn keys_of_invalid_length_are_errors() {
     let dir = tempfile::tempdir().unwrap();
     let disk = open(dir.path());
     expect_that!(matches!(disk.write(&[Write::put(STATE, "", "1")]), Err(DiskError::KeyLength(0))), eq(true));
@@ -66,14 +69,14 @@
 }
 
 #[gtest]
-fn a_turn_that_becomes_unreadable_while_running_makes_the_store_fill_again() {
+fn a_turn_that_becomes_unreadable_while_running_requires_a_backfill() {
     // Given a lone store that is full and holds a turn.
     let dir = tempfile::tempdir().unwrap();
     let disk = open(dir.path());
     let full = BackfillRecord { in_sync: vec![(1, [7].into())], damaged: false };
     disk.write(&[put_turn("a"), full.write()]).unwrap();
-    let (kept, _) = load(&disk).unwrap();
-    let mut state = ReplicaState::new(0, 7, 0, kept);
+    let (stored, _) = load(&disk).unwrap();
+    let mut state = ReplicaState::new(0, 7, 0, stored);
     let me =
         fleet_model::StorageNode { name: "s".into(), ip: [127, 0, 0, 1].into(), zone: "z".into(), disk: 7 };
     state.set_roster(&fleet_model::Roster { epoch: 1, current: vec![me], ..Default::default() });
@@ -113,7 +116,7 @@
 }
 
 #[gtest]
-fn any_file_with_changed_or_missing_bytes_is_told_and_nothing_false_is_read() {
+fn any_file_with_changed_or_missing_bytes_is_reported_and_no_wrong_record_is_read() {
     // Given a disk whose turns have gone to files, some of them large.
     let dir = tempfile::tempdir().unwrap();
     let large = |attempt: &str| Turn { input: Bytes::from(vec![b'x'; 3_000]), ..turn(attempt) };
@@ -131,57 +134,57 @@
     fs::OpenOptions::new().write(true).open(&path).unwrap().set_len(length).unwrap();
     let mut files = Vec::new();
     list_files(dir.path(), dir.path(), &mut files);
-    let (mut harmed, mut told) = (0, 0);
+    let (mut harmed, mut reported) = (0, 0);
     for file in files {
         let bytes = fs::read(dir.path().join(&file)).unwrap();
         let is_journal = file.extension().is_some_and(|extension| extension == "jnl");
         for part in 0..4_usize {
-            let place = bytes.len() * part / 4;
+            let position = bytes.len() * part / 4;
             let mut changed = bytes.clone();
             match (part % 3, changed.is_empty()) {
                 (_, true) => continue,
                 // A journal that is cut looks as a loss of power leaves it.
-                (0, _) if !is_journal => changed.truncate(place),
-                (0, _) => changed[place] ^= 1,
-                (1, _) => changed[place] ^= 0x80,
-                _ => changed[place] = !changed[place],
+                (0, _) if !is_journal => changed.truncate(position),
+                (0, _) => changed[position] ^= 1,
+                (1, _) => changed[position] ^= 0x80,
+                _ => changed[position] = !changed[position],
             }
             harmed += 1;
             let copy = copied(dir.path());
             fs::write(copy.path().join(&file), changed).unwrap();
-            let told_where = format!("{} at {place}", file.display());
+            let report_context = format!("{} at {position}", file.display());
             // Then it is refused as another version, or what is damaged is told, or nothing was.
             let loaded = match open_or_replace(copy.path()) {
                 Ok(loaded) => loaded,
                 Err(error) => {
-                    told += 1;
-                    println!("{told_where}: {error}");
+                    reported += 1;
+                    println!("{report_context}: {error}");
                     continue;
                 }
             };
             let damaged = loaded.lost.is_some() || !loaded.read.1.is_empty();
-            told += usize::from(damaged);
+            reported += usize::from(damaged);
             if !damaged {
-                expect_that!(attempts(&loaded), eq(&all.to_vec()), "{told_where}");
+                expect_that!(attempts(&loaded), eq(&all.to_vec()), "{report_context}");
             } else if loaded.lost.is_none() {
-                expect_that!(loaded.read.0.backfill.damaged, eq(true), "{told_where}");
+                expect_that!(loaded.read.0.backfill.damaged, eq(true), "{report_context}");
             }
             // And no turn has another text than it was given.
             for attempt in all {
                 if let Payload::Present(held) = Payloads::get(&loaded.disk, attempt) {
                     let given = written.iter().find(|turn| turn.attempt == attempt).cloned();
-                    expect_that!(held, eq(&given.unwrap_or_else(|| turn("late"))), "{told_where}");
+                    expect_that!(held, eq(&given.unwrap_or_else(|| turn("late"))), "{report_context}");
                 }
             }
         }
     }
-    println!("{harmed} harmed, {told} told");
+    println!("{harmed} harmed, {reported} told");
     expect_that!(harmed, gt(50));
-    expect_that!(told, gt(0));
+    expect_that!(reported, gt(0));
 }
 
 #[gtest]
-fn a_record_of_another_version_is_refused_by_its_place_and_stays() {
+fn a_record_of_another_version_is_refused_by_its_path_and_stays() {
     // Given a record that a later program wrote, with the checksum of its version.
     let dir = tempfile::tempdir().unwrap();
     let disk = open(dir.path());
@@ -190,9 +193,9 @@
     later.extend(b"text");
     put_raw(&disk, TURNS, b"later", &later);
     drop(disk);
-    let told = open_or_replace(dir.path()).unwrap_err().to_string();
+    let reported = open_or_replace(dir.path()).unwrap_err().to_string();
     expect_that!(
-        told,
+        reported,
         eq("record \"later\" of keyspace `turns`: written in version 2, this program knows version 1")
     );
     expect_that!(raw(&open(dir.path()), TURNS, b"later"), eq(&Some(later)));
@@ -203,11 +206,11 @@
     let value = crate::records::encode(&turn("a"));
     let framed = frame(b"a", &value);
     expect_that!(unframe(b"a", &framed), eq(&Ok(&value[..])));
-    for place in 0..framed.len() {
-        expect_that!(matches!(unframe(b"a", &framed[..place]), Err(Fault::Damaged(_))), eq(true));
+    for position in 0..framed.len() {
+        expect_that!(matches!(unframe(b"a", &framed[..position]), Err(Fault::Damaged(_))), eq(true));
         for bit in 0..8 {
             let mut changed = framed.clone();
-            changed[place] ^= 1 << bit;
+            changed[position] ^= 1 << bit;
             expect_that!(matches!(unframe(b"a", &changed), Err(Fault::Damaged(_))), eq(true));
         }
     }
--- a/system/turn-store/src/disk/tests/data_directory.rs
+++ b/system/turn-store/src/disk/tests/data_directory.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[gtest]
-fn a_disk_keeps_its_number_and_records_over_a_reopening() {
+fn number_and_records_survive_a_reopening() {
     // Given a disk with a turn and a reservation.
     let dir = tempfile::tempdir().unwrap();
     {
@@ -12,18 +12,18 @@
     }
     // When it is opened again, by one who would draw another number.
     let disk = Disk::open(dir.path(), KEYSPACES, || 8).unwrap();
-    let (kept, damaged) = load(&disk).unwrap();
+    let (stored, damaged) = load(&disk).unwrap();
     // Then all is there.
     expect_that!(disk.number(), eq(7));
     expect_that!(damaged, is_empty());
-    expect_that!(kept.turns.len(), eq(1));
-    expect_that!(kept.accounts, eq(&vec![("program".to_owned(), Reservation { attempt: 5, tokens: 40 })]));
+    expect_that!(stored.turns.len(), eq(1));
+    expect_that!(stored.accounts, eq(&vec![("program".to_owned(), Reservation { attempt: 5, tokens: 40 })]));
     expect_that!(Payloads::get(&disk, "a"), eq(&Payload::Present(turn("a"))));
     expect_that!(Payloads::get(&disk, "b"), eq(&Payload::Pending));
 }
 
 #[gtest]
-fn a_half_made_folder_is_made_anew() {
+fn an_incomplete_directory_is_created_again() {
     // Given what a loss of power left while a folder was made.
     let dir = tempfile::tempdir().unwrap();
     fs::create_dir_all(dir.path().join("records.new/keyspaces")).unwrap();
@@ -42,7 +42,7 @@
 }
 
 #[gtest]
-fn a_damaged_number_is_told_and_not_drawn_anew() {
+fn a_damaged_disk_number_is_an_error_and_not_replaced() {
     let dir = tempfile::tempdir().unwrap();
     put_raw(&open(dir.path()), METADATA, NUMBER_KEY, b"?");
     let error = Disk::open(dir.path(), KEYSPACES, || 8).unwrap_err();
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn a_disk_that_is_set_aside_twice_keeps_the_last_one_only() {
+fn only_the_last_quarantined_directory_is_retained() {
     let dir = tempfile::tempdir().unwrap();
     for _ in 0..2 {
         put_raw(&open(dir.path()), METADATA, NUMBER_KEY, b"?");
@@ -65,13 +65,13 @@
 fn a_folder_of_another_format_is_refused_and_not_replaced() {
     let dir = tempfile::tempdir().unwrap();
     open(dir.path()).write(&[Write::put(METADATA, FORMAT_KEY, vec![9])]).unwrap();
-    let told = open_or_replace(dir.path()).unwrap_err().to_string();
-    let place = dir.path().join("records").display().to_string();
-    expect_that!(told, eq(&format!("{place}: written in format 9, this program knows format 1")));
+    let reported = open_or_replace(dir.path()).unwrap_err().to_string();
+    let position = dir.path().join("records").display().to_string();
+    expect_that!(reported, eq(&format!("{position}: written in format 9, this program knows format 1")));
 }
 
 #[gtest]
-fn a_probe_leaves_nothing_and_tells_a_disk_that_refuses() {
+fn a_probe_leaves_nothing_and_detects_a_disk_that_refuses_writes() {
     let dir = tempfile::tempdir().unwrap();
     Disk::probe(dir.path()).unwrap();
     expect_that!(fs::read_dir(dir.path()).unwrap().count(), eq(0));
@@ -83,10 +83,10 @@
 }
 
 #[gtest]
-fn a_damaged_folder_stays_in_its_place_while_the_disk_refuses() {
+fn a_damaged_directory_is_not_replaced_while_the_disk_refuses_writes() {
     // Given a damaged folder on a disk that takes no file: the engine may have broken off for lack of room alone.
-    let (dir, path, whole, begin) = two_batches();
-    let mut bytes = whole.clone();
+    let (dir, path, intact, begin) = two_batches();
+    let mut bytes = intact.clone();
     bytes[begin - 20] ^= 1;
     fs::write(&path, &bytes).unwrap();
     fs::create_dir(dir.path().join(PROBE_FILE)).unwrap();
--- a/system/turn-store/src/disk/tests/journal_recovery.rs
+++ b/system/turn-store/src/disk/tests/journal_recovery.rs
@@ -19,8 +19,11 @@
     file.set_len(after.1 - 3).unwrap();
     drop(file);
     // Then the first is there, and the second is not.
-    let (kept, _) = load(&open(dir.path())).unwrap();
-    expect_that!(kept.turns.iter().map(|turn| turn.attempt.as_str()).collect::<Vec<_>>(), eq(&vec!["first"]));
+    let (stored, _) = load(&open(dir.path())).unwrap();
+    expect_that!(
+        stored.turns.iter().map(|turn| turn.attempt.as_str()).collect::<Vec<_>>(),
+        eq(&vec!["first"])
+    );
 }
 
 #[gtest]
@@ -65,10 +68,10 @@
 #[gtest]
 fn a_journal_with_any_byte_changed_makes_another_disk_and_never_an_older_one() {
     let (dir, path, bytes, _) = two_batches();
-    let (mut lost, mut whole) = (0, 0);
-    for place in (0..bytes.len()).step_by(29) {
+    let (mut lost, mut intact) = (0, 0);
+    for position in (0..bytes.len()).step_by(29) {
         let mut changed = bytes.clone();
-        changed[place] ^= 0x20;
+        changed[position] ^= 0x20;
         fs::write(&path, changed).unwrap();
         let copy = copied(dir.path());
         let loaded = open_or_replace(copy.path()).unwrap();
@@ -76,21 +79,21 @@
             // Then the folder is set aside, and the machine is one that lost its disk.
             Some(error) => {
                 lost += 1;
-                expect_that!(error.is_damage(), eq(true), "byte {place}");
+                expect_that!(error.is_damage(), eq(true), "byte {position}");
                 expect_that!(attempts(&loaded), is_empty());
                 expect_that!(loaded.disk.number(), eq(8));
                 expect_that!(copy.path().join(QUARANTINE_DIRECTORY).exists(), eq(true));
             }
             // Or it was the number of a batch, which stays in its order.
             None => {
-                whole += 1;
-                expect_that!(attempts(&loaded), eq(&vec!["first", "second"]), "byte {place}");
+                intact += 1;
+                expect_that!(attempts(&loaded), eq(&vec!["first", "second"]), "byte {position}");
                 expect_that!(loaded.read.0.accounts.len(), eq(2));
             }
         }
     }
-    println!("{lost} lost, {whole} whole");
-    expect_that!(lost, gt(10 * whole));
+    println!("{lost} lost, {intact} intact");
+    expect_that!(lost, gt(10 * intact));
 }
 
 #[gtest]
@@ -106,11 +109,11 @@
 #[gtest]
 fn an_opening_writes_the_newest_journal_again_before_it_counts() {
     // Given a journal whose content may be in the system's cache alone, since a sync has failed.
-    let (dir, path, whole, _) = two_batches();
+    let (dir, path, intact, _) = two_batches();
     let long_ago = std::time::SystemTime::UNIX_EPOCH + std::time::Duration::from_secs(1);
     File::options().write(true).open(&path).unwrap().set_modified(long_ago).unwrap();
     // When it is synced for an opening, then it was written again, and is as it was.
     journal::resync_newest(&dir.path().join("records")).unwrap();
     expect_that!(fs::metadata(&path).unwrap().modified().unwrap(), gt(long_ago));
-    expect_that!(fs::read(&path).unwrap() == whole, eq(true));
+    expect_that!(fs::read(&path).unwrap() == intact, eq(true));
 }
--- a/system/turn-store/src/disk/tests/recorded.rs
+++ b/system/turn-store/src/disk/tests/recorded.rs
@@ -65,8 +65,8 @@
 }
 
 /// What [`write_all`] has written.
-fn kept() -> Stored {
-    let kept = |turn: &Turn| StoredTurn {
+fn stored() -> Stored {
+    let stored = |turn: &Turn| StoredTurn {
         attempt: turn.attempt.clone(),
         previous: turn.previous.clone(),
         retention_ms: turn.retention_ms,
@@ -76,9 +76,9 @@
     let account = |attempt, tokens| ("chat".to_owned(), Reservation { attempt, tokens });
     Stored {
         turns: vec![
-            StoredTurn { replicas: vec![8, 9], ..kept(&turn("attempt-1")) },
-            kept(&long_turn()),
-            kept(&turn("attempt-3")),
+            StoredTurn { replicas: vec![8, 9], ..stored(&turn("attempt-1")) },
+            stored(&long_turn()),
+            stored(&turn("attempt-3")),
         ],
         accounts: vec![account(5, 40), account(u64::MAX, 800)],
         backfill: full(),
@@ -93,7 +93,7 @@
     // When it is read, then all is there as it was meant, in the same bytes.
     expect_that!(disk.number(), eq(7));
     let (read, damaged) = load(&disk).unwrap();
-    expect_that!(read, eq(&kept()));
+    expect_that!(read, eq(&stored()));
     expect_that!(damaged, is_empty());
     expect_that!(Payloads::get(&disk, "attempt-1"), eq(&Payload::Present(turn("attempt-1"))));
     expect_that!(Payloads::get(&disk, "attempt-2"), eq(&Payload::Present(long_turn())));
@@ -133,14 +133,14 @@
 }
 
 #[gtest]
-fn records_that_were_set_aside_before_are_found_and_set_aside_alike() {
+fn quarantined_records_are_found_and_further_ones_quarantined_alike() {
     // Given a folder in which a damaged turn was set aside.
     let dir = recorded("storage-folder-quarantined.txt");
     let disk = open(dir.path());
     let out_of_sync = BackfillRecord { in_sync: vec![], damaged: true };
     let (read, damaged) = load(&disk).unwrap();
     expect_that!(damaged, is_empty());
-    expect_that!(read, eq(&Stored { backfill: out_of_sync, ..kept() }));
+    expect_that!(read, eq(&Stored { backfill: out_of_sync, ..stored() }));
     expect_that!(
         raw(&disk, QUARANTINE, b"turns/spoilt"),
         some(eq(&vec![1, 0xde, 0xad, 0xbe, 0xef, 1, 2, 3]))
--- a/system/turn-store/src/lib.rs
+++ b/system/turn-store/src/lib.rs
@@ -1,8 +1,18 @@
-//! What a storage machine keeps: immutable turns and the accounts of programs.
+//! The storage of a storage node: immutable turns and the accounts of programs.
 //!
-//! [`ReplicaState`] decides, without I/O and with the time passed in: one call in, one answer and the writes that belong
-//! to it out. [`Backfill`] is the asker's side of filling a store from others. [`Disk`] and [`Writer`] keep records on
-//! fjall, synced in groups; they know nothing of turns. [`load`] joins the two. [`RecordLog`] keeps a single record.
+//! Programs continue from turns that earlier requests completed, and spend tokens within the budget of their account. Both
+//! have to survive the loss of as many storage nodes as the deployment tolerates. This crate decides what one replica
+//! answers and writes, and which replicas a proxy has to reach.
+//!
+//! - [`ReplicaState`] is the state machine of a replica, without I/O and clock: one call in, one [`Outcome`] with the
+//!   answer and its writes out. [`Backfill`] is the receiving side of copying records from other replicas.
+//! - [`copy_order`], [`has_copies`], [`is_surely_absent`] and [`AccountReplicas`] are the placement and quorum rules.
+//! - [`Disk`] stores records on fjall, verified and quarantined when they are damaged; it knows nothing of turns.
+//!   [`Writer`] commits writes in groups. [`load`] reads a replica's records from a disk.
+//! - [`RecordLog`] stores a single record as an append-only log.
+//!
+//! The host delivers calls and the roster, passes the time in, applies the writes, and sends an answer when its
+//! [`Durability`] permits.
 
 mod backfill;
 mod disk;
--- a/system/turn-store/src/record_log.rs
+++ b/system/turn-store/src/record_log.rs
@@ -441,10 +441,10 @@
 }
 
 /// Whether an append was written completely: it has no gap, and at most one byte of its end mark differs.
-pub(crate) fn is_fully_written(written: &[u8], mark: &[u8]) -> bool {
-    let end = &written[written.len().saturating_sub(mark.len())..];
-    let agree = end.iter().zip(mark).filter(|(byte, mark)| byte == mark).count();
-    end.len() == mark.len() && agree + 1 >= mark.len() && !has_gap(written)
+pub(crate) fn is_fully_written(written: &[u8], end_mark: &[u8]) -> bool {
+    let end = &written[written.len().saturating_sub(end_mark.len())..];
+    let agree = end.iter().zip(end_mark).filter(|(byte, end_mark)| byte == end_mark).count();
+    end.len() == end_mark.len() && agree + 1 >= end_mark.len() && !has_gap(written)
 }
 
 fn has_gap(bytes: &[u8]) -> bool {
--- a/system/turn-store/src/record_log/faults.rs
+++ b/system/turn-store/src/record_log/faults.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc;
 
 /// A log in a folder, what was put, and what was told synced.
-struct Story {
+struct FaultRun {
     folder: tempfile::TempDir,
     files: FaultyFiles,
     log: Option<RecordLog>,
@@ -34,12 +34,12 @@
     }
 }
 
-impl Story {
+impl FaultRun {
     fn begin() -> Self {
         let folder = tempfile::tempdir().unwrap();
-        let mut story = Self { folder, files: FaultyFiles::default(), log: None, put: 0, describe: 0 };
-        story.restart().unwrap();
-        story
+        let mut run = Self { folder, files: FaultyFiles::default(), log: None, put: 0, describe: 0 };
+        run.restart().unwrap();
+        run
     }
 
     /// Ends the process, without a loss of power, and starts it again.
@@ -91,7 +91,7 @@
 }
 
 #[gtest]
-fn whatever_is_refused_what_was_told_synced_is_found_after_a_loss_of_power() {
+fn records_reported_as_synced_survive_faults_and_loss_of_power() {
     for operation in OPERATIONS {
         for let_through in 0..6 {
             for times in [1, 2, 5] {
@@ -100,27 +100,27 @@
                         "{operation:?} refused {times} times after {let_through}, restart {restart_after:?}"
                     );
                     // Given a log on a disk that refuses an operation at some time.
-                    let mut story = Story::begin();
-                    story.files.refuse(operation, let_through, times);
+                    let mut run = FaultRun::begin();
+                    run.files.refuse(operation, let_through, times);
                     for step in 1..=6 {
                         // When records are put, then each is synced when that was told.
-                        story.put();
-                        story.check(&format!("{when}, step {step}"));
-                        if restart_after == Some(step) && story.restart().is_ok() {
-                            story.check(&format!("{when}, restart"));
+                        run.put();
+                        run.check(&format!("{when}, step {step}"));
+                        if restart_after == Some(step) && run.restart().is_ok() {
+                            run.check(&format!("{when}, restart"));
                         }
-                        if story.log.is_none() {
+                        if run.log.is_none() {
                             break;
                         }
                     }
                     // And once the disk takes all again, the log does too, and holds one file.
-                    story.files.recover();
-                    if story.log.is_none() {
-                        story.restart().unwrap();
+                    run.files.recover();
+                    if run.log.is_none() {
+                        run.restart().unwrap();
                     }
-                    expect_that!(story.put(), eq(true), "{when}");
-                    story.check(&format!("{when}, at the end"));
-                    expect_that!(story.names().len(), eq(1), "{when}: {:?}", story.names());
+                    expect_that!(run.put(), eq(true), "{when}");
+                    run.check(&format!("{when}, at the end"));
+                    expect_that!(run.names().len(), eq(1), "{when}: {:?}", run.names());
                 }
             }
         }
@@ -128,56 +128,56 @@
 }
 
 #[gtest]
-fn a_full_disk_is_not_filled_further_however_often_a_record_is_put() {
+fn failed_puts_do_not_use_up_a_full_disk() {
     // Given a log with a record, on a disk that is full.
-    let mut story = Story::begin();
-    expect_that!(story.put(), eq(true));
-    story.files.refuse(Operation::Write, 0, usize::MAX);
+    let mut run = FaultRun::begin();
+    expect_that!(run.put(), eq(true));
+    run.files.refuse(Operation::Write, 0, usize::MAX);
     // When a hundred are put.
     for _ in 0..100 {
-        expect_that!(story.put(), eq(false));
+        expect_that!(run.put(), eq(false));
         // Then nothing but the file that counts lies there.
-        expect_that!(story.names(), eq(&vec!["record.1".to_owned()]));
+        expect_that!(run.names(), eq(&vec!["record.1".to_owned()]));
     }
     // And when names are not synced, files do not gather beyond the first room.
-    story.files.recover();
-    story.files.refuse(Operation::SyncFolder, 0, 20);
+    run.files.recover();
+    run.files.refuse(Operation::SyncFolder, 0, 20);
     for _ in 0..20 {
-        expect_that!(story.put(), eq(false));
+        expect_that!(run.put(), eq(false));
     }
-    story.check("names not synced");
-    expect_that!(story.put(), eq(true));
-    expect_that!(story.names().len(), eq(1));
+    run.check("names not synced");
+    expect_that!(run.put(), eq(true));
+    expect_that!(run.names().len(), eq(1));
 }
 
 #[gtest]
 fn a_file_whose_sync_failed_is_never_appended_to_again() {
-    let mut story = Story::begin();
-    expect_that!(story.put(), eq(true));
-    story.files.refuse(Operation::SyncData, 0, 1);
-    expect_that!(story.put(), eq(false));
-    expect_that!(story.log().has_unsynced_record(), eq(true));
-    let before = fs::read(story.folder.path().join("record.1")).unwrap();
+    let mut run = FaultRun::begin();
+    expect_that!(run.put(), eq(true));
+    run.files.refuse(Operation::SyncData, 0, 1);
+    expect_that!(run.put(), eq(false));
+    expect_that!(run.log().has_unsynced_record(), eq(true));
+    let before = fs::read(run.folder.path().join("record.1")).unwrap();
     // When the next one is put while the new file cannot be synced, then the former file is as it was.
-    story.files.refuse(Operation::Sync, 0, 1);
-    expect_that!(story.put(), eq(false));
-    expect_that!(fs::read(story.folder.path().join("record.1")).unwrap(), eq(&before));
+    run.files.refuse(Operation::Sync, 0, 1);
+    expect_that!(run.put(), eq(false));
+    expect_that!(fs::read(run.folder.path().join("record.1")).unwrap(), eq(&before));
     // And the next one has a file of its own.
-    expect_that!(story.put(), eq(true));
-    expect_that!(story.names(), eq(&vec!["record.3".to_owned()]));
-    expect_that!(story.log().has_unsynced_record(), eq(false));
+    expect_that!(run.put(), eq(true));
+    expect_that!(run.names(), eq(&vec!["record.3".to_owned()]));
+    expect_that!(run.log().has_unsynced_record(), eq(false));
 }
 
 #[gtest]
 fn a_record_whose_sync_failed_is_written_again_without_another_put() {
-    let mut story = Story::begin();
-    expect_that!(story.put(), eq(true));
-    story.files.refuse(Operation::SyncData, 0, 1);
-    expect_that!(story.put(), eq(false));
+    let mut run = FaultRun::begin();
+    expect_that!(run.put(), eq(true));
+    run.files.refuse(Operation::SyncData, 0, 1);
+    expect_that!(run.put(), eq(false));
     // When the log is settled, then the newest record is synced.
-    expect_that!(story.log().sync_newest().is_ok(), eq(true));
-    story.describe = story.put;
-    story.check("settled");
+    expect_that!(run.log().sync_newest().is_ok(), eq(true));
+    run.describe = run.put;
+    run.check("settled");
 }
 
 fn note(log: &mpsc::Sender<(u8, bool)>, number: u8) -> Completion {
@@ -188,10 +188,10 @@
 #[gtest]
 fn each_batch_of_a_log_tells_for_itself_whether_it_was_synced() {
     // Given a writer over a log whose disk refuses for three batches.
-    let mut story = Story::begin();
-    expect_that!(story.put(), eq(true));
-    story.files.refuse(Operation::Write, 0, 3);
-    let writer = Writer::start_log(story.log.take().unwrap()).unwrap();
+    let mut run = FaultRun::begin();
+    expect_that!(run.put(), eq(true));
+    run.files.refuse(Operation::Write, 0, 3);
+    let writer = Writer::start_log(run.log.take().unwrap()).unwrap();
     let (log, completed) = mpsc::channel();
     let put = |number| vec![Write::put("record", Vec::new(), record(number))];
     writer.submit(put(2), note(&log, 2));
@@ -206,8 +206,8 @@
     writer.submit(vec![], note(&log, 5));
     expect_that!(completed.recv().unwrap(), eq((5, true)));
     expect_that!(writer.is_failing(), eq(false));
-    (story.put, story.describe) = (4, 4);
-    story.check("after the writer");
+    (run.put, run.describe) = (4, 4);
+    run.check("after the writer");
 }
 
 /// Files whose syncs wait for a word.
@@ -226,7 +226,7 @@
 }
 
 #[gtest]
-fn while_a_sync_stalls_nothing_is_told_synced() {
+fn no_record_is_reported_as_synced_while_a_sync_stalls() {
     // Given a writer over a log whose disk stalls in a sync.
     let folder = tempfile::tempdir().unwrap();
     let ((begun, begins), (go, gone)) = (mpsc::channel(), mpsc::channel());
@@ -245,20 +245,20 @@
 }
 
 #[gtest]
-fn an_older_file_never_takes_the_place_of_a_damaged_one() {
+fn an_older_file_never_replaces_a_damaged_one() {
     // Given an older file that came back beside a damaged newer one, on a disk that refuses to remove it.
-    let mut story = Story::begin();
-    expect_that!(story.put(), eq(true));
-    let older = fs::read(story.folder.path().join("record.1")).unwrap();
+    let mut run = FaultRun::begin();
+    expect_that!(run.put(), eq(true));
+    let older = fs::read(run.folder.path().join("record.1")).unwrap();
     let mut damaged = older.clone();
     let position = damaged.len() - 10;
     damaged[position] ^= 1;
-    fs::write(story.folder.path().join("record.2"), damaged).unwrap();
-    story.log = None;
-    story.files.refuse(Operation::Remove, 0, 1);
-    let folder = story.folder.path().to_owned();
+    fs::write(run.folder.path().join("record.2"), damaged).unwrap();
+    run.log = None;
+    run.files.refuse(Operation::Remove, 0, 1);
+    let folder = run.folder.path().to_owned();
     let open = || {
-        let files = InFolder { files: story.files.clone(), folder: folder.clone() };
+        let files = InFolder { files: run.files.clone(), folder: folder.clone() };
         RecordLog::open_with(&folder, Box::new(files)).map(|opened| opened.found)
     };
     // When it is opened, and again, then the record is lost, and at no time the older one.
--- a/system/turn-store/src/record_log/tests.rs
+++ b/system/turn-store/src/record_log/tests.rs
@@ -111,7 +111,7 @@
 }
 
 #[gtest]
-fn damage_before_the_newest_record_is_told_and_set_aside_and_the_record_stands() {
+fn damage_before_the_newest_record_is_reported_and_the_record_is_read() {
     let (_folder, path, ends) = persisted(3);
     let is_complete = fs::read(&path).unwrap();
     for position in 0..ends[1] {
@@ -160,7 +160,7 @@
 }
 
 #[gtest]
-fn another_version_of_the_file_is_refused_by_its_place() {
+fn another_version_of_the_file_is_refused_by_its_path() {
     let (folder, path, _) = persisted(1);
     let mut bytes = fs::read(&path).unwrap();
     bytes[8..10].copy_from_slice(&9_u16.to_be_bytes());
@@ -175,7 +175,7 @@
 }
 
 #[gtest]
-fn a_folder_of_the_former_form_is_refused_by_its_place() {
+fn a_directory_of_the_former_format_is_refused_by_its_path() {
     let folder = tempfile::tempdir().unwrap();
     fs::create_dir(folder.path().join("records")).unwrap();
     let describe = RecordLog::open(folder.path()).unwrap_err().to_string();
--- a/system/turn-store/src/records/tests.rs
+++ b/system/turn-store/src/records/tests.rs
@@ -28,7 +28,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(20_000) })]
 
     #[test]
-    fn given_changed_records_when_decoded_then_they_are_refused_or_the_same_again(bytes in mutated(samples())) {
+    fn changed_records_are_refused_or_decode_to_a_valid_value(bytes in mutated(samples())) {
         check::<Turn>(&bytes);
         check::<BackfillRecord>(&bytes);
         check::<Vec<u64>>(&bytes);
--- a/system/turn-store/src/writer/tests.rs
+++ b/system/turn-store/src/writer/tests.rs
@@ -10,14 +10,14 @@
 type Committed = std::result::Result<(), WriteFailed>;
 
 /// A writer whose commits each wait for a word, and tell their keys.
-fn held_writer() -> (Writer, mpsc::Sender<Committed>, mpsc::Receiver<Vec<Vec<u8>>>) {
+fn stalled_writer() -> (Writer, mpsc::Sender<Committed>, mpsc::Receiver<Vec<Vec<u8>>>) {
     let (go, gone) = mpsc::channel();
-    let (tell, told) = mpsc::channel();
+    let (tell, reported) = mpsc::channel();
     let commit = move |writes: &[Write]| {
         tell.send(writes.iter().map(|write| write.key.clone()).collect()).unwrap();
         gone.recv().unwrap()
     };
-    (Writer::start_engine(commit, |_| ()).unwrap(), go, told)
+    (Writer::start_engine(commit, |_| ()).unwrap(), go, reported)
 }
 
 fn keys(names: &[&str]) -> Vec<Vec<u8>> {
@@ -32,10 +32,10 @@
 #[gtest]
 fn what_comes_during_a_sync_goes_in_one_batch_and_completes_in_order() {
     // Given a writer busy with a first batch.
-    let (writer, go, told) = held_writer();
+    let (writer, go, reported) = stalled_writer();
     let (log, completed) = mpsc::channel();
     writer.submit(vec![put("a")], note(&log, 1));
-    expect_that!(told.recv().unwrap(), eq(&keys(&["a"])));
+    expect_that!(reported.recv().unwrap(), eq(&keys(&["a"])));
     // When three more come, a lazy one, and one that waits only.
     writer.submit(vec![put("b")], note(&log, 2));
     writer.submit_deferred(vec![put("lazy")]);
@@ -44,7 +44,7 @@
     expect_that!(completed.try_recv().is_err(), eq(true));
     go.send(Ok(())).unwrap();
     // Then they are one batch, and nobody is told before it is synced.
-    expect_that!(told.recv().unwrap(), eq(&keys(&["b", "lazy", "c", "d"])));
+    expect_that!(reported.recv().unwrap(), eq(&keys(&["b", "lazy", "c", "d"])));
     expect_that!(completed.recv().unwrap(), eq((1, true)));
     expect_that!(completed.try_recv().is_err(), eq(true));
     go.send(Ok(())).unwrap();
@@ -53,9 +53,9 @@
 }
 
 #[gtest]
-fn after_a_failure_nothing_is_told_synced() {
+fn after_a_failure_nothing_is_reported_as_synced() {
     // Given a batch that fails.
-    let (writer, go, told) = held_writer();
+    let (writer, go, reported) = stalled_writer();
     let (log, completed) = mpsc::channel();
     go.send(Err(WriteFailed("no space".into()))).unwrap();
     writer.submit(vec![put("a")], note(&log, 1));
@@ -64,23 +64,23 @@
     writer.submit(vec![], note(&log, 2));
     writer.submit(vec![put("b")], note(&log, 3));
     expect_that!(completed.iter().take(2).collect::<Vec<_>>(), eq(&vec![(2, false), (3, false)]));
-    expect_that!(told.try_iter().count(), eq(1));
+    expect_that!(reported.try_iter().count(), eq(1));
 }
 
 #[gtest]
 fn lazy_writes_go_alone_after_a_while_and_at_the_end() {
-    let (writer, go, told) = held_writer();
+    let (writer, go, reported) = stalled_writer();
     writer.submit_deferred(vec![put("a")]);
-    expect_that!(told.recv().unwrap(), eq(&keys(&["a"])));
+    expect_that!(reported.recv().unwrap(), eq(&keys(&["a"])));
     writer.submit_deferred(vec![put("b")]);
     go.send(Ok(())).unwrap();
     go.send(Ok(())).unwrap();
     drop(writer);
-    expect_that!(told.recv().unwrap(), eq(&keys(&["b"])));
+    expect_that!(reported.recv().unwrap(), eq(&keys(&["b"])));
 }
 
 #[gtest]
-fn what_was_told_synced_is_there_when_the_disk_is_opened_again() {
+fn writes_reported_as_synced_survive_a_reopening() {
     let dir = tempfile::tempdir().unwrap();
     let disk = Arc::new(Disk::open(dir.path(), KEYSPACES, || 1).unwrap());
     let writer = Writer::start(Arc::clone(&disk), |_| ()).unwrap();
--- a/system/turn-store/tests/membership_changes/client_operations.rs
+++ b/system/turn-store/tests/membership_changes/client_operations.rs
@@ -22,7 +22,7 @@
 #[derive(Clone)]
 enum Work {
     Keep { attempt: String, replicas: Vec<u64>, naming: bool },
-    Reserve { program: String, number: u64, account: BTreeMap<u64, u32>, reading: bool },
+    Reserve { program: String, number: u64, read_account: BTreeMap<u64, u32>, reading: bool },
 }
 
 enum Progress {
@@ -54,7 +54,7 @@
         let roster = self.roster().clone();
         let Some(replicas) = AccountReplicas::for_program(&roster, &program, self.tolerance) else { return };
         let waiting = replicas.all().map(|store| store.disk).collect();
-        let work = Work::Reserve { program, number, account: BTreeMap::new(), reading: false };
+        let work = Work::Reserve { program, number, read_account: BTreeMap::new(), reading: false };
         self.operations.push(Operation { roster, waiting, answered: BTreeSet::new(), work });
     }
 
@@ -119,7 +119,7 @@
 
     fn reserve_next(&mut self, operation: &mut Operation) -> Progress {
         let Operation { roster, waiting, answered, work } = operation;
-        let Work::Reserve { program, number, account, reading } = work else { return Progress::Ends };
+        let Work::Reserve { program, number, read_account, reading } = work else { return Progress::Ends };
         let Some(replicas) = AccountReplicas::for_program(roster, program, self.tolerance) else {
             return Progress::Ends;
         };
@@ -135,7 +135,7 @@
             if let Some(Answer::Account(known)) = self.call(disk, &call) {
                 answered.insert(disk);
                 if current.current.iter().any(|store| store.disk == disk) {
-                    merge_reservations(account, known);
+                    merge_reservations(read_account, known);
                 }
             }
         }
@@ -173,8 +173,8 @@
     }
 
     fn decide(&mut self, operation: &Operation) {
-        let Work::Reserve { program, number, account, .. } = &operation.work else { return };
-        if account.values().sum::<u32>() <= BOUND {
+        let Work::Reserve { program, number, read_account, .. } = &operation.work else { return };
+        if read_account.values().sum::<u32>() <= BOUND {
             self.granted.push((program.clone(), *number, TOKENS));
         }
     }
--- a/system/turn-store/tests/membership_changes/cluster.rs
+++ b/system/turn-store/tests/membership_changes/cluster.rs
@@ -5,17 +5,17 @@
     LossTolerance, RetireVerdict, StorageController, complete_backfill, join, proposed_nodes, retire,
     retire_status, times,
 };
-use fleet_model::{Answer, Call, ControlState, QuorumSizes, Roster, StorageNode, account_replicas};
+use fleet_model::{Answer, Call, ControlState, Roster, StorageNode};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
-use turn_store::{Backfill, Payload, Payloads, ReplicaState, Stored, TURNS, Write, is_surely_absent};
+use turn_store::{Backfill, Payload, Payloads, ReplicaState, Stored, TURNS, Write};
 
 /// The keeper's clock goes on by so much a tick.
-const TICK: u64 = 250;
+const TICK_MS: u64 = 250;
 /// So long a fleet without further trouble may take until all is as it should be.
-const SETTLED_WITHIN: u64 = 60_000;
+const SETTLE_TIMEOUT_MS: u64 = 60_000;
 
 /// What is broken on purpose, so that the checks are seen to find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,15 +36,15 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Shelf(BTreeMap<Vec<u8>, fleet_model::Turn>);
+pub(crate) struct PayloadStore(BTreeMap<Vec<u8>, fleet_model::Turn>);
 
-impl Payloads for Shelf {
+impl Payloads for PayloadStore {
     fn get(&self, attempt: &str) -> Payload {
         self.0.get(attempt.as_bytes()).cloned().map_or(Payload::Pending, Payload::Present)
     }
 }
 
-impl Shelf {
+impl PayloadStore {
     fn write(&mut self, writes: &[Write]) {
         for write in writes.iter().filter(|write| write.keyspace == TURNS) {
             match &write.value {
@@ -62,27 +62,27 @@
     pub(crate) store: StorageNode,
     pub(crate) up: bool,
     /// Since when it is down, if it is.
-    down_since: u64,
-    state: ReplicaState,
-    shelf: Shelf,
-    backfill: Option<Backfill>,
+    pub(crate) down_since: u64,
+    pub(crate) state: ReplicaState,
+    pub(crate) payloads: PayloadStore,
+    pub(crate) backfill: Option<Backfill>,
 }
 
 impl Machine {
     fn new(store: StorageNode, tolerance: usize) -> Self {
         let state = ReplicaState::new(0, store.disk, tolerance, Stored::default());
-        Self { store, up: true, down_since: 0, state, shelf: Shelf::default(), backfill: None }
+        Self { store, up: true, down_since: 0, state, payloads: PayloadStore::default(), backfill: None }
     }
 
     pub(crate) fn answer(&mut self, call: &Call) -> Answer {
-        let outcome = self.state.handle(0, call, &self.shelf);
-        self.shelf.write(&outcome.writes);
+        let outcome = self.state.handle(0, call, &self.payloads);
+        self.payloads.write(&outcome.writes);
         outcome.answer
     }
 
     fn learn(&mut self, roster: &Roster) {
         let writes = self.state.set_roster(roster);
-        self.shelf.write(&writes);
+        self.payloads.write(&writes);
     }
 }
 
@@ -93,25 +93,25 @@
     pub(crate) control: ControlState,
     pub(crate) machines: Vec<Machine>,
     /// Machines by name that are lost or away, or were and copies do not stand again.
-    pub(crate) hurt: BTreeSet<String>,
+    pub(crate) impaired: BTreeSet<String>,
     pub(crate) operations: Vec<Operation>,
     /// Turns that were answered whole.
     pub(crate) turns: Vec<String>,
     /// Reservations that were granted: program, number, tokens.
     pub(crate) granted: Vec<(String, u64, u32)>,
     pub(crate) broken: Vec<String>,
-    pub(crate) told: Vec<String>,
+    pub(crate) reported: Vec<String>,
     /// For how long copies may have been fewer than they should be: since the loss.
     pub(crate) short_since: Option<u64>,
     pub(crate) longest_short: u64,
     /// The most machines that ever counted.
-    most: usize,
+    pub(crate) max_nodes: usize,
     /// Rosters by epoch: some machine or proxy may still go by any of them.
     pub(crate) rosters: BTreeMap<u64, Roster>,
-    watch: StorageController,
-    names: u8,
-    disks: u64,
-    random: ChaCha8Rng,
+    pub(crate) watch: StorageController,
+    pub(crate) names: u8,
+    pub(crate) disks: u64,
+    pub(crate) random: ChaCha8Rng,
 }
 
 pub(crate) fn disks(stores: &[StorageNode]) -> BTreeSet<u64> {
@@ -127,15 +127,15 @@
             now: 0,
             control: ControlState::default(),
             machines: Vec::new(),
-            hurt: BTreeSet::new(),
+            impaired: BTreeSet::new(),
             operations: Vec::new(),
             turns: Vec::new(),
             granted: Vec::new(),
             broken: Vec::new(),
-            told: Vec::new(),
+            reported: Vec::new(),
             short_since: None,
             longest_short: 0,
-            most: 0,
+            max_nodes: 0,
             rosters: BTreeMap::new(),
             watch: StorageController::default(),
             names: 0,
@@ -154,7 +154,7 @@
         (self.random.next_u64() % below.max(1) as u64) as usize
     }
 
-    pub(crate) fn least(&self) -> usize {
+    pub(crate) fn min_nodes(&self) -> usize {
         controllers::min_storage_nodes(self.tolerance)
     }
 
@@ -162,11 +162,11 @@
         &self.control.roster
     }
 
-    pub(crate) fn tell(&mut self, told: String) {
+    pub(crate) fn record_event(&mut self, reported: String) {
         let roster = &self.control.roster;
         let next = roster.next.as_deref().map(disks);
         let place = format!("epoch {}: {:?} -> {next:?}", roster.epoch, disks(&roster.current));
-        self.told.push(format!("{} {place}: {told}", self.now));
+        self.reported.push(format!("{} {place}: {reported}", self.now));
     }
 
     pub(crate) fn at(&self, name: &str) -> Option<usize> {
@@ -196,33 +196,33 @@
     }
 
     /// How many more machines may be hurt now.
-    pub(crate) fn may_hurt(&self) -> usize {
-        LossTolerance::from_roster(self.roster(), self.tolerance).survived.saturating_sub(self.hurt.len())
+    pub(crate) fn remaining_loss_budget(&self) -> usize {
+        LossTolerance::from_roster(self.roster(), self.tolerance).survived.saturating_sub(self.impaired.len())
     }
 
-    fn hurt(&mut self, name: &str, how: &str) {
-        self.tell(format!("{name} {how}"));
-        self.hurt.insert(name.to_owned());
+    fn impaired(&mut self, name: &str, how: &str) {
+        self.record_event(format!("{name} {how}"));
+        self.impaired.insert(name.to_owned());
         self.short_since.get_or_insert(self.now);
     }
 
     /// It does not answer, and keeps its disk.
     pub(crate) fn stop(&mut self, name: &str) {
-        self.hurt(name, "stops");
+        self.impaired(name, "stops");
         let at = self.at(name).expect("a machine of this name");
         (self.machines[at].up, self.machines[at].backfill) = (false, None);
         self.machines[at].down_since = self.now;
     }
 
-    pub(crate) fn come_back(&mut self, name: &str) {
-        self.tell(format!("{name} comes back"));
+    pub(crate) fn restart(&mut self, name: &str) {
+        self.record_event(format!("{name} comes back"));
         let at = self.at(name).expect("a machine of this name");
         self.machines[at].up = true;
     }
 
     /// The machine is gone with its disk.
     pub(crate) fn destroy(&mut self, name: &str) {
-        self.hurt(name, "is destroyed");
+        self.impaired(name, "is destroyed");
         self.machines.retain(|machine| machine.store.name != name);
     }
 
@@ -239,8 +239,8 @@
     }
 
     pub(crate) fn retire(&mut self, name: &str) -> RetireVerdict {
-        let (state, verdict) = retire(&self.control, name, self.least());
-        self.tell(format!("{name} is to be retired: {verdict:?}"));
+        let (state, verdict) = retire(&self.control, name, self.min_nodes());
+        self.record_event(format!("{name} is to be retired: {verdict:?}"));
         if let Some(state) = state {
             self.choose(state);
         }
@@ -256,9 +256,9 @@
             .filter(|name| retire_status(&self.control, name) == RetireVerdict::Completed)
             .collect();
         for name in done {
-            self.tell(format!("{name} is retired and taken away"));
+            self.record_event(format!("{name} is retired and taken away"));
             self.machines.retain(|machine| machine.store.name != name);
-            self.hurt.remove(&name);
+            self.impaired.remove(&name);
         }
     }
 
@@ -266,16 +266,16 @@
     /// long. One whose place another takes is not left out.
     fn left_out_early(&self, after: &Roster) -> Vec<String> {
         let (before, left) = (proposed_nodes(self.roster()), proposed_nodes(after));
-        if before.len() < self.least() || left.len() >= self.least() {
+        if before.len() < self.min_nodes() || left.len() >= self.min_nodes() {
             return Vec::new();
         }
         let same = |one: &StorageNode, other: &StorageNode| one.name == other.name || one.ip == other.ip;
         let out = before.iter().filter(|store| !left.iter().any(|other| same(store, other)));
-        out.filter(|store| !self.is_gone_for_long(store)).map(|store| store.name.clone()).collect()
+        out.filter(|store| !self.is_down_beyond_timeout(store)).map(|store| store.name.clone()).collect()
     }
 
     /// The watch may have heard from a machine a look before it fell silent, not later.
-    fn is_gone_for_long(&self, store: &StorageNode) -> bool {
+    fn is_down_beyond_timeout(&self, store: &StorageNode) -> bool {
         let machine = self.machines.iter().find(|machine| machine.store.disk == store.disk);
         machine.is_none_or(|machine| {
             !machine.up
@@ -297,19 +297,19 @@
             self.control.roster.current = next;
         }
         let roster = self.control.roster.clone();
-        if former >= self.least() && roster.current.len() <= self.tolerance {
+        if former >= self.min_nodes() && roster.current.len() <= self.tolerance {
             self.broken.push(format!("{}: {} of {former} are left", self.now, roster.current.len()));
         }
-        self.most = self.most.max(roster.current.len());
+        self.max_nodes = self.max_nodes.max(roster.current.len());
         self.rosters.insert(roster.epoch, roster);
         self.remove_retired();
     }
 
     /// The keeper looks at the machines, and does what the duty asks for.
-    pub(crate) fn keep(&mut self) {
-        self.now += TICK;
-        let (now, least) = (self.now, self.least());
-        self.watch.observe(now, &self.control.roster, least);
+    pub(crate) fn run_controller(&mut self) {
+        self.now += TICK_MS;
+        let (now, min_nodes) = (self.now, self.min_nodes());
+        self.watch.observe(now, &self.control.roster, min_nodes);
         if !self.watch.is_probe_due(now) {
             return;
         }
@@ -323,8 +323,8 @@
             }
         }
         let step = self.watch.step(now, &self.control, self.tolerance);
-        if let Some(state) = step.apply_to(&self.control, self.roster().epoch, least) {
-            self.tell(format!("{step:?}"));
+        if let Some(state) = step.apply_to(&self.control, self.roster().epoch, min_nodes) {
+            self.record_event(format!("{step:?}"));
             self.choose(state);
         }
     }
@@ -334,7 +334,7 @@
         if !self.machines[at].up {
             return false;
         }
-        self.learn(at) || self.ask_to_join(at) || self.backfill(at) || self.tell_filled(at)
+        self.learn(at) || self.ask_to_join(at) || self.backfill(at) || self.report_in_sync(at)
     }
 
     fn learn(&mut self, at: usize) -> bool {
@@ -358,8 +358,8 @@
         if !self.watch.admits(roster, &store) {
             return false;
         }
-        let Some(state) = join(&self.control, &store, self.least()) else { return false };
-        self.tell(format!("{} joins with disk {}", store.name, store.disk));
+        let Some(state) = join(&self.control, &store, self.min_nodes()) else { return false };
+        self.record_event(format!("{} joins with disk {}", store.name, store.disk));
         self.choose(state);
         true
     }
@@ -413,7 +413,7 @@
             if let Answer::Records { turns, accounts, cursor } = machine.answer(&call) {
                 let machine = &mut self.machines[at];
                 let writes = machine.state.apply_page(0, turns, accounts);
-                machine.shelf.write(&writes);
+                machine.payloads.write(&writes);
                 backfill.page_applied(source, cursor);
                 return true;
             }
@@ -421,75 +421,27 @@
         false
     }
 
-    fn tell_filled(&mut self, at: usize) -> bool {
+    fn report_in_sync(&mut self, at: usize) -> bool {
         let machine = &self.machines[at];
         let (disk, epoch) = (machine.store.disk, machine.state.epoch());
         if !machine.state.is_in_sync_for_next() || self.control.roster.in_sync.contains(&disk) {
             return false;
         }
-        let Some(state) = complete_backfill(&self.control, Some(disk), epoch, &[], self.least()) else {
+        let Some(state) = complete_backfill(&self.control, Some(disk), epoch, &[], self.min_nodes()) else {
             return false;
         };
-        self.tell(format!("disk {disk} is full"));
+        self.record_event(format!("disk {disk} is full"));
         self.choose(state);
         true
     }
 
-    /// Whether all machines that are up count and are full, and nothing is under way.
-    pub(crate) fn is_settled(&self) -> bool {
-        let roster = self.roster();
-        let is_placed = |machine: &Machine| {
-            let retiring = roster.retiring.contains(&machine.store.name);
-            roster.current.contains(&machine.store) != retiring
-                && machine.state.epoch() == roster.epoch
-                && (retiring || machine.state.is_in_sync())
-        };
-        roster.next.is_none()
-            && !roster.current.is_empty()
-            && self.machines.iter().filter(|machine| machine.up).all(is_placed)
-    }
-
-    /// Whether it is settled, and everyone that counts is there.
-    fn is_whole(&self) -> bool {
-        let up =
-            |store: &StorageNode| self.machines.iter().any(|machine| machine.up && machine.store == *store);
-        self.is_settled() && self.roster().current.iter().all(up)
-    }
-
-    /// Whether nothing more will happen by itself.
-    pub(crate) fn is_at_rest(&self) -> bool {
-        self.is_settled() && (self.is_whole() || self.serves_without_some())
-    }
-
-    /// Whether no more can be given up, and the rest is enough to serve.
-    fn serves_without_some(&self) -> bool {
-        let roster = self.roster();
-        let up =
-            |store: &&StorageNode| self.machines.iter().any(|machine| machine.up && machine.store == **store);
-        let silent = roster.current.len() - roster.current.iter().filter(up).count();
-        let sizes = QuorumSizes::for_machines(roster.current.len(), self.tolerance);
-        roster.current.len() <= self.least() && sizes.is_some_and(|sizes| silent <= sizes.losses_served())
-    }
-
-    /// What was hurt counts no more once all copies stand.
-    pub(crate) fn look_whether_whole(&mut self) {
-        if !self.is_whole() {
-            return;
-        }
-        if let Some(since) = self.short_since.take() {
-            self.longest_short = self.longest_short.max(self.now - since);
-        }
-        self.hurt.clear();
-        self.check_copies();
-    }
-
     /// Everyone does what there is to do, for as long as it takes.
     pub(crate) fn settle(&mut self) -> bool {
-        let until = self.now + SETTLED_WITHIN;
+        let until = self.now + SETTLE_TIMEOUT_MS;
         while self.now < until {
             self.tick();
             if self.is_at_rest() {
-                self.look_whether_whole();
+                self.clear_faults_if_complete();
                 return true;
             }
         }
@@ -499,93 +451,6 @@
     /// Everyone does all there is to do at this moment; the time goes on.
     pub(crate) fn tick(&mut self) {
         while (0..self.machines.len()).any(|at| self.machines.len() > at && self.advance(at)) {}
-        self.keep();
-    }
-
-    /// No reader may be told that there is no such turn, by whatever roster it goes; somewhere each turn is left.
-    pub(crate) fn check_turns(&mut self) {
-        let epochs: BTreeSet<u64> = self.machines.iter().map(|machine| machine.state.epoch()).collect();
-        for attempt in self.turns.clone() {
-            for epoch in &epochs {
-                let Some(roster) = self.rosters.get(epoch).cloned() else { continue };
-                let absent = self.absent(&attempt, *epoch);
-                let denied = match self.mutation {
-                    Mutation::AbsentByCovering => {
-                        QuorumSizes::for_machines(roster.current.len(), self.tolerance).is_some_and(|sizes| {
-                            disks(&roster.current).intersection(&absent).count() >= sizes.covering
-                        })
-                    }
-                    _ => is_surely_absent(&roster, &absent, self.tolerance),
-                };
-                if denied {
-                    self.broken.push(format!("{}: {attempt} is denied under epoch {epoch}", self.now));
-                }
-            }
-            let members = disks(&self.roster().current);
-            if self.holding(&attempt).is_disjoint(&members) {
-                self.broken.push(format!("{}: {attempt} is lost", self.now));
-            }
-        }
-    }
-
-    fn absent(&mut self, attempt: &str, epoch: u64) -> BTreeSet<u64> {
-        let call = Call::ReadChain { epoch, attempt: attempt.to_owned() };
-        let says_so = |machine: &mut Machine| {
-            (machine.answer(&call) == Answer::Absent { complete: true }).then_some(machine.store.disk)
-        };
-        self.machines.iter_mut().filter_map(says_so).collect()
-    }
-
-    /// The disks that have a turn, those of machines that are away included.
-    pub(crate) fn holding(&mut self, attempt: &str) -> BTreeSet<u64> {
-        let has_it = |machine: &mut Machine| {
-            let epoch = machine.state.epoch();
-            let call = Call::ReadChain { epoch, attempt: attempt.to_owned() };
-            matches!(machine.answer(&call), Answer::Chain { .. }).then_some(machine.store.disk)
-        };
-        self.machines.iter_mut().filter_map(has_it).collect()
-    }
-
-    /// Where nothing is under way and everyone is there, each record is on as many machines as it should be.
-    fn check_copies(&mut self) {
-        let roster = self.roster().clone();
-        let Some(sizes) = QuorumSizes::for_machines(roster.current.len(), self.tolerance) else { return };
-        let members = disks(&roster.current);
-        for attempt in self.turns.clone() {
-            let count = self.holding(&attempt).intersection(&members).count();
-            if count < sizes.write {
-                self.broken.push(format!("{}: {attempt} has {count} copies when all is whole", self.now));
-            }
-        }
-        for (program, number, _) in self.granted.clone() {
-            let replicas = account_replicas(&roster.current, &program, self.tolerance);
-            let replicas: Vec<u64> = replicas.into_iter().map(|store| store.disk).collect();
-            let count = replicas.into_iter().filter(|disk| self.knows(*disk, &program, number)).count();
-            if count < sizes.write {
-                self.broken.push(format!("{}: {program} {number} is known to {count} holders", self.now));
-            }
-        }
-    }
-
-    /// Whether a machine knows of a reservation.
-    fn knows(&mut self, disk: u64, program: &str, number: u64) -> bool {
-        let Some(machine) = self.by_disk(disk) else { return false };
-        let call = Call::ReadAccount { epoch: machine.state.epoch(), program: program.to_owned() };
-        match machine.answer(&call) {
-            Answer::Account(known) => known.iter().any(|reservation| reservation.attempt == number),
-            _ => false,
-        }
-    }
-
-    /// What an account has granted stays within its bound.
-    pub(crate) fn check_accounts(&mut self, bound: u32) {
-        let mut sums: BTreeMap<&str, u32> = BTreeMap::new();
-        for (program, _, tokens) in &self.granted {
-            *sums.entry(program).or_default() += tokens;
-        }
-        let over = sums.into_iter().find(|(_, sum)| *sum > bound);
-        if let Some((program, sum)) = over {
-            self.broken.push(format!("{}: {program} has {sum} of {bound}", self.now));
-        }
+        self.run_controller();
     }
 }
--- a/system/turn-store/tests/membership_changes/loss_at_each_step.rs
+++ b/system/turn-store/tests/membership_changes/loss_at_each_step.rs
@@ -68,7 +68,7 @@
     }
 }
 
-fn mark_lost(fleet: &mut Fleet, name: &str, loss: Loss) {
+fn inject_loss(fleet: &mut Fleet, name: &str, loss: Loss) {
     match loss {
         Loss::Wiped => fleet.wipe(name, false),
         Loss::Destroyed => fleet.destroy(name),
@@ -93,7 +93,7 @@
 fn step(fleet: &mut Fleet) {
     let moved = (0..fleet.machines.len()).any(|at| at < fleet.machines.len() && fleet.advance(at));
     if !moved {
-        fleet.keep();
+        fleet.run_controller();
     }
 }
 
@@ -110,12 +110,12 @@
     let mut fleet = Fleet::new(after as u64, machines, tolerance, mutation);
     write(&mut fleet, "before");
     begin(&mut fleet, begun);
-    let mut whole = false;
+    let mut is_complete = false;
     for _ in 0..after {
         step(&mut fleet);
-        fleet.look_whether_whole();
-        whole = fleet.is_at_rest();
-        if whole {
+        fleet.clear_faults_if_complete();
+        is_complete = fleet.is_at_rest();
+        if is_complete {
             break;
         }
     }
@@ -123,8 +123,8 @@
     let mut lost = Vec::new();
     for victim in victims {
         let name = fleet.machines[victim % fleet.machines.len()].store.name.clone();
-        if fleet.may_hurt() > 0 && !fleet.hurt.contains(&name) {
-            mark_lost(&mut fleet, &name, loss);
+        if fleet.remaining_loss_budget() > 0 && !fleet.impaired.contains(&name) {
+            inject_loss(&mut fleet, &name, loss);
             lost.push(name);
         }
         fleet.check_turns();
@@ -136,7 +136,7 @@
     if loss == Loss::StopsForAWhile {
         // One that was being emptied may be out by now.
         lost.retain(|name| fleet.at(name).is_some());
-        lost.iter().for_each(|name| fleet.come_back(name));
+        lost.iter().for_each(|name| fleet.restart(name));
     }
     let settled = fleet.settle();
     write(&mut fleet, "after");
@@ -151,25 +151,25 @@
             "{machines} machines, tolerance {tolerance}, {begun:?}, {loss:?} of {victims:?} after {after} steps: \
              settled {settled}, {served} of 4 served, broken {:#?}\n{}",
             fleet.broken,
-            fleet.told.join("\n"),
+            fleet.reported.join("\n"),
         ));
     }
-    Ok(whole)
+    Ok(is_complete)
 }
 
 /// All steps of a change until it is whole, each with each loss of each machine.
 fn each_step(machines: usize, tolerance: usize, begun: Begun, mutation: Mutation) -> Result<usize, String> {
     let mut runs = 0;
     for after in 0..MOST_STEPS {
-        let mut whole = false;
+        let mut is_complete = false;
         for victim in 0..=machines {
             for loss in LOSSES {
                 let victims: Vec<usize> = (victim..victim + tolerance).collect();
-                whole |= run(machines, tolerance, begun, after, &victims, loss, mutation)?;
+                is_complete |= run(machines, tolerance, begun, after, &victims, loss, mutation)?;
                 runs += 1;
             }
         }
-        if whole {
+        if is_complete {
             return Ok(runs);
         }
     }
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_retire_that_would_leave_too_few_is_refused_and_the_machine_stays() {
+fn a_retirement_below_the_minimum_is_refused() {
     let mut fleet = Fleet::new(1, 3, 1, Mutation::None);
     assert_eq!(fleet.retire("s1"), RetireVerdict::TooFew { remaining: 2 });
     write(&mut fleet, "after");
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn the_wrong_ways_of_a_change_are_found() {
+fn wrong_orders_of_a_change_are_detected() {
     let found = |mutation, begun, machines, tolerance| {
         each_step(machines, tolerance, begun, mutation).expect_err(&format!("{mutation:?} is not found"))
     };
@@ -227,7 +227,7 @@
         (Mutation::CopiesOneShort, Begun::Add, 3, 1),
         (Mutation::FillsFromOneLess, Begun::Retire, 4, 1),
     ] {
-        let told = found(mutation, begun, machines, tolerance);
-        println!("{mutation:?}: {}", told.lines().next().unwrap_or_default());
+        let reported = found(mutation, begun, machines, tolerance);
+        println!("{mutation:?}: {}", reported.lines().next().unwrap_or_default());
     }
 }
--- a/system/turn-store/tests/membership_changes/main.rs
+++ b/system/turn-store/tests/membership_changes/main.rs
@@ -3,5 +3,6 @@
 
 mod client_operations;
 mod cluster;
+mod invariants;
 mod loss_at_each_step;
 mod random_faults;
--- a/system/turn-store/tests/membership_changes/random_faults.rs
+++ b/system/turn-store/tests/membership_changes/random_faults.rs
@@ -9,27 +9,27 @@
 const MUTATION_SEEDS: u64 = 3_000;
 
 /// So many machines and so much tolerance, by seed.
-fn shape(seed: u64) -> (usize, usize) {
+fn cluster_size(seed: u64) -> (usize, usize) {
     const SHAPES: [(usize, usize); 9] =
         [(3, 1), (4, 1), (5, 2), (6, 2), (1, 1), (2, 1), (2, 2), (3, 2), (4, 2)];
     SHAPES[(seed % SHAPES.len() as u64) as usize]
 }
 
-struct Trouble {
+struct FaultInjector {
     fleet: Fleet,
-    away: Vec<String>,
+    stopped: Vec<String>,
     begun: u64,
 }
 
-impl Trouble {
+impl FaultInjector {
     fn some_name(&mut self) -> Option<String> {
         let drawn = self.fleet.random_below(self.fleet.machines.len());
         self.fleet.machines.get(drawn).map(|machine| machine.store.name.clone())
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let Some(name) = self.some_name() else { return };
-        let may_be_hurt = self.fleet.may_hurt() > 0 && !self.fleet.hurt.contains(&name);
+        let may_be_hurt = self.fleet.remaining_loss_budget() > 0 && !self.fleet.impaired.contains(&name);
         match self.fleet.random_below(12) {
             0 | 1 if may_be_hurt => self.fleet.wipe(&name, false),
             2 if may_be_hurt => self.fleet.wipe(&name, true),
@@ -39,15 +39,15 @@
             }
             4..=6 if may_be_hurt => {
                 self.fleet.stop(&name);
-                self.away.push(name);
+                self.stopped.push(name);
             }
             7 if self.fleet.machines.len() < 8 => drop(self.fleet.start_another()),
             8 => drop(self.fleet.retire(&name)),
             9..=11 => {
-                if let Some(name) = self.away.pop()
+                if let Some(name) = self.stopped.pop()
                     && self.fleet.at(&name).is_some()
                 {
-                    self.fleet.come_back(&name);
+                    self.fleet.restart(&name);
                 }
             }
             _ => {}
@@ -56,7 +56,7 @@
 
     fn step(&mut self) {
         match self.fleet.random_below(20) {
-            0 => self.trouble(),
+            0 => self.inject_fault(),
             1 => {
                 self.begun += 1;
                 self.fleet.begin_turn(format!("t{}", self.begun));
@@ -72,7 +72,7 @@
                 let at = self.fleet.random_below(self.fleet.operations.len());
                 self.fleet.operate(at);
             }
-            10 => self.fleet.keep(),
+            10 => self.fleet.run_controller(),
             _ => {
                 let at = self.fleet.random_below(self.fleet.machines.len());
                 if at < self.fleet.machines.len() {
@@ -81,25 +81,25 @@
             }
         }
         self.fleet.check_turns();
-        self.fleet.look_whether_whole();
+        self.fleet.clear_faults_if_complete();
     }
 }
 
 /// What a seed comes to: turns and grants, or what was broken.
-fn play(seed: u64, mutation: Mutation) -> Result<(usize, usize), String> {
-    let (machines, tolerance) = shape(seed);
+fn run_seed(seed: u64, mutation: Mutation) -> Result<(usize, usize), String> {
+    let (machines, tolerance) = cluster_size(seed);
     let fleet = Fleet::new(seed, machines, tolerance, mutation);
-    let mut trouble = Trouble { fleet, away: Vec::new(), begun: 0 };
+    let mut inject_fault = FaultInjector { fleet, stopped: Vec::new(), begun: 0 };
     for _ in 0..STEPS {
-        trouble.step();
-        if !trouble.fleet.broken.is_empty() {
+        inject_fault.step();
+        if !inject_fault.fleet.broken.is_empty() {
             break;
         }
     }
-    let Trouble { mut fleet, away, .. } = trouble;
+    let FaultInjector { mut fleet, stopped, .. } = inject_fault;
     fleet.check_accounts(BOUND);
-    for name in away.into_iter().filter(|name| fleet.at(name).is_some()).collect::<Vec<_>>() {
-        fleet.come_back(&name);
+    for name in stopped.into_iter().filter(|name| fleet.at(name).is_some()).collect::<Vec<_>>() {
+        fleet.restart(&name);
     }
     fleet.operate_all();
     let settled = fleet.broken.is_empty() && fleet.settle();
@@ -115,16 +115,16 @@
         false => Err(format!(
             "seed {seed}, {machines} machines, tolerance {tolerance}: settled {settled}, served {served}, broken {:#?}\n{}",
             fleet.broken,
-            fleet.told.join("\n")
+            fleet.reported.join("\n")
         )),
     }
 }
 
 #[test]
-fn nothing_is_lost_denied_or_overspent_and_the_fleet_serves_in_the_end() {
+fn no_record_is_lost_or_denied_and_no_account_overspent_under_random_faults() {
     let (mut turns, mut granted) = (0, 0);
     for seed in 0..SEEDS {
-        let (kept, reserved) = play(seed, Mutation::None).unwrap_or_else(|e| panic!("{e}"));
+        let (kept, reserved) = run_seed(seed, Mutation::None).unwrap_or_else(|e| panic!("{e}"));
         (turns, granted) = (turns + kept, granted + reserved);
     }
     println!("{SEEDS} seeds: {turns} turns, {granted} reservations");
@@ -132,35 +132,39 @@
     assert!(turns as u64 > SEEDS * 2 && granted as u64 > SEEDS * 2, "{turns} turns, {granted} reservations");
 }
 
-fn is_found(mutation: Mutation) {
-    let found = (0..MUTATION_SEEDS).find_map(|seed| play(seed, mutation).err().map(|told| (seed, told)));
-    let Some((seed, told)) = found else { panic!("{mutation:?} is not found") };
-    println!("{mutation:?} is found by seed {seed}: {}", told.lines().take(3).collect::<Vec<_>>().join(" "));
+fn assert_detected(mutation: Mutation) {
+    let found =
+        (0..MUTATION_SEEDS).find_map(|seed| run_seed(seed, mutation).err().map(|reported| (seed, reported)));
+    let Some((seed, reported)) = found else { panic!("{mutation:?} is not found") };
+    println!(
+        "{mutation:?} is found by seed {seed}: {}",
+        reported.lines().take(3).collect::<Vec<_>>().join(" ")
+    );
 }
 
 #[test]
-fn a_next_set_that_counts_unfilled_is_found() {
-    is_found(Mutation::NextCountsUnfilled);
+fn a_next_set_out_of_sync_is_detected() {
+    assert_detected(Mutation::NextCountsUnfilled);
 }
 
 #[test]
-fn a_former_set_that_is_released_early_is_found() {
-    is_found(Mutation::FormerReleasedEarly);
+fn a_former_set_released_early_is_detected() {
+    assert_detected(Mutation::FormerReleasedEarly);
 }
 
 #[test]
-fn one_copy_less_is_found() {
-    is_found(Mutation::CopiesOneShort);
+fn one_copy_less_is_detected() {
+    assert_detected(Mutation::CopiesOneShort);
 }
 
 #[test]
-fn a_filling_from_one_less_is_found() {
-    is_found(Mutation::FillsFromOneLess);
+fn a_backfill_from_one_source_less_is_detected() {
+    assert_detected(Mutation::FillsFromOneLess);
 }
 
 /// Three reservations at once, again and again, on machines that are all well; two stay within the bound.
 fn reserve_at_once(seed: u64, mutation: Mutation) -> Result<usize, String> {
-    let (machines, tolerance) = shape(seed);
+    let (machines, tolerance) = cluster_size(seed);
     let mut fleet = Fleet::new(seed, machines, tolerance, mutation);
     for number in 0..60 {
         for one in 0..3 {
@@ -187,12 +191,12 @@
 }
 
 #[test]
-fn a_read_of_one_holder_less_is_found() {
+fn a_read_of_one_replica_less_is_detected() {
     let found = (0..MUTATION_SEEDS).find_map(|seed| reserve_at_once(seed, Mutation::ReadsOneLess).err());
     println!("{}", found.expect("an account over its bound"));
 }
 
 #[test]
-fn an_absence_by_the_few_that_know_all_is_found() {
-    is_found(Mutation::AbsentByCovering);
+fn an_absence_by_the_covering_quorum_is_detected() {
+    assert_detected(Mutation::AbsentByCovering);
 }
--- a/system/turn-store/tests/placement.rs
+++ b/system/turn-store/tests/placement.rs
@@ -15,16 +15,16 @@
     }
 }
 
-fn near_first(zone: &str) -> impl Fn(&StorageNode) -> (bool, bool, u64) {
+fn local_first(zone: &str) -> impl Fn(&StorageNode) -> (bool, bool, u64) {
     move |store| (false, store.zone != zone, store.disk)
 }
 
 fn needed(roster: &Roster, copies: usize) -> Option<Vec<u64>> {
-    copies_needed(roster, &copy_order(roster, near_first("a")), copies)
+    copies_needed(roster, &copy_order(roster, local_first("a")), copies)
 }
 
 #[gtest]
-fn one_copy_is_near_and_the_other_in_another_zone() {
+fn one_copy_is_local_and_the_other_in_another_zone() {
     // Given two machines in the proxy's zone.
     let current = vec![store(1, "a"), store(2, "a"), store(3, "b"), store(4, "c")];
     let roster = Roster { current, ..Roster::default() };
--- a/system/turn-store/tests/replica/accounts.rs
+++ b/system/turn-store/tests/replica/accounts.rs
@@ -8,7 +8,7 @@
 use turn_store::Durability;
 
 #[gtest]
-fn two_sub_agents_that_reserve_at_once_both_see_both() {
+fn concurrent_reservations_see_each_other() {
     // Given a founded fleet, and two reservations that reach the three holders in different orders.
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     let (one, two) = (reservation(1, 60), reservation(2, 70));
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn a_reservation_counts_once_and_at_its_lowest() {
+fn a_reservation_counts_once_at_its_lowest() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     let machine = fleet.at(1);
     expect_that!(sum(&machine.reserve("p", reservation(1, 60))), eq(60));
@@ -34,8 +34,8 @@
     }
     // Then the lowest holds.
     expect_that!(sum(&machine.reserve("p", reservation(1, 60))), eq(10));
-    expect_that!(sum(&machine.account("p")), eq(10));
-    expect_that!(machine.account("q"), eq(&Answer::Account(vec![])));
+    expect_that!(sum(&machine.read_account("p")), eq(10));
+    expect_that!(machine.read_account("q"), eq(&Answer::Account(vec![])));
 }
 
 #[gtest]
@@ -55,7 +55,7 @@
 }
 
 #[gtest]
-fn accounts_expire_ten_minutes_after_the_last_touch() {
+fn accounts_expire_ten_minutes_after_the_last_access() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     let machine = fleet.at(1);
     machine.reserve("p", reservation(1, 5));
@@ -63,7 +63,7 @@
     machine.outcome(MINUTE, &Call::ReadAccount { epoch: 1, program: "p".into() });
     expect_that!(machine.state.expire(11 * MINUTE - 1), is_empty());
     expect_that!(machine.state.expire(11 * MINUTE).len(), eq(2));
-    expect_that!(machine.account("p"), eq(&Answer::Account(vec![])));
+    expect_that!(machine.read_account("p"), eq(&Answer::Account(vec![])));
 }
 
 fn account_of(parts: &[&Vec<Reservation>]) -> Vec<Reservation> {
@@ -71,8 +71,8 @@
     for part in parts {
         fleet.at(1).state.apply_page(0, vec![], vec![("p".into(), (*part).clone())]);
     }
-    let Answer::Account(account) = fleet.at(1).account("p") else { panic!("no account") };
-    account
+    let Answer::Account(read_account) = fleet.at(1).read_account("p") else { panic!("no account") };
+    read_account
 }
 
 fn reservations() -> impl Strategy<Value = Vec<Reservation>> {
--- a/system/turn-store/tests/replica/backfill.rs
+++ b/system/turn-store/tests/replica/backfill.rs
@@ -6,12 +6,12 @@
 use googletest::prelude::*;
 
 #[gtest]
-fn a_replaced_disk_gets_what_the_lost_one_held() {
+fn a_replaced_disk_gets_the_records_of_the_lost_one() {
     // Given turns and an account on three stores, of which one loses its disk and comes back as 4.
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     for (attempt, replicas) in [("a", [1, 3]), ("b", [2, 3]), ("c", [1, 2])] {
         for holder in replicas {
-            fleet.at(holder).keep(turn(attempt, None, &replicas));
+            fleet.at(holder).run_controller(turn(attempt, None, &replicas));
         }
     }
     for disk in [1, 3] {
@@ -23,25 +23,26 @@
     fleet.change(&[1, 2, 4]);
     // Then each turn is on two of those that are left, the untouched one where it was.
     for attempt in ["a", "b"] {
-        let holding: Vec<u64> = fleet.holding(attempt).into_iter().filter(|disk| *disk != 3).collect();
-        expect_that!(holding.len(), eq(2));
+        let disks_with_turn: Vec<u64> =
+            fleet.disks_with_turn(attempt).into_iter().filter(|disk| *disk != 3).collect();
+        expect_that!(disks_with_turn.len(), eq(2));
     }
-    expect_that!(fleet.holding("c"), eq(&vec![1, 2]));
-    expect_that!(fleet.at(4).chain("c"), eq(&Answer::Absent { complete: true }));
+    expect_that!(fleet.disks_with_turn("c"), eq(&vec![1, 2]));
+    expect_that!(fleet.at(4).read_chain("c"), eq(&Answer::Absent { complete: true }));
     // And the account, also where a minority had it.
     for disk in [1, 2, 4] {
-        expect_that!(sum(&fleet.at(disk).account("p")), eq(60));
+        expect_that!(sum(&fleet.at(disk).read_account("p")), eq(60));
     }
 }
 
 #[gtest]
-fn a_retired_store_leaves_enough_copies() {
+fn a_retirement_preserves_the_number_of_copies() {
     // Given four stores, and turns all over.
     let mut fleet = Fleet::founded(&[1, 2, 3, 4], 1);
     for number in 0..40_u64 {
         let replicas = [1 + number % 4, 1 + (number + 1 + number / 4 % 3) % 4];
         for holder in replicas {
-            fleet.at(holder).keep(turn(&format!("t{number}"), None, &replicas));
+            fleet.at(holder).run_controller(turn(&format!("t{number}"), None, &replicas));
         }
     }
     // When one is retired, and then goes away.
@@ -49,15 +50,15 @@
     fleet.machines.remove(&4);
     // Then every turn is on two of the others, not more.
     for number in 0..40 {
-        expect_that!(fleet.holding(&format!("t{number}")).len(), eq(2));
+        expect_that!(fleet.disks_with_turn(&format!("t{number}")).len(), eq(2));
     }
 }
 
 #[gtest]
-fn a_second_change_goes_by_the_holders_of_the_first() {
+fn a_second_change_uses_the_replicas_of_the_first() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     for holder in [1, 2] {
-        fleet.at(holder).keep(turn("a", None, &[1, 2]));
+        fleet.at(holder).run_controller(turn("a", None, &[1, 2]));
     }
     // When one holder after another is replaced, each time without the old one.
     fleet.down.insert(1);
@@ -67,12 +68,12 @@
     fleet.add(5);
     fleet.change(&[3, 4, 5]);
     // Then the turn is still there.
-    let left: Vec<u64> = fleet.holding("a").into_iter().filter(|disk| *disk > 2).collect();
+    let left: Vec<u64> = fleet.disks_with_turn("a").into_iter().filter(|disk| *disk > 2).collect();
     expect_that!(left.len(), eq(2));
 }
 
 #[gtest]
-fn accounts_go_to_their_new_holders_only() {
+fn accounts_are_backfilled_to_their_new_replicas_only() {
     // Given five stores that outlive one loss: accounts are on three of them.
     let mut fleet = Fleet::founded(&[1, 2, 3, 4, 5], 1);
     let programs: Vec<String> = (0..30).map(|number| format!("program-{number}")).collect();
@@ -91,7 +92,7 @@
     for program in &programs {
         let replicas = account_replicas(&fleet.roster.current, program, 1);
         for holder in replicas.iter().map(|store| store.disk).collect::<Vec<_>>() {
-            expect_that!(sum(&fleet.at(holder).account(program)), eq(9));
+            expect_that!(sum(&fleet.at(holder).read_account(program)), eq(9));
             of_new += usize::from(holder == 6);
         }
     }
@@ -99,37 +100,37 @@
 }
 
 #[gtest]
-fn a_store_with_damage_fills_again_and_is_no_source_until_then() {
+fn a_damaged_replica_is_no_source_until_its_backfill() {
     // Given a store that finds a turn unreadable.
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     for attempt in ["a", "b"] {
         for holder in [1, 2] {
-            fleet.at(holder).keep(turn(attempt, None, &[1, 2]));
+            fleet.at(holder).run_controller(turn(attempt, None, &[1, 2]));
         }
     }
-    fleet.at(1).shelf.lost.insert("a".into());
-    expect_that!(fleet.at(1).chain("a"), eq(&Answer::Absent { complete: false }));
+    fleet.at(1).payloads.lost.insert("a".into());
+    expect_that!(fleet.at(1).read_chain("a"), eq(&Answer::Absent { complete: false }));
     // Then it takes nothing, gives nothing, and still tells what it has.
     expect_that!(fleet.at(1).reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
     expect_that!(
         fleet.at(1).ask(&Call::Backfill { epoch: 1, disk: 2, cursor: Bytes::new() }),
         eq(&Answer::NotReady)
     );
-    expect_that!(matches!(fleet.at(1).chain("b"), Answer::Chain { .. }), eq(true));
+    expect_that!(matches!(fleet.at(1).read_chain("b"), Answer::Chain { .. }), eq(true));
     // One of the others is not enough to fill from.
     fleet.down.insert(2);
     expect_that!(fleet.backfill(1), eq(false));
     expect_that!(fleet.at(1).state.is_in_sync(), eq(false));
     // When both are there, then it is whole again.
     fleet.down.clear();
-    fleet.at(1).shelf.lost.clear();
+    fleet.at(1).payloads.lost.clear();
     expect_that!(fleet.backfill(1), eq(true));
-    expect_that!(fleet.holding("a"), eq(&vec![1, 2]));
-    expect_that!(fleet.at(1).chain("x"), eq(&Answer::Absent { complete: true }));
+    expect_that!(fleet.disks_with_turn("a"), eq(&vec![1, 2]));
+    expect_that!(fleet.at(1).read_chain("x"), eq(&Answer::Absent { complete: true }));
 }
 
 #[gtest]
-fn a_filling_counts_only_for_its_own_change() {
+fn a_backfill_counts_only_for_its_own_change() {
     // Given a store that has filled for a change.
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     fleet.add(4);
@@ -157,21 +158,21 @@
 }
 
 #[gtest]
-fn current_stores_stay_full_for_readers_while_they_fill_for_next() {
+fn current_replicas_stay_in_sync_for_reads_during_backfill_for_the_next_set() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     fleet.at(1).reserve("p", reservation(1, 5));
     fleet.add(4);
     fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
     fleet.fill_all();
-    expect_that!(sum(&fleet.at(1).account("p")), eq(5));
-    expect_that!(sum(&fleet.at(3).account("p")), eq(0));
+    expect_that!(sum(&fleet.at(1).read_account("p")), eq(5));
+    expect_that!(sum(&fleet.at(3).read_account("p")), eq(0));
     // When the change is given up, they are still full.
     fleet.set_roster(roster(3, &[1, 2, 3], None));
     expect_that!(fleet.at(1).state.is_in_sync(), eq(true));
 }
 
 #[gtest]
-fn a_new_fleet_is_full_when_it_is_founded_also_with_one_down() {
+fn a_new_cluster_is_in_sync_at_once_also_with_one_down() {
     let mut fleet = Fleet::gathering(&[1, 2, 3], 1);
     fleet.down.insert(3);
     fleet.fill_all();
@@ -181,13 +182,13 @@
     // When the third comes, it gets what was written meanwhile.
     fleet.down.clear();
     fleet.spread();
-    expect_that!(fleet.at(3).chain("x"), eq(&Answer::Absent { complete: false }));
+    expect_that!(fleet.at(3).read_chain("x"), eq(&Answer::Absent { complete: false }));
     expect_that!(fleet.backfill(3), eq(true));
-    expect_that!(sum(&fleet.at(3).account("p")), eq(5));
+    expect_that!(sum(&fleet.at(3).read_account("p")), eq(5));
 }
 
 #[gtest]
-fn a_new_fleet_that_changes_at_once_fills_though_nobody_has_seen_it_founded() {
+fn a_new_cluster_that_changes_at_once_is_backfilled() {
     // Given a new fleet that was full when it was founded, of which nobody has heard that;
     let mut fleet = Fleet::gathering(&[1, 2, 3], 1);
     fleet.fill_all();
@@ -207,11 +208,11 @@
 }
 
 #[gtest]
-fn an_empty_store_that_was_not_waited_for_is_no_source_and_does_not_count_on_itself() {
+fn an_empty_replica_is_no_source_and_does_not_rely_on_local_records() {
     // Given a turn on 1 and 2; 2 is replaced by 4, which is not waited for,
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     for holder in [1, 2] {
-        fleet.at(holder).keep(turn("a", None, &[1, 2]));
+        fleet.at(holder).run_controller(turn("a", None, &[1, 2]));
     }
     fleet.down.extend([2, 4]);
     fleet.add(4);
@@ -222,41 +223,41 @@
     fleet.down.extend([1]);
     fleet.down.remove(&4);
     fleet.spread();
-    let has_it = fleet.holding("a").contains(&3);
+    let has_it = fleet.disks_with_turn("a").contains(&3);
     expect_that!(fleet.backfill(4), eq(false));
-    expect_that!(fleet.at(4).chain("a"), eq(&Answer::Absent { complete: false }));
+    expect_that!(fleet.at(4).read_chain("a"), eq(&Answer::Absent { complete: false }));
     let call = Call::Backfill { epoch: 3, disk: 3, cursor: Bytes::new() };
     expect_that!(fleet.at(4).ask(&call), eq(&Answer::NotReady));
     // and with 1 it gets what it should.
     fleet.down.remove(&1);
     expect_that!(fleet.backfill(4), eq(true));
-    let holding = fleet.holding("a");
-    expect_that!(holding.contains(&4), eq(!has_it));
+    let disks_with_turn = fleet.disks_with_turn("a");
+    expect_that!(disks_with_turn.contains(&4), eq(!has_it));
 }
 
 #[gtest]
-fn damage_found_during_a_filling_that_counts_on_the_store_itself_voids_it() {
+fn damage_voids_a_backfill_that_relies_on_local_records() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).keep(turn("a", None, &[1, 2]));
+    fleet.at(1).run_controller(turn("a", None, &[1, 2]));
     fleet.add(4);
     fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
     let mut backfill = fleet.at(1).state.backfill().unwrap();
     backfill.page_applied(3, None);
     expect_that!(backfill.is_done(), eq(true));
-    fleet.at(1).shelf.lost.insert("a".into());
-    fleet.at(1).chain("a");
+    fleet.at(1).payloads.lost.insert("a".into());
+    fleet.at(1).read_chain("a");
     expect_that!(fleet.at(1).state.mark_in_sync(&backfill), none());
     expect_that!(fleet.at(1).state.backfill().is_some_and(|backfill| !backfill.is_done()), eq(true));
 }
 
 #[gtest]
-fn fills_go_in_pages() {
+fn backfill_is_paged() {
     // Given more than a page of turns, of which one is larger than a page, and an account larger than a page.
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     for number in 0..20 {
         let mut big = turn(&format!("t{number:02}"), None, &[1, 4]);
         big.input = Bytes::from(vec![b'x'; if number == 7 { 300_000 } else { 50_000 }]);
-        fleet.at(1).keep(big);
+        fleet.at(1).run_controller(big);
     }
     for attempt in 0..40_000 {
         fleet.at(1).reserve_quietly("", attempt);
@@ -269,13 +270,13 @@
     fleet.change(&[1, 2, 4]);
     expect_that!(fleet.at(4).state.counts().turns, eq(20));
     for program in ["", "p"] {
-        expect_that!(sum(&fleet.at(4).account(program)), eq(40_000));
+        expect_that!(sum(&fleet.at(4).read_account(program)), eq(40_000));
     }
     expect_that!(fleet.pages, ge(10));
 }
 
 #[gtest]
-fn a_nonsense_cursor_is_no_panic() {
+fn an_invalid_cursor_is_rejected() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     let call = Call::Backfill { epoch: 1, disk: 2, cursor: Bytes::from_static(&[9, 9, 9]) };
     expect_that!(fleet.at(1).ask(&call), eq(&Answer::NotReady));
--- a/system/turn-store/tests/replica/capacity.rs
+++ b/system/turn-store/tests/replica/capacity.rs
@@ -6,34 +6,34 @@
 use turn_store::DiskCapacity;
 
 #[gtest]
-fn a_disk_with_little_room_is_kept_for_programs_that_have_begun() {
+fn scarce_capacity_is_reserved_for_programs_with_an_account() {
     // Given a store with one program, whose disk has become scarce.
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     let machine = fleet.at(1);
     machine.reserve("old", reservation(1, 60));
-    machine.keep(turn("a", None, &[1, 2]));
+    machine.run_controller(turn("a", None, &[1, 2]));
     expect_that!(machine.state.set_capacity(DiskCapacity::Scarce), eq(true));
     expect_that!(machine.state.set_capacity(DiskCapacity::Scarce), eq(false));
     // Then no other one may begin, and that one goes on; what is kept is told.
     expect_that!(machine.reserve("new", reservation(2, 60)), eq(&Answer::NotReady));
-    expect_that!(machine.account("new"), eq(&Answer::Account(vec![])));
+    expect_that!(machine.read_account("new"), eq(&Answer::Account(vec![])));
     expect_that!(sum(&machine.reserve("old", reservation(3, 10))), eq(70));
-    expect_that!(machine.keep(turn("b", Some("a"), &[1, 2])), eq(&Answer::Done));
+    expect_that!(machine.run_controller(turn("b", Some("a"), &[1, 2])), eq(&Answer::Done));
     // When it is full, then no further turn is taken, and one that is kept is confirmed.
     machine.state.set_capacity(DiskCapacity::Full);
-    expect_that!(machine.keep(turn("c", Some("b"), &[1, 2])), eq(&Answer::NotReady));
-    expect_that!(machine.keep(turn("b", Some("a"), &[1, 2])), eq(&Answer::Done));
-    expect_that!(matches!(machine.chain("b"), Answer::Chain { .. }), eq(true));
+    expect_that!(machine.run_controller(turn("c", Some("b"), &[1, 2])), eq(&Answer::NotReady));
+    expect_that!(machine.run_controller(turn("b", Some("a"), &[1, 2])), eq(&Answer::Done));
+    expect_that!(matches!(machine.read_chain("b"), Answer::Chain { .. }), eq(true));
     expect_that!(sum(&machine.reserve("old", reservation(1, 20))), eq(30));
     // And what has expired is removed, after which it takes others again.
     expect_that!(machine.state.expire(100 * MINUTE), not(is_empty()));
     expect_that!(machine.state.set_capacity(DiskCapacity::Ample), eq(true));
     expect_that!(sum(&machine.reserve("new", reservation(2, 60))), eq(60));
-    expect_that!(machine.keep(turn("c", None, &[1, 2])), eq(&Answer::Done));
+    expect_that!(machine.run_controller(turn("c", None, &[1, 2])), eq(&Answer::Done));
 }
 
 #[gtest]
-fn a_majority_with_room_still_lets_a_program_begin() {
+fn a_majority_with_capacity_still_admits_a_program() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     fleet.at(1).state.set_capacity(DiskCapacity::Full);
     let answers = [1, 2, 3].map(|disk| fleet.at(disk).reserve("new", reservation(2, 60)));
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn the_room_of_a_disk_goes_by_what_its_tables_leave() {
+fn capacity_depends_on_the_size_of_the_tables() {
     const MB: u64 = 1_000_000;
     // Given 310 MB, of which the journals may take 134.
     let limit = 310 * MB;
--- a/system/turn-store/tests/replica/cluster.rs
+++ b/system/turn-store/tests/replica/cluster.rs
@@ -35,12 +35,12 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Shelf {
+pub(crate) struct PayloadStore {
     pub(crate) written: BTreeMap<Vec<u8>, Turn>,
     pub(crate) lost: BTreeSet<String>,
 }
 
-impl Payloads for Shelf {
+impl Payloads for PayloadStore {
     fn get(&self, attempt: &str) -> Payload {
         if self.lost.contains(attempt) {
             return Payload::Lost;
@@ -51,29 +51,32 @@
 
 pub(crate) struct Machine {
     pub(crate) state: ReplicaState,
-    pub(crate) shelf: Shelf,
+    pub(crate) payloads: PayloadStore,
 }
 
 impl Machine {
     pub(crate) fn new(disk: u64, losses: usize) -> Self {
-        Self { state: ReplicaState::new(0, disk, losses, Stored::default()), shelf: Shelf::default() }
+        Self {
+            state: ReplicaState::new(0, disk, losses, Stored::default()),
+            payloads: PayloadStore::default(),
+        }
     }
 
     pub(crate) fn write(&mut self, writes: &[Write]) {
         for write in writes.iter().filter(|write| write.keyspace == TURNS) {
             match &write.value {
                 Some(value) => {
-                    self.shelf.written.insert(write.key.clone(), postcard::from_bytes(value).unwrap());
+                    self.payloads.written.insert(write.key.clone(), postcard::from_bytes(value).unwrap());
                 }
                 None => {
-                    self.shelf.written.remove(&write.key);
+                    self.payloads.written.remove(&write.key);
                 }
             }
         }
     }
 
     pub(crate) fn outcome(&mut self, now_ms: u64, call: &Call) -> Outcome {
-        let outcome = self.state.handle(now_ms, call, &self.shelf);
+        let outcome = self.state.handle(now_ms, call, &self.payloads);
         self.write(&outcome.writes);
         outcome
     }
@@ -87,17 +90,17 @@
         self.ask(&Call::Reserve { epoch, program: program.into(), reservation })
     }
 
-    pub(crate) fn account(&mut self, program: &str) -> Answer {
+    pub(crate) fn read_account(&mut self, program: &str) -> Answer {
         let epoch = self.state.epoch();
         self.ask(&Call::ReadAccount { epoch, program: program.into() })
     }
 
-    pub(crate) fn keep(&mut self, turn: Turn) -> Answer {
+    pub(crate) fn run_controller(&mut self, turn: Turn) -> Answer {
         let epoch = self.state.epoch();
         self.ask(&Call::StoreTurn { epoch, turn })
     }
 
-    pub(crate) fn chain(&mut self, attempt: &str) -> Answer {
+    pub(crate) fn read_chain(&mut self, attempt: &str) -> Answer {
         let epoch = self.state.epoch();
         self.ask(&Call::ReadChain { epoch, attempt: attempt.into() })
     }
@@ -126,7 +129,7 @@
             let in_sync = vec![(0, disks.iter().copied().collect())];
             let kept = Stored { backfill: BackfillRecord { in_sync, damaged: false }, ..Stored::default() };
             let state = ReplicaState::new(0, *disk, losses, kept);
-            (*disk, Machine { state, shelf: Shelf::default() })
+            (*disk, Machine { state, payloads: PayloadStore::default() })
         };
         let machines = disks.iter().map(full).collect();
         let (down, roster_) = (BTreeSet::new(), roster(1, disks, None));
@@ -218,8 +221,8 @@
         self.machines.get_mut(&disk).unwrap()
     }
 
-    pub(crate) fn holding(&mut self, attempt: &str) -> Vec<u64> {
-        let holds = |machine: &mut Machine| matches!(machine.chain(attempt), Answer::Chain { .. });
+    pub(crate) fn disks_with_turn(&mut self, attempt: &str) -> Vec<u64> {
+        let holds = |machine: &mut Machine| matches!(machine.read_chain(attempt), Answer::Chain { .. });
         self.machines.iter_mut().filter_map(|(disk, machine)| holds(machine).then_some(*disk)).collect()
     }
 }
--- a/system/turn-store/tests/replica/membership.rs
+++ b/system/turn-store/tests/replica/membership.rs
@@ -7,7 +7,7 @@
 use turn_store::RecordCounts;
 
 #[gtest]
-fn a_call_of_another_epoch_is_told_the_stores_own() {
+fn a_call_of_another_epoch_is_answered_with_the_replicas_epoch() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     for epoch in [0, 2] {
         let calls = [
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn an_older_roster_is_passed_over() {
+fn an_older_roster_is_ignored() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     fleet.set_roster(roster(0, &[4, 5, 6], None));
     expect_that!(fleet.at(1).state.epoch(), eq(1));
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn before_the_founding_stores_take_and_tell_nothing() {
+fn replicas_serve_nothing_before_the_first_set_is_current() {
     // Given stores that have gathered, and are full as far as there is anything.
     let mut fleet = Fleet::gathering(&[1, 2, 3], 1);
     fleet.fill_all();
@@ -43,28 +43,28 @@
         let machine = fleet.at(disk);
         expect_that!(machine.state.is_in_sync_for_next(), eq(true));
         expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
-        expect_that!(machine.account("p"), eq(&Answer::NotReady));
-        expect_that!(machine.keep(turn("a", None, &[1, 2])), eq(&Answer::NotReady));
-        expect_that!(machine.chain("a"), eq(&Answer::Absent { complete: false }));
+        expect_that!(machine.read_account("p"), eq(&Answer::NotReady));
+        expect_that!(machine.run_controller(turn("a", None, &[1, 2])), eq(&Answer::NotReady));
+        expect_that!(machine.read_chain("a"), eq(&Answer::Absent { complete: false }));
     }
     // When they are founded, then all of them take and tell.
     fleet.set_roster(roster(2, &[1, 2, 3], None));
     for disk in 1..=3 {
         let machine = fleet.at(disk);
         expect_that!(sum(&machine.reserve("p", reservation(1, 1))), eq(1));
-        expect_that!(machine.keep(turn("a", None, &[1, 2])), eq(&Answer::Done));
-        expect_that!(machine.chain("b"), eq(&Answer::Absent { complete: true }));
+        expect_that!(machine.run_controller(turn("a", None, &[1, 2])), eq(&Answer::Done));
+        expect_that!(machine.read_chain("b"), eq(&Answer::Absent { complete: true }));
     }
 }
 
 #[gtest]
-fn stores_fewer_than_the_losses_ask_for_take_writes_and_fill() {
+fn clusters_below_the_tolerated_losses_accept_writes_and_backfill() {
     for (losses, machines) in [(1, 1), (1, 2), (2, 1), (2, 2), (2, 3), (2, 4)] {
         let disks: Vec<u64> = (1..=machines).collect();
         let mut fleet = Fleet::founded(&disks, losses);
         for disk in &disks {
             expect_that!(sum(&fleet.at(*disk).reserve("p", reservation(1, 5))), eq(5));
-            expect_that!(fleet.at(*disk).keep(turn("a", None, &disks)), eq(&Answer::Done));
+            expect_that!(fleet.at(*disk).run_controller(turn("a", None, &disks)), eq(&Answer::Done));
         }
         // When as many are lost as the copies allow, then one that takes their place has all.
         let survived = QuorumSizes::for_machines(disks.len(), losses).unwrap().losses_survived() as u64;
@@ -72,22 +72,22 @@
         fleet.add(9);
         let next: Vec<u64> = (survived + 1..=machines).chain([9]).collect();
         fleet.change(&next);
-        expect_that!(sum(&fleet.at(9).account("p")), eq(5), "{machines} machines, {losses} losses");
-        expect_that!(matches!(fleet.at(9).chain("a"), Answer::Chain { .. }), eq(true));
+        expect_that!(sum(&fleet.at(9).read_account("p")), eq(5), "{machines} machines, {losses} losses");
+        expect_that!(matches!(fleet.at(9).read_chain("a"), Answer::Chain { .. }), eq(true));
     }
 }
 
 #[gtest]
-fn a_store_outside_the_roster_takes_and_tells_nothing() {
+fn a_replica_outside_the_roster_serves_nothing() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).keep(turn("a", None, &[1, 2]));
+    fleet.at(1).run_controller(turn("a", None, &[1, 2]));
     fleet.add(4);
     fleet.spread();
     let machine = fleet.at(4);
     expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
-    expect_that!(machine.account("p"), eq(&Answer::NotReady));
-    expect_that!(machine.keep(turn("b", None, &[4])), eq(&Answer::NotReady));
-    expect_that!(machine.chain("a"), eq(&Answer::Absent { complete: false }));
+    expect_that!(machine.read_account("p"), eq(&Answer::NotReady));
+    expect_that!(machine.run_controller(turn("b", None, &[4])), eq(&Answer::NotReady));
+    expect_that!(machine.read_chain("a"), eq(&Answer::Absent { complete: false }));
     expect_that!(
         machine.ask(&Call::Backfill { epoch: 1, disk: 1, cursor: Bytes::new() }),
         eq(&Answer::NotReady)
@@ -100,44 +100,44 @@
 }
 
 #[gtest]
-fn a_retired_store_still_tells_a_turn_but_no_absence() {
+fn a_retired_replica_still_serves_a_turn_but_no_absence() {
     let mut fleet = Fleet::founded(&[1, 2, 3, 4], 1);
-    fleet.at(4).keep(turn("a", None, &[4, 1]));
+    fleet.at(4).run_controller(turn("a", None, &[4, 1]));
     fleet.change(&[1, 2, 3]);
-    expect_that!(matches!(fleet.at(4).chain("a"), Answer::Chain { .. }), eq(true));
-    expect_that!(fleet.at(4).chain("b"), eq(&Answer::Absent { complete: false }));
-    expect_that!(fleet.at(1).chain("b"), eq(&Answer::Absent { complete: true }));
+    expect_that!(matches!(fleet.at(4).read_chain("a"), Answer::Chain { .. }), eq(true));
+    expect_that!(fleet.at(4).read_chain("b"), eq(&Answer::Absent { complete: false }));
+    expect_that!(fleet.at(1).read_chain("b"), eq(&Answer::Absent { complete: true }));
 }
 
 #[gtest]
-fn a_store_that_is_not_full_never_says_complete_absence() {
+fn a_replica_out_of_sync_never_reports_complete_absence() {
     // Given a store in `current` that has not filled, and one in `next`, before and after filling.
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).keep(turn("a", None, &[1, 2]));
+    fleet.at(1).run_controller(turn("a", None, &[1, 2]));
     fleet.add(4);
     fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
-    expect_that!(fleet.at(4).chain("a"), eq(&Answer::Absent { complete: false }));
+    expect_that!(fleet.at(4).read_chain("a"), eq(&Answer::Absent { complete: false }));
     expect_that!(fleet.backfill(4), eq(true));
-    expect_that!(fleet.at(4).chain("x"), eq(&Answer::Absent { complete: false }));
+    expect_that!(fleet.at(4).read_chain("x"), eq(&Answer::Absent { complete: false }));
     // A stranger to the change that finds itself in `current`.
     let mut machine = Machine::new(2, 1);
     machine.state.set_roster(&roster(3, &[1, 2, 4], None));
-    expect_that!(machine.chain("a"), eq(&Answer::Absent { complete: false }));
+    expect_that!(machine.read_chain("a"), eq(&Answer::Absent { complete: false }));
     expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
-    expect_that!(machine.account("p"), eq(&Answer::NotReady));
-    expect_that!(machine.keep(turn("b", None, &[2])), eq(&Answer::NotReady));
+    expect_that!(machine.read_account("p"), eq(&Answer::NotReady));
+    expect_that!(machine.run_controller(turn("b", None, &[2])), eq(&Answer::NotReady));
     // The one that had filled says it once it is in `current`.
     fleet.set_roster(roster(3, &[1, 2, 4], None));
-    expect_that!(fleet.at(4).chain("x"), eq(&Answer::Absent { complete: true }));
+    expect_that!(fleet.at(4).read_chain("x"), eq(&Answer::Absent { complete: true }));
 }
 
 #[gtest]
-fn a_member_of_next_takes_writes_and_is_not_read() {
+fn a_member_of_the_next_set_accepts_writes_and_no_account_reads() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     fleet.add(4);
     fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
     expect_that!(sum(&fleet.at(4).reserve("p", reservation(1, 5))), eq(5));
-    expect_that!(fleet.at(4).account("p"), eq(&Answer::NotReady));
-    expect_that!(fleet.at(4).keep(turn("a", None, &[4, 1])), eq(&Answer::Done));
-    expect_that!(matches!(fleet.at(4).chain("a"), Answer::Chain { .. }), eq(true));
+    expect_that!(fleet.at(4).read_account("p"), eq(&Answer::NotReady));
+    expect_that!(fleet.at(4).run_controller(turn("a", None, &[4, 1])), eq(&Answer::Done));
+    expect_that!(matches!(fleet.at(4).read_chain("a"), Answer::Chain { .. }), eq(true));
 }
--- a/system/turn-store/tests/replica/turns.rs
+++ b/system/turn-store/tests/replica/turns.rs
@@ -7,47 +7,47 @@
 use turn_store::Durability;
 
 #[gtest]
-fn a_chain_is_told_oldest_first_up_to_what_is_held_elsewhere() {
+fn a_chain_is_read_oldest_first_back_to_the_first_missing_turn() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     let machine = fleet.at(1);
-    machine.keep(turn("b", Some("a"), &[1, 2]));
-    machine.keep(turn("c", Some("b"), &[1, 2]));
+    machine.run_controller(turn("b", Some("a"), &[1, 2]));
+    machine.run_controller(turn("c", Some("b"), &[1, 2]));
     let text = Bytes::from_static(b"in-b;out-b;in-c;out-c;");
-    expect_that!(machine.chain("c"), eq(&Answer::Chain { text, missing: Some("a".into()) }));
-    machine.keep(turn("a", None, &[1, 2]));
+    expect_that!(machine.read_chain("c"), eq(&Answer::Chain { text, missing: Some("a".into()) }));
+    machine.run_controller(turn("a", None, &[1, 2]));
     let text = Bytes::from_static(b"in-a;out-a;in-b;out-b;");
-    expect_that!(machine.chain("b"), eq(&Answer::Chain { text, missing: None }));
+    expect_that!(machine.read_chain("b"), eq(&Answer::Chain { text, missing: None }));
 }
 
 #[gtest]
-fn turns_that_name_each_other_end_a_chain() {
+fn a_cycle_of_turns_ends_a_chain() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).keep(turn("a", Some("b"), &[1, 2]));
-    fleet.at(1).keep(turn("b", Some("a"), &[1, 2]));
+    fleet.at(1).run_controller(turn("a", Some("b"), &[1, 2]));
+    fleet.at(1).run_controller(turn("b", Some("a"), &[1, 2]));
     let text = Bytes::from_static(b"in-b;out-b;in-a;out-a;");
-    expect_that!(fleet.at(1).chain("a"), eq(&Answer::Chain { text, missing: None }));
+    expect_that!(fleet.at(1).read_chain("a"), eq(&Answer::Chain { text, missing: None }));
     expect_that!(fleet.at(1).state.expire(0), is_empty());
 }
 
 #[gtest]
-fn a_turn_kept_twice_stays_as_it_was_and_waits_for_the_sync() {
+fn a_turn_stored_twice_is_unchanged_and_waits_for_the_sync() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).keep(turn("a", None, &[1, 2]));
+    fleet.at(1).run_controller(turn("a", None, &[1, 2]));
     let mut again = turn("a", None, &[1, 2]);
     again.output = Bytes::from_static(b"other");
     let outcome = fleet.at(1).outcome(0, &Call::StoreTurn { epoch: 1, turn: again });
     expect_that!(outcome.answer, eq(&Answer::Done));
     expect_that!((outcome.durability, outcome.writes.len()), eq((Durability::Synced, 0)));
     let text = Bytes::from_static(b"in-a;out-a;");
-    expect_that!(fleet.at(1).chain("a"), eq(&Answer::Chain { text, missing: None }));
+    expect_that!(fleet.at(1).read_chain("a"), eq(&Answer::Chain { text, missing: None }));
 }
 
 #[gtest]
-fn a_turn_not_written_yet_is_not_taken_for_absent() {
+fn a_turn_not_written_yet_is_not_reported_as_absent() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).keep(turn("a", None, &[1, 2]));
-    fleet.at(1).shelf.written.clear();
-    expect_that!(fleet.at(1).chain("a"), eq(&Answer::NotReady));
+    fleet.at(1).run_controller(turn("a", None, &[1, 2]));
+    fleet.at(1).payloads.written.clear();
+    expect_that!(fleet.at(1).read_chain("a"), eq(&Answer::NotReady));
     // Nor is it left out of a page.
     expect_that!(
         fleet.at(1).ask(&Call::Backfill { epoch: 1, disk: 2, cursor: Bytes::new() }),
@@ -60,10 +60,10 @@
     // Given a chain whose end was kept a minute later.
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     let machine = fleet.at(1);
-    let keep = |turn| Call::StoreTurn { epoch: 1, turn };
-    machine.outcome(0, &keep(turn("a", None, &[1])));
-    machine.outcome(0, &keep(turn("other", None, &[1])));
-    machine.outcome(MINUTE, &keep(turn("b", Some("a"), &[1])));
+    let run_controller = |turn| Call::StoreTurn { epoch: 1, turn };
+    machine.outcome(0, &run_controller(turn("a", None, &[1])));
+    machine.outcome(0, &run_controller(turn("other", None, &[1])));
+    machine.outcome(MINUTE, &run_controller(turn("b", Some("a"), &[1])));
     // When the time of the first is over, then only the one without descendants goes.
     let count = |machine: &Machine| machine.state.counts().turns;
     machine.state.expire(2 * MINUTE - 1);
@@ -77,10 +77,10 @@
 }
 
 #[gtest]
-fn a_chain_that_is_read_lives_on() {
+fn reading_a_chain_renews_its_retention() {
     let mut fleet = Fleet::founded(&[1, 2, 3], 1);
     let machine = fleet.at(1);
-    machine.keep(turn("a", None, &[1]));
+    machine.run_controller(turn("a", None, &[1]));
     machine.outcome(MINUTE, &Call::ReadChain { epoch: 1, attempt: "a".into() });
     expect_that!(machine.state.expire(3 * MINUTE - 1), is_empty());
 }
