--- a/system/programs/src/turns.rs
+++ b/system/programs/src/turns.rs
@@ -15,7 +15,8 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 use turn_store::{
-    AccountReplicas, copies_needed, copy_order, has_copies, is_surely_absent, merge_reservations,
+    AccountReplicas, NodePreference, copies_needed, copy_order, has_copies, is_surely_absent,
+    merge_reservations,
 };
 
 /// Longest time for one call.
@@ -272,8 +273,10 @@
         let roster = &state.roster;
         let zone = self.process.settings().zone.clone();
         let copies = self.losses() + 1;
-        let stores = copy_order(roster, |store| {
-            (self.is_down(store), store.zone != zone, !rendezvous_rank(turn.attempt.as_bytes(), store.disk))
+        let stores = copy_order(roster, |store| NodePreference {
+            is_down: self.is_down(store),
+            is_remote: store.zone != zone,
+            rank: !rendezvous_rank(turn.attempt.as_bytes(), store.disk),
         });
         let Some(first) = copies_needed(roster, &stores, copies) else { return Round::Again };
         let record = |holders: Vec<u64>| Turn {
--- a/system/turn-store/src/lib.rs
+++ b/system/turn-store/src/lib.rs
@@ -27,7 +27,8 @@
 pub use disk::{DamageReason, DamagedRecord, Disk, DiskError, KeyspaceConfig, OpenedDisk, Write};
 pub use payload::{Payload, Payloads};
 pub use placement::{
-    AccountReplicas, copies_needed, copy_order, has_copies, is_surely_absent, merge_reservations,
+    AccountReplicas, NodePreference, copies_needed, copy_order, has_copies, is_surely_absent,
+    merge_reservations,
 };
 pub use record_log::{Opened, RecordLog, RecoveredRecord};
 pub use records::{ACCOUNTS, BackfillRecord, KEYSPACES, REPLICAS, STATE, Stored, StoredTurn, TURNS, load};
--- a/system/turn-store/src/placement.rs
+++ b/system/turn-store/src/placement.rs
@@ -3,49 +3,58 @@
 use fleet_model::{QuorumSizes, Reservation, Roster, StorageNode, account_replicas};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// How a proxy prefers a storage node for a copy; the smaller one is preferred.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct NodePreference<K> {
+    /// Whether the node does not respond.
+    pub is_down: bool,
+    /// Whether it is in another zone than the proxy.
+    pub is_remote: bool,
+    /// Its rank among otherwise equal nodes, lowest first.
+    pub rank: K,
+}
+
 /// The storage nodes that may store a turn, best first: while the roster changes, those in both sets before the others; then
 /// by `order`, with nodes of a zone that has one already after those of other zones, since a zone may fail as a whole.
-///
-/// `order` returns whether a node is down, whether it is in a remote zone, and its rank among otherwise equal ones.
 pub fn copy_order<K: Ord>(
     roster: &Roster,
-    order: impl Fn(&StorageNode) -> (bool, bool, K),
+    order: impl Fn(&StorageNode) -> NodePreference<K>,
 ) -> Vec<&StorageNode> {
     let next = roster.next.as_deref().unwrap_or(&roster.current);
-    let mut stores: Vec<&StorageNode> = roster.current.iter().collect();
-    stores.extend(next.iter().filter(|store| !roster.current.contains(store)));
-    let in_both = |store: &StorageNode| roster.current.contains(store) && next.contains(store);
-    stores.sort_by_key(|store| {
-        let (down, far, rank) = order(store);
-        (down, !in_both(store), far, rank)
+    let mut nodes: Vec<&StorageNode> = roster.current.iter().collect();
+    nodes.extend(next.iter().filter(|node| !roster.current.contains(node)));
+    let in_both = |node: &StorageNode| roster.current.contains(node) && next.contains(node);
+    nodes.sort_by_key(|node| {
+        let NodePreference { is_down, is_remote, rank } = order(node);
+        (is_down, !in_both(node), is_remote, rank)
     });
     let mut zones: BTreeSet<&str> = BTreeSet::new();
-    let mut placed: Vec<(bool, bool, bool, &StorageNode)> = stores
+    let mut ordered: Vec<(bool, bool, bool, &StorageNode)> = nodes
         .into_iter()
-        .map(|store| (order(store).0, !in_both(store), !zones.insert(&store.zone), store))
+        .map(|node| (order(node).is_down, !in_both(node), !zones.insert(&node.zone), node))
         .collect();
-    placed.sort_by_key(|(down, single, repeated, _)| (*down, *single, *repeated));
-    placed.into_iter().map(|(.., store)| store).collect()
+    ordered.sort_by_key(|(down, single, repeated, _)| (*down, *single, *repeated));
+    ordered.into_iter().map(|(.., node)| node).collect()
 }
 
 /// Whether a turn on these disks has enough copies in each of the current and the next set: while the roster changes,
 /// either of them may become the only one. A set with fewer nodes than `copies` has one on each of them.
 pub fn has_copies(roster: &Roster, stored: &BTreeSet<u64>, copies: usize) -> bool {
-    let has_enough = |stores: &[StorageNode]| {
-        stores.iter().filter(|store| stored.contains(&store.disk)).count() >= copies.min(stores.len())
+    let has_enough = |nodes: &[StorageNode]| {
+        nodes.iter().filter(|node| stored.contains(&node.disk)).count() >= copies.min(nodes.len())
     };
     !roster.current.is_empty() && has_enough(&roster.current) && roster.next.as_deref().is_none_or(has_enough)
 }
 
 /// Whether no copy of an acknowledged turn can exist, if these disks, each of them in sync, do not have it.
 pub fn is_surely_absent(roster: &Roster, absent: &BTreeSet<u64>, losses: usize) -> bool {
-    let count = roster.current.iter().filter(|store| absent.contains(&store.disk)).count();
+    let count = roster.current.iter().filter(|node| absent.contains(&node.disk)).count();
     QuorumSizes::for_machines(roster.current.len(), losses).is_some_and(|sizes| count >= sizes.absent)
 }
 
-/// The disks of the shortest prefix of `stores` that gives a turn enough copies, if there is one.
-pub fn copies_needed(roster: &Roster, stores: &[&StorageNode], copies: usize) -> Option<Vec<u64>> {
-    let disks: Vec<u64> = stores.iter().map(|store| store.disk).collect();
+/// The disks of the shortest prefix of `nodes` that gives a turn enough copies, if there is one.
+pub fn copies_needed(roster: &Roster, nodes: &[&StorageNode], copies: usize) -> Option<Vec<u64>> {
+    let disks: Vec<u64> = nodes.iter().map(|node| node.disk).collect();
     (1..=disks.len())
         .map(|count| &disks[..count])
         .find(|disks| has_copies(roster, &disks.iter().copied().collect(), copies))
@@ -91,7 +100,7 @@
 
     /// The replicas in both sets, each once.
     pub fn all(&self) -> impl Iterator<Item = &'a StorageNode> {
-        let further = self.next.iter().filter(|store| !self.current.contains(store));
+        let further = self.next.iter().filter(|node| !self.current.contains(node));
         self.current.iter().chain(further).copied()
     }
 
@@ -107,7 +116,7 @@
             Access::Write => sizes.write,
             Access::Read => sizes.read,
         };
-        replicas.iter().filter(|store| answered.contains(&store.disk)).count() >= needed
+        replicas.iter().filter(|node| answered.contains(&node.disk)).count() >= needed
     }
 }
 
--- a/system/turn-store/tests/membership_changes/client_operations.rs
+++ b/system/turn-store/tests/membership_changes/client_operations.rs
@@ -4,7 +4,9 @@
 use bytes::Bytes;
 use fleet_model::{Answer, Call, QuorumSizes, Reservation, Roster, StorageNode, Turn, rendezvous_rank};
 use std::collections::{BTreeMap, BTreeSet};
-use turn_store::{AccountReplicas, copies_needed, copy_order, has_copies, merge_reservations};
+use turn_store::{
+    AccountReplicas, NodePreference, copies_needed, copy_order, has_copies, merge_reservations,
+};
 
 /// Each account's bound; a reservation takes two fifths of it.
 pub(crate) const BOUND: u32 = 100;
@@ -40,8 +42,10 @@
         let roster = self.roster().clone();
         let up: BTreeSet<u64> =
             self.machines.iter().filter(|machine| machine.up).map(|machine| machine.store.disk).collect();
-        let order = copy_order(&roster, |store: &StorageNode| {
-            (!up.contains(&store.disk), store.zone != "a", !rendezvous_rank(attempt.as_bytes(), store.disk))
+        let order = copy_order(&roster, |store: &StorageNode| NodePreference {
+            is_down: !up.contains(&store.disk),
+            is_remote: store.zone != "a",
+            rank: !rendezvous_rank(attempt.as_bytes(), store.disk),
         });
         let Some(replicas) = copies_needed(&roster, &order, self.copies()) else { return };
         let waiting = order.iter().rev().map(|store| store.disk).collect();
--- a/system/turn-store/tests/placement.rs
+++ b/system/turn-store/tests/placement.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
-use turn_store::{copies_needed, copy_order, has_copies};
+use turn_store::{NodePreference, copies_needed, copy_order, has_copies};
 
 fn store(disk: u64, zone: &str) -> StorageNode {
     StorageNode {
@@ -15,8 +15,8 @@
     }
 }
 
-fn local_first(zone: &str) -> impl Fn(&StorageNode) -> (bool, bool, u64) {
-    move |store| (false, store.zone != zone, store.disk)
+fn local_first(zone: &str) -> impl Fn(&StorageNode) -> NodePreference<u64> {
+    move |store| NodePreference { is_down: false, is_remote: store.zone != zone, rank: store.disk }
 }
 
 fn needed(roster: &Roster, copies: usize) -> Option<Vec<u64>> {
@@ -41,7 +41,11 @@
 fn a_machine_that_does_not_answer_comes_last() {
     let current = vec![store(1, "a"), store(2, "b"), store(3, "c")];
     let roster = Roster { current, ..Roster::default() };
-    let order = copy_order(&roster, |store| (store.disk == 1, store.zone != "a", store.disk));
+    let order = copy_order(&roster, |store| NodePreference {
+        is_down: store.disk == 1,
+        is_remote: store.zone != "a",
+        rank: store.disk,
+    });
     expect_that!(copies_needed(&roster, &order, 2), some(eq(&vec![2, 3])));
 }
 
--- a/testbed/src/system/edge.rs
+++ b/testbed/src/system/edge.rs
@@ -14,7 +14,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 use turn_store::{
-    AccountReplicas, copies_needed, copy_order, has_copies, is_surely_absent, merge_reservations,
+    AccountReplicas, NodePreference, copies_needed, copy_order, has_copies, is_surely_absent,
+    merge_reservations,
 };
 
 const PATIENCE: u64 = 300;
@@ -362,8 +363,10 @@
         // Broken on purpose: one copy less.
         let short = usize::from(self.host.breaks(Mutation::CopiesOneShort));
         let copies = self.host.losses() + 1 - short;
-        let stores = copy_order(roster, |store| {
-            (self.is_down(store), store.zone != *zone, !rendezvous_rank(turn.attempt.as_bytes(), store.disk))
+        let stores = copy_order(roster, |store| NodePreference {
+            is_down: self.is_down(store),
+            is_remote: store.zone != *zone,
+            rank: !rendezvous_rank(turn.attempt.as_bytes(), store.disk),
         });
         let Some(first) = copies_needed(roster, &stores, copies) else { return Round::Again };
         let keep = async |store: &StorageNode, holders: Vec<u64>| {
