--- a/system/programs/src/admin.rs
+++ b/system/programs/src/admin.rs
@@ -7,9 +7,9 @@
 pub mod table;
 pub mod views;
 
-pub use commands::{Command, Report, Verdict, carry_out};
+pub use commands::{Command, Report, Verdict, execute};
 pub use query::Fleet;
-pub use views::Desk;
+pub use views::AdminEndpoint;
 
 /// What is asked: a name, and an argument after a space where the name takes one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,5 +53,5 @@
     pub origin: Origin,
     /// What it says.
     #[serde(flatten)]
-    pub says: T,
+    pub body: T,
 }
--- a/system/programs/src/admin/commands.rs
+++ b/system/programs/src/admin/commands.rs
@@ -61,7 +61,7 @@
     Versions,
     /// Counters and gauges as exposition text
     #[bpaf(command("figures"))]
-    Figures {
+    Metrics {
         /// Only those of this machine
         #[bpaf(positional("NODE"), optional)]
         node: Option<String>,
@@ -104,25 +104,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
     /// Nothing wrong was found.
-    Fine,
+    Healthy,
     /// Something is.
-    Wrong,
+    Problem,
     /// Nobody answered.
-    Silent,
+    NoAnswer,
 }
 
 impl Verdict {
     /// The exit code.
     pub fn exit_code(self) -> u8 {
         match self {
-            Self::Fine => 0,
-            Self::Wrong => 1,
-            Self::Silent => 3,
+            Self::Healthy => 0,
+            Self::Problem => 1,
+            Self::NoAnswer => 3,
         }
     }
 
-    fn wrong_if(wrong: bool) -> Self {
-        if wrong { Self::Wrong } else { Self::Fine }
+    fn problem_if(wrong: bool) -> Self {
+        if wrong { Self::Problem } else { Self::Healthy }
     }
 }
 
@@ -143,12 +143,12 @@
     }
 
     fn silent() -> Self {
-        Self::new(Verdict::Silent, String::new(), ())
+        Self::new(Verdict::NoAnswer, String::new(), ())
     }
 }
 
 /// Carries a command out.
-pub async fn carry_out(fleet: &Fleet, command: &Command) -> Report {
+pub async fn execute(fleet: &Fleet, command: &Command) -> Report {
     match command {
         Command::Members => members::members(fleet).await,
         Command::Config(command) => config::config(fleet, command).await,
@@ -157,7 +157,7 @@
         Command::Account { program } => account::account(fleet, program).await,
         Command::Roster => roster::roster(fleet).await,
         Command::Versions => processes::versions(fleet).await,
-        Command::Figures { node } => processes::figures(fleet, node.as_deref()).await,
+        Command::Metrics { node } => processes::metrics(fleet, node.as_deref()).await,
     }
 }
 
@@ -177,10 +177,10 @@
 fn newest<T>(views: Vec<View<T>>, version: impl Fn(&T) -> u64) -> Option<View<T>> {
     views.into_iter().min_by_key(|view| {
         let was_never_confirmed = view.origin.age_ms.is_none();
-        (Reverse(version(&view.says)), was_never_confirmed, view.origin.age_ms)
+        (Reverse(version(&view.body)), was_never_confirmed, view.origin.age_ms)
     })
 }
 
-fn joined(nodes: &BTreeSet<String>) -> String {
+fn join_names(nodes: &BTreeSet<String>) -> String {
     nodes.iter().map(String::as_str).collect::<Vec<_>>().join(" ")
 }
--- a/system/programs/src/admin/commands/account.rs
+++ b/system/programs/src/admin/commands/account.rs
@@ -32,11 +32,11 @@
 
 pub(super) async fn account(fleet: &Fleet, program: &str) -> Report {
     let Some(known) = newest_roster(fleet).await else { return Report::silent() };
-    let losses = known.says.losses;
-    let holders = account_replicas(&known.says.roster.current, program, losses);
-    let asked: Vec<SocketAddrV4> = holders.iter().map(|store| fleet.peer(store.ip)).collect();
-    let answers = fleet.ask_all::<SeenAccount>(&asked, &format!("account {program}")).await;
-    let views: Vec<Option<View<SeenAccount>>> = answers.into_iter().map(|(_, view)| view).collect();
+    let losses = known.body.losses;
+    let holders = account_replicas(&known.body.roster.current, program, losses);
+    let targets: Vec<SocketAddrV4> = holders.iter().map(|store| fleet.peer(store.ip)).collect();
+    let responses = fleet.query_all::<SeenAccount>(&targets, &format!("account {program}")).await;
+    let views: Vec<Option<View<SeenAccount>>> = responses.into_iter().map(|(_, view)| view).collect();
     if views.iter().all(Option::is_none) {
         return Report::silent();
     }
@@ -55,22 +55,22 @@
         holders.len()
     );
     // A majority of the holders has to answer for the sum to hold.
-    let verdict = Verdict::wrong_if(known < losses + 1);
+    let verdict = Verdict::problem_if(known < losses + 1);
     let machines = views.iter().flatten().collect();
     Report::new(verdict, text, AccountReport { total: total(&merged), holders, machines })
 }
 
 /// What a holder says; nothing if it does not answer for the account.
 fn column(view: Option<&View<SeenAccount>>) -> Option<Reservations> {
-    let says = &view?.says;
-    says.known.then(|| says.reservations.iter().map(|one| (one.attempt, one.tokens)).collect())
+    let body = &view?.body;
+    body.known.then(|| body.reservations.iter().map(|one| (one.attempt, one.tokens)).collect())
 }
 
 /// What all holders say together: two records of one attempt merge to the lower count.
 fn merged(views: &[Option<View<SeenAccount>>]) -> Reservations {
     let mut merged = Reservations::new();
-    let known = views.iter().flatten().filter(|view| view.says.known);
-    for reservation in known.flat_map(|view| &view.says.reservations) {
+    let known = views.iter().flatten().filter(|view| view.body.known);
+    for reservation in known.flat_map(|view| &view.body.reservations) {
         let tokens = merged.entry(reservation.attempt).or_insert(reservation.tokens);
         *tokens = reservation.tokens.min(*tokens);
     }
--- a/system/programs/src/admin/commands/config.rs
+++ b/system/programs/src/admin/commands/config.rs
@@ -59,7 +59,7 @@
 
 /// Reports on the newest configuration that anybody asked knows.
 async fn about_newest(fleet: &Fleet, report: impl FnOnce(&View<SeenConfig>) -> Report) -> Report {
-    let views: Vec<View<SeenConfig>> = fleet.answers(&fleet.entries, "config").await;
+    let views: Vec<View<SeenConfig>> = fleet.responses(&fleet.entries, "config").await;
     newest(views, |seen| seen.version).as_ref().map_or_else(Report::silent, report)
 }
 
@@ -71,11 +71,11 @@
 fn unreadable_file(file: &Path, error: &std::io::Error) -> Report {
     let finding = Finding { place: "document".to_owned(), what: error.to_string() };
     let text = format!("{}: {error}\n", file.display());
-    Report::new(Verdict::Wrong, text, FindingsReport { findings: &[finding] })
+    Report::new(Verdict::Problem, text, FindingsReport { findings: &[finding] })
 }
 
 fn invalid(findings: &Findings) -> Report {
-    Report::new(Verdict::Wrong, format!("{findings}\n"), FindingsReport { findings: &findings.0 })
+    Report::new(Verdict::Problem, format!("{findings}\n"), FindingsReport { findings: &findings.0 })
 }
 
 fn check(file: &Path) -> Report {
@@ -90,48 +90,48 @@
         config.routes.len(),
         config.services.len()
     );
-    Report::new(Verdict::Fine, text, CheckReport { version: config.version, findings: Vec::new() })
+    Report::new(Verdict::Healthy, text, CheckReport { version: config.version, findings: Vec::new() })
 }
 
 /// Which configuration it is and where it is from, in a line.
 fn source(view: &View<SeenConfig>) -> String {
-    format!("version {}, {}", view.says.version, provenance(&view.origin))
+    format!("version {}, {}", view.body.version, provenance(&view.origin))
 }
 
 fn show(view: &View<SeenConfig>) -> Report {
-    let verdict = Verdict::wrong_if(is_stale(&view.origin) || view.says.version == 0);
-    let text = match view.says.version {
+    let verdict = Verdict::problem_if(is_stale(&view.origin) || view.body.version == 0);
+    let text = match view.body.version {
         0 => format!("no configuration yet, says {}\n", view.origin.node),
-        _ => format!("{}\n", view.says.config.trim_end()),
+        _ => format!("{}\n", view.body.config.trim_end()),
     };
     Report::new(verdict, text, view)
 }
 
 fn history(view: &View<SeenConfig>) -> Report {
-    let SeenConfig { version, taken, digests, .. } = &view.says;
+    let SeenConfig { version, taken, digests, .. } = &view.body;
     let row = |(taken, digest): (&u64, &String)| {
         let note = if taken == version { "in force" } else { "" };
         vec![taken.to_string(), digest.clone(), note.to_owned()]
     };
     let rows: Vec<Vec<String>> = taken.iter().zip(digests).map(row).collect();
     let text = format!("{}{}\n", table(&["VERSION", "SHA-256", ""], &rows), source(view));
-    let says = HistoryReport { taken, digests, version: *version };
-    let verdict = Verdict::wrong_if(is_stale(&view.origin));
-    Report::new(verdict, text, View { origin: view.origin.clone(), says })
+    let body = HistoryReport { taken, digests, version: *version };
+    let verdict = Verdict::problem_if(is_stale(&view.origin));
+    Report::new(verdict, text, View { origin: view.origin.clone(), body })
 }
 
 fn diff(view: &View<SeenConfig>, after: &OperatorConfig) -> Report {
-    let before = match view.says.version {
+    let before = match view.body.version {
         0 => Ok(OperatorConfig::default()),
-        _ => OperatorConfig::read(view.says.config.as_bytes()),
+        _ => OperatorConfig::read(view.body.config.as_bytes()),
     };
     let Ok(before) = before else {
-        return Report::new(Verdict::Wrong, format!("{}: cannot be read here\n", source(view)), ());
+        return Report::new(Verdict::Problem, format!("{}: cannot be read here\n", source(view)), ());
     };
     let lines = difference(&before, after);
     // A version that is not above the current one is refused.
     let refused = after.version <= before.version && !lines.is_empty();
-    let verdict = Verdict::wrong_if(refused || is_stale(&view.origin));
+    let verdict = Verdict::problem_if(refused || is_stale(&view.origin));
     let text = diff_text(view, &lines, refused);
     let report = DiffReport { against: &view.origin, version: before.version, lines: &lines, refused };
     Report::new(verdict, text, report)
--- a/system/programs/src/admin/commands/endpoints.rs
+++ b/system/programs/src/admin/commands/endpoints.rs
@@ -46,10 +46,10 @@
 
 pub(super) async fn endpoints(fleet: &Fleet, node: Option<&str>) -> Report {
     let members = places(&fleet.members().await);
-    let edges = members.iter().filter(|place| place.member.role == "edge");
-    let asked = edges.filter(|place| node.is_none_or(|node| place.member.name == node));
-    for place in asked {
-        if let Some(view) = fleet.ask(fleet.proxy(place.member.ip), "endpoints").await {
+    let edges = members.iter().filter(|summary| summary.member.role == "edge");
+    let targets = edges.filter(|summary| node.is_none_or(|node| summary.member.name == node));
+    for summary in targets {
+        if let Some(view) = fleet.query(fleet.proxy(summary.member.ip), "endpoints").await {
             return report_of_proxy(view);
         }
     }
@@ -57,17 +57,17 @@
         return Report::silent();
     }
     // No proxy answers: the list is what can be told.
-    let lists: Vec<View<ListedEndpoints>> = fleet.answers(&fleet.entries, "endpoints").await;
-    let newest = lists.into_iter().max_by_key(|view| view.says.stamp);
+    let lists: Vec<View<ListedEndpoints>> = fleet.responses(&fleet.entries, "endpoints").await;
+    let newest = lists.into_iter().max_by_key(|view| view.body.stamp);
     newest.as_ref().map_or_else(Report::silent, report_of_list)
 }
 
 fn report_of_proxy(mut view: View<SeenEndpoints>) -> Report {
-    let endpoints = &mut view.says.endpoints;
+    let endpoints = &mut view.body.endpoints;
     endpoints
         .sort_by(|a, b| (&a.service, &a.zone, &a.instance_id).cmp(&(&b.service, &b.zone, &b.instance_id)));
-    let verdict = Verdict::wrong_if(is_stale(&view.origin) || are_failing(&view.says.endpoints));
-    let rows: Vec<Vec<String>> = view.says.endpoints.iter().map(proxy_row).collect();
+    let verdict = Verdict::problem_if(is_stale(&view.origin) || are_failing(&view.body.endpoints));
+    let rows: Vec<Vec<String>> = view.body.endpoints.iter().map(proxy_row).collect();
     let text = format!(
         "{}as the proxy of {} sees them; its list was confirmed {} ago\n",
         table(&PROXY_HEAD, &rows),
@@ -103,10 +103,10 @@
 }
 
 fn report_of_list(view: &View<ListedEndpoints>) -> Report {
-    let rows: Vec<Vec<String>> = view.says.list.iter().map(list_row).collect();
+    let rows: Vec<Vec<String>> = view.body.list.iter().map(list_row).collect();
     let text =
         format!("{}no proxy answers; the list {}\n", table(&LIST_HEAD, &rows), provenance(&view.origin));
-    Report::new(Verdict::Wrong, text, view)
+    Report::new(Verdict::Problem, text, view)
 }
 
 fn list_row(endpoint: &Endpoint) -> Vec<String> {
--- a/system/programs/src/admin/commands/processes.rs
+++ b/system/programs/src/admin/commands/processes.rs
@@ -2,8 +2,8 @@
 
 use super::{Report, Verdict, is_stale};
 use crate::admin::View;
-use crate::admin::metrics::{Figures, exposition};
-use crate::admin::query::{Fleet, Place, places};
+use crate::admin::metrics::{Metrics, exposition};
+use crate::admin::query::{Fleet, MemberSummary, places};
 use crate::admin::table::{age, table};
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -21,7 +21,7 @@
 
 /// A process of the fleet.
 struct FleetProcess<'a> {
-    place: &'a Place,
+    summary: &'a MemberSummary,
     program: &'static str,
     address: SocketAddrV4,
 }
@@ -41,15 +41,16 @@
 }
 
 /// Every process of these machines.
-fn processes<'a>(fleet: &Fleet, places: &'a [Place]) -> Vec<FleetProcess<'a>> {
-    places.iter().flat_map(|place| processes_of(fleet, place)).collect()
+fn processes<'a>(fleet: &Fleet, places: &'a [MemberSummary]) -> Vec<FleetProcess<'a>> {
+    places.iter().flat_map(|summary| processes_of(fleet, summary)).collect()
 }
 
 /// An edge machine runs two processes, each other one a single one.
-fn processes_of<'a>(fleet: &Fleet, place: &'a Place) -> Vec<FleetProcess<'a>> {
-    let peer = |program| FleetProcess { place, program, address: fleet.peer(place.member.ip) };
-    let proxy = || FleetProcess { place, program: "request-proxy", address: fleet.proxy(place.member.ip) };
-    match place.member.role.as_str() {
+fn processes_of<'a>(fleet: &Fleet, summary: &'a MemberSummary) -> Vec<FleetProcess<'a>> {
+    let peer = |program| FleetProcess { summary, program, address: fleet.peer(summary.member.ip) };
+    let proxy =
+        || FleetProcess { summary, program: "request-proxy", address: fleet.proxy(summary.member.ip) };
+    match summary.member.role.as_str() {
         "edge" => vec![peer("proxy-agent"), proxy()],
         "core" => vec![peer("control-node")],
         _ => vec![peer("storage-node")],
@@ -63,15 +64,15 @@
     }
     let places = places(&members);
     let processes = processes(fleet, &places);
-    let asked: Vec<SocketAddrV4> = processes.iter().map(|process| process.address).collect();
-    let answers = fleet.ask_all::<SeenVersion>(&asked, "versions").await;
-    let views: Vec<Option<View<SeenVersion>>> = answers.into_iter().map(|(_, view)| view).collect();
+    let targets: Vec<SocketAddrV4> = processes.iter().map(|process| process.address).collect();
+    let responses = fleet.query_all::<SeenVersion>(&targets, "versions").await;
+    let views: Vec<Option<View<SeenVersion>>> = responses.into_iter().map(|(_, view)| view).collect();
     versions_report(&processes, &views)
 }
 
 /// `views`: what each of the processes answers, in the same order.
 fn versions_report(processes: &[FleetProcess<'_>], views: &[Option<View<SeenVersion>>]) -> Report {
-    let newest = views.iter().flatten().map(|view| view.says.version).max();
+    let newest = views.iter().flatten().map(|view| view.body.version).max();
     let notes: Vec<&str> = views.iter().map(|view| note(view.as_ref(), newest)).collect();
     let wrong = notes.iter().filter(|note| !note.is_empty()).count();
     let mut rows = Vec::new();
@@ -80,34 +81,34 @@
     }
     let text = format!("{}{wrong} of {} processes need a look\n", table(&VERSIONS_HEAD, &rows), rows.len());
     let processes = processes.iter().zip(views).map(|(process, view)| ProcessReport {
-        node: &process.place.member.name,
+        node: &process.summary.member.name,
         program: process.program,
         address: process.address,
         view: view.as_ref(),
     });
     let report = VersionsReport { newest, processes: processes.collect() };
-    Report::new(Verdict::wrong_if(wrong > 0), text, report)
+    Report::new(Verdict::problem_if(wrong > 0), text, report)
 }
 
 /// What is wrong with a process, if anything is.
 fn note(view: Option<&View<SeenVersion>>, newest: Option<u64>) -> &'static str {
     match view {
         None => "no answer",
-        Some(view) if Some(view.says.version) != newest => "behind",
+        Some(view) if Some(view.body.version) != newest => "behind",
         Some(view) if is_stale(&view.origin) => "stale",
         Some(_) => "",
     }
 }
 
 fn versions_row(process: &FleetProcess<'_>, view: Option<&View<SeenVersion>>, note: &str) -> Vec<String> {
-    let member = &process.place.member;
+    let member = &process.summary.member;
     let mut row = vec![member.name.clone(), process.program.to_owned(), member.zone.clone()];
     match view {
-        Some(View { origin, says }) => row.extend([
-            says.version.to_string(),
+        Some(View { origin, body }) => row.extend([
+            body.version.to_string(),
             age(origin.age_ms),
-            says.endpoints.to_string(),
-            says.fed.len().to_string(),
+            body.endpoints.to_string(),
+            body.fed.len().to_string(),
         ]),
         None => row.extend(["-"; 4].map(str::to_owned)),
     }
@@ -115,13 +116,14 @@
     row
 }
 
-pub(super) async fn figures(fleet: &Fleet, node: Option<&str>) -> Report {
+pub(super) async fn metrics(fleet: &Fleet, node: Option<&str>) -> Report {
     let mut places = places(&fleet.members().await);
-    places.retain(|place| node.is_none_or(|node| place.member.name == node));
-    let asked: Vec<SocketAddrV4> = processes(fleet, &places).iter().map(|process| process.address).collect();
-    let views: Vec<View<Figures>> = fleet.answers(&asked, "figures").await;
+    places.retain(|summary| node.is_none_or(|node| summary.member.name == node));
+    let targets: Vec<SocketAddrV4> =
+        processes(fleet, &places).iter().map(|process| process.address).collect();
+    let views: Vec<View<Metrics>> = fleet.responses(&targets, "figures").await;
     if views.is_empty() {
         return Report::silent();
     }
-    Report::new(Verdict::wrong_if(views.len() < asked.len()), exposition(&views), views)
+    Report::new(Verdict::problem_if(views.len() < targets.len()), exposition(&views), views)
 }
--- a/system/programs/src/admin/commands/roster.rs
+++ b/system/programs/src/admin/commands/roster.rs
@@ -2,7 +2,7 @@
 
 use super::{Report, Verdict, is_stale, newest, provenance};
 use crate::admin::View;
-use crate::admin::query::{Fleet, Place, places};
+use crate::admin::query::{Fleet, MemberSummary, places};
 use crate::admin::table::table;
 use fleet_model::{Lease, Roster, StorageNode};
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
 
 /// The newest one that anybody asked knows.
 pub(super) async fn newest_roster(fleet: &Fleet) -> Option<View<SeenRoster>> {
-    let views: Vec<View<SeenRoster>> = fleet.answers(&fleet.entries, "roster").await;
+    let views: Vec<View<SeenRoster>> = fleet.responses(&fleet.entries, "roster").await;
     newest(views, |seen| seen.roster.epoch)
 }
 
@@ -40,16 +40,16 @@
     report(&view, &members)
 }
 
-fn report(view: &View<SeenRoster>, members: &[Place]) -> Report {
-    let SeenRoster { roster, losses, .. } = &view.says;
+fn report(view: &View<SeenRoster>, members: &[MemberSummary]) -> Report {
+    let SeenRoster { roster, losses, .. } = &view.body;
     let is_absent = |store: &StorageNode| liveness(store, members) != "alive";
     let is_small = roster.current.len() < 2 * losses + 1;
     let is_wrong = is_stale(&view.origin) || roster.current.iter().any(is_absent) || is_small;
-    Report::new(Verdict::wrong_if(is_wrong), text(view, members), view)
+    Report::new(Verdict::problem_if(is_wrong), text(view, members), view)
 }
 
-fn text(view: &View<SeenRoster>, members: &[Place]) -> String {
-    let roster = &view.says.roster;
+fn text(view: &View<SeenRoster>, members: &[MemberSummary]) -> String {
+    let roster = &view.body.roster;
     let rows: Vec<Vec<String>> =
         stores(roster).into_iter().map(|store| row(roster, store, members)).collect();
     let mut text = table(&HEAD, &rows);
@@ -57,14 +57,14 @@
     if !roster.retiring.is_empty() {
         text.push_str(&format!("retired or retiring: {}\n", roster.retiring.join(" ")));
     }
-    for (task, fence) in &view.says.fences {
+    for (task, fence) in &view.body.fences {
         let holder = fence.holder.map_or("nobody".to_owned(), |ip| name(ip, members));
         text.push_str(&format!("duty {task}: {holder}, fence {}\n", fence.token));
     }
     text
 }
 
-fn row(roster: &Roster, store: &StorageNode, members: &[Place]) -> Vec<String> {
+fn row(roster: &Roster, store: &StorageNode, members: &[MemberSummary]) -> Vec<String> {
     let counts = if roster.current.contains(store) { "counts" } else { "" };
     vec![
         store.name.clone(),
@@ -78,10 +78,10 @@
 }
 
 /// How the membership sees a storage machine.
-fn liveness(store: &StorageNode, members: &[Place]) -> &'static str {
-    match members.iter().find(|place| place.member.ip == store.ip) {
+fn liveness(store: &StorageNode, members: &[MemberSummary]) -> &'static str {
+    match members.iter().find(|summary| summary.member.ip == store.ip) {
         None => "gone",
-        Some(place) if place.member.suspected => "suspected",
+        Some(summary) if summary.member.suspected => "suspected",
         Some(_) => "alive",
     }
 }
@@ -104,7 +104,7 @@
 }
 
 /// A machine's name; its address if it is no member.
-fn name(ip: Ipv4Addr, members: &[Place]) -> String {
-    let place = members.iter().find(|place| place.member.ip == ip);
-    place.map_or(ip.to_string(), |place| place.member.name.clone())
+fn name(ip: Ipv4Addr, members: &[MemberSummary]) -> String {
+    let summary = members.iter().find(|summary| summary.member.ip == ip);
+    summary.map_or(ip.to_string(), |summary| summary.member.name.clone())
 }
--- a/system/programs/src/admin/metrics.rs
+++ b/system/programs/src/admin/metrics.rs
@@ -8,7 +8,7 @@
 /// What a figure is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum MetricKind {
     /// It rises as long as the process lives.
     Counter,
     /// It goes up and down.
@@ -17,51 +17,52 @@
 
 /// A figure of a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Figure {
+pub struct Metric {
     /// Its name.
     pub name: String,
     /// What it is.
-    pub kind: Kind,
+    pub kind: MetricKind,
     /// Its value.
     pub value: f64,
 }
 
 /// All figures of a process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct Metrics {
     /// Each figure once.
-    pub figures: Vec<Figure>,
+    #[serde(rename = "figures")]
+    pub metrics: Vec<Metric>,
 }
 
-impl Figures {
+impl Metrics {
     /// Adds what only rises; its name gets the usual ending.
     pub fn counter(&mut self, name: &str, value: u64) {
-        self.put(format!("{name}_total"), Kind::Counter, value as f64);
+        self.put(format!("{name}_total"), MetricKind::Counter, value as f64);
     }
 
     /// Adds what goes up and down.
     pub fn gauge(&mut self, name: &str, value: f64) {
-        self.put(name.to_owned(), Kind::Gauge, value);
+        self.put(name.to_owned(), MetricKind::Gauge, value);
     }
 
-    fn put(&mut self, name: String, kind: Kind, value: f64) {
-        self.figures.push(Figure { name, kind, value });
+    fn put(&mut self, name: String, kind: MetricKind, value: f64) {
+        self.metrics.push(Metric { name, kind, value });
     }
 }
 
 /// The figures of several processes as one text: a family's lines stand together, under one `# TYPE`.
-pub fn exposition(views: &[View<Figures>]) -> String {
-    let mut families: BTreeMap<(&str, Kind), Vec<(&Origin, f64)>> = BTreeMap::new();
+pub fn exposition(views: &[View<Metrics>]) -> String {
+    let mut families: BTreeMap<(&str, MetricKind), Vec<(&Origin, f64)>> = BTreeMap::new();
     for view in views {
-        for figure in &view.says.figures {
-            families.entry((&figure.name, figure.kind)).or_default().push((&view.origin, figure.value));
+        for metric in &view.body.metrics {
+            families.entry((&metric.name, metric.kind)).or_default().push((&view.origin, metric.value));
         }
     }
     let mut text = String::new();
     for ((name, kind), lines) in families {
         let kind = match kind {
-            Kind::Counter => "counter",
-            Kind::Gauge => "gauge",
+            MetricKind::Counter => "counter",
+            MetricKind::Gauge => "gauge",
         };
         // Writing to a string does not fail.
         let _ = writeln!(text, "# TYPE {name} {kind}");
--- a/system/programs/src/admin/query.rs
+++ b/system/programs/src/admin/query.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// How long a process has to answer.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Processes that are asked at once.
-const ASKED_AT_ONCE: usize = 32;
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
 /// The fleet, as staff reach it.
 #[derive(Clone, Debug)]
@@ -24,12 +24,12 @@
     /// Processes to begin with.
     pub entries: Vec<SocketAddrV4>,
     /// The port of proxies for staff, relative to that of other processes.
-    pub staff_offset: u16,
+    pub admin_port_offset: u16,
 }
 
 /// A member as one process sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct ObservedMember {
     /// Its name.
     pub name: String,
     /// Its address.
@@ -44,17 +44,17 @@
 
 /// The members that one process sees.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenMembers {
+pub struct ObservedMembers {
     /// All of them, itself first.
-    pub members: Vec<Seen>,
+    pub members: Vec<ObservedMember>,
 }
 
 /// A member as several processes see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Place {
+pub struct MemberSummary {
     /// As the first of them sees it.
     #[serde(flatten)]
-    pub member: Seen,
+    pub member: ObservedMember,
     /// Names of those that see it, suspected or not.
     pub seen_by: BTreeSet<String>,
     /// Names of those that suspect it.
@@ -64,27 +64,27 @@
 }
 
 /// What several processes say of the members together.
-pub fn places(views: &[View<SeenMembers>]) -> Vec<Place> {
-    let mut places: BTreeMap<Ipv4Addr, Place> = BTreeMap::new();
+pub fn places(views: &[View<ObservedMembers>]) -> Vec<MemberSummary> {
+    let mut places: BTreeMap<Ipv4Addr, MemberSummary> = BTreeMap::new();
     for view in views {
-        for seen in &view.says.members {
-            let place = places.entry(seen.ip).or_insert_with(|| Place {
+        for seen in &view.body.members {
+            let summary = places.entry(seen.ip).or_insert_with(|| MemberSummary {
                 member: seen.clone(),
                 seen_by: BTreeSet::new(),
                 suspected_by: BTreeSet::new(),
                 missed_by: BTreeSet::new(),
             });
-            place.seen_by.insert(view.origin.node.clone());
+            summary.seen_by.insert(view.origin.node.clone());
             if seen.suspected {
-                place.suspected_by.insert(view.origin.node.clone());
+                summary.suspected_by.insert(view.origin.node.clone());
             }
         }
     }
-    let mut places: Vec<Place> = places.into_values().collect();
-    for place in &mut places {
-        let asked = views.iter().map(|view| &view.origin.node);
-        place.missed_by = asked.filter(|node| !place.seen_by.contains(*node)).cloned().collect();
-        place.member.suspected = !place.suspected_by.is_empty();
+    let mut places: Vec<MemberSummary> = places.into_values().collect();
+    for summary in &mut places {
+        let targets = views.iter().map(|view| &view.origin.node);
+        summary.missed_by = targets.filter(|node| !summary.seen_by.contains(*node)).cloned().collect();
+        summary.member.suspected = !summary.suspected_by.is_empty();
     }
     places.sort_by(|a, b| (&a.member.role, &a.member.name).cmp(&(&b.member.role, &b.member.name)));
     places
@@ -92,39 +92,39 @@
 
 impl Fleet {
     /// A process's view; nothing if it does not answer, or not with a view.
-    pub async fn ask<T: DeserializeOwned>(&self, to: SocketAddrV4, topic: &str) -> Option<View<T>> {
+    pub async fn query<T: DeserializeOwned>(&self, to: SocketAddrV4, topic: &str) -> Option<View<T>> {
         let client = PeerClient::new(to, self.number, None);
-        match client.call(Call::Inspect { topic: topic.to_owned() }, PATIENCE).await {
+        match client.call(Call::Inspect { topic: topic.to_owned() }, QUERY_TIMEOUT).await {
             Ok(Answer::View(text)) => serde_json::from_str(&text).ok(),
             _ => None,
         }
     }
 
     /// The views of several processes, in the order asked.
-    pub async fn ask_all<T: DeserializeOwned>(
+    pub async fn query_all<T: DeserializeOwned>(
         &self,
         to: &[SocketAddrV4],
         topic: &str,
     ) -> Vec<(SocketAddrV4, Option<View<T>>)> {
-        let asked = to.iter().map(|to| async move { (*to, self.ask(*to, topic).await) });
-        stream::iter(asked).buffered(ASKED_AT_ONCE).collect().await
+        let targets = to.iter().map(|to| async move { (*to, self.query(*to, topic).await) });
+        stream::iter(targets).buffered(MAX_CONCURRENT_QUERIES).collect().await
     }
 
     /// The views of those that answer.
-    pub async fn answers<T: DeserializeOwned>(&self, to: &[SocketAddrV4], topic: &str) -> Vec<View<T>> {
-        self.ask_all(to, topic).await.into_iter().filter_map(|(_, view)| view).collect()
+    pub async fn responses<T: DeserializeOwned>(&self, to: &[SocketAddrV4], topic: &str) -> Vec<View<T>> {
+        self.query_all(to, topic).await.into_iter().filter_map(|(_, view)| view).collect()
     }
 
     /// The members, as the entries and one more machine of each other zone see them.
-    pub async fn members(&self) -> Vec<View<SeenMembers>> {
-        let mut views: Vec<View<SeenMembers>> = self.answers(&self.entries, "members").await;
+    pub async fn members(&self) -> Vec<View<ObservedMembers>> {
+        let mut views: Vec<View<ObservedMembers>> = self.responses(&self.entries, "members").await;
         let mut zones: BTreeSet<String> = views.iter().map(|view| view.origin.zone.clone()).collect();
         let others: Vec<SocketAddrV4> = places(&views)
             .into_iter()
-            .filter(|place| zones.insert(place.member.zone.clone()))
-            .map(|place| self.peer(place.member.ip))
+            .filter(|summary| zones.insert(summary.member.zone.clone()))
+            .map(|summary| self.peer(summary.member.ip))
             .collect();
-        views.extend(self.answers(&others, "members").await);
+        views.extend(self.responses(&others, "members").await);
         views
     }
 
@@ -137,6 +137,6 @@
     /// Where the proxy of a machine answers.
     pub fn proxy(&self, ip: Ipv4Addr) -> SocketAddrV4 {
         let peer = self.peer(ip);
-        SocketAddrV4::new(ip, peer.port().saturating_add(self.staff_offset))
+        SocketAddrV4::new(ip, peer.port().saturating_add(self.admin_port_offset))
     }
 }
--- a/system/programs/src/admin/views.rs
+++ b/system/programs/src/admin/views.rs
@@ -1,6 +1,6 @@
 //! The asked process's side.
 
-use super::metrics::Figures;
+use super::metrics::Metrics;
 use super::{Origin, Topic};
 use crate::feed::Feed;
 use crate::members::Members;
@@ -12,14 +12,14 @@
 use std::rc::Rc;
 
 /// Answers for a program.
-pub struct Desk {
+pub struct AdminEndpoint {
     process: Rc<Process>,
     feed: Rc<Feed>,
     members: Option<Rc<Members>>,
     program: &'static str,
 }
 
-impl Desk {
+impl AdminEndpoint {
     /// One for this program; a program that takes no part in the membership has no members to tell of.
     pub fn new(
         process: Rc<Process>,
@@ -31,9 +31,9 @@
     }
 
     /// What every program can say. `figures`: the program's own, beside those that all have.
-    pub fn answer(&self, topic: &str, figures: impl FnOnce(&mut Figures)) -> Answer {
+    pub fn answer(&self, topic: &str, metrics: impl FnOnce(&mut Metrics)) -> Answer {
         let state = self.feed.state();
-        let says = match Topic::read(topic).name {
+        let body = match Topic::read(topic).name {
             "members" => return self.members_view(),
             "config" => json!({
                 "version": state.version(),
@@ -48,9 +48,9 @@
                 "losses": self.process.settings().fault_tolerance.machines,
             }),
             "figures" => {
-                let mut all = Figures::default();
-                self.common_figures(&mut all);
-                figures(&mut all);
+                let mut all = Metrics::default();
+                self.common_metrics(&mut all);
+                metrics(&mut all);
                 json!(all)
             }
             _ => json!({
@@ -62,16 +62,16 @@
                 "fed": self.feed.subscriber_addresses(),
             }),
         };
-        self.view(says)
+        self.view(body)
     }
 
     /// A view that says this.
-    pub fn view(&self, says: Value) -> Answer {
+    pub fn view(&self, body: Value) -> Answer {
         let age_ms = self.feed.age().map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX));
-        self.aged_view(age_ms, says)
+        self.aged_view(age_ms, body)
     }
 
-    fn aged_view(&self, age_ms: Option<u64>, says: Value) -> Answer {
+    fn aged_view(&self, age_ms: Option<u64>, body: Value) -> Answer {
         let settings = self.process.settings();
         let origin = Origin {
             node: settings.node_name.clone(),
@@ -81,8 +81,8 @@
             age_ms,
         };
         let mut view = json!(origin);
-        if let (Value::Object(view), Value::Object(says)) = (&mut view, says) {
-            view.extend(says);
+        if let (Value::Object(view), Value::Object(body)) = (&mut view, body) {
+            view.extend(body);
         }
         Answer::View(view.to_string())
     }
@@ -107,29 +107,29 @@
         self.aged_view(members.age_ms(), json!({ "members": told }))
     }
 
-    fn common_figures(&self, figures: &mut Figures) {
+    fn common_metrics(&self, metrics: &mut Metrics) {
         if let Some(age) = self.feed.age() {
-            figures.gauge("knowledge_age_seconds", age.as_secs_f64());
+            metrics.gauge("knowledge_age_seconds", age.as_secs_f64());
         }
-        figures.gauge("uptime_seconds", self.process.now_ms() as f64 / 1_000.0);
-        figures.gauge("configuration_version", self.feed.state().version() as f64);
-        figures.gauge("register_round", self.feed.value().ballot.round as f64);
-        figures.gauge("register_voters", self.feed.value().voters.len() as f64);
-        figures.gauge("roster_epoch", self.feed.state().roster.epoch as f64);
-        figures.gauge("endpoints_listed", self.feed.list().endpoints.len() as f64);
-        figures.gauge("feed_subscribers", self.feed.subscriber_addresses().len() as f64);
-        figures.gauge("proxies_told", f64::from(self.feed.proxies()));
+        metrics.gauge("uptime_seconds", self.process.now_ms() as f64 / 1_000.0);
+        metrics.gauge("configuration_version", self.feed.state().version() as f64);
+        metrics.gauge("register_round", self.feed.value().ballot.round as f64);
+        metrics.gauge("register_voters", self.feed.value().voters.len() as f64);
+        metrics.gauge("roster_epoch", self.feed.state().roster.epoch as f64);
+        metrics.gauge("endpoints_listed", self.feed.list().endpoints.len() as f64);
+        metrics.gauge("feed_subscribers", self.feed.subscriber_addresses().len() as f64);
+        metrics.gauge("proxies_told", f64::from(self.feed.proxies()));
         if let Some(members) = &self.members {
             let (all, counters) = (members.all(), members.counters());
             let suspected = all.iter().filter(|(_, state)| *state == MemberState::Suspect).count();
-            figures.gauge("members", all.len() as f64);
-            figures.gauge("members_suspected", suspected as f64);
-            figures.counter("membership_datagrams_sent", counters.datagrams_sent);
-            figures.counter("membership_bytes_sent", counters.bytes_sent);
-            figures.counter("membership_strangers", counters.foreign_datagrams);
-            figures.counter("membership_malformed", counters.malformed_datagrams);
-            figures.counter("membership_gaps", counters.stalls);
-            figures.counter("membership_refutations", counters.refutations);
+            metrics.gauge("members", all.len() as f64);
+            metrics.gauge("members_suspected", suspected as f64);
+            metrics.counter("membership_datagrams_sent", counters.datagrams_sent);
+            metrics.counter("membership_bytes_sent", counters.bytes_sent);
+            metrics.counter("membership_strangers", counters.foreign_datagrams);
+            metrics.counter("membership_malformed", counters.malformed_datagrams);
+            metrics.counter("membership_gaps", counters.stalls);
+            metrics.counter("membership_refutations", counters.refutations);
         }
     }
 }
@@ -140,13 +140,13 @@
         json!({
             "instance_id": &*view.instance_id, "service": view.service, "address": view.address, "zone": view.zone,
             "out": view.in_flight, "connections": view.connections, "slots": view.slots, "told": view.reported_load,
-            "unused": view.unavailable.as_ref().map(why),
+            "unused": view.unavailable.as_ref().map(unavailable_reason),
         })
     });
     json!({ "endpoints": told.collect::<Vec<_>>() })
 }
 
-fn why(unused: &UnavailableReason) -> &'static str {
+fn unavailable_reason(unused: &UnavailableReason) -> &'static str {
     match unused {
         UnavailableReason::Draining => "draining",
         UnavailableReason::Unlisted => "unlisted",
--- a/system/programs/src/agent.rs
+++ b/system/programs/src/agent.rs
@@ -1,9 +1,9 @@
 //! The agent beside each proxy: it follows the feed, feeds the proxy over loopback, and other agents below it in the tree.
 
-use crate::admin::Desk;
+use crate::admin::AdminEndpoint;
 use crate::feed::{Feed, SubscriberLink, follow, new_feed, run_heartbeats};
 use crate::members::Members;
-use crate::process::{Process, ended};
+use crate::process::{Process, shutdown_requested};
 use crate::start::{StartError, listen};
 use fleet_membership::Role;
 use fleet_model::{Answer, Call};
@@ -16,14 +16,14 @@
 
 struct Agent {
     feed: Rc<Feed>,
-    desk: Desk,
+    admin: AdminEndpoint,
 }
 
 impl Handler for Agent {
     async fn call(&self, _from: SocketAddr, call: Call, pusher: Pusher) -> Answer {
         match &call {
             Call::Subscribe { .. } => self.feed.subscribe(&call, true, SubscriberLink(pusher)),
-            Call::Inspect { topic } => self.desk.answer(topic, |_| ()),
+            Call::Inspect { topic } => self.admin.answer(topic, |_| ()),
             _ => Answer::NotReady,
         }
     }
@@ -34,8 +34,8 @@
     let settings = process.settings();
     let feed = new_feed(&process);
     let members = Members::start(process.clone(), feed.clone(), Role::Edge, |_| ())?;
-    let desk = Desk::new(process.clone(), feed.clone(), Some(members), "proxy-agent");
-    let agent = Rc::new(Agent { feed: feed.clone(), desk });
+    let admin = AdminEndpoint::new(process.clone(), feed.clone(), Some(members), "proxy-agent");
+    let agent = Rc::new(Agent { feed: feed.clone(), admin });
     let peers = listen(SocketAddrV4::new(settings.ip_address, settings.peer_port())).await?;
     let loopback = listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, settings.feed_port())).await?;
     for listener in [peers, loopback] {
@@ -44,7 +44,7 @@
     }
     spawn_local(run_heartbeats(feed.clone()));
     spawn_local(follow(feed, false));
-    ended(&process).await;
+    shutdown_requested(&process).await;
     sleep(Duration::from_secs_f64((settings.bounds.grace_period_s - 0.6).clamp(0.0, 30.0))).await;
     Ok(())
 }
--- a/system/programs/src/bin/fleetctl.rs
+++ b/system/programs/src/bin/fleetctl.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use system_programs::admin::commands::command;
-use system_programs::admin::{Command, Fleet, Verdict, carry_out};
+use system_programs::admin::{Command, Fleet, Verdict, execute};
 use system_programs::process::fleet_number;
 
 /// Asks the running system; each process answers from its own memory, also when the core is cut off.
@@ -31,13 +31,14 @@
 }
 
 /// The ports of a machine for staff come so long after that for peers.
-const STAFF_OFFSET: u16 = 3;
+const ADMIN_PORT_OFFSET: u16 = 3;
 
 fn fleet(options: &Options) -> Result<Fleet, String> {
-    let named = options.settings.clone().or_else(|| std::env::var_os("SEDGEWOOD_BOOT").map(PathBuf::from));
-    let path = named.unwrap_or_else(|| PathBuf::from("/etc/sedgewood/node.yaml"));
+    let settings_path =
+        options.settings.clone().or_else(|| std::env::var_os("SEDGEWOOD_BOOT").map(PathBuf::from));
+    let path = settings_path.unwrap_or_else(|| PathBuf::from("/etc/sedgewood/node.yaml"));
     if let (Some(number), false) = (options.fleet, options.at.is_empty()) {
-        return Ok(Fleet { number, entries: options.at.clone(), staff_offset: STAFF_OFFSET });
+        return Ok(Fleet { number, entries: options.at.clone(), admin_port_offset: ADMIN_PORT_OFFSET });
     }
     let settings = Settings::read(Path::new(&path)).map_err(|e| e.to_string())?;
     let port = settings.peer_port();
@@ -51,7 +52,7 @@
     Ok(Fleet {
         number: options.fleet.unwrap_or_else(|| fleet_number(&settings)),
         entries,
-        staff_offset: settings.admin_port() - port,
+        admin_port_offset: settings.admin_port() - port,
     })
 }
 
@@ -67,7 +68,7 @@
     let local = matches!(&options.command, Command::Config(config) if config.is_local());
     let fleet = match fleet(&options) {
         Ok(fleet) => fleet,
-        Err(_) if local => Fleet { number: 0, entries: Vec::new(), staff_offset: STAFF_OFFSET },
+        Err(_) if local => Fleet { number: 0, entries: Vec::new(), admin_port_offset: ADMIN_PORT_OFFSET },
         Err(e) => {
             eprintln!("{e}");
             return ExitCode::from(2);
@@ -81,8 +82,8 @@
         }
     };
     let local = tokio::task::LocalSet::new();
-    let report = local.block_on(&runtime, carry_out(&fleet, &options.command));
-    if report.verdict == Verdict::Silent {
+    let report = local.block_on(&runtime, execute(&fleet, &options.command));
+    if report.verdict == Verdict::NoAnswer {
         eprintln!("nobody answered");
     } else if options.json {
         println!("{}", report.json);
--- a/system/programs/src/control.rs
+++ b/system/programs/src/control.rs
@@ -5,12 +5,12 @@
 mod operator_requests;
 mod record;
 
-use crate::admin::Desk;
-use crate::feed::{NodeProcess, SubscriberLink, new_feed};
+use crate::admin::AdminEndpoint;
+use crate::feed::{ProcessRuntime, SubscriberLink, new_feed};
 use crate::members::Members;
 use crate::operator_api;
-use crate::process::{Process, ended};
-use crate::random::{drawn, life_nonce};
+use crate::process::{Process, shutdown_requested};
+use crate::random::{incarnation_nonce, random_u64};
 use crate::start::{StartError, listen};
 use backend::Backend;
 use config_register::BallotSource;
@@ -24,13 +24,13 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-type Node = ControlNode<NodeProcess, Backend>;
+type Node = ControlNode<ProcessRuntime, Backend>;
 
 /// A keeper: a control node with its desk for staff.
-pub struct Keeper {
+pub struct ControlServer {
     me: Ipv4Addr,
     node: Rc<Node>,
-    desk: Desk,
+    admin: AdminEndpoint,
     /// Damages on disk that the start has found.
     damages: u64,
 }
@@ -38,42 +38,42 @@
 /// Takes part in the membership, which tells the node of core machines.
 fn take_part(process: &Rc<Process>, node: &Rc<Node>) -> Result<Rc<Members>, StartError> {
     let weak = Rc::downgrade(node);
-    let hear = move |change: &MemberEvent| {
+    let on_change = move |change: &MemberEvent| {
         if let (MemberEvent::Joined(member), Some(node)) = (change, weak.upgrade())
             && member.role == Role::Core
         {
             node.add_known_core_node(member.ip);
         }
     };
-    Members::start(process.clone(), node.feed.clone(), Role::Core, hear)
+    Members::start(process.clone(), node.feed.clone(), Role::Core, on_change)
 }
 
-impl Keeper {
+impl ControlServer {
     /// Answers staff, also without a majority.
     fn inspect(&self, topic: &str) -> Answer {
         let node = &self.node;
-        self.desk.answer(topic, |figures| {
-            figures.gauge("control_node_fit_to_vote", f64::from(u8::from(node.can_vote())));
-            figures.gauge("control_node_damages_found", self.damages as f64);
-            figures.gauge("control_node_fresh", f64::from(u8::from(node.is_fresh())));
-            figures.gauge("control_node_core_machines_heard", node.known_core_nodes() as f64);
+        self.admin.answer(topic, |metrics| {
+            metrics.gauge("control_node_fit_to_vote", f64::from(u8::from(node.can_vote())));
+            metrics.gauge("control_node_damages_found", self.damages as f64);
+            metrics.gauge("control_node_fresh", f64::from(u8::from(node.is_fresh())));
+            metrics.gauge("control_node_core_machines_heard", node.known_core_nodes() as f64);
             let state = node.feed.state();
-            let holds = state.leases.values().filter(|fence| fence.holder == Some(self.me)).count();
-            figures.gauge("control_node_duties", holds as f64);
-            let losses = node.storage_losses();
-            figures.gauge("control_node_storage_losses_to_bear", losses.to_bear as f64);
-            figures.gauge("control_node_storage_losses_borne", losses.borne.served as f64);
-            figures.gauge("control_node_storage_losses_survived", losses.borne.survived as f64);
+            let held_leases = state.leases.values().filter(|lease| lease.holder == Some(self.me)).count();
+            metrics.gauge("control_node_duties", held_leases as f64);
+            let storage_losses = node.storage_losses();
+            metrics.gauge("control_node_storage_losses_to_bear", storage_losses.to_bear as f64);
+            metrics.gauge("control_node_storage_losses_borne", storage_losses.borne.served as f64);
+            metrics.gauge("control_node_storage_losses_survived", storage_losses.borne.survived as f64);
             let (rounds, disk) = (node.rounds(), node.disk());
-            figures.counter("control_node_runs_total", rounds.begun);
-            figures.counter("control_node_runs_lost_total", rounds.lost);
-            figures.gauge("control_node_disk_refusing", f64::from(u8::from(disk.is_refusing)));
-            figures.counter("control_node_disk_refusals_total", disk.refusals);
+            metrics.counter("control_node_runs_total", rounds.begun);
+            metrics.counter("control_node_runs_lost_total", rounds.lost);
+            metrics.gauge("control_node_disk_refusing", f64::from(u8::from(disk.is_refusing)));
+            metrics.counter("control_node_disk_refusals_total", disk.refusals);
         })
     }
 }
 
-impl Handler for Keeper {
+impl Handler for ControlServer {
     async fn call(&self, from: SocketAddr, call: Call, pusher: Pusher) -> Answer {
         let SocketAddr::V4(from) = from else { return Answer::NotReady };
         match call {
@@ -89,32 +89,32 @@
     let control = settings
         .listen_addresses
         .control_plane
-        .ok_or(StartError::Lacking("listen_addresses.control_plane"))?;
-    let folder = settings.data_directory.clone().ok_or(StartError::Lacking("data_directory"))?;
+        .ok_or(StartError::MissingSetting("listen_addresses.control_plane"))?;
+    let folder = settings.data_directory.clone().ok_or(StartError::MissingSetting("data_directory"))?;
     let me = settings.ip_address;
     let seeds = process.seeds();
-    let record::Opened { durable, beginning, damages } = tokio::select! {
-        opened = record::open_patiently(&folder, settings.first_start, me, &seeds) => opened?,
-        () = ended(&process) => return Ok(()),
+    let record::Opened { durable, initial_state, damages } = tokio::select! {
+        opened = record::open_with_retry(&folder, settings.first_start, me, &seeds) => opened?,
+        () = shutdown_requested(&process) => return Ok(()),
     };
-    if beginning == control_node::InitialState::Recovering {
+    if initial_state == control_node::InitialState::Recovering {
         log::warn!("no record on the disk: no vote before the others have told what they hold");
     }
     let feed = new_feed(&process);
     let backend = Backend::new(process.clone(), durable);
-    let ballots = BallotSource::new(me, life_nonce()?);
-    let node = ControlNode::new(feed.runtime().clone(), backend, feed.clone(), ballots, beginning);
+    let ballots = BallotSource::new(me, incarnation_nonce()?);
+    let node = ControlNode::new(feed.runtime().clone(), backend, feed.clone(), ballots, initial_state);
     let members = take_part(&process, &node)?;
-    let desk = Desk::new(process.clone(), feed, Some(members), "control-node");
-    let keeper = Rc::new(Keeper { me, node: node.clone(), desk, damages });
+    let admin = AdminEndpoint::new(process.clone(), feed, Some(members), "control-node");
+    let control_server = Rc::new(ControlServer { me, node: node.clone(), admin, damages });
     let peers = listen(SocketAddrV4::new(me, settings.peer_port())).await?;
-    let server = PeerServer::new(process.fleet(), keeper.clone());
+    let server = PeerServer::new(process.fleet(), control_server.clone());
     spawn_local(async move { server.serve(peers).await });
     node.run();
     let operators = listen(control).await?;
-    spawn_local(operator_api::serve(operators, keeper));
-    ended(&process).await;
+    spawn_local(operator_api::serve(operators, control_server));
+    shutdown_requested(&process).await;
     // What is half way ends; nothing else depends on this process.
-    sleep(Duration::from_millis(300 + drawn() % 50)).await;
+    sleep(Duration::from_millis(300 + random_u64() % 50)).await;
     Ok(())
 }
--- a/system/programs/src/control/operator_requests.rs
+++ b/system/programs/src/control/operator_requests.rs
@@ -1,13 +1,13 @@
 //! What becomes of operators' orders, as HTTP.
 
-use super::Keeper;
+use super::ControlServer;
 use crate::operator_api::{Operations, Reply};
 use bytes::Bytes;
 use control_node::{CurrentConfig, PutConfigOutcome, RetireOutcome};
 use controllers::RetireVerdict;
 use hyper::StatusCode;
 
-impl Operations for Keeper {
+impl Operations for ControlServer {
     async fn put_config(&self, expected: Option<u64>, body: Bytes) -> Reply {
         put_config_reply(self.node.put_config(expected, body).await)
     }
--- a/system/programs/src/control/record.rs
+++ b/system/programs/src/control/record.rs
@@ -1,6 +1,6 @@
 //! The acceptor's record on disk, and what a keeper starts with.
 
-use crate::disk::{Durable, read};
+use crate::disk::{Durable, decode_record};
 use crate::start::StartError;
 use config_register::{AcceptorRecord, RecordFormat, RecordV1};
 use control_node::InitialState;
@@ -14,14 +14,14 @@
 mod tests;
 
 /// Between two tries to open a folder that the disk refuses.
-const OPEN_AGAIN: Duration = Duration::from_secs(1);
+const OPEN_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The disk of an acceptor.
 pub struct Opened {
     /// Where its record is kept.
     pub durable: Durable,
     /// What it starts with.
-    pub beginning: InitialState,
+    pub initial_state: InitialState,
     /// Damages that were found and set aside.
     pub damages: u64,
 }
@@ -29,41 +29,41 @@
 /// Reads a record of a form that this program knows.
 fn read_record(folder: &Path, bytes: &[u8]) -> Result<AcceptorRecord, StartError> {
     match RecordFormat::of(bytes) {
-        RecordFormat::Current => read(folder, bytes),
-        RecordFormat::V1 => read::<RecordV1>(folder, bytes).map(AcceptorRecord::from),
+        RecordFormat::Current => decode_record(folder, bytes),
+        RecordFormat::V1 => decode_record::<RecordV1>(folder, bytes).map(AcceptorRecord::from),
         RecordFormat::Unknown(form) => {
-            let place = folder.display();
+            let path = folder.display();
             Err(StartError::Disk(format!(
-                "{place}: a record of form {form}, which this program does not know"
+                "{path}: a record of form {form}, which this program does not know"
             )))
         }
     }
 }
 
 /// Opens the folder, and tries again for as long as the disk refuses that.
-pub async fn open_patiently(
+pub async fn open_with_retry(
     folder: &Path,
     first_start: bool,
     me: Ipv4Addr,
     seeds: &[Ipv4Addr],
 ) -> Result<Opened, StartError> {
-    let mut is_told = false;
+    let mut is_logged = false;
     loop {
         match RecordLog::open(folder) {
             Err(refused @ DiskError::Folder { .. }) => {
-                if !is_told {
+                if !is_logged {
                     log::error!("the disk refuses the acceptor's record, tried again: {refused}");
                 }
-                is_told = true;
-                sleep(OPEN_AGAIN).await;
+                is_logged = true;
+                sleep(OPEN_RETRY_INTERVAL).await;
             }
-            opened => return begin(opened?, folder, first_start, me, seeds),
+            opened => return read_initial_state(opened?, folder, first_start, me, seeds),
         }
     }
 }
 
 /// What the folder holds, and how a node begins with it.
-fn begin(
+fn read_initial_state(
     opened: turn_store::Opened,
     folder: &Path,
     first_start: bool,
@@ -73,7 +73,7 @@
     for damage in &opened.damages {
         log::error!("set aside: {damage}");
     }
-    let beginning = match opened.found {
+    let initial_state = match opened.found {
         RecoveredRecord::Stored(record) => InitialState::Existing(read_record(folder, &record)?),
         // It has never voted, so there is nothing that it may have forgotten.
         RecoveredRecord::NeverWritten if first_start => InitialState::never_voted(me, seeds),
@@ -81,5 +81,5 @@
         RecoveredRecord::NeverWritten | RecoveredRecord::Lost => InitialState::Recovering,
     };
     let damages = opened.damages.len() as u64;
-    Ok(Opened { durable: Durable::over_log(opened.log)?, beginning, damages })
+    Ok(Opened { durable: Durable::with_log(opened.log)?, initial_state, damages })
 }
--- a/system/programs/src/control/record/tests.rs
+++ b/system/programs/src/control/record/tests.rs
@@ -23,7 +23,7 @@
 }
 
 fn open(folder: &Path, first_start: bool, me: Ipv4Addr) -> Result<Opened, StartError> {
-    begin(RecordLog::open(folder)?, folder, first_start, me, &seeds())
+    read_initial_state(RecordLog::open(folder)?, folder, first_start, me, &seeds())
 }
 
 fn open_as(folder: &Path, first_start: bool, me: Ipv4Addr) -> Opened {
@@ -80,7 +80,7 @@
 #[googletest::test]
 fn a_first_start_founds_and_an_empty_disk_later_is_unfit() {
     let folder = tempfile::tempdir().unwrap();
-    let begins = |first_start, me| open_as(folder.path(), first_start, me).beginning;
+    let begins = |first_start, me| open_as(folder.path(), first_start, me).initial_state;
     expect_that!(begins(true, ip(1)), eq(&InitialState::New(founding_record(seeds()))));
     expect_that!(
         matches!(begins(true, ip(9)), InitialState::New(record) if record.accepted.is_none()),
@@ -100,14 +100,14 @@
         fs::write(path, bytes).unwrap();
         // Given settings that still tell of a first start, then it is unfit, or has what it promised last.
         let opened = open_as(folder.path(), true, ip(1));
-        match &opened.beginning {
+        match &opened.initial_state {
             InitialState::Existing(record) => expect_that!(*record, eq(&voted(2)), "byte {place}"),
             other => expect_that!(*other, eq(&InitialState::Recovering), "byte {place}"),
         }
         expect_that!(opened.damages, ge(1));
         drop(opened);
         // And an unfit one stays so in its next life.
-        let again = open_as(folder.path(), true, ip(1)).beginning;
+        let again = open_as(folder.path(), true, ip(1)).initial_state;
         expect_that!(matches!(again, InitialState::New(_)), eq(false), "byte {place}");
     }
 }
@@ -119,9 +119,9 @@
     for cut in 0..whole.len() {
         let (folder, path) = voted_twice();
         fs::write(path, &whole[..cut]).unwrap();
-        let beginning = open_as(folder.path(), true, ip(1)).beginning;
-        let is_former = beginning == InitialState::Existing(voted(1));
-        expect_that!(is_former || beginning == InitialState::Recovering, eq(true), "cut at {cut}");
+        let initial_state = open_as(folder.path(), true, ip(1)).initial_state;
+        let is_former = initial_state == InitialState::Existing(voted(1));
+        expect_that!(is_former || initial_state == InitialState::Recovering, eq(true), "cut at {cut}");
     }
 }
 
@@ -134,7 +134,7 @@
     bytes[last] ^= 1;
     fs::write(path, bytes).unwrap();
     let opened = open_as(folder.path(), false, ip(1));
-    expect_that!(opened.beginning, eq(&InitialState::Recovering));
+    expect_that!(opened.initial_state, eq(&InitialState::Recovering));
     // Then it answers as one that lost its disk.
     let mut acceptor = Acceptor::recovering();
     let (reply, _) = acceptor.handle(&RegisterRequest::Prepare(ballot(9)));
@@ -142,7 +142,7 @@
     // And what it is restored with is there in its next life.
     put(&opened.durable, &voted(5));
     drop(opened);
-    expect_that!(open_as(folder.path(), false, ip(1)).beginning, eq(&InitialState::Existing(voted(5))));
+    expect_that!(open_as(folder.path(), false, ip(1)).initial_state, eq(&InitialState::Existing(voted(5))));
 }
 
 #[googletest::test]
@@ -178,11 +178,14 @@
         voter_state: VoterState::Voter,
         chosen_voters: Some(value),
     };
-    expect_that!(opened.beginning, eq(&InitialState::Existing(record.clone())));
+    expect_that!(opened.initial_state, eq(&InitialState::Existing(record.clone())));
     // And what is written next is of the present form.
     put(&opened.durable, &record);
     drop(opened);
-    expect_that!(open_as(folder.path(), false, ip(1)).beginning, eq(&InitialState::Existing(record.clone())));
+    expect_that!(
+        open_as(folder.path(), false, ip(1)).initial_state,
+        eq(&InitialState::Existing(record.clone()))
+    );
     // The forms are told apart by how they begin, whatever the first promise was.
     let form = |bytes: Vec<u8>| RecordFormat::of(&bytes);
     expect_that!(form(postcard::to_allocvec(&record).unwrap()), eq(RecordFormat::Current));
@@ -232,8 +235,8 @@
     expect_that!(most, lt(8 << 20));
     // And the last one is there.
     drop(opened);
-    let beginning = open_as(folder.path(), false, ip(1)).beginning;
-    expect_that!(beginning, eq(&InitialState::Existing(acceptor.record().unwrap().clone())));
+    let initial_state = open_as(folder.path(), false, ip(1)).initial_state;
+    expect_that!(initial_state, eq(&InitialState::Existing(acceptor.record().unwrap().clone())));
 }
 
 #[googletest::test]
@@ -245,14 +248,14 @@
         let folder = place.path().join("data");
         fs::write(&folder, "no folder").unwrap();
         let seeds = seeds();
-        let opening = open_patiently(&folder, true, ip(1), &seeds);
+        let opening = open_with_retry(&folder, true, ip(1), &seeds);
         let mut opening = std::pin::pin!(opening);
         let early = tokio::time::timeout(Duration::from_secs(60), &mut opening).await;
         expect_that!(early.is_err(), eq(true));
         // when it can, then the node begins as if it could from the start.
         fs::remove_file(&folder).unwrap();
         let opened = opening.await.unwrap();
-        expect_that!(opened.beginning, eq(&InitialState::New(founding_record(seeds.clone()))));
+        expect_that!(opened.initial_state, eq(&InitialState::New(founding_record(seeds.clone()))));
     });
 }
 
--- a/system/programs/src/control/record/tests/recorded.rs
+++ b/system/programs/src/control/record/tests/recorded.rs
@@ -50,7 +50,7 @@
     // When its folder is opened, then the second record is there, under the same bytes.
     let folder = folder_with(&bytes);
     let opened = open_as(folder.path(), false, ip(1));
-    expect_that!(opened.beginning, eq(&InitialState::Existing(record())));
+    expect_that!(opened.initial_state, eq(&InitialState::Existing(record())));
     expect_that!(opened.damages, eq(0));
     drop(opened);
     expect_that!(fs::read(folder.path().join("record.1")).unwrap(), eq(&bytes));
@@ -70,7 +70,7 @@
     let (before, after) = (recorded("control-record-blank"), recorded("control-record"));
     let folder = folder_with(&before);
     let opened = open_as(folder.path(), false, ip(1));
-    expect_that!(opened.beginning, eq(&InitialState::Existing(blank())));
+    expect_that!(opened.initial_state, eq(&InitialState::Existing(blank())));
     // When one more is put, then the file is as that one.
     put(&opened.durable, &record());
     drop(opened);
@@ -85,5 +85,5 @@
     let accepted =
         accepted.map(|held| AcceptedValue { ballot: without_nonce(held.ballot), value: held.value });
     let read = AcceptorRecord { promised: without_nonce(promised), accepted, voter_state, chosen_voters };
-    expect_that!(open_as(folder.path(), false, ip(1)).beginning, eq(&InitialState::Existing(read)));
+    expect_that!(open_as(folder.path(), false, ip(1)).initial_state, eq(&InitialState::Existing(read)));
 }
--- a/system/programs/src/disk.rs
+++ b/system/programs/src/disk.rs
@@ -22,7 +22,7 @@
         self.0.load(Ordering::Acquire)
     }
 
-    fn one_more(&self) -> PendingWrite {
+    fn track(&self) -> PendingWrite {
         self.0.fetch_add(1, Ordering::AcqRel);
         PendingWrite(self.clone())
     }
@@ -50,33 +50,33 @@
 }
 
 /// Reads a record. One that is whole and cannot be read was written by another program.
-pub fn read<T: DeserializeOwned>(place: &Path, bytes: &[u8]) -> Result<T, StartError> {
+pub fn decode_record<T: DeserializeOwned>(path: &Path, bytes: &[u8]) -> Result<T, StartError> {
     match postcard::take_from_bytes(bytes) {
         Ok((record, [])) => Ok(record),
-        Ok((_, rest)) => Err(unknown(place, &format!("{} bytes too many", rest.len()))),
-        Err(e) => Err(unknown(place, &e.to_string())),
+        Ok((_, rest)) => Err(unknown_record(path, &format!("{} bytes too many", rest.len()))),
+        Err(e) => Err(unknown_record(path, &e.to_string())),
     }
 }
 
-fn unknown(place: &Path, what: &str) -> StartError {
-    StartError::Disk(format!("{}: a record that this program does not know: {what}", place.display()))
+fn unknown_record(path: &Path, what: &str) -> StartError {
+    StartError::Disk(format!("{}: a record that this program does not know: {what}", path.display()))
 }
 
 impl Durable {
     /// Over a writer that was started.
-    pub fn over(writer: std::io::Result<Writer>) -> Result<Self, StartError> {
+    pub fn with_writer(writer: std::io::Result<Writer>) -> Result<Self, StartError> {
         let failed = |source| StartError::System { what: "the writer's thread".to_owned(), source };
         Ok(Self { writer: writer.map_err(failed)?, pending: Pending::default() })
     }
 
     /// Over the log of a record.
-    pub fn over_log(log: RecordLog) -> Result<Self, StartError> {
-        Self::over(Writer::start_log(log))
+    pub fn with_log(log: RecordLog) -> Result<Self, StartError> {
+        Self::with_writer(Writer::start_log(log))
     }
 
     /// Puts the record of a log; it is synced, with all earlier writes, when this returns `Ok`.
     ///
-    /// After an error the record may be on disk or not. It is written again with the next `put` or [`Durable::settled`],
+    /// After an error the record may be on disk or not. It is written again with the next `put` or [`Durable::flush`],
     /// whichever comes first, and nothing is told synced before it is.
     pub async fn put<T: Serialize>(&self, record: &T) -> Result<(), WriteFailed> {
         let bytes = postcard::to_allocvec(record).map_err(|e| WriteFailed(e.to_string()))?;
@@ -87,7 +87,7 @@
     /// once, and written also if nobody waits.
     pub fn write(&self, writes: Vec<Write>) -> impl Future<Output = Result<(), WriteFailed>> + use<> {
         let (done, waiting) = oneshot::channel();
-        let pending = self.pending.one_more();
+        let pending = self.pending.track();
         let completion = move |result| {
             drop(pending);
             // Who asked may have given up waiting.
@@ -98,7 +98,7 @@
     }
 
     /// Waits until all earlier writes are synced. The log of a record tries again what failed.
-    pub async fn settled(&self) -> Result<(), WriteFailed> {
+    pub async fn flush(&self) -> Result<(), WriteFailed> {
         if self.pending.count() == 0 && !self.writer.is_failing() {
             return Ok(());
         }
--- a/system/programs/src/feed.rs
+++ b/system/programs/src/feed.rs
@@ -1,7 +1,7 @@
 //! The state feed in this process: `node-runtime` carries it, here it meets sockets, tokio's timers and the log.
 
 use crate::process::Process;
-use crate::random::drawn;
+use crate::random::random_u64;
 use fleet_model::{Answer, Call, Push};
 use node_runtime::{FeedEvent, Runtime, Subscriber, Task, Upstream};
 use peer_wire::{PeerClient, PreparedPush, PushStream, Pusher};
@@ -15,17 +15,17 @@
 pub use node_runtime::{MAX_STATE_AGE, follow, follow_lists, follow_one, run_heartbeats};
 
 /// What a process knows through the feed, and passes on.
-pub type Feed = node_runtime::Feed<NodeProcess>;
+pub type Feed = node_runtime::Feed<ProcessRuntime>;
 
 /// This process as its node sees it.
 #[derive(Clone)]
-pub struct NodeProcess {
+pub struct ProcessRuntime {
     process: Rc<Process>,
     /// Connections to peers, kept.
     peers: Rc<RefCell<HashMap<Ipv4Addr, Rc<PeerClient>>>>,
 }
 
-impl NodeProcess {
+impl ProcessRuntime {
     /// Of a process that has just started.
     pub fn new(process: Rc<Process>) -> Self {
         Self { process, peers: Rc::default() }
@@ -40,10 +40,10 @@
 
 /// A feed that knows nothing yet.
 pub fn new_feed(process: &Rc<Process>) -> Rc<Feed> {
-    Feed::new(NodeProcess::new(process.clone()))
+    Feed::new(ProcessRuntime::new(process.clone()))
 }
 
-impl Runtime for NodeProcess {
+impl Runtime for ProcessRuntime {
     type Task = LocalTask;
     type Upstream = UpstreamLink;
     type Subscriber = SubscriberLink;
@@ -69,29 +69,29 @@
     }
 
     fn random_u64(&self) -> u64 {
-        drawn()
+        random_u64()
     }
 
-    async fn sleep(&self, pause: Duration) {
-        tokio::time::sleep(pause).await;
+    async fn sleep(&self, delay: Duration) {
+        tokio::time::sleep(delay).await;
     }
 
     fn spawn(&self, work: impl Future<Output = ()> + 'static) -> LocalTask {
         LocalTask(spawn_local(work).abort_handle())
     }
 
-    async fn call(&self, to: Ipv4Addr, call: Call, patience: Duration) -> Option<Answer> {
-        self.peer(to).call(call, patience).await.ok()
+    async fn call(&self, to: Ipv4Addr, call: Call, timeout: Duration) -> Option<Answer> {
+        self.peer(to).call(call, timeout).await.ok()
     }
 
     async fn subscribe(
         &self,
         to: SocketAddrV4,
         call: Call,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<(Answer, UpstreamLink)> {
         let client = PeerClient::new(to, self.process.fleet(), None);
-        let (answer, pushes) = client.subscribe(call, patience).await.ok()?;
+        let (answer, pushes) = client.subscribe(call, timeout).await.ok()?;
         Some((answer, UpstreamLink(pushes)))
     }
 
--- a/system/programs/src/members.rs
+++ b/system/programs/src/members.rs
@@ -7,7 +7,7 @@
 
 use crate::feed::Feed;
 use crate::process::Process;
-use crate::random::drawn;
+use crate::random::random_u64;
 use crate::start::StartError;
 use fleet_membership::{
     Config, Counters, Effect, Member, MemberEvent, MemberState, Membership, Role, new_incarnation,
@@ -22,19 +22,19 @@
 use tokio::time::sleep;
 
 /// Between two probes of one process.
-const PERIOD_MS: u64 = 1_250;
+const PROBE_PERIOD_MS: u64 = 1_250;
 /// Longest name and zone that a member tells.
-const MAX_TEXT: usize = 128;
+const MAX_TEXT_BYTES: usize = 128;
 /// Between two tries to have the socket.
-const SOCKET_PAUSE: Duration = Duration::from_millis(100);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest sleep: voters that became known are looked for that often.
-const LONGEST_SLEEP_MS: u64 = 2 * PERIOD_MS;
+const MAX_SLEEP_MS: u64 = 2 * PROBE_PERIOD_MS;
 
 /// Times of the protocol: a probe each 1.25 s, more rarely asked again than by default, and few rounds of rumours.
 pub fn config(fleet: u16) -> Config {
     Config {
         fleet_id: u32::from(fleet),
-        probe_interval_ms: PERIOD_MS,
+        probe_interval_ms: PROBE_PERIOD_MS,
         ack_timeout_ms: 300,
         indirect_ack_timeout_ms: 500,
         suspicion_timeout_ms: 2_000,
@@ -52,11 +52,11 @@
     membership: RefCell<Membership>,
     proxies: RefCell<ProxyCount>,
     /// The number of proxies that was told last.
-    told: Cell<u32>,
+    announced: Cell<u32>,
     /// Voters that are among the seeds.
     voters: RefCell<Vec<Ipv4Addr>>,
     /// When a datagram of the fleet came last.
-    heard_ms: Cell<Option<u64>>,
+    last_seen_ms: Cell<Option<u64>>,
     on_change: Box<dyn Fn(&MemberEvent)>,
 }
 
@@ -70,32 +70,32 @@
     ) -> Result<Rc<Self>, StartError> {
         let settings = process.settings();
         let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis());
-        let draw = drawn();
-        let [low, high, ..] = draw.to_le_bytes();
+        let seed = random_u64();
+        let [low, high, ..] = seed.to_le_bytes();
         let me = Member {
             ip: settings.ip_address,
             role,
-            zone: cut(&settings.zone),
-            name: cut(&settings.node_name),
+            zone: truncated(&settings.zone),
+            name: truncated(&settings.node_name),
             incarnation: new_incarnation(
                 u64::try_from(unix_ms).unwrap_or_default(),
                 u16::from_le_bytes([low, high]),
             ),
             tags: Vec::new(),
         };
-        let membership = Membership::new(me, config(process.fleet()), draw, process.now_ms())
+        let membership = Membership::new(me, config(process.fleet()), seed, process.now_ms())
             .map_err(|e| StartError::System { what: "membership".to_owned(), source: io::Error::other(e) })?;
         let members = Rc::new(Self {
             process,
             feed,
             membership: RefCell::new(membership),
             proxies: RefCell::default(),
-            told: Cell::new(0),
+            announced: Cell::new(0),
             voters: RefCell::default(),
-            heard_ms: Cell::new(None),
+            last_seen_ms: Cell::new(None),
             on_change: Box::new(on_change),
         });
-        spawn_local(members.clone().take_part());
+        spawn_local(members.clone().run());
         Ok(members)
     }
 
@@ -116,10 +116,10 @@
 
     /// How long ago another member was heard.
     pub fn age_ms(&self) -> Option<u64> {
-        self.heard_ms.get().map(|at| self.process.now_ms().saturating_sub(at))
+        self.last_seen_ms.get().map(|at| self.process.now_ms().saturating_sub(at))
     }
 
-    async fn take_part(self: Rc<Self>) {
+    async fn run(self: Rc<Self>) {
         let mut ending = self.process.ending.clone();
         let settings = self.process.settings();
         let port = settings.probe_port();
@@ -133,14 +133,14 @@
         }
         let mut buffer = [0; 2048];
         let effects = self.membership.borrow_mut().join(self.process.now_ms(), &self.seeds());
-        self.carry_out(&socket, port, effects);
+        self.apply_effects(&socket, port, effects);
         loop {
             let due = self.membership.borrow().next_tick_ms();
-            let pause = due.saturating_sub(self.process.now_ms()).min(LONGEST_SLEEP_MS);
+            let delay = due.saturating_sub(self.process.now_ms()).min(MAX_SLEEP_MS);
             tokio::select! {
                 _ = ending.wait_for(|ending| *ending) => {
                     let effects = self.membership.borrow_mut().leave(self.process.now_ms());
-                    self.carry_out(&socket, port, effects);
+                    self.apply_effects(&socket, port, effects);
                     return;
                 }
                 received = socket.recv_from(&mut buffer) => match received {
@@ -151,10 +151,10 @@
                     }
                     Err(e) => {
                         log::debug!("no datagram: {e}");
-                        sleep(SOCKET_PAUSE).await;
+                        sleep(BIND_RETRY_INTERVAL).await;
                     }
                 },
-                () = sleep(Duration::from_millis(pause)) => self.tick(&socket, port),
+                () = sleep(Duration::from_millis(delay)) => self.tick(&socket, port),
             }
         }
     }
@@ -167,9 +167,9 @@
         if (before.foreign_datagrams, before.malformed_datagrams)
             == (after.foreign_datagrams, after.malformed_datagrams)
         {
-            self.heard_ms.set(Some(now));
+            self.last_seen_ms.set(Some(now));
         }
-        self.carry_out(socket, port, effects);
+        self.apply_effects(socket, port, effects);
     }
 
     fn tick(&self, socket: &UdpSocket, port: u16) {
@@ -178,11 +178,11 @@
         if !voters.is_empty() && voters != *self.voters.borrow() {
             self.voters.replace(voters);
             let effects = self.membership.borrow_mut().join(now, &self.seeds());
-            self.carry_out(socket, port, effects);
+            self.apply_effects(socket, port, effects);
         }
         let effects = self.membership.borrow_mut().tick(now);
-        self.carry_out(socket, port, effects);
-        self.tell_proxies(now);
+        self.apply_effects(socket, port, effects);
+        self.announce_proxy_count(now);
     }
 
     /// The core machines to ask: those of the settings and the voters.
@@ -190,7 +190,7 @@
         self.process.seeds().into_iter().chain(self.voters.borrow().iter().copied()).collect()
     }
 
-    fn carry_out(&self, socket: &UdpSocket, port: u16, effects: Vec<Effect>) {
+    fn apply_effects(&self, socket: &UdpSocket, port: u16, effects: Vec<Effect>) {
         let mut changes = Vec::new();
         for effect in effects {
             match effect {
@@ -203,22 +203,22 @@
                 Effect::Event(change) => changes.push(change),
             }
         }
-        for line in described(&changes) {
+        for line in event_summaries(&changes) {
             log::info!("{line}");
         }
         changes.iter().for_each(|change| (self.on_change)(change));
     }
 
-    fn tell_proxies(&self, now_ms: u64) {
+    fn announce_proxy_count(&self, now_ms: u64) {
         let (members, count) = {
             let membership = self.membership.borrow();
             (membership.member_count(), membership.live_members(Role::Edge).count())
         };
         let count = u32::try_from(count).unwrap_or(u32::MAX);
-        let told = self.proxies.borrow_mut().note(now_ms, members, count);
-        if let Some(told) = told.filter(|told| *told != self.told.get()) {
-            self.told.set(told);
-            self.feed.set_proxies(told);
+        let announced = self.proxies.borrow_mut().observe(now_ms, members, count);
+        if let Some(announced) = announced.filter(|announced| *announced != self.announced.get()) {
+            self.announced.set(announced);
+            self.feed.set_proxies(announced);
         }
     }
 }
@@ -233,12 +233,12 @@
             Err(_) => {}
         }
         failed = true;
-        sleep(SOCKET_PAUSE).await;
+        sleep(BIND_RETRY_INTERVAL).await;
     }
 }
 
 /// One line for all changes of a kind.
-fn described(changes: &[MemberEvent]) -> Vec<String> {
+fn event_summaries(changes: &[MemberEvent]) -> Vec<String> {
     let mut kinds: [(&str, Vec<String>); 5] = [
         ("joined", Vec::new()),
         ("suspected", Vec::new()),
@@ -258,13 +258,13 @@
             names.push(format!("{} ({})", member.name, member.ip));
         }
     }
-    let told = kinds.iter().filter(|(_, names)| !names.is_empty());
-    told.map(|(kind, names)| format!("members {kind}: {}", names.join(", "))).collect()
+    let announced = kinds.iter().filter(|(_, names)| !names.is_empty());
+    announced.map(|(kind, names)| format!("members {kind}: {}", names.join(", "))).collect()
 }
 
 /// As much of a text as a member may tell.
-fn cut(text: &str) -> String {
-    let mut end = text.len().min(MAX_TEXT);
+fn truncated(text: &str) -> String {
+    let mut end = text.len().min(MAX_TEXT_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
--- a/system/programs/src/operator_api.rs
+++ b/system/programs/src/operator_api.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpListener;
 
 /// Largest body of a call.
-const MOST_BODY: usize = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// What a call is answered.
 pub struct Reply {
@@ -56,38 +56,38 @@
 }
 
 /// Method, path (or its beginning, where it ends with a slash: the rest is a name) and what it does.
-const CALLS: [(Method, &str, Operation); 4] = [
+const ROUTES: [(Method, &str, Operation); 4] = [
     (Method::PUT, "/sedgewood/config", Operation::PutConfig),
     (Method::GET, "/sedgewood/config", Operation::ReadConfig),
     (Method::POST, "/sedgewood/retire/", Operation::Retire),
     (Method::GET, "/sedgewood/retire/", Operation::ReadRetire),
 ];
 
-fn find(method: &Method, path: &str) -> Result<(Operation, String), StatusCode> {
-    let fits = |pattern: &str| match pattern.ends_with('/') {
+fn route(method: &Method, path: &str) -> Result<(Operation, String), StatusCode> {
+    let matches_path = |pattern: &str| match pattern.ends_with('/') {
         true => path.strip_prefix(pattern).filter(|name| !name.is_empty() && !name.contains('/')),
         false => (path == pattern).then_some(""),
     };
-    let mut known = false;
-    for (own, pattern, operation) in &CALLS {
-        if let Some(name) = fits(pattern) {
-            if own == method {
+    let mut path_exists = false;
+    for (route_method, pattern, operation) in &ROUTES {
+        if let Some(name) = matches_path(pattern) {
+            if route_method == method {
                 return Ok((*operation, name.to_owned()));
             }
-            known = true;
+            path_exists = true;
         }
     }
-    Err(if known { StatusCode::METHOD_NOT_ALLOWED } else { StatusCode::NOT_FOUND })
+    Err(if path_exists { StatusCode::METHOD_NOT_ALLOWED } else { StatusCode::NOT_FOUND })
 }
 
-async fn answer<O: Operations>(operations: &O, request: Request<Incoming>) -> Reply {
-    let (operation, name) = match find(request.method(), request.uri().path()) {
+async fn dispatch<O: Operations>(operations: &O, request: Request<Incoming>) -> Reply {
+    let (operation, name) = match route(request.method(), request.uri().path()) {
         Ok(found) => found,
         Err(status) => return Reply::new(status, r#"{"error":"no such call"}"#),
     };
     let expected = request.headers().get(IF_MATCH).and_then(|value| value.to_str().ok());
     let expected = expected.and_then(|text| text.trim().trim_matches('"').parse().ok());
-    let body = match Limited::new(request.into_body(), MOST_BODY).collect().await {
+    let body = match Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(_) => {
             return Reply::new(StatusCode::PAYLOAD_TOO_LARGE, r#"{"error":"body cut off or too large"}"#);
@@ -118,7 +118,7 @@
             let service = hyper::service::service_fn(move |request| {
                 let operations = operations.clone();
                 async move {
-                    let reply = answer(&*operations, request).await;
+                    let reply = dispatch(&*operations, request).await;
                     let mut response =
                         Response::builder().status(reply.status).header(CONTENT_TYPE, "application/json");
                     if reply.status == StatusCode::SERVICE_UNAVAILABLE {
--- a/system/programs/src/platform.rs
+++ b/system/programs/src/platform.rs
@@ -11,11 +11,11 @@
 use tokio::time::timeout;
 
 /// Longest time for one page.
-const PATIENCE: Duration = Duration::from_millis(900);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Most pages of one reading.
-const MOST_PAGES: usize = 400;
+const MAX_PAGES: usize = 400;
 /// Largest page.
-const MOST_PAGE: usize = 4 * 1024 * 1024;
+const MAX_PAGE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why the list could not be read.
 #[derive(Debug, thiserror::Error)]
@@ -33,13 +33,13 @@
 
 #[derive(Deserialize)]
 struct Page {
-    instances: Vec<Line>,
+    instances: Vec<Instance>,
     #[serde(default)]
     next_page_token: Option<String>,
 }
 
 #[derive(Deserialize)]
-struct Line {
+struct Instance {
     instance_id: String,
     service: String,
     address: SocketAddrV4,
@@ -50,15 +50,15 @@
     state: String,
 }
 
-impl From<Line> for Endpoint {
-    fn from(line: Line) -> Self {
+impl From<Instance> for Endpoint {
+    fn from(instance: Instance) -> Self {
         Endpoint {
-            instance_id: line.instance_id,
-            service: line.service,
-            address: line.address,
-            zone: line.zone,
-            capacity_slots: line.capacity_slots.clamp(0.0, 1e6) as u32,
-            state: if line.state == "ready" { EndpointState::Ready } else { EndpointState::Draining },
+            instance_id: instance.instance_id,
+            service: instance.service,
+            address: instance.address,
+            zone: instance.zone,
+            capacity_slots: instance.capacity_slots.clamp(0.0, 1e6) as u32,
+            state: if instance.state == "ready" { EndpointState::Ready } else { EndpointState::Draining },
         }
     }
 }
@@ -72,21 +72,21 @@
 /// The reader of the list: one connection, kept.
 pub struct Platform {
     address: SocketAddrV4,
-    kept: Option<Connection>,
+    connection: Option<Connection>,
 }
 
 impl Platform {
     /// Of the platform at `address`.
     pub fn new(address: SocketAddrV4) -> Self {
-        Self { address, kept: None }
+        Self { address, connection: None }
     }
 
     /// The whole list, sorted; endpoints that moved between pages while they were read stand once.
     pub async fn read(&mut self) -> Result<Vec<Endpoint>, ListError> {
         let mut all: Vec<Endpoint> = Vec::new();
         let mut token = None;
-        for _ in 0..MOST_PAGES {
-            let text = match timeout(PATIENCE, self.page(token.as_deref())).await {
+        for _ in 0..MAX_PAGES {
+            let text = match timeout(PAGE_TIMEOUT, self.page(token.as_deref())).await {
                 Ok(text) => text?,
                 Err(_) => return Err(ListError::NoAnswer("silence".to_owned())),
             };
@@ -111,15 +111,16 @@
             None => "/instances".to_owned(),
         };
         let head = || request(Method::GET, &path, self.address.into());
-        let kept = self.kept.take();
-        let exchanged = Connection::exchange(kept, self.address.into(), PATIENCE, head, Bytes::new()).await;
-        let (connection, response) = exchanged.map_err(|e| ListError::NoAnswer(e.to_string()))?;
+        let connection = self.connection.take();
+        let exchanged =
+            Connection::exchange(connection, self.address.into(), PAGE_TIMEOUT, head, Bytes::new()).await;
+        let (returned, response) = exchanged.map_err(|e| ListError::NoAnswer(e.to_string()))?;
         let status = response.status();
         let closes = response.headers().get(hyper::header::CONNECTION).is_some_and(|value| value == "close");
-        let body = Limited::new(response.into_body(), MOST_PAGE).collect().await;
+        let body = Limited::new(response.into_body(), MAX_PAGE_BYTES).collect().await;
         let body = body.map_err(|e| ListError::NoAnswer(e.to_string()))?.to_bytes();
         if !closes {
-            self.kept = Some(connection);
+            self.connection = Some(returned);
         }
         match status {
             StatusCode::OK => Ok(body),
--- a/system/programs/src/process.rs
+++ b/system/programs/src/process.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 /// A process's time begins so long before it, since ages are taken off it.
-const BEFORE: Duration = Duration::from_secs(100 * 24 * 3_600);
+const CLOCK_OFFSET: Duration = Duration::from_secs(100 * 24 * 3_600);
 
 /// What a running program knows of its own process.
 pub struct Process {
@@ -21,7 +21,7 @@
     pub routing_policy: RoutingPolicy,
     /// Turns true with SIGTERM.
     pub ending: watch::Receiver<bool>,
-    began: Instant,
+    started: Instant,
 }
 
 impl Process {
@@ -38,7 +38,7 @@
         ending: watch::Receiver<bool>,
     ) -> Rc<Self> {
         let settings = RefCell::new(Rc::new(settings));
-        Rc::new(Self { settings, path, routing_policy, ending, began: Instant::now() })
+        Rc::new(Self { settings, path, routing_policy, ending, started: Instant::now() })
     }
 
     /// The settings now in force.
@@ -48,12 +48,12 @@
 
     /// Milliseconds since the process began.
     pub fn now_ms(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
     /// Time that only rises, and begins long before the process.
     pub fn now(&self) -> Duration {
-        BEFORE + self.began.elapsed()
+        CLOCK_OFFSET + self.started.elapsed()
     }
 
     /// The fleet's number: processes of other deployments are strangers.
@@ -88,7 +88,7 @@
 }
 
 /// Waits for SIGTERM.
-pub async fn ended(process: &Process) {
+pub async fn shutdown_requested(process: &Process) {
     let mut ending = process.ending.clone();
     // The sender lives as long as the process.
     let _ = ending.wait_for(|ending| *ending).await;
--- a/system/programs/src/proxy.rs
+++ b/system/programs/src/proxy.rs
@@ -1,8 +1,8 @@
 //! The proxy: it carries requests, with what its agent told it.
 
-use crate::admin::{Desk, Topic, views};
+use crate::admin::{AdminEndpoint, Topic, views};
 use crate::feed::{Feed, follow_one, new_feed, run_heartbeats};
-use crate::process::{Process, ended};
+use crate::process::{Process, shutdown_requested};
 use crate::start::{StartError, listen};
 use crate::turns::{TurnClient, Turns};
 use fleet_model::{Answer, Call, ListVersion};
@@ -18,10 +18,10 @@
 use tokio::time::{sleep, timeout};
 
 /// Proxies that are assumed until the feed tells their number: connections to endpoints are shared out by it.
-const UNTOLD_PROXIES: u32 = 16;
+const DEFAULT_PROXY_COUNT: u32 = 16;
 
 /// Hands what the feed tells to the forwarder.
-async fn keep_learning(feed: Rc<Feed>, forwarder: Rc<Forwarder<Turns>>, ready: Rc<Cell<bool>>) {
+async fn follow_configuration(feed: Rc<Feed>, forwarder: Rc<Forwarder<Turns>>, ready: Rc<Cell<bool>>) {
     let mut changes = feed.changes();
     let last: RefCell<(u64, Option<Rc<OperatorConfig>>)> = RefCell::new((0, None));
     loop {
@@ -35,8 +35,8 @@
         }
         let list = feed.list();
         let list = (list.version != ListVersion::default()).then_some(list);
-        let known = feed.proxies();
-        let proxies = if known == 0 { UNTOLD_PROXIES } else { known };
+        let announced_proxies = feed.proxies();
+        let proxies = if announced_proxies == 0 { DEFAULT_PROXY_COUNT } else { announced_proxies };
         let config = last.borrow().1.clone();
         let complete = config.is_some() && list.as_ref().is_some_and(|list| !list.endpoints.is_empty());
         forwarder.update(SystemState { config, list, proxies });
@@ -50,19 +50,19 @@
 }
 
 /// Answers staff.
-struct ProxyDesk {
-    desk: Desk,
+struct ProxyAdmin {
+    admin: AdminEndpoint,
     forwarder: Rc<Forwarder<Turns>>,
 }
 
-impl Handler for ProxyDesk {
+impl Handler for ProxyAdmin {
     async fn call(&self, _from: SocketAddr, call: Call, _pusher: Pusher) -> Answer {
         let Call::Inspect { topic } = call else { return Answer::NotReady };
         match Topic::read(&topic).name {
-            "endpoints" => self.desk.view(views::endpoints(&self.forwarder.endpoints())),
-            _ => self.desk.answer(&topic, |figures| {
+            "endpoints" => self.admin.view(views::endpoints(&self.forwarder.endpoints())),
+            _ => self.admin.answer(&topic, |figures| {
                 // One figure a line; what is open or waits now is no counter.
-                for (name, value) in request_figures(&self.forwarder.metrics().to_string()) {
+                for (name, value) in parse_forwarder_metrics(&self.forwarder.metrics().to_string()) {
                     match name.as_str() {
                         "clients" | "waiting" => {
                             figures.gauge(&format!("request_proxy_{name}"), value as f64)
@@ -76,7 +76,7 @@
 }
 
 /// Reads the forwarder's figures.
-fn request_figures(text: &str) -> Vec<(String, u64)> {
+fn parse_forwarder_metrics(text: &str) -> Vec<(String, u64)> {
     let line = |line: &str| {
         let (name, value) = line.split_once(' ')?;
         Some((name.to_owned(), value.parse().ok()?))
@@ -85,10 +85,10 @@
 }
 
 /// Answers staff for good; without its port the proxy goes on.
-async fn serve_staff(process: Rc<Process>, desk: ProxyDesk) {
+async fn serve_admin(process: Rc<Process>, admin: ProxyAdmin) {
     let settings = process.settings();
     match listen(SocketAddrV4::new(settings.ip_address, settings.admin_port())).await {
-        Ok(listener) => PeerServer::new(process.fleet(), Rc::new(desk)).serve(listener).await,
+        Ok(listener) => PeerServer::new(process.fleet(), Rc::new(admin)).serve(listener).await,
         Err(e) => log::warn!("staff are not answered: {e}"),
     }
 }
@@ -96,9 +96,12 @@
 /// Runs until the process has ended its clients' requests.
 pub async fn run(process: Rc<Process>) -> Result<(), StartError> {
     let settings = process.settings();
-    let front = settings.listen_addresses.front.ok_or(StartError::Lacking("listen_addresses.front"))?;
-    let readiness =
-        settings.listen_addresses.readiness.ok_or(StartError::Lacking("listen_addresses.readiness"))?;
+    let front =
+        settings.listen_addresses.front.ok_or(StartError::MissingSetting("listen_addresses.front"))?;
+    let readiness = settings
+        .listen_addresses
+        .readiness
+        .ok_or(StartError::MissingSetting("listen_addresses.readiness"))?;
     let switched_off = process.routing_policy.switched_off();
     if !switched_off.is_empty() {
         log::warn!("a trial: switched off are {}", switched_off.join(", "));
@@ -107,13 +110,13 @@
     let turns = TurnClient::new(process.clone(), feed.clone());
     let forwarder = Forwarder::new(
         settings.zone.clone(),
-        crate::random::drawn(),
+        crate::random::random_u64(),
         process.routing_policy.clone(),
         Rc::new(Turns(turns)),
         settings.limits.max_file_descriptors,
     );
     let ready = Rc::new(Cell::new(false));
-    let (stage, stages) = watch::channel(ShutdownPhase::Serving);
+    let (stage_sender, stages) = watch::channel(ShutdownPhase::Serving);
     let readiness = listen(readiness).await?;
     let clients = listen(front).await?;
     {
@@ -123,17 +126,17 @@
     spawn_local(run_heartbeats(feed.clone()));
     let agent = SocketAddrV4::new(Ipv4Addr::LOCALHOST, settings.feed_port());
     spawn_local(follow_one(feed.clone(), agent));
-    let desk = Desk::new(process.clone(), feed.clone(), None, "request-proxy");
-    spawn_local(serve_staff(process.clone(), ProxyDesk { desk, forwarder: forwarder.clone() }));
-    spawn_local(keep_learning(feed, forwarder.clone(), ready));
+    let admin = AdminEndpoint::new(process.clone(), feed.clone(), None, "request-proxy");
+    spawn_local(serve_admin(process.clone(), ProxyAdmin { admin, forwarder: forwarder.clone() }));
+    spawn_local(follow_configuration(feed, forwarder.clone(), ready));
     let serving = spawn_local(forwarder.clone().serve(clients, stages));
-    ended(&process).await;
+    shutdown_requested(&process).await;
     log::info!("ending");
-    stage.send_replace(ShutdownPhase::Draining);
+    stage_sender.send_replace(ShutdownPhase::Draining);
     // The platform goes on sending new connections until it has missed two answers of readiness.
     let grace = Duration::from_secs_f64(settings.bounds.grace_period_s.max(1.0));
     sleep(Duration::from_millis(2_600).min(grace / 2)).await;
-    stage.send_replace(ShutdownPhase::Closing);
+    stage_sender.send_replace(ShutdownPhase::Closing);
     let _ = timeout(grace.mul_f64(0.95).saturating_sub(Duration::from_millis(2_900).min(grace / 2)), serving)
         .await;
     log::info!("{}", forwarder.metrics());
--- a/system/programs/src/random.rs
+++ b/system/programs/src/random.rs
@@ -3,7 +3,7 @@
 use crate::start::StartError;
 
 /// A number drawn by chance, for what must differ between processes.
-pub fn drawn() -> u64 {
+pub fn random_u64() -> u64 {
     let mut bytes = [0; 8];
     match getrandom::fill(&mut bytes) {
         Ok(()) => u64::from_le_bytes(bytes),
@@ -12,7 +12,7 @@
 }
 
 /// The nonce of this life of the process: 64 random bits. Without a source of them there is none, and nothing in place of it.
-pub fn life_nonce() -> Result<u64, StartError> {
+pub fn incarnation_nonce() -> Result<u64, StartError> {
     let failed = |e: getrandom::Error| StartError::System {
         what: "random bits for this life's nonce".to_owned(),
         source: std::io::Error::other(e.to_string()),
--- a/system/programs/src/start.rs
+++ b/system/programs/src/start.rs
@@ -39,7 +39,7 @@
     Settings(#[from] node_settings::SettingsError),
     /// A setting that this program needs is not there.
     #[error("the settings lack {0}")]
-    Lacking(&'static str),
+    MissingSetting(&'static str),
     /// A socket, a thread or a signal could not be had.
     #[error("{what}: {source}")]
     System {
@@ -90,7 +90,7 @@
     if let Err(e) = logger {
         eprintln!("no log: {e}");
     }
-    match whole(settings, path, routing_policy, run) {
+    match run_to_completion(settings, path, routing_policy, run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             log::error!("ended: {e}");
@@ -99,23 +99,25 @@
     }
 }
 
-fn whole<F: Future<Output = Result<(), StartError>>>(
+fn run_to_completion<F: Future<Output = Result<(), StartError>>>(
     settings: Settings,
     path: PathBuf,
     routing_policy: RoutingPolicy,
     run: impl FnOnce(Rc<Process>) -> F,
 ) -> Result<(), StartError> {
-    let failed = |what: &str| {
+    let system_error = |what: &str| {
         let what = what.to_owned();
         move |source| StartError::System { what, source }
     };
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(failed("the runtime"))?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(system_error("the runtime"))?;
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async move {
-        let mut term = signal(SignalKind::terminate()).map_err(failed("SIGTERM"))?;
-        let mut interrupt = signal(SignalKind::interrupt()).map_err(failed("SIGINT"))?;
-        let mut hup = signal(SignalKind::hangup()).map_err(failed("SIGHUP"))?;
+        let mut term = signal(SignalKind::terminate()).map_err(system_error("SIGTERM"))?;
+        let mut interrupt = signal(SignalKind::interrupt()).map_err(system_error("SIGINT"))?;
+        let mut hup = signal(SignalKind::hangup()).map_err(system_error("SIGHUP"))?;
         let (end, ending) = watch::channel(false);
         let process = Process::with_routing_policy(settings, path, routing_policy, ending);
         let signals = process.clone();
@@ -140,14 +142,14 @@
         socket.bind(address.into())?;
         socket.listen(1024)
     };
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
         match bind() {
             Ok(listener) => return Ok(listener),
-            Err(source) if tries >= 40 => {
+            Err(source) if attempts >= 40 => {
                 return Err(StartError::System { what: format!("listening at {address}"), source });
             }
-            Err(_) => tries += 1,
+            Err(_) => attempts += 1,
         }
         sleep(Duration::from_millis(50)).await;
     }
--- a/system/programs/src/storage.rs
+++ b/system/programs/src/storage.rs
@@ -7,10 +7,10 @@
 mod recovery;
 mod replica;
 
-use crate::admin::Desk;
+use crate::admin::AdminEndpoint;
 use crate::feed::{Feed, follow, new_feed};
 use crate::members::Members;
-use crate::process::{Process, ended};
+use crate::process::{Process, shutdown_requested};
 use crate::start::{StartError, listen};
 use fleet_membership::Role;
 use fleet_model::{Answer, Call};
@@ -27,35 +27,35 @@
 use tokio::time::{sleep, timeout};
 
 /// Between two looks for what has expired.
-const EXPIRY: Duration = Duration::from_secs(30);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(30);
 /// How long the end of the process waits for the last sync.
-const LAST_SYNC: Duration = Duration::from_secs(2);
+const FINAL_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
-struct TurnKeeper {
+struct StorageServer {
     process: Rc<Process>,
     feed: Rc<Feed>,
     replica: Rc<RecoveringReplica>,
     peers: RefCell<HashMap<Ipv4Addr, Rc<PeerClient>>>,
-    desk: Desk,
+    admin: AdminEndpoint,
 }
 
-impl TurnKeeper {
+impl StorageServer {
     fn peer(&self, ip: Ipv4Addr) -> Rc<PeerClient> {
         let new = || Rc::new(PeerClient::new(self.process.peer(ip), self.process.fleet(), None));
         self.peers.borrow_mut().entry(ip).or_insert_with(new).clone()
     }
 
-    fn learn_roster(&self) {
+    fn update_roster(&self) {
         self.replica.set_roster(&self.feed.state().roster);
     }
 }
 
-impl Handler for TurnKeeper {
+impl Handler for StorageServer {
     async fn call(&self, _from: SocketAddr, call: Call, _pusher: Pusher) -> Answer {
         if let Call::Inspect { topic } = &call {
             return self.inspect(topic);
         }
-        self.learn_roster();
+        self.update_roster();
         self.replica.answer(&call).await
     }
 }
@@ -63,7 +63,7 @@
 /// Runs until the process is to end.
 pub async fn run(process: Rc<Process>) -> Result<(), StartError> {
     let settings = process.settings();
-    let folder = settings.data_directory.clone().ok_or(StartError::Lacking("data_directory"))?;
+    let folder = settings.data_directory.clone().ok_or(StartError::MissingSetting("data_directory"))?;
     let machine = Machine {
         name: settings.node_name.clone(),
         ip: settings.ip_address,
@@ -76,29 +76,32 @@
     replica.start().await?;
     let feed = new_feed(&process);
     let members = Members::start(process.clone(), feed.clone(), Role::Storage, |_| ())?;
-    let keeper = Rc::new(TurnKeeper {
-        desk: Desk::new(process.clone(), feed.clone(), Some(members), "storage-node"),
+    let storage_server = Rc::new(StorageServer {
+        admin: AdminEndpoint::new(process.clone(), feed.clone(), Some(members), "storage-node"),
         process: process.clone(),
         feed: feed.clone(),
         replica: replica.clone(),
         peers: RefCell::default(),
     });
     let peers = listen(SocketAddrV4::new(settings.ip_address, settings.peer_port())).await?;
-    let server = PeerServer::new(process.fleet(), keeper.clone());
+    let server = PeerServer::new(process.fleet(), storage_server.clone());
     spawn_local(async move { server.serve(peers).await });
     spawn_local(follow(feed, true));
-    spawn_local(replica.clone().keep_open(failures));
-    spawn_local(keeper.keep_place());
+    spawn_local(replica.clone().supervise(failures));
+    spawn_local(storage_server.maintain_placement());
     let expiring = replica.clone();
     spawn_local(async move {
         loop {
-            sleep(EXPIRY).await;
+            sleep(EXPIRY_INTERVAL).await;
             expiring.expire();
         }
     });
-    ended(&process).await;
+    shutdown_requested(&process).await;
     sleep(Duration::from_millis(200)).await;
-    if !matches!(timeout(LAST_SYNC, replica.write(replica.generation(), Vec::new())).await, Ok(Ok(()))) {
+    if !matches!(
+        timeout(FINAL_SYNC_TIMEOUT, replica.write(replica.generation(), Vec::new())).await,
+        Ok(Ok(()))
+    ) {
         log::warn!("ended without the last sync");
     }
     Ok(())
--- a/system/programs/src/storage/inspection.rs
+++ b/system/programs/src/storage/inspection.rs
@@ -1,33 +1,33 @@
 //! Views and metrics of a storage machine.
 
-use super::TurnKeeper;
+use super::StorageServer;
 use super::replica::Replica;
-use crate::admin::metrics::Figures;
+use crate::admin::metrics::Metrics;
 use crate::admin::{Topic, views};
 use fleet_model::{Answer, Call};
 use turn_store::{DiskCapacity, Payload, Payloads, RecordCounts};
 
-impl TurnKeeper {
+impl StorageServer {
     /// Answers staff, also while the data directory cannot be opened.
     pub(super) fn inspect(&self, topic: &str) -> Answer {
-        let asked = Topic::read(topic);
-        let own = self.replica.with(|replica| self.inspect_replica(replica, asked));
-        match (own.flatten(), asked.name) {
+        let topic_query = Topic::read(topic);
+        let own = self.replica.with(|replica| self.inspect_replica(replica, topic_query));
+        match (own.flatten(), topic_query.name) {
             (Some(answer), _) => answer,
             (None, "disk" | "turns" | "turn" | "account") => Answer::NotReady,
-            (None, _) => self.desk.answer(topic, |figures| self.figures(figures)),
+            (None, _) => self.admin.answer(topic, |metrics| self.metrics(metrics)),
         }
     }
 
     /// What staff ask of the replica itself.
-    fn inspect_replica(&self, replica: &mut Replica, asked: Topic<'_>) -> Option<Answer> {
+    fn inspect_replica(&self, replica: &mut Replica, topic_query: Topic<'_>) -> Option<Answer> {
         let in_sync = replica.state.is_in_sync();
         let disk = replica.me.disk;
-        let answer = match (asked.name, asked.argument) {
+        let answer = match (topic_query.name, topic_query.argument) {
             ("disk", _) => Answer::View(disk.to_string()),
             ("turns", _) => {
                 let RecordCounts { turns, accounts, turn_bytes } = replica.state.counts();
-                self.desk.view(serde_json::json!({
+                self.admin.view(serde_json::json!({
                     "disk": disk, "epoch": replica.state.epoch(), "full": in_sync,
                     "turns": turns, "accounts": accounts, "bytes": turn_bytes,
                 }))
@@ -40,7 +40,7 @@
                     Payload::Pending => ("not here yet", None),
                 };
                 let losses = self.process.settings().fault_tolerance.machines;
-                self.desk.view(views::turn(disk, losses, state, turn.as_ref()))
+                self.admin.view(views::turn(disk, losses, state, turn.as_ref()))
             }
             ("account", Some(program)) => {
                 let call = Call::ReadAccount { epoch: replica.state.epoch(), program: program.to_owned() };
@@ -49,26 +49,26 @@
                     Answer::Account(reservations) => Some(reservations.as_slice()),
                     _ => None,
                 };
-                self.desk.view(views::account(disk, reservations))
+                self.admin.view(views::account(disk, reservations))
             }
             _ => return None,
         };
         Some(answer)
     }
 
-    fn figures(&self, figures: &mut Figures) {
+    fn metrics(&self, metrics: &mut Metrics) {
         let flag = |set: bool| f64::from(u8::from(set));
-        figures.gauge("storage_node_disk_refusing", flag(self.replica.is_refusing()));
-        figures.counter("storage_node_disk_refusals", self.replica.refusals());
+        metrics.gauge("storage_node_disk_refusing", flag(self.replica.is_refusing()));
+        metrics.counter("storage_node_disk_refusals", self.replica.refusals());
         self.replica.with(|replica| {
             let RecordCounts { turns, accounts, turn_bytes } = replica.state.counts();
-            figures.gauge("storage_node_turns", turns as f64);
-            figures.gauge("storage_node_accounts", accounts as f64);
-            figures.gauge("storage_node_turn_bytes", turn_bytes as f64);
-            figures.gauge("storage_node_damages_found", replica.damages as f64);
-            figures.gauge("storage_node_table_bytes", replica.disk.table_bytes() as f64);
-            figures.gauge("storage_node_room_scarce", flag(replica.state.capacity() != DiskCapacity::Ample));
-            figures.gauge("storage_node_full", flag(replica.state.is_in_sync()));
+            metrics.gauge("storage_node_turns", turns as f64);
+            metrics.gauge("storage_node_accounts", accounts as f64);
+            metrics.gauge("storage_node_turn_bytes", turn_bytes as f64);
+            metrics.gauge("storage_node_damages_found", replica.damages as f64);
+            metrics.gauge("storage_node_table_bytes", replica.disk.table_bytes() as f64);
+            metrics.gauge("storage_node_room_scarce", flag(replica.state.capacity() != DiskCapacity::Ample));
+            metrics.gauge("storage_node_full", flag(replica.state.is_in_sync()));
         });
     }
 }
--- a/system/programs/src/storage/placement.rs
+++ b/system/programs/src/storage/placement.rs
@@ -1,8 +1,8 @@
 //! The place of a storage machine in the roster.
 
-use super::TurnKeeper;
+use super::StorageServer;
 use super::replica::Replica;
-use crate::random::drawn;
+use crate::random::random_u64;
 use fleet_model::{Answer, Call, Roster, StorageNode};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -11,63 +11,63 @@
 use turn_store::{Disk, DiskCapacity};
 
 /// Longest time for one call to the core.
-const CORE_PATIENCE: Duration = Duration::from_millis(700);
+const CORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Between two looks at the place in the roster, without news, while there is something to be told to the core or to catch up
 /// with.
-const BUSY_PAUSE_MS: u64 = 120;
+const BUSY_POLL_INTERVAL_MS: u64 = 120;
 /// The same with nothing to do.
-const QUIET_PAUSE_MS: u64 = 2_000;
+const IDLE_POLL_INTERVAL_MS: u64 = 2_000;
 /// Pauses differ by up to this between machines.
-const PAUSE_SPREAD_MS: u64 = 60;
+const POLL_JITTER_MS: u64 = 60;
 
 /// What a machine has to see to for its place, by its roster.
-struct Place {
+struct Placement {
     me: StorageNode,
     roster: Rc<Roster>,
     /// The roster has it, or takes it in.
-    is_placed: bool,
+    is_listed: bool,
     /// It holds all that it is to hold for the set that comes next.
     in_sync: bool,
     /// It has to catch up.
     is_behind: bool,
 }
 
-impl Place {
+impl Placement {
     fn of(replica: &Replica, roster: Rc<Roster>) -> Self {
         let me = replica.me.clone();
-        let is_placed = roster.next.as_ref().unwrap_or(&roster.current).contains(&me);
+        let is_listed = roster.next.as_ref().unwrap_or(&roster.current).contains(&me);
         let in_sync = replica.state.is_in_sync_for_next();
-        Self { me, is_placed, in_sync, is_behind: replica.state.backfill().is_some(), roster }
+        Self { me, is_listed, in_sync, is_behind: replica.state.backfill().is_some(), roster }
     }
 
     /// It is to ask for being taken in.
     fn must_join(&self) -> bool {
-        !self.is_placed && !self.roster.retiring.contains(&self.me.name)
+        !self.is_listed && !self.roster.retiring.contains(&self.me.name)
     }
 
     /// It is to tell that it is in sync for this epoch.
-    fn must_tell_in_sync(&self, epoch: u64) -> bool {
+    fn must_report_in_sync(&self, epoch: u64) -> bool {
         self.in_sync && !self.roster.in_sync.contains(&self.me.disk) && self.roster.epoch == epoch
     }
 
-    fn pause_ms(&self) -> u64 {
-        let is_quiet = self.is_placed && !self.in_sync && !self.is_behind;
-        if is_quiet { QUIET_PAUSE_MS } else { BUSY_PAUSE_MS }
+    fn poll_interval_ms(&self) -> u64 {
+        let is_idle = self.is_listed && !self.in_sync && !self.is_behind;
+        if is_idle { IDLE_POLL_INTERVAL_MS } else { BUSY_POLL_INTERVAL_MS }
     }
 }
 
-impl TurnKeeper {
+impl StorageServer {
     /// Takes note of how much room the disk has. What was set aside as a whole goes first.
-    fn look_at_room(&self) {
+    fn update_disk_capacity(&self) {
         let settings = self.process.settings();
         let limit = (settings.limits.disk_mb * 1e6) as u64;
-        let news = self.replica.with(|replica| {
-            let room = DiskCapacity::from_usage(replica.disk.table_bytes(), limit);
-            replica.state.set_capacity(room).then_some(room)
+        let changed_capacity = self.replica.with(|replica| {
+            let capacity = DiskCapacity::from_usage(replica.disk.table_bytes(), limit);
+            replica.state.set_capacity(capacity).then_some(capacity)
         });
-        let Some(room) = news.flatten() else { return };
-        log::warn!("the disk's room: {room:?}");
-        if let (true, Some(folder)) = (room != DiskCapacity::Ample, &settings.data_directory)
+        let Some(capacity) = changed_capacity.flatten() else { return };
+        log::warn!("the disk's room: {capacity:?}");
+        if let (true, Some(folder)) = (capacity != DiskCapacity::Ample, &settings.data_directory)
             && let Err(e) = Disk::remove_aside(folder)
         {
             log::error!("what was set aside stays: {e}");
@@ -75,18 +75,18 @@
     }
 
     /// Asks the keepers in turn until one has done it.
-    async fn tell_core(&self, call: Call) -> bool {
+    async fn call_core(&self, call: Call) -> bool {
         let mut ips = self.feed.value().voters.clone();
         ips.extend(self.process.seeds());
         ips.sort();
         ips.dedup();
-        let draw = drawn();
+        let seed = random_u64();
         // One keeper changes the roster for all, so that proposers do not get into each other's way.
         let holders: Vec<Ipv4Addr> =
             self.feed.state().leases.values().filter_map(|fence| fence.holder).collect();
-        ips.sort_by_key(|ip| (!holders.contains(ip), fleet_model::rendezvous_rank(&ip.octets(), draw)));
+        ips.sort_by_key(|ip| (!holders.contains(ip), fleet_model::rendezvous_rank(&ip.octets(), seed)));
         for ip in ips {
-            if let Ok(Answer::Done) = self.peer(ip).call(call.clone(), CORE_PATIENCE).await {
+            if let Ok(Answer::Done) = self.peer(ip).call(call.clone(), CORE_CALL_TIMEOUT).await {
                 return true;
             }
         }
@@ -94,36 +94,36 @@
     }
 
     /// Sees to it that the roster has this machine with this disk, and that it is in sync.
-    pub(super) async fn keep_place(self: Rc<Self>) {
+    pub(super) async fn maintain_placement(self: Rc<Self>) {
         let mut changes = self.feed.changes();
         loop {
-            let pause_ms = self.see_to_place().await;
-            let pause = Duration::from_millis(pause_ms + drawn() % PAUSE_SPREAD_MS);
-            let _ = timeout(pause, changes.changed()).await;
+            let poll_interval_ms = self.reconcile_placement().await;
+            let delay = Duration::from_millis(poll_interval_ms + random_u64() % POLL_JITTER_MS);
+            let _ = timeout(delay, changes.changed()).await;
         }
     }
 
     /// One look at the place; tells how long to wait for the next. While the disk refuses the place stays as it is.
-    async fn see_to_place(&self) -> u64 {
-        self.look_at_room();
-        self.learn_roster();
+    async fn reconcile_placement(&self) -> u64 {
+        self.update_disk_capacity();
+        self.update_roster();
         if self.replica.is_refusing() {
-            return BUSY_PAUSE_MS;
+            return BUSY_POLL_INTERVAL_MS;
         }
         let roster = Rc::new(self.feed.state().roster.clone());
-        let place = || self.replica.with(|replica| Place::of(replica, roster.clone()));
-        let Some(before) = place() else { return BUSY_PAUSE_MS };
+        let placement = || self.replica.with(|replica| Placement::of(replica, roster.clone()));
+        let Some(before) = placement() else { return BUSY_POLL_INTERVAL_MS };
         if self.feed.fresh_at().is_some() && before.must_join() {
-            self.tell_core(Call::JoinStorage { store: before.me }).await;
+            self.call_core(Call::JoinStorage { store: before.me }).await;
         }
-        if let Some(filling) = self.replica.with(|replica| replica.state.backfill()).flatten() {
-            self.catch_up(filling).await;
+        if let Some(backfill) = self.replica.with(|replica| replica.state.backfill()).flatten() {
+            self.run_backfill(backfill).await;
         }
-        let Some(after) = place() else { return BUSY_PAUSE_MS };
+        let Some(after) = placement() else { return BUSY_POLL_INTERVAL_MS };
         let epoch = self.replica.with(|replica| replica.state.epoch()).unwrap_or_default();
-        if after.must_tell_in_sync(epoch) && !self.replica.is_refusing() {
-            self.tell_core(Call::InSync { disk: after.me.disk, epoch }).await;
+        if after.must_report_in_sync(epoch) && !self.replica.is_refusing() {
+            self.call_core(Call::InSync { disk: after.me.disk, epoch }).await;
         }
-        after.pause_ms()
+        after.poll_interval_ms()
     }
 }
--- a/system/programs/src/storage/recovery.rs
+++ b/system/programs/src/storage/recovery.rs
@@ -20,31 +20,31 @@
 mod tests;
 
 /// Between a failure and the first probe.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+const MIN_PROBE_BACKOFF: Duration = Duration::from_millis(250);
 /// Between two probes, at most.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_PROBE_BACKOFF: Duration = Duration::from_secs(2);
 /// An engine that failed sooner after its opening was opened too early: the pause goes on growing.
-const STEADY: Duration = Duration::from_secs(10);
+const STABLE_AFTER: Duration = Duration::from_secs(10);
 
 /// Pauses between probes: each is twice the one before.
 #[derive(Debug)]
-struct Pauses {
+struct Backoff {
     first: Duration,
     next: Duration,
 }
 
-impl Pauses {
+impl Backoff {
     fn from(first: Duration) -> Self {
         Self { first, next: first }
     }
 
     fn take(&mut self) -> Duration {
-        let pause = self.next;
-        self.next = (pause * 2).min(LONGEST_PAUSE);
-        pause
+        let delay = self.next;
+        self.next = (delay * 2).min(MAX_PROBE_BACKOFF);
+        delay
     }
 
-    fn begin_again(&mut self) {
+    fn reset(&mut self) {
         self.next = self.first;
     }
 }
@@ -88,12 +88,12 @@
         (Rc::new(replica), told)
     }
 
-    /// Opens the directory for the first time. An error that may pass is left to [`RecoveringReplica::keep_open`].
+    /// Opens the directory for the first time. An error that may pass is left to [`RecoveringReplica::supervise`].
     pub async fn start(&self) -> Result<(), StartError> {
-        match self.open_again().await {
+        match self.reopen().await {
             Ok(()) => Ok(()),
             Err(OpenError::Disk(error)) if error.may_pass() => {
-                self.refuse(&error.to_string());
+                self.mark_refusing(&error.to_string());
                 Ok(())
             }
             Err(error) => Err(error.into()),
@@ -101,23 +101,23 @@
     }
 
     /// Opens the directory again whenever its engine has failed, once the disk takes writes.
-    pub async fn keep_open(self: Rc<Self>, failures: Failures) {
-        self.keep_open_with(failures, FIRST_PAUSE).await;
+    pub async fn supervise(self: Rc<Self>, failures: Failures) {
+        self.supervise_with(failures, MIN_PROBE_BACKOFF).await;
     }
 
-    async fn keep_open_with(self: Rc<Self>, mut failures: Failures, first_pause: Duration) {
-        let mut pauses = Pauses::from(first_pause);
+    async fn supervise_with(self: Rc<Self>, mut failures: Failures, min_backoff: Duration) {
+        let mut backoff = Backoff::from(min_backoff);
         let mut told = None;
         loop {
             if !self.refusing.get() {
                 let opened = Instant::now();
                 let Some(failure) = failures.recv().await else { return };
-                self.refuse(&failure.0);
-                if opened.elapsed() > STEADY {
-                    pauses.begin_again();
+                self.mark_refusing(&failure.0);
+                if opened.elapsed() > STABLE_AFTER {
+                    backoff.reset();
                 }
             }
-            sleep(pauses.take()).await;
+            sleep(backoff.take()).await;
             match self.recover().await {
                 Ok(()) => told = None,
                 Err(error) => {
@@ -135,20 +135,20 @@
     async fn recover(&self) -> Result<(), OpenError> {
         let directory = self.directory.clone();
         blocking(move || directory.probe()).await?;
-        self.open_again().await?;
+        self.reopen().await?;
         log::warn!("the disk takes writes again; what it holds was read anew");
         self.refusing.set(false);
         Ok(())
     }
 
-    fn refuse(&self, why: &str) {
+    fn mark_refusing(&self, why: &str) {
         log::error!("the disk refuses, and so does this machine what would have to be synced: {why}");
         self.refusing.set(true);
         self.refusals.set(self.refusals.get() + 1);
     }
 
     /// Drops the engine, if there is one, and builds a replica from what the directory holds. Its calls get `Unready` so long.
-    async fn open_again(&self) -> Result<(), OpenError> {
+    async fn reopen(&self) -> Result<(), OpenError> {
         let former = self.current.take();
         let (directory, failures) = (self.directory.clone(), self.failures.clone());
         let on_failure = Box::new(move |failure| {
@@ -236,7 +236,7 @@
     #[error("{0}")]
     Start(#[from] StartError),
     #[error("the thread that was to open it broke off")]
-    BrokeOff,
+    ThreadPanicked,
 }
 
 impl From<OpenError> for StartError {
@@ -244,7 +244,7 @@
         match error {
             OpenError::Disk(error) => error.into(),
             OpenError::Start(error) => error,
-            OpenError::BrokeOff => StartError::Disk(error.to_string()),
+            OpenError::ThreadPanicked => StartError::Disk(error.to_string()),
         }
     }
 }
@@ -254,6 +254,6 @@
 ) -> Result<T, OpenError> {
     match spawn_blocking(act).await {
         Ok(done) => Ok(done?),
-        Err(_) => Err(OpenError::BrokeOff),
+        Err(_) => Err(OpenError::ThreadPanicked),
     }
 }
--- a/system/programs/src/storage/recovery/tests.rs
+++ b/system/programs/src/storage/recovery/tests.rs
@@ -102,7 +102,7 @@
         let (replica, failures) =
             RecoveringReplica::new(Arc::new(directory.clone()), machine, Box::new(|| 1_000));
         replica.start().await.unwrap();
-        spawn_local(replica.clone().keep_open_with(failures, Duration::from_millis(1)));
+        spawn_local(replica.clone().supervise_with(failures, Duration::from_millis(1)));
         Self { _folder: folder, directory, replica }
     }
 
@@ -120,8 +120,8 @@
         let me: StorageNode = self.replica.with(|replica| replica.me.clone()).unwrap();
         let gathering = Roster { epoch: GATHERED, next: Some(vec![me.clone()]), ..Roster::default() };
         self.replica.set_roster(&gathering);
-        let filling = self.replica.with(|replica| replica.state.backfill()).unwrap().unwrap();
-        let writes = self.replica.with(|replica| replica.state.mark_in_sync(&filling)).unwrap().unwrap();
+        let backfill = self.replica.with(|replica| replica.state.backfill()).unwrap().unwrap();
+        let writes = self.replica.with(|replica| replica.state.mark_in_sync(&backfill)).unwrap().unwrap();
         self.replica.write(self.replica.generation(), writes).await.unwrap();
         let founded = Roster { epoch: FOUNDED, current: vec![me], ..Roster::default() };
         self.replica.set_roster(&founded);
@@ -307,9 +307,9 @@
 
 #[googletest::test]
 fn pauses_between_probes_grow_to_a_bound_and_begin_again() {
-    let mut pauses = Pauses::from(FIRST_PAUSE);
-    let taken: Vec<u128> = (0..5).map(|_| pauses.take().as_millis()).collect();
+    let mut backoff = Backoff::from(MIN_PROBE_BACKOFF);
+    let taken: Vec<u128> = (0..5).map(|_| backoff.take().as_millis()).collect();
     expect_that!(taken, eq(&vec![250, 500, 1_000, 2_000, 2_000]));
-    pauses.begin_again();
-    expect_that!(pauses.take(), eq(FIRST_PAUSE));
+    backoff.reset();
+    expect_that!(backoff.take(), eq(MIN_PROBE_BACKOFF));
 }
--- a/system/programs/src/storage/replica.rs
+++ b/system/programs/src/storage/replica.rs
@@ -1,7 +1,7 @@
 //! A storage replica: the engine with what it keeps, and the state in memory that was built from it.
 
 use crate::disk::Durable;
-use crate::random::drawn;
+use crate::random::random_u64;
 use crate::start::StartError;
 use fleet_model::{Answer, Call, Roster, StorageNode};
 use std::future::Future;
@@ -46,7 +46,7 @@
 
     fn open(&self, on_failure: OnFailure) -> Result<OpenedDirectory, DiskError> {
         let Replaced { disk, read: (kept, damages), lost } =
-            Disk::open_or_replace(&self.0, SPACES, drawn, load)?;
+            Disk::open_or_replace(&self.0, SPACES, random_u64, load)?;
         if !damages.is_empty() {
             log::error!("{} damaged records set aside: this machine fills again", damages.len());
         }
@@ -104,7 +104,7 @@
         let state = ReplicaState::new(now_ms, number, machine.losses, kept);
         let RecordCounts { turns, accounts, turn_bytes } = state.counts();
         log::info!("disk {number} with {turns} turns, {accounts} accounts, {turn_bytes} bytes");
-        Ok(Self { state, disk, damages, me, durable: Durable::over(writer)? })
+        Ok(Self { state, disk, damages, me, durable: Durable::with_writer(writer)? })
     }
 
     /// Whether a write or sync has failed: memory may have what the disk lacks, and nothing more is synced.
--- a/system/programs/src/turns.rs
+++ b/system/programs/src/turns.rs
@@ -21,36 +21,36 @@
 use tokio::time::sleep;
 
 /// Longest time for one call.
-const PATIENCE: Duration = Duration::from_millis(300);
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a machine that did not answer comes last.
-const DOWN: Duration = Duration::from_millis(1_500);
+const UNRESPONSIVE_PENALTY: Duration = Duration::from_millis(1_500);
 /// Without an answer for so long, another machine is asked as well.
-const HEDGE: Duration = Duration::from_millis(70);
+const HEDGE_DELAY: Duration = Duration::from_millis(70);
 /// How long a reservation, a chain or a turn is tried.
-const TRY_FOR: Duration = Duration::from_millis(1_500);
+const RESERVE_DEADLINE: Duration = Duration::from_millis(1_500);
 /// How long a turn whose stream has ended is tried: its client waits for the end.
-const KEEP_FOR: Duration = Duration::from_millis(3_500);
+const STORE_DEADLINE: Duration = Duration::from_millis(3_500);
 /// Pause before a round is tried again: about the time in which a change of the roster gets round.
-const AGAIN: Duration = Duration::from_millis(25);
+const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Counts of what was asked of the storage machines.
 #[derive(Default)]
-pub struct TurnFigures {
+pub struct TurnMetrics {
     /// Reservations granted at once by all holders.
-    pub at_once: Cell<u64>,
+    pub granted_in_one_round: Cell<u64>,
     /// Reservations that took a second round.
-    pub second_round: Cell<u64>,
+    pub granted_after_read: Cell<u64>,
     /// Turns kept.
-    pub kept: Cell<u64>,
+    pub stored: Cell<u64>,
     /// Turns that could not be kept in time.
-    pub not_kept: Cell<u64>,
+    pub failed_stores: Cell<u64>,
     /// Chains found in memory.
-    pub remembered: Cell<u64>,
+    pub cached_chains: Cell<u64>,
     /// Chains read from machines.
     pub read: Cell<u64>,
 }
 
-fn more(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
@@ -59,21 +59,21 @@
     process: Rc<Process>,
     feed: Rc<Feed>,
     peers: RefCell<HashMap<Ipv4Addr, Rc<PeerClient>>>,
-    down: RefCell<HashMap<u64, Instant>>,
+    unresponsive_since: RefCell<HashMap<u64, Instant>>,
     cache: RefCell<ChainCache>,
     /// What was counted.
-    pub figures: TurnFigures,
+    pub metrics: TurnMetrics,
 }
 
 enum Round<T> {
     Done(T),
     /// The roster is changing, or too few answered: again.
-    Again,
+    Retry,
 }
 
-enum Found {
-    Piece(Bytes, Option<String>),
-    Nowhere,
+enum ChainRead {
+    Segment(Bytes, Option<String>),
+    Absent,
 }
 
 impl TurnClient {
@@ -83,9 +83,9 @@
             process,
             feed,
             peers: RefCell::default(),
-            down: RefCell::default(),
+            unresponsive_since: RefCell::default(),
             cache: RefCell::default(),
-            figures: TurnFigures::default(),
+            metrics: TurnMetrics::default(),
         })
     }
 
@@ -93,7 +93,12 @@
         self.process.settings().fault_tolerance.machines
     }
 
-    async fn ask(&self, store: &StorageNode, call: Call, patience: Duration) -> Result<Answer, CallFailure> {
+    async fn call_node(
+        &self,
+        store: &StorageNode,
+        call: Call,
+        timeout: Duration,
+    ) -> Result<Answer, CallFailure> {
         let address = self.process.peer(store.ip);
         let peer = self
             .peers
@@ -101,30 +106,33 @@
             .entry(store.ip)
             .or_insert_with(|| Rc::new(PeerClient::new(address, self.process.fleet(), None)))
             .clone();
-        let answer = peer.call(call, patience).await;
-        let mut down = self.down.borrow_mut();
+        let answer = peer.call(call, timeout).await;
+        let mut unresponsive_since = self.unresponsive_since.borrow_mut();
         match &answer {
-            Ok(_) => drop(down.remove(&store.disk)),
-            Err(_) => drop(down.insert(store.disk, Instant::now())),
+            Ok(_) => drop(unresponsive_since.remove(&store.disk)),
+            Err(_) => drop(unresponsive_since.insert(store.disk, Instant::now())),
         }
         answer
     }
 
-    fn is_down(&self, store: &StorageNode) -> bool {
-        self.down.borrow().get(&store.disk).is_some_and(|at| at.elapsed() < DOWN)
+    fn is_unresponsive(&self, store: &StorageNode) -> bool {
+        self.unresponsive_since
+            .borrow()
+            .get(&store.disk)
+            .is_some_and(|at| at.elapsed() < UNRESPONSIVE_PENALTY)
     }
 
     /// Tries rounds until one is done or the time is over.
-    async fn rounds<T>(&self, time: Duration, mut round: impl AsyncFnMut() -> Round<T>) -> Option<T> {
+    async fn retry_until<T>(&self, time: Duration, mut round: impl AsyncFnMut() -> Round<T>) -> Option<T> {
         let began = Instant::now();
         loop {
             if let Round::Done(done) = round().await {
                 return Some(done);
             }
-            if began.elapsed() + AGAIN > time {
+            if began.elapsed() + RETRY_INTERVAL > time {
                 return None;
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 }
@@ -137,9 +145,10 @@
 pub struct Turns(pub Rc<TurnClient>);
 
 impl TurnStorage for Turns {
-    async fn reserve(&self, program: &str, attempt: &str, most: u32, budget: u32) -> ReserveOutcome {
-        let round = async || self.0.reserve_round(program, reservation(attempt, most), budget).await;
-        let reserved = self.0.rounds(TRY_FOR, round).await.unwrap_or(ReserveOutcome::Unavailable);
+    async fn reserve(&self, program: &str, attempt: &str, max_tokens: u32, budget: u32) -> ReserveOutcome {
+        let round = async || self.0.try_reserve(program, reservation(attempt, max_tokens), budget).await;
+        let reserved =
+            self.0.retry_until(RESERVE_DEADLINE, round).await.unwrap_or(ReserveOutcome::Unavailable);
         if matches!(reserved, ReserveOutcome::BudgetExhausted) {
             // Whatever was written of it stands for nothing; the forwarder says so of the other ends itself.
             self.settle(program, attempt, 0);
@@ -150,48 +159,49 @@
     fn settle(&self, program: &str, attempt: &str, tokens: u32) {
         let (client, program, reservation) =
             (self.0.clone(), program.to_owned(), reservation(attempt, tokens));
-        tokio::task::spawn_local(async move { client.settle_everywhere(&program, reservation).await });
+        tokio::task::spawn_local(async move { client.settle_at_replicas(&program, reservation).await });
     }
 
     async fn chain(&self, previous: &str) -> ChainLookup {
-        let mut pieces: Vec<Bytes> = Vec::new();
+        let mut segments: Vec<Bytes> = Vec::new();
         let mut wanted = previous.to_owned();
         loop {
             let known = self.0.cache.borrow_mut().get(&wanted);
             if let Some(text) = known {
-                more(&self.0.figures.remembered);
-                pieces.push(text);
+                increment(&self.0.metrics.cached_chains);
+                segments.push(text);
                 break;
             }
-            more(&self.0.figures.read);
-            match self.0.rounds(TRY_FOR, async || self.0.find_round(&wanted).await).await {
-                Some(Found::Piece(text, missing)) => {
-                    pieces.push(text);
+            increment(&self.0.metrics.read);
+            match self.0.retry_until(RESERVE_DEADLINE, async || self.0.try_read_chain(&wanted).await).await {
+                Some(ChainRead::Segment(text, missing)) => {
+                    segments.push(text);
                     match missing {
                         Some(missing) => wanted = missing,
                         None => break,
                     }
                 }
-                Some(Found::Nowhere) if pieces.is_empty() => return ChainLookup::NotFound,
+                Some(ChainRead::Absent) if segments.is_empty() => return ChainLookup::NotFound,
                 _ => return ChainLookup::Unavailable,
             }
         }
-        let whole = match pieces.as_slice() {
+        let text = match segments.as_slice() {
             [one] => one.clone(),
             several => {
-                let mut whole = BytesMut::new();
-                several.iter().rev().for_each(|piece| whole.extend_from_slice(piece));
-                whole.freeze()
+                let mut text = BytesMut::new();
+                several.iter().rev().for_each(|segment| text.extend_from_slice(segment));
+                text.freeze()
             }
         };
-        self.0.cache.borrow_mut().put(previous, whole.clone());
-        ChainLookup::Text(whole)
+        self.0.cache.borrow_mut().put(previous, text.clone());
+        ChainLookup::Text(text)
     }
 
     async fn store_turn(&self, turn: CompletedTurn) -> bool {
-        let kept = self.0.rounds(KEEP_FOR, async || self.0.keep_round(&turn).await).await.is_some();
-        more(if kept { &self.0.figures.kept } else { &self.0.figures.not_kept });
-        if kept {
+        let stored =
+            self.0.retry_until(STORE_DEADLINE, async || self.0.try_store_turn(&turn).await).await.is_some();
+        increment(if stored { &self.0.metrics.stored } else { &self.0.metrics.failed_stores });
+        if stored {
             self.settle(&turn.program, &turn.attempt, turn.tokens);
             let mut cache = self.0.cache.borrow_mut();
             let before = match &turn.previous {
@@ -199,13 +209,13 @@
                 None => Some(Bytes::new()),
             };
             if let Some(before) = before {
-                let mut whole = BytesMut::with_capacity(before.len() + turn.input.len() + turn.output.len());
-                whole.extend_from_slice(&before);
-                whole.extend_from_slice(&turn.input);
-                whole.extend_from_slice(&turn.output);
-                cache.put(&turn.attempt, whole.freeze());
+                let mut text = BytesMut::with_capacity(before.len() + turn.input.len() + turn.output.len());
+                text.extend_from_slice(&before);
+                text.extend_from_slice(&turn.input);
+                text.extend_from_slice(&turn.output);
+                cache.put(&turn.attempt, text.freeze());
             }
         }
-        kept
+        stored
     }
 }
--- a/system/programs/src/turns/chain_cache.rs
+++ b/system/programs/src/turns/chain_cache.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Bytes of chains kept in memory.
-const MOST_CACHED: usize = 3 * 1024 * 1024;
+const MAX_CACHE_BYTES: usize = 3 * 1024 * 1024;
 
 /// Chains lately read or written, whole, by the turn that ends them; those unused longest give way.
 #[derive(Default)]
@@ -20,13 +20,13 @@
     }
 
     pub(super) fn put(&mut self, attempt: &str, text: Bytes) {
-        if text.len() > MOST_CACHED / 4 || self.texts.contains_key(attempt) {
+        if text.len() > MAX_CACHE_BYTES / 4 || self.texts.contains_key(attempt) {
             return;
         }
         self.bytes += text.len();
         self.texts.insert(attempt.to_owned(), text);
         self.order.push_back(attempt.to_owned());
-        while self.bytes > MOST_CACHED
+        while self.bytes > MAX_CACHE_BYTES
             && let Some(oldest) = self.order.pop_front()
         {
             self.bytes -= self.texts.remove(&oldest).map_or(0, |text| text.len());
--- a/system/programs/src/turns/quorum.rs
+++ b/system/programs/src/turns/quorum.rs
@@ -1,6 +1,6 @@
 //! Accounts, written and read at quorums.
 
-use super::{PATIENCE, Round, TurnClient, more};
+use super::{CALL_TIMEOUT, Round, TurnClient, increment};
 use fleet_model::{Answer, Call, Reservation, StorageNode};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use request_forwarding::ReserveOutcome;
@@ -10,10 +10,10 @@
 use turn_store::{AccountReplicas, merge_reservations};
 
 /// How long the last of an account's holders are waited for, once a quorum has written.
-const GRACE: Duration = Duration::from_millis(6);
+const STRAGGLER_GRACE: Duration = Duration::from_millis(6);
 
 impl TurnClient {
-    pub(super) async fn reserve_round(
+    pub(super) async fn try_reserve(
         &self,
         program: &str,
         reservation: Reservation,
@@ -21,25 +21,27 @@
     ) -> Round<ReserveOutcome> {
         let state = self.feed.state();
         let roster = &state.roster;
-        let Some(holders) = AccountReplicas::for_program(roster, program, self.losses()) else {
-            return Round::Again;
+        let Some(replicas) = AccountReplicas::for_program(roster, program, self.losses()) else {
+            return Round::Retry;
         };
         let write =
             |_: &StorageNode| Call::Reserve { epoch: roster.epoch, program: program.to_owned(), reservation };
-        let Some((written, all)) = self.at_quorum(&holders, write, true).await else { return Round::Again };
+        let Some((written, all)) = self.call_quorum(&replicas, write, true).await else {
+            return Round::Retry;
+        };
         let account = match all {
             true => {
-                more(&self.figures.at_once);
+                increment(&self.metrics.granted_in_one_round);
                 written
             }
             // Someone may have written between: who reads after its own write sees all that were written before it.
             false => {
-                more(&self.figures.second_round);
+                increment(&self.metrics.granted_after_read);
                 let read =
                     |_: &StorageNode| Call::ReadAccount { epoch: roster.epoch, program: program.to_owned() };
-                let Some((mut account, _)) = self.at_quorum(&holders.current_only(), read, false).await
+                let Some((mut account, _)) = self.call_quorum(&replicas.current_only(), read, false).await
                 else {
-                    return Round::Again;
+                    return Round::Retry;
                 };
                 merge_reservations(
                     &mut account,
@@ -58,31 +60,31 @@
 
     /// Calls all holders and waits for a quorum of the current ones and of the next ones; what the current ones know
     /// of the account, and whether all of them answered.
-    async fn at_quorum(
+    async fn call_quorum(
         &self,
-        holders: &AccountReplicas<'_>,
+        replicas: &AccountReplicas<'_>,
         call: impl Fn(&StorageNode) -> Call,
         wait_for_all: bool,
     ) -> Option<(BTreeMap<u64, u32>, bool)> {
-        let mut calls: FuturesUnordered<_> = holders
+        let mut calls: FuturesUnordered<_> = replicas
             .all()
-            .map(|store| async { (store.disk, self.ask(store, call(store), PATIENCE).await) })
+            .map(|store| async { (store.disk, self.call_node(store, call(store), CALL_TIMEOUT).await) })
             .collect();
         let (mut account, mut answered) = (BTreeMap::new(), BTreeSet::new());
         loop {
-            let enough = holders.is_quorum(&answered);
-            let all = holders.current.iter().all(|store| answered.contains(&store.disk));
+            let enough = replicas.is_quorum(&answered);
+            let all = replicas.current.iter().all(|store| answered.contains(&store.disk));
             if enough && (all || !wait_for_all) {
                 return Some((account, all));
             }
             let next = match enough {
-                true => timeout(GRACE, calls.next()).await.ok().flatten(),
+                true => timeout(STRAGGLER_GRACE, calls.next()).await.ok().flatten(),
                 false => calls.next().await,
             };
             match next {
                 Some((disk, Ok(Answer::Account(reservations)))) => {
                     answered.insert(disk);
-                    if holders.current.iter().any(|store| store.disk == disk) {
+                    if replicas.current.iter().any(|store| store.disk == disk) {
                         merge_reservations(&mut account, reservations);
                     }
                 }
@@ -93,17 +95,17 @@
         }
     }
 
-    pub(super) async fn settle_everywhere(&self, program: &str, reservation: Reservation) {
+    pub(super) async fn settle_at_replicas(&self, program: &str, reservation: Reservation) {
         // A count that gets lost leaves the try at its most: the account holds all the same. Twice is enough.
         for _ in 0..2 {
             let state = self.feed.state();
-            let Some(holders) = AccountReplicas::for_program(&state.roster, program, self.losses()) else {
+            let Some(replicas) = AccountReplicas::for_program(&state.roster, program, self.losses()) else {
                 return;
             };
             let epoch = state.roster.epoch;
             let call = |_: &StorageNode| Call::Settle { epoch, program: program.to_owned(), reservation };
             let calls: FuturesUnordered<_> =
-                holders.all().map(|store| self.ask(store, call(store), PATIENCE)).collect();
+                replicas.all().map(|store| self.call_node(store, call(store), CALL_TIMEOUT)).collect();
             let answers: Vec<_> = calls.collect().await;
             if answers.iter().all(|answer| matches!(answer, Ok(Answer::Done | Answer::Account(_)))) {
                 return;
--- a/system/programs/src/turns/store.rs
+++ b/system/programs/src/turns/store.rs
@@ -1,6 +1,6 @@
 //! Turns, written at as many machines as needed.
 
-use super::{HEDGE, PATIENCE, Round, TurnClient};
+use super::{CALL_TIMEOUT, HEDGE_DELAY, Round, TurnClient};
 use fleet_model::{Answer, Call, StorageNode, Turn, rendezvous_rank};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use request_forwarding::CompletedTurn;
@@ -9,56 +9,60 @@
 use turn_store::{copies_needed, copy_order, has_copies};
 
 impl TurnClient {
-    pub(super) async fn keep_round(&self, turn: &CompletedTurn) -> Round<()> {
+    pub(super) async fn try_store_turn(&self, turn: &CompletedTurn) -> Round<()> {
         let state = self.feed.state();
         let roster = &state.roster;
         let zone = self.process.settings().zone.clone();
         let copies = self.losses() + 1;
         let stores = copy_order(roster, |store| {
-            (self.is_down(store), store.zone != zone, !rendezvous_rank(turn.attempt.as_bytes(), store.disk))
+            (
+                self.is_unresponsive(store),
+                store.zone != zone,
+                !rendezvous_rank(turn.attempt.as_bytes(), store.disk),
+            )
         });
-        let Some(first) = copies_needed(roster, &stores, copies) else { return Round::Again };
-        let record = |holders: Vec<u64>| Turn {
+        let Some(first) = copies_needed(roster, &stores, copies) else { return Round::Retry };
+        let record = |replicas: Vec<u64>| Turn {
             attempt: turn.attempt.clone(),
             previous: turn.previous.clone(),
             input: turn.input.clone(),
             output: turn.output.clone(),
             retention_ms: turn.retention_ms,
-            replicas: holders,
+            replicas: replicas,
         };
-        let keep = async |store: &StorageNode, holders: Vec<u64>| {
-            let call = Call::StoreTurn { epoch: roster.epoch, turn: record(holders) };
-            (store.disk, self.ask(store, call, PATIENCE).await)
+        let keep = async |store: &StorageNode, replicas: Vec<u64>| {
+            let call = Call::StoreTurn { epoch: roster.epoch, turn: record(replicas) };
+            (store.disk, self.call_node(store, call, CALL_TIMEOUT).await)
         };
-        let mut waiting = stores.iter().copied();
+        let mut remaining = stores.iter().copied();
         let mut calls: FuturesUnordered<_> =
-            waiting.by_ref().take(first.len()).map(|store| keep(store, first.clone())).collect();
-        let mut kept: BTreeSet<u64> = BTreeSet::new();
-        while !has_copies(roster, &kept, copies) {
-            match timeout(HEDGE, calls.next()).await {
-                Ok(Some((disk, Ok(Answer::Done)))) => drop(kept.insert(disk)),
-                Ok(Some(_)) | Err(_) => match waiting.next() {
+            remaining.by_ref().take(first.len()).map(|store| keep(store, first.clone())).collect();
+        let mut stored: BTreeSet<u64> = BTreeSet::new();
+        while !has_copies(roster, &stored, copies) {
+            match timeout(HEDGE_DELAY, calls.next()).await {
+                Ok(Some((disk, Ok(Answer::Done)))) => drop(stored.insert(disk)),
+                Ok(Some(_)) | Err(_) => match remaining.next() {
                     Some(store) => calls.push(keep(store, first.clone())),
-                    None if calls.is_empty() => return Round::Again,
+                    None if calls.is_empty() => return Round::Retry,
                     None => {}
                 },
-                Ok(None) => return Round::Again,
+                Ok(None) => return Round::Retry,
             }
         }
-        let holders: Vec<u64> = kept.iter().copied().collect();
-        if first.iter().all(|disk| kept.contains(disk)) {
+        let replicas: Vec<u64> = stored.iter().copied().collect();
+        if first.iter().all(|disk| stored.contains(disk)) {
             return Round::Done(());
         }
         // Each copy has to name the machines that do hold it: by that the others know what to hand over.
-        let named: FuturesUnordered<_> = stores
+        let renamed: FuturesUnordered<_> = stores
             .iter()
-            .filter(|store| kept.contains(&store.disk))
-            .map(|store| keep(store, holders.clone()))
+            .filter(|store| stored.contains(&store.disk))
+            .map(|store| keep(store, replicas.clone()))
             .collect();
-        let named: Vec<_> = named.collect().await;
-        match named.iter().all(|(_, answer)| matches!(answer, Ok(Answer::Done))) {
+        let renamed: Vec<_> = renamed.collect().await;
+        match renamed.iter().all(|(_, answer)| matches!(answer, Ok(Answer::Done))) {
             true => Round::Done(()),
-            false => Round::Again,
+            false => Round::Retry,
         }
     }
 }
--- a/system/programs/tests/admin_commands/canned_fleet.rs
+++ b/system/programs/tests/admin_commands/canned_fleet.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::rc::Rc;
-use system_programs::admin::commands::{Command, carry_out};
+use system_programs::admin::commands::{Command, execute};
 use system_programs::admin::{Fleet, Origin, Report};
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
@@ -53,7 +53,7 @@
     Ipv4Addr::new(127, 0, 0, last)
 }
 
-pub(crate) const STAFF_OFFSET: u16 = 3;
+pub(crate) const ADMIN_PORT_OFFSET: u16 = 3;
 
 /// Serves all of them at one free port, proxies at the one for staff.
 pub(crate) async fn serve(made: Vec<Made>) -> Fleet {
@@ -61,7 +61,7 @@
         let probe = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let port = probe.local_addr().unwrap().port();
         drop(probe);
-        let Some(staff) = port.checked_add(STAFF_OFFSET) else { continue };
+        let Some(staff) = port.checked_add(ADMIN_PORT_OFFSET) else { continue };
         let mut listeners = Vec::new();
         for process in &made {
             match TcpListener::bind((process.ip, if process.is_proxy { staff } else { port })).await {
@@ -75,17 +75,21 @@
         let server = PeerServer::new(FLEET, Rc::new(Canned(process.topics)));
         spawn_local(async move { server.serve(listener).await });
     }
-    Fleet { number: FLEET, entries: vec![SocketAddrV4::new(ip(1), port)], staff_offset: STAFF_OFFSET }
+    Fleet {
+        number: FLEET,
+        entries: vec![SocketAddrV4::new(ip(1), port)],
+        admin_port_offset: ADMIN_PORT_OFFSET,
+    }
 }
 
-pub(crate) fn view(origin: &Origin, says: Value) -> Value {
+pub(crate) fn view(origin: &Origin, body: Value) -> Value {
     let mut view = json!(origin);
-    view.as_object_mut().unwrap().extend(says.as_object().unwrap().clone());
+    view.as_object_mut().unwrap().extend(body.as_object().unwrap().clone());
     view
 }
 
 pub(crate) fn process(ip: Ipv4Addr, origin: &Origin, topics: &[(&str, Value)]) -> Made {
-    let topics = topics.iter().map(|(topic, says)| ((*topic).to_owned(), view(origin, says.clone())));
+    let topics = topics.iter().map(|(topic, body)| ((*topic).to_owned(), view(origin, body.clone())));
     Made { ip, is_proxy: origin.program == "request-proxy", topics: topics.collect() }
 }
 
@@ -207,6 +211,6 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let fleet = serve(made).await;
-        carry_out(&fleet, &command).await
+        execute(&fleet, &command).await
     })
 }
--- a/system/programs/tests/admin_commands/reports.rs
+++ b/system/programs/tests/admin_commands/reports.rs
@@ -7,13 +7,13 @@
 use googletest::prelude::*;
 use serde_json::json;
 use std::collections::BTreeMap;
-use system_programs::admin::commands::{Command, ConfigCommand, Verdict, carry_out};
+use system_programs::admin::commands::{Command, ConfigCommand, Verdict, execute};
 use tokio::task::LocalSet;
 
 #[gtest]
 fn given_a_fleet_that_is_well_then_members_are_told_and_nothing_is_wrong() {
     let report = run(well(), Command::Members);
-    expect_that!(report.verdict, eq(Verdict::Fine));
+    expect_that!(report.verdict, eq(Verdict::Healthy));
     expect_that!(report.text, contains_substring("storage  store-4  127.0.0.4  b     alive"));
     expect_that!(report.text, ends_with("5 members, as seen by core-1, store-4\n"));
     expect_that!(report.json["members"].as_array().map(Vec::len), some(eq(5)));
@@ -24,7 +24,7 @@
     let mut made = well();
     made[0].topics.get_mut("members").unwrap()["members"][1]["suspected"] = json!(true);
     let report = run(made, Command::Members);
-    expect_that!(report.verdict, eq(Verdict::Wrong));
+    expect_that!(report.verdict, eq(Verdict::Problem));
     expect_that!(report.text, contains_substring("edge-2   127.0.0.2  a     suspected  core-1"));
 }
 
@@ -34,7 +34,7 @@
         let mut made = well();
         made[0] = keeper(age_ms);
         let report = run(made, Command::Members);
-        expect_that!(report.verdict, eq(Verdict::Wrong));
+        expect_that!(report.verdict, eq(Verdict::Problem));
         expect_that!(report.text, ends_with("no other machine heard lately by core-1\n"));
     }
 }
@@ -46,9 +46,9 @@
         let mut fleet = serve(well()).await;
         let silent = fleet.peer(ip(9));
         fleet.entries.push(silent);
-        (carry_out(&fleet, &Command::Members).await, silent)
+        (execute(&fleet, &Command::Members).await, silent)
     });
-    expect_that!(report.verdict, eq(Verdict::Fine));
+    expect_that!(report.verdict, eq(Verdict::Healthy));
     expect_that!(report.text, ends_with(format!("no answer from {silent}\n")));
 }
 
@@ -63,17 +63,17 @@
         Command::Account { program: "p".to_owned() },
         Command::Roster,
         Command::Versions,
-        Command::Figures { node: None },
+        Command::Metrics { node: None },
     ] {
-        expect_that!(run(Vec::new(), command.clone()).verdict, eq(Verdict::Silent), "{command:?}");
+        expect_that!(run(Vec::new(), command.clone()).verdict, eq(Verdict::NoAnswer), "{command:?}");
     }
-    expect_that!(Verdict::Silent.exit_code(), eq(3));
+    expect_that!(Verdict::NoAnswer.exit_code(), eq(3));
 }
 
 #[gtest]
 fn given_a_fleet_that_is_well_then_the_version_in_force_is_told_for_each_process() {
     let report = run(well(), Command::Versions);
-    expect_that!(report.verdict, eq(Verdict::Fine));
+    expect_that!(report.verdict, eq(Verdict::Healthy));
     expect_that!(report.text, contains_substring("edge-2   request-proxy  a     3        5 ms"));
     expect_that!(report.text, contains_substring("0 of 6 processes need a look"));
 }
@@ -84,7 +84,7 @@
     made[1] = agent(2);
     made.pop();
     let report = run(made, Command::Versions);
-    expect_that!(report.verdict, eq(Verdict::Wrong));
+    expect_that!(report.verdict, eq(Verdict::Problem));
     expect_that!(report.text, contains_regex("edge-2 +proxy-agent .* behind"));
     expect_that!(report.text, contains_regex("store-6 +storage-node .* no answer"));
     expect_that!(report.text, contains_substring("2 of 6 processes need a look"));
@@ -95,20 +95,20 @@
     let mut made = well();
     made[0] = keeper(Some(95_000));
     let versions = run(made, Command::Versions);
-    expect_that!(versions.verdict, eq(Verdict::Wrong));
+    expect_that!(versions.verdict, eq(Verdict::Problem));
     expect_that!(versions.text, contains_regex("core-1 +control-node +a +3 +95 s .* stale"));
     let shown = run(vec![keeper(None)], Command::Config(ConfigCommand::Show));
-    expect_that!(shown.verdict, eq(Verdict::Wrong));
+    expect_that!(shown.verdict, eq(Verdict::Problem));
     expect_that!(shown.text, eq(&format!("{CONFIG}\n")));
     let roster = run(vec![keeper(Some(95_000))], Command::Roster);
-    expect_that!(roster.verdict, eq(Verdict::Wrong));
+    expect_that!(roster.verdict, eq(Verdict::Problem));
     expect_that!(roster.text, contains_substring("as core-1 knew it 95 s ago"));
 }
 
 #[gtest]
 fn given_versions_that_were_taken_then_the_history_marks_the_one_in_force() {
     let report = run(well(), Command::Config(ConfigCommand::History));
-    expect_that!(report.verdict, eq(Verdict::Fine));
+    expect_that!(report.verdict, eq(Verdict::Healthy));
     expect_that!(report.text, starts_with("VERSION  SHA-256\n1        aa\n3        bb       in force\n"));
 }
 
@@ -119,13 +119,13 @@
     let diff = || Command::Config(ConfigCommand::Diff { file: file.clone() });
     std::fs::write(&file, CONFIG).unwrap();
     let same = run(well(), diff());
-    expect_that!((same.verdict, same.text.lines().next()), eq((Verdict::Fine, Some("no difference"))));
+    expect_that!((same.verdict, same.text.lines().next()), eq((Verdict::Healthy, Some("no difference"))));
     std::fs::write(&file, CONFIG.replace("\"version\":3", "\"version\":4")).unwrap();
     let later = run(well(), diff());
-    expect_that!((later.verdict, later.text.lines().next()), eq((Verdict::Fine, Some("version: 3 -> 4"))));
+    expect_that!((later.verdict, later.text.lines().next()), eq((Verdict::Healthy, Some("version: 3 -> 4"))));
     std::fs::write(&file, CONFIG.replace("\"version\":3", "\"version\":2")).unwrap();
     let earlier = run(well(), diff());
-    expect_that!(earlier.verdict, eq(Verdict::Wrong));
+    expect_that!(earlier.verdict, eq(Verdict::Problem));
     expect_that!(earlier.text, contains_substring("would be refused"));
 }
 
@@ -135,21 +135,21 @@
     let file = folder.path().join("new.json");
     let check = || Command::Config(ConfigCommand::Check { file: file.clone() });
     std::fs::write(&file, CONFIG).unwrap();
-    expect_that!(run(Vec::new(), check()).verdict, eq(Verdict::Fine));
+    expect_that!(run(Vec::new(), check()).verdict, eq(Verdict::Healthy));
     std::fs::write(&file, r#"{"version":0,"routes":7,"services":[]}"#).unwrap();
     let report = run(Vec::new(), check());
-    expect_that!(report.verdict, eq(Verdict::Wrong));
+    expect_that!(report.verdict, eq(Verdict::Problem));
     expect_that!(report.json["findings"].as_array().map(Vec::len), some(ge(2)));
     expect_that!(
         run(Vec::new(), Command::Config(ConfigCommand::Check { file: folder.path().join("none") })).verdict,
-        eq(Verdict::Wrong)
+        eq(Verdict::Problem)
     );
 }
 
 #[gtest]
 fn given_a_proxy_then_endpoints_tell_why_one_is_not_used() {
     let report = run(well(), Command::Endpoints { node: None });
-    expect_that!(report.verdict, eq(Verdict::Fine));
+    expect_that!(report.verdict, eq(Verdict::Healthy));
     expect_that!(report.text, contains_regex("llm +i-1 .* used"));
     expect_that!(report.text, contains_regex("llm +i-2 .* draining"));
     expect_that!(report.text, contains_substring("as the proxy of edge-2 sees them"));
@@ -166,7 +166,7 @@
         made[2] = proxy(&endpoints);
         expect_that!(
             run(made, Command::Endpoints { node: None }).verdict,
-            eq(Verdict::Wrong),
+            eq(Verdict::Problem),
             "{endpoints:?}"
         );
     }
@@ -177,7 +177,7 @@
     let mut made = well();
     made.remove(2);
     let report = run(made, Command::Endpoints { node: None });
-    expect_that!(report.verdict, eq(Verdict::Wrong));
+    expect_that!(report.verdict, eq(Verdict::Problem));
     expect_that!(report.text, contains_regex("llm +i-1 .* listed"));
     expect_that!(report.text, contains_substring("no proxy answers"));
 }
@@ -185,13 +185,13 @@
 #[gtest]
 fn given_a_proxy_that_is_named_and_silent_then_no_other_answers_for_it() {
     let named = Command::Endpoints { node: Some("edge-9".to_owned()) };
-    expect_that!(run(well(), named).verdict, eq(Verdict::Silent));
+    expect_that!(run(well(), named).verdict, eq(Verdict::NoAnswer));
 }
 
 #[gtest]
 fn given_a_turn_at_enough_machines_then_they_are_told() {
     let report = run(well(), Command::Turn { attempt: "t-1".to_owned() });
-    expect_that!(report.verdict, eq(Verdict::Fine));
+    expect_that!(report.verdict, eq(Verdict::Healthy));
     expect_that!(report.text, contains_regex("store-4 +127.0.0.4 +b +held +12 +named"));
     expect_that!(report.text, contains_regex("store-6 +127.0.0.6 +b +absent"));
     expect_that!(report.text, contains_substring("2 of at least 2 copies"));
@@ -202,7 +202,7 @@
     let mut made = well();
     made.remove(3);
     let report = run(made, Command::Turn { attempt: "t-1".to_owned() });
-    expect_that!(report.verdict, eq(Verdict::Wrong));
+    expect_that!(report.verdict, eq(Verdict::Problem));
     expect_that!(report.text, contains_regex("store-4 +127.0.0.4 +no answer"));
     expect_that!(report.text, contains_substring("1 of at least 2 copies"));
 }
@@ -210,7 +210,7 @@
 #[gtest]
 fn given_holders_that_differ_then_a_try_counts_with_the_lower_number() {
     let report = run(well(), Command::Account { program: "p".to_owned() });
-    expect_that!(report.verdict, eq(Verdict::Fine));
+    expect_that!(report.verdict, eq(Verdict::Healthy));
     expect_that!(report.json["total"], eq(&json!(50)));
     let rank: Vec<String> = {
         let roster = roster();
@@ -229,7 +229,7 @@
     made[3] = storage_node(4, true, None);
     made.pop();
     let report = run(made, Command::Account { program: "p".to_owned() });
-    expect_that!(report.verdict, eq(Verdict::Wrong));
+    expect_that!(report.verdict, eq(Verdict::Problem));
     expect_that!(report.text, contains_substring("1 of 3 holders answer for it"));
 }
 
@@ -241,7 +241,7 @@
         Roster { next: Some(next), in_sync: vec![700], retiring: vec!["store-6".to_owned()], ..roster() };
     made[0].topics.get_mut("roster").unwrap()["roster"] = json!(roster);
     let report = run(made, Command::Roster);
-    expect_that!(report.verdict, eq(Verdict::Fine));
+    expect_that!(report.verdict, eq(Verdict::Healthy));
     expect_that!(report.text, contains_regex("store-4 .* alive +counts +fills"));
     expect_that!(report.text, contains_regex("store-6 .* alive +counts +leaves"));
     expect_that!(report.text, contains_regex("store-7 .* gone +full"));
@@ -259,14 +259,14 @@
         }
     }
     let report = run(made, Command::Roster);
-    expect_that!(report.verdict, eq(Verdict::Wrong));
+    expect_that!(report.verdict, eq(Verdict::Problem));
     expect_that!(report.text, contains_regex("store-6 .* gone +counts"));
 }
 
 #[gtest]
 fn given_figures_of_one_machine_then_they_are_exposition_text() {
-    let report = run(well(), Command::Figures { node: Some("core-1".to_owned()) });
-    expect_that!(report.verdict, eq(Verdict::Fine));
+    let report = run(well(), Command::Metrics { node: Some("core-1".to_owned()) });
+    expect_that!(report.verdict, eq(Verdict::Healthy));
     let line = r#"members{node="core-1",program="control-node",zone="a"} 5"#;
     expect_that!(report.text, eq(&format!("# TYPE members gauge\n{line}\n")));
 }
--- a/system/programs/tests/admin_commands/views.rs
+++ b/system/programs/tests/admin_commands/views.rs
@@ -7,8 +7,8 @@
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
 use system_programs::admin::commands::{Command, ConfigCommand, command};
-use system_programs::admin::metrics::{Figures, exposition};
-use system_programs::admin::query::{SeenMembers, places};
+use system_programs::admin::metrics::{Metrics, exposition};
+use system_programs::admin::query::{ObservedMembers, places};
 use system_programs::admin::table::{age, table};
 use system_programs::admin::{Topic, View};
 
@@ -41,10 +41,10 @@
 #[gtest]
 fn figures_of_one_name_stand_together_with_a_label_for_each_process() {
     let view = |node: &str, sends: u64| {
-        let mut says = Figures::default();
-        says.counter("request_proxy_sends", sends);
-        says.gauge("uptime_seconds", 1.5);
-        View { origin: origin(node, "a\"\\", "request-proxy"), says }
+        let mut body = Metrics::default();
+        body.counter("request_proxy_sends", sends);
+        body.gauge("uptime_seconds", 1.5);
+        View { origin: origin(node, "a\"\\", "request-proxy"), body }
     };
     let text = exposition(&[view("edge-1", 7), view("edge-2", 9)]);
     let label = |node: &str| format!(r#"{{node="{node}",program="request-proxy",zone="a\"\\"}}"#);
@@ -62,7 +62,7 @@
 #[gtest]
 fn given_views_that_differ_then_it_is_told_who_suspects_and_who_misses_whom() {
     let ip = |last| Ipv4Addr::new(10, 0, 0, last);
-    let view = |node: &str, members: Value| -> View<SeenMembers> {
+    let view = |node: &str, members: Value| -> View<ObservedMembers> {
         let mut view = json!(origin(node, "a", "control-node"));
         view["members"] = members;
         serde_json::from_value(view).unwrap()
@@ -103,10 +103,10 @@
     let read = |args: &[&str]| command().to_options().run_inner(args).ok();
     expect_that!(read(&["members"]), some(eq(&Command::Members)));
     expect_that!(read(&["turn", "a-1"]), some(eq(&Command::Turn { attempt: "a-1".to_owned() })));
-    expect_that!(read(&["figures"]), some(eq(&Command::Figures { node: None })));
+    expect_that!(read(&["figures"]), some(eq(&Command::Metrics { node: None })));
     expect_that!(
         read(&["figures", "edge-1"]),
-        some(eq(&Command::Figures { node: Some("edge-1".to_owned()) }))
+        some(eq(&Command::Metrics { node: Some("edge-1".to_owned()) }))
     );
     expect_that!(read(&["config", "show"]), some(eq(&Command::Config(ConfigCommand::Show))));
     let diff = ConfigCommand::Diff { file: PathBuf::from("new.json") };
--- a/system/programs/tests/loopback/graceful_shutdown.rs
+++ b/system/programs/tests/loopback/graceful_shutdown.rs
@@ -74,7 +74,7 @@
     }
 
     /// How it ended, if it has.
-    fn ended(&mut self) -> Option<ExitStatus> {
+    fn shutdown_requested(&mut self) -> Option<ExitStatus> {
         self.0.try_wait().unwrap()
     }
 }
@@ -138,7 +138,7 @@
         // The process ends in its time, and is not ready in between.
         let grace = Duration::from_secs_f64(machine.process.settings().bounds.grace_period_s);
         let status = loop {
-            match proxy.ended() {
+            match proxy.shutdown_requested() {
                 Some(status) => break status,
                 None => expect_that!(readiness(machine.readiness()).await, not(some(eq(200)))),
             }
