--- a/system/config-register/src/acceptor.rs
+++ b/system/config-register/src/acceptor.rs
@@ -1,4 +1,7 @@
-//! The voter's side.
+//! The acceptor of Paxos: it promises ballots, accepts values and answers the reads of learners.
+//!
+//! The two rules are those of section 2.2 of *Paxos Made Simple*: an acceptor answers `Prepare` for a ballot not below the
+//! highest that it has promised, and accepts a value unless it has promised a higher ballot.
 
 use crate::record_format::StoredRecord;
 use bytes::Bytes;
@@ -6,31 +9,31 @@
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// Whether a machine has accepted as one of the voters.
+/// Whether a node has accepted a value as one of the voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum VoterState {
-    /// It has read the register to join it, and no voters named it then.
+    /// The node has read the register in order to join, and the voters named in the value did not include it.
     NonVoter,
-    /// It was founded or restored as a voter, or has accepted since.
+    /// The node was founded or recovered as a voter, or has accepted a value since.
     Voter,
 }
 
-/// What a voter keeps on disk. It is written with the form that it is in, see [`crate::RecordFormat`].
+/// The durable state of an acceptor. On disk it is preceded by a format number, see [`crate::RecordFormat`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "StoredRecord", try_from = "StoredRecord")]
 pub struct AcceptorRecord {
-    /// It listens to no ballot below this one.
+    /// The highest promised ballot; requests under a lower one are rejected.
     pub promised: Ballot,
-    /// What it has accepted last.
+    /// The value accepted last, with its ballot.
     pub accepted: Option<AcceptedValue>,
-    /// Whether it has accepted as a voter.
+    /// Whether this node has accepted as a voter.
     pub voter_state: VoterState,
-    /// The newest voters that it knows to be chosen, with their epoch; the payload is empty. A run after a restart
-    /// starts with these: the accepted value itself may be an unfinished change.
+    /// The newest voters known to be chosen, with their epoch; the payload is empty. A proposer starts from these after a
+    /// restart, because `accepted` may belong to an unfinished change.
     pub chosen_voters: Option<RegisterValue>,
 }
 
-/// The record that every founding voter starts with: the same value under the lowest ballot, so it is chosen.
+/// The record with which each founding voter starts: the same value under the lowest ballot, which is therefore chosen.
 pub fn founding_record(voters: Vec<Ipv4Addr>) -> AcceptorRecord {
     let value = RegisterValue { epoch: 0, voters, payload: Bytes::new() };
     AcceptorRecord {
@@ -41,7 +44,22 @@
     }
 }
 
-/// A voter.
+/// The reply of an acceptor, and whether its host must make the record durable before sending it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AcceptorResponse {
+    /// The reply.
+    pub reply: RegisterReply,
+    /// Whether the record changed. The reply to `Prepare` or `Accept` may be sent only after the new record is synced.
+    pub record_changed: bool,
+}
+
+impl AcceptorResponse {
+    fn unchanged(reply: RegisterReply) -> Self {
+        Self { reply, record_changed: false }
+    }
+}
+
+/// An acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     record: Option<AcceptorRecord>,
@@ -49,32 +67,33 @@
 }
 
 impl Acceptor {
-    /// A voter with its record.
+    /// An acceptor with its durable record.
     pub fn new(record: AcceptorRecord) -> Self {
         Self { record: Some(record), chosen: Ballot::default() }
     }
 
-    /// A machine that came up without a record: it may have voted before, and does not until it is restored.
+    /// An acceptor without a record. It may have voted before and forgotten it, so it answers
+    /// [`RegisterReply::Recovering`] until [`Acceptor::restore`].
     pub fn recovering() -> Self {
         Self { record: None, chosen: Ballot::default() }
     }
 
-    /// Takes the result of a [`crate::Recovery`], once it is synced.
+    /// Installs the result of a [`crate::Recovery`]. The host must have synced the record.
     pub fn restore(&mut self, record: AcceptorRecord) {
         self.record = Some(record);
     }
 
-    /// What is to be kept on disk; none while unfit.
+    /// The record to keep on disk; `None` while recovering.
     pub fn record(&self) -> Option<&AcceptorRecord> {
         self.record.as_ref()
     }
 
-    /// The newest ballot that it knows to be chosen.
+    /// The highest ballot known to be chosen.
     pub fn chosen(&self) -> Ballot {
         self.chosen
     }
 
-    /// Takes note that a ballot was chosen. Returns whether the record changed; it need not be synced at once.
+    /// Notes that a ballot was chosen. Returns whether the record changed; that change need not be synced at once.
     pub fn learn_chosen(&mut self, ballot: Ballot) -> bool {
         self.chosen = self.chosen.max(ballot);
         let accepted = self.record.as_ref().and_then(|record| record.accepted.clone());
@@ -83,7 +102,7 @@
             .is_some_and(|accepted| self.record_chosen_voters(&accepted.value))
     }
 
-    /// Takes note of a chosen value, whether or not it was accepted here. Returns as [`Acceptor::learn_chosen`] does.
+    /// Notes a chosen value, whether or not it was accepted here. Returns the same as [`Acceptor::learn_chosen`].
     pub fn learn_value(&mut self, chosen: &AcceptedValue) -> bool {
         self.chosen = self.chosen.max(chosen.ballot);
         self.record_chosen_voters(&chosen.value)
@@ -91,47 +110,59 @@
 
     fn record_chosen_voters(&mut self, value: &RegisterValue) -> bool {
         let Some(record) = &mut self.record else { return false };
-        let is_newer =
-            record.chosen_voters.as_ref().is_none_or(|chosen_voters| chosen_voters.epoch < value.epoch);
+        let is_newer = record.chosen_voters.as_ref().is_none_or(|known| known.epoch < value.epoch);
         if is_newer {
             record.chosen_voters = Some(RegisterValue { payload: Bytes::new(), ..value.clone() });
         }
         is_newer
     }
 
-    /// Answers a request. The flag tells that the record changed: it is synced before the reply is sent.
-    pub fn handle(&mut self, request: &RegisterRequest) -> (RegisterReply, bool) {
-        let Some(record) = &mut self.record else { return (RegisterReply::Recovering, false) };
+    /// Answers a request.
+    pub fn handle(&mut self, request: &RegisterRequest) -> AcceptorResponse {
+        let Some(record) = &mut self.record else {
+            return AcceptorResponse::unchanged(RegisterReply::Recovering);
+        };
         match request {
-            RegisterRequest::Prepare(ballot) if *ballot < record.promised => {
-                (RegisterReply::Rejected(record.promised), false)
-            }
-            RegisterRequest::Prepare(ballot) => {
-                let changed = record.promised != *ballot;
-                record.promised = *ballot;
-                (RegisterReply::Promised(record.accepted.clone()), changed)
-            }
-            RegisterRequest::Accept(offered) => {
-                // A later epoch at a lower ballot is a change that was given up. A proposer whose Prepare came here
-                // was told of it and has read a newer value; another may not know, and asks first.
-                let later =
-                    record.accepted.as_ref().is_some_and(|held| held.value.epoch > offered.value.epoch);
-                if offered.ballot < record.promised || (later && offered.ballot > record.promised) {
-                    return (RegisterReply::Rejected(record.promised), false);
-                }
-                let changed = record.promised != offered.ballot || record.accepted.as_ref() != Some(offered);
-                record.promised = offered.ballot;
-                record.accepted = Some(offered.clone());
-                record.voter_state = VoterState::Voter;
-                (RegisterReply::Accepted, changed)
-            }
+            RegisterRequest::Prepare(ballot) => record.prepare(*ballot),
+            RegisterRequest::Accept(proposed) => record.accept(proposed),
             RegisterRequest::Poll { chosen } => {
-                let changed = self.learn_chosen(*chosen);
+                let record_changed = self.learn_chosen(*chosen);
                 let accepted = self.record.as_ref().and_then(|record| record.accepted.as_ref());
                 let accepted = accepted.map(|accepted| accepted.ballot);
-                (RegisterReply::Polled { accepted, chosen: self.chosen }, changed)
+                let reply = RegisterReply::Polled { accepted, chosen: self.chosen };
+                AcceptorResponse { reply, record_changed }
             }
-            RegisterRequest::Fetch => (RegisterReply::Fetched(record.accepted.clone()), false),
+            RegisterRequest::Fetch => {
+                AcceptorResponse::unchanged(RegisterReply::Fetched(record.accepted.clone()))
+            }
+        }
+    }
+}
+
+impl AcceptorRecord {
+    /// Phase 1b of *Paxos Made Simple*.
+    fn prepare(&mut self, ballot: Ballot) -> AcceptorResponse {
+        if ballot < self.promised {
+            return AcceptorResponse::unchanged(RegisterReply::Rejected(self.promised));
+        }
+        let record_changed = self.promised != ballot;
+        self.promised = ballot;
+        AcceptorResponse { reply: RegisterReply::Promised(self.accepted.clone()), record_changed }
+    }
+
+    /// Phase 2b of *Paxos Made Simple*, with one rule more for changes of the voters.
+    fn accept(&mut self, proposed: &AcceptedValue) -> AcceptorResponse {
+        // A later epoch under a lower ballot belongs to an abandoned change. A proposer whose Prepare arrived here was sent
+        // that value and has since read a newer one; any other may not know of it and must prepare first.
+        let has_later_epoch =
+            self.accepted.as_ref().is_some_and(|accepted| accepted.value.epoch > proposed.value.epoch);
+        if proposed.ballot < self.promised || (has_later_epoch && proposed.ballot > self.promised) {
+            return AcceptorResponse::unchanged(RegisterReply::Rejected(self.promised));
         }
+        let record_changed = self.promised != proposed.ballot || self.accepted.as_ref() != Some(proposed);
+        self.promised = proposed.ballot;
+        self.accepted = Some(proposed.clone());
+        self.voter_state = VoterState::Voter;
+        AcceptorResponse { reply: RegisterReply::Accepted, record_changed }
     }
 }
--- a/system/config-register/src/backoff.rs
+++ b/system/config-register/src/backoff.rs
@@ -1,55 +1,74 @@
-//! When a proposer may begin a run.
+//! When a proposer may start a ballot: it defers to others' ballots and backs off after losing its own.
+//!
+//! Paxos is safe with any number of proposers but may livelock among them (*Paxos Made Simple*, section 2.4). There is no
+//! leader here; deferring and random exponential backoff provide the progress.
 
 use fleet_model::Ballot;
 
-/// Another's run is given way to for so long after each sign of life, in milliseconds.
-const GIVES_WAY: u64 = 200;
-/// Longest pause after the first run in a row that was lost; each further one doubles it.
-const FIRST_PAUSE: u64 = 16;
-/// Longest pause of all.
-const MOST_PAUSE: u64 = 320;
-
-/// Listens before a run begins. Two runs that overlap cost each other a round, and the larger the value, the longer a
-/// run: proposers that began whenever they wished would overlap for good. An acceptor hears of every run, so the
-/// proposer beside it waits while another's is under way. Runs that began at the same moment part by pauses that grow
-/// until one is won or nothing newer is left to settle, whatever number of changes they were for.
+/// How long to defer to a competing ballot after each message of it, in milliseconds.
+const COMPETING_BALLOT_TIMEOUT_MS: u64 = 200;
+/// Shortest backoff after a lost ballot, in milliseconds; the random part is added to it.
+const MIN_BACKOFF_MS: u64 = 4;
+/// Bound of the random part after the first ballot lost in a row, in milliseconds; it doubles with each further one.
+const INITIAL_BACKOFF_RANGE_MS: u64 = 16;
+/// Highest bound of the random part, in milliseconds.
+const MAX_BACKOFF_RANGE_MS: u64 = 320;
+/// Number of doublings after which the exponent stops rising, so that the shift cannot overflow.
+const MAX_BACKOFF_EXPONENT: u32 = 8;
+
+/// A ballot of another proposer that may still be in progress.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct CompetingBallot {
+    ballot: Ballot,
+    /// Time until which to defer to it, in milliseconds.
+    until_ms: u64,
+}
+
+/// Decides how long a proposer waits before it starts a ballot.
+///
+/// Two ballots that overlap cost each other a round, and the larger the value, the longer a ballot takes: proposers that
+/// started whenever they wished could overlap indefinitely. An acceptor sees every ballot, so the proposer on the same node
+/// waits while another's is in progress. Proposers that started at the same moment are separated by random backoffs; these
+/// grow until a ballot is won or nothing newer remains undecided, across any number of changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ProposerBackoff {
-    /// Another's run that may be under way, and until when it is given way to.
-    other: Option<(Ballot, u64)>,
-    /// Own runs lost in a row.
-    lost: u32,
-    paused_until: u64,
+    competing: Option<CompetingBallot>,
+    /// Own ballots lost in a row.
+    consecutive_losses: u32,
+    /// End of the current backoff, in milliseconds.
+    backoff_until_ms: u64,
 }
 
 impl ProposerBackoff {
-    /// The acceptor has let another's run pass.
+    /// Notes that the local acceptor has promised or accepted under another proposer's ballot.
     pub fn on_competing_ballot(&mut self, now_ms: u64, ballot: Ballot) {
-        if self.other.is_none_or(|(heard, _)| heard <= ballot) {
-            self.other = Some((ballot, now_ms + GIVES_WAY));
+        if self.competing.is_none_or(|competing| competing.ballot <= ballot) {
+            let until_ms = now_ms + COMPETING_BALLOT_TIMEOUT_MS;
+            self.competing = Some(CompetingBallot { ballot, until_ms });
         }
     }
 
-    /// This ballot was chosen: its run is over, and so are those below.
+    /// Notes that a ballot was chosen: it and all lower ones are over.
     pub fn on_chosen(&mut self, chosen: Ballot) {
-        self.other = self.other.filter(|(heard, _)| *heard > chosen);
+        self.competing = self.competing.filter(|competing| competing.ballot > chosen);
     }
 
-    /// An own run was lost to another. `drawn` is any random number.
-    pub fn on_lost(&mut self, now_ms: u64, drawn: u64) {
-        let most = MOST_PAUSE.min(FIRST_PAUSE << self.lost.min(8));
-        self.lost += 1;
-        self.paused_until = now_ms + 4 + drawn % most;
+    /// Notes that an own ballot was lost to another. `random` is any random number.
+    pub fn on_lost(&mut self, now_ms: u64, random: u64) {
+        let exponent = self.consecutive_losses.min(MAX_BACKOFF_EXPONENT);
+        let range_ms = MAX_BACKOFF_RANGE_MS.min(INITIAL_BACKOFF_RANGE_MS << exponent);
+        self.consecutive_losses += 1;
+        self.backoff_until_ms = now_ms + MIN_BACKOFF_MS + random % range_ms;
     }
 
-    /// An own run has had its value chosen, or a majority knows of nothing newer: nobody is in the way.
+    /// Resets the growth of the backoff: an own value was chosen, or a majority knows of nothing newer.
     pub fn reset(&mut self) {
-        self.lost = 0;
+        self.consecutive_losses = 0;
     }
 
-    /// How much longer to wait with a run, as far as is known now, in milliseconds; 0: it may begin.
+    /// How long to wait before the next ballot as far as known now, in milliseconds; 0 if it may start.
     pub fn remaining_delay_ms(&self, now_ms: u64) -> u64 {
-        let given = self.other.map_or(0, |(_, until)| until);
-        given.max(self.paused_until).saturating_sub(now_ms)
+        let deferred_until_ms = self.competing.map_or(0, |competing| competing.until_ms);
+        deferred_until_ms.max(self.backoff_until_ms).saturating_sub(now_ms)
     }
 }
--- a/system/config-register/src/learner.rs
+++ b/system/config-register/src/learner.rs
@@ -1,148 +1,158 @@
-//! Tells whether the newest chosen value is known.
+//! The learner of Paxos (*Paxos Made Simple*, section 2.3): finds out by a quorum read whether the newest chosen value is
+//! known.
 
-use crate::Outbox;
+use crate::quorum::majority;
+use crate::{Outbox, OutgoingRequest};
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue, rendezvous_rank};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// What a round of polling has come to.
+/// The outcome of a poll so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollOutcome {
-    /// Nothing to tell until more answers come.
+    /// Undetermined until more replies arrive.
     Pending,
-    /// Nothing newer was chosen when the round began.
+    /// Nothing newer had been chosen when the poll began.
     Fresh,
-    /// Something newer was chosen, or has a majority: fetch it from one of these, and see if [`Learner::confirms`] it.
+    /// A newer value was chosen, or has been accepted by a majority: fetch it from one of these nodes and check it with
+    /// [`Learner::confirms`].
     Behind {
-        /// Who holds it.
+        /// Nodes that have accepted it.
         from: Vec<Ipv4Addr>,
         /// Its ballot.
         ballot: Ballot,
     },
-    /// Something newer was accepted, and it is not known whether it is chosen: a run that keeps the value tells.
+    /// A newer value was accepted, and it is unknown whether it is chosen. A proposer that proposes it unchanged decides that.
     Undecided,
-    /// Too few machines answered.
+    /// Too few nodes replied.
     Failed,
 }
 
+/// The state of one polled voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answer {
-    Asked,
+enum PollReply {
+    Pending,
     Failed,
-    Polled { accepted: Option<Ballot>, chosen: Ballot },
+    Polled(BallotReport),
+}
+
+/// What a voter replied to a poll.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct BallotReport {
+    accepted: Option<Ballot>,
+    chosen: Ballot,
 }
 
-/// The value that a machine knows to be chosen and holds, by what it answered to a poll and then to a fetch.
+/// The value that a node both has accepted and knows to be chosen, given its replies to a poll and to a later fetch.
 pub fn known_chosen_value(polled: &RegisterReply, fetched: &RegisterReply) -> Option<RegisterValue> {
     let RegisterReply::Polled { accepted: Some(accepted), chosen } = polled else { return None };
-    let RegisterReply::Fetched(Some(held)) = fetched else { return None };
-    (accepted == chosen && held.ballot == *chosen).then(|| held.value.clone())
+    let RegisterReply::Fetched(Some(stored)) = fetched else { return None };
+    (accepted == chosen && stored.ballot == *chosen).then(|| stored.value.clone())
 }
 
-/// One round of polling.
+/// One poll of the voters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Learner {
-    known: Ballot,
-    answers: BTreeMap<Ipv4Addr, Answer>,
+    known_ballot: Ballot,
+    replies: BTreeMap<Ipv4Addr, PollReply>,
 }
 
 impl Learner {
-    /// Starts a round at the voters of the value that was chosen under `chosen`.
+    /// Starts a poll of the voters of the value that was chosen under `chosen`.
     pub fn start(voters: &[Ipv4Addr], chosen: Ballot) -> Self {
-        let answers = BTreeSet::from_iter(voters).into_iter().map(|ip| (*ip, Answer::Asked)).collect();
-        Self { known: chosen, answers }
+        let replies =
+            BTreeSet::from_iter(voters).into_iter().map(|voter| (*voter, PollReply::Pending)).collect();
+        Self { known_ballot: chosen, replies }
     }
 
     /// The requests to send.
     pub fn outbox(&self) -> Outbox {
-        let request = RegisterRequest::Poll { chosen: self.known };
-        self.answers.keys().map(|ip| (*ip, request.clone())).collect()
+        let request = RegisterRequest::Poll { chosen: self.known_ballot };
+        self.replies.keys().map(|voter| OutgoingRequest { to: *voter, request: request.clone() }).collect()
     }
 
-    /// Takes an answer.
+    /// Handles a reply to the poll.
     pub fn on_polled(&mut self, from: Ipv4Addr, accepted: Option<Ballot>, chosen: Ballot) -> PollOutcome {
-        if let Some(answer) = self.answers.get_mut(&from) {
-            *answer = Answer::Polled { accepted, chosen };
+        if let Some(reply) = self.replies.get_mut(&from) {
+            *reply = PollReply::Polled(BallotReport { accepted, chosen });
         }
-        self.verdict()
+        self.outcome()
     }
 
-    /// Takes note that a machine did not answer, or is unfit.
+    /// Notes that a voter did not reply or is recovering.
     pub fn on_failure(&mut self, from: Ipv4Addr) -> PollOutcome {
-        if let Some(answer @ Answer::Asked) = self.answers.get_mut(&from) {
-            *answer = Answer::Failed;
+        if let Some(reply @ PollReply::Pending) = self.replies.get_mut(&from) {
+            *reply = PollReply::Failed;
         }
-        self.verdict()
+        self.outcome()
     }
 
-    /// Whether a fetched value is chosen, by what this round told. `known` is the value chosen under the ballot that
-    /// the round began with. Where it does not, a run that keeps the value settles it.
+    /// Whether the replies of this poll prove that a fetched value is chosen. `known` is the value chosen under the ballot
+    /// that the poll began with. If they do not, a proposer that proposes the fetched value unchanged decides it.
     pub fn confirms(&self, known: &RegisterValue, fetched: &AcceptedValue) -> bool {
-        let told = self
-            .answers
-            .values()
-            .any(|answer| matches!(answer, Answer::Polled { chosen, .. } if *chosen == fetched.ballot));
-        // With other voters, a majority of the known ones is not enough.
-        let same = known.epoch == fetched.value.epoch;
-        told || (same && self.holders(fetched.ballot).len() >= self.majority())
+        let is_reported_chosen = self.reports().any(|report| report.chosen == fetched.ballot);
+        // With other voters, a majority of the known voters is not sufficient.
+        let has_known_voters = known.epoch == fetched.value.epoch;
+        is_reported_chosen || (has_known_voters && self.accepted_by(fetched.ballot).len() >= self.majority())
     }
 
     fn majority(&self) -> usize {
-        self.answers.len() / 2 + 1
+        majority(self.replies.len())
     }
 
-    fn holders(&self, ballot: Ballot) -> Vec<Ipv4Addr> {
-        let holds =
-            |answer: &Answer| matches!(answer, Answer::Polled { accepted, .. } if *accepted == Some(ballot));
-        self.answers.iter().filter(|(_, answer)| holds(answer)).map(|(ip, _)| *ip).collect()
+    fn reports(&self) -> impl Iterator<Item = BallotReport> + '_ {
+        self.replies.values().filter_map(|reply| match reply {
+            PollReply::Polled(report) => Some(*report),
+            PollReply::Pending | PollReply::Failed => None,
+        })
     }
 
-    fn verdict(&self) -> PollOutcome {
-        let asked = self.answers.values().filter(|answer| **answer == Answer::Asked).count();
-        let polled: Vec<_> = self
-            .answers
-            .values()
-            .filter_map(|answer| match answer {
-                Answer::Polled { accepted, chosen } => Some((*accepted, *chosen)),
-                _ => None,
-            })
-            .collect();
-        let newer: BTreeSet<_> = polled
-            .iter()
-            .filter_map(|(accepted, _)| *accepted)
-            .filter(|ballot| *ballot > self.known)
+    fn accepted_by(&self, ballot: Ballot) -> Vec<Ipv4Addr> {
+        let has_accepted =
+            |reply: &PollReply| matches!(reply, PollReply::Polled(report) if report.accepted == Some(ballot));
+        self.replies.iter().filter(|(_, reply)| has_accepted(reply)).map(|(voter, _)| *voter).collect()
+    }
+
+    fn outcome(&self) -> PollOutcome {
+        let pending = self.replies.values().filter(|reply| **reply == PollReply::Pending).count();
+        let polled = self.reports().count();
+        let newer_accepted: BTreeSet<Ballot> = self
+            .reports()
+            .filter_map(|report| report.accepted)
+            .filter(|ballot| *ballot > self.known_ballot)
             .collect();
-        let told = polled.iter().map(|(_, chosen)| *chosen).max().filter(|chosen| *chosen > self.known);
-        for ballot in newer.iter().rev() {
-            let from = self.holders(*ballot);
-            if from.len() >= self.majority() || Some(*ballot) == told {
+        let newer_chosen =
+            self.reports().map(|report| report.chosen).max().filter(|chosen| *chosen > self.known_ballot);
+        for ballot in newer_accepted.iter().rev() {
+            let from = self.accepted_by(*ballot);
+            if from.len() >= self.majority() || Some(*ballot) == newer_chosen {
                 return PollOutcome::Behind { from, ballot: *ballot };
             }
         }
-        if polled.len() + asked < self.majority() {
+        if polled + pending < self.majority() {
             return PollOutcome::Failed;
         }
-        if polled.len() < self.majority() {
+        if polled < self.majority() {
             return PollOutcome::Pending;
         }
-        if newer.is_empty() && told.is_none() {
+        if newer_accepted.is_empty() && newer_chosen.is_none() {
             return PollOutcome::Fresh;
         }
-        // One that is not heard of yet may complete a majority, or hold what was told to be chosen.
-        if asked > 0
-            && (told.is_some() || newer.iter().any(|b| self.holders(*b).len() + asked >= self.majority()))
-        {
+        // A voter that has not replied yet may complete a majority, or have the value reported as chosen.
+        let can_reach_majority =
+            |ballot: &Ballot| self.accepted_by(*ballot).len() + pending >= self.majority();
+        if pending > 0 && (newer_chosen.is_some() || newer_accepted.iter().any(can_reach_majority)) {
             return PollOutcome::Pending;
         }
         PollOutcome::Undecided
     }
 }
 
-/// In which place `me` completes a value that was accepted under `ballot` and stays unsettled: all who see it would
-/// otherwise get into each other's way, and into its proposer's, who comes last.
+/// The position of `me` in the order in which nodes complete a value that was accepted under `ballot` and stays undecided.
+/// Without an order, all nodes that see it would compete with each other and with its proposer, which comes last.
 pub fn completion_rank(me: Ipv4Addr, voters: &[Ipv4Addr], ballot: Ballot) -> usize {
     let mut others: Vec<Ipv4Addr> =
-        voters.iter().copied().filter(|ip| u32::from(*ip) != ballot.proposer).collect();
-    others.sort_by_key(|ip| (rendezvous_rank(&ip.octets(), ballot.round), *ip));
-    others.iter().position(|ip| *ip == me).unwrap_or(others.len())
+        voters.iter().copied().filter(|voter| u32::from(*voter) != ballot.proposer).collect();
+    others.sort_by_key(|voter| (rendezvous_rank(&voter.octets(), ballot.round), *voter));
+    others.iter().position(|voter| *voter == me).unwrap_or(others.len())
 }
--- a/system/config-register/src/record_format.rs
+++ b/system/config-register/src/record_format.rs
@@ -1,31 +1,31 @@
-//! The forms in which an acceptor's record is kept on disk.
+//! The on-disk formats of an acceptor's record.
 //!
-//! The present form begins with [`MAGIC`] and its number. The first format, whose ballots had no nonce, had neither: it began with
-//! the promised round as a varint, whose tenth byte is never above 1, so none of its records begins with the mark.
+//! The current format begins with [`MAGIC`] and its number. The first format, whose ballots had no nonce, had neither: it began
+//! with the promised round as a varint, whose tenth byte is never above 1, so none of its records begins with the magic bytes.
 
 use crate::acceptor::{AcceptorRecord, VoterState};
 use fleet_model::{AcceptedValue, Ballot, RegisterValue};
 use serde::{Deserialize, Serialize};
 
-/// How every record begins that tells its form.
+/// The first bytes of every record that states its format.
 const MAGIC: [u8; 10] = [0xff; 10];
-/// The present form.
+/// The number of the current format.
 const FORMAT: u8 = 2;
 
-/// In which form a record is.
+/// The format of a stored record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordFormat {
-    /// The present one: it is read as an [`AcceptorRecord`].
+    /// The current format: deserialize an [`AcceptorRecord`].
     Current,
-    /// The first one: it is read as a [`RecordV1`].
+    /// The first format: deserialize a [`RecordV1`].
     V1,
-    /// One that this program does not know.
+    /// A format that this program does not know, by its number.
     Unknown(u8),
 }
 
 impl RecordFormat {
-    /// The form that a record's bytes are in.
-    pub fn of(bytes: &[u8]) -> Self {
+    /// Detects the format of a record from its bytes.
+    pub fn detect(bytes: &[u8]) -> Self {
         match bytes.strip_prefix(&MAGIC) {
             None => Self::V1,
             Some([FORMAT, ..]) => Self::Current,
@@ -34,12 +34,12 @@
     }
 }
 
-/// A record of another form than the one it is read as.
+/// The record is not in the format as which it was deserialized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a record of form {FORMAT}")]
+#[error("not a record of format {FORMAT}")]
 pub(crate) struct UnsupportedFormat;
 
-/// A record as it is written.
+/// A record as it is written; the order of the fields is that of the bytes.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct StoredRecord {
     magic: [u8; MAGIC.len()],
@@ -81,7 +81,7 @@
     value: RegisterValue,
 }
 
-/// A record of the first form.
+/// A record of the first format; it converts to an [`AcceptorRecord`] whose ballots have the nonce 0.
 #[derive(Deserialize)]
 pub struct RecordV1 {
     promised: BallotV1,
--- a/system/config-register/src/recovery.rs
+++ b/system/config-register/src/recovery.rs
@@ -1,64 +1,67 @@
-//! Recovery of a machine that came up without a record.
+//! Recovery of a replica that started without a record: it must not vote before it has learned what it may have forgotten.
+//!
+//! *Paxos Made Simple* assumes that an acceptor remembers its promises over a restart (section 2.4); this is for one that lost
+//! its disk. The proof is in the crate's documentation, "Why a recovered voter is safe", and in `docs/control-safety.md`.
 
 use crate::Outbox;
 use crate::acceptor::{AcceptorRecord, VoterState};
-use crate::ballot_run::{Progress, Round};
+use crate::ballot_run::{BallotRun, Progress};
 use bytes::Bytes;
 use fleet_model::{Ballot, RegisterReply, RegisterValue};
 use std::net::Ipv4Addr;
 
-/// What a restore has come to.
+/// The progress of a recovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryStep {
-    /// Nothing to do until more replies come.
+    /// More replies are needed.
     Wait,
     /// Requests to send.
     Send(Outbox),
-    /// The record to sync; the machine votes from then on.
+    /// The record to sync. The replica may vote once it is synced.
     Done(AcceptorRecord),
-    /// A higher ballot was seen: try again above it.
+    /// A higher ballot was seen: retry above it.
     Lost {
         /// The higher ballot.
         seen: Ballot,
     },
-    /// Too few machines can be reached, or too little is known: try again later.
+    /// No quorum can be reached, or too little is known: retry later.
     Failed,
 }
 
-/// Brings a machine without a record to where it may vote: it reads what the others hold, and has it accepted anew by
-/// so many of them that every run with an older promise of this machine gets to see it.
+/// One attempt to recover a replica without a record, under one ballot. It reads what the other voters have accepted, and has
+/// that accepted anew by enough of them that every ballot with an older promise of this replica sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Recovery {
     me: Ipv4Addr,
-    round: Round,
+    run: BallotRun,
 }
 
 impl Recovery {
-    /// Starts with all core machines that were heard of. Without a chosen value to start from, all other voters must
-    /// answer if `me` is one of them, and there must be three or more.
-    pub fn start(me: Ipv4Addr, ballot: Ballot, asked: &[Ipv4Addr]) -> Self {
-        Self { me, round: Round::start(me, ballot, true, None, asked) }
+    /// Starts with all known control nodes. Without a chosen value to start from, all other voters must reply if `me` is a
+    /// voter, and there must be three voters or more.
+    pub fn start(me: Ipv4Addr, ballot: Ballot, peers: &[Ipv4Addr]) -> Self {
+        Self { me, run: BallotRun::start(ballot, Some(me), None, peers) }
     }
 
-    /// Starts from a value that was chosen, as [`crate::Proposer::start`] does: fewer answers are enough then.
-    pub fn start_from(me: Ipv4Addr, ballot: Ballot, known: &RegisterValue, asked: &[Ipv4Addr]) -> Self {
-        Self { me, round: Round::start(me, ballot, true, Some(known.clone()), asked) }
+    /// Starts from a chosen value, as [`crate::Proposer::start`] does; fewer replies are sufficient then.
+    pub fn start_from(me: Ipv4Addr, ballot: Ballot, known: &RegisterValue, peers: &[Ipv4Addr]) -> Self {
+        Self { me, run: BallotRun::start(ballot, Some(me), Some(known.clone()), peers) }
     }
 
     /// The first requests to send.
     pub fn outbox(&self) -> Outbox {
-        self.round.outbox()
+        self.run.outbox()
     }
 
-    /// Takes a reply.
+    /// Handles a reply.
     pub fn on_reply(&mut self, from: Ipv4Addr, reply: &RegisterReply) -> RecoveryStep {
-        let progress = self.round.on_reply(from, reply);
+        let progress = self.run.on_reply(from, reply);
         self.step(progress)
     }
 
-    /// Takes note that a request got no reply.
+    /// Notes that a request got no reply.
     pub fn on_failure(&mut self, from: Ipv4Addr) -> RecoveryStep {
-        let progress = self.round.on_failure(from);
+        let progress = self.run.on_failure(from);
         self.step(progress)
     }
 
@@ -68,12 +71,12 @@
             Progress::Send(outbox) => RecoveryStep::Send(outbox),
             Progress::Lost(seen) => RecoveryStep::Lost { seen },
             Progress::Failed => RecoveryStep::Failed,
-            Progress::Read { found, .. } => RecoveryStep::Send(self.round.propose(found.value)),
+            Progress::Read(read) => RecoveryStep::Send(self.run.propose(read.value.value)),
             Progress::Accepted(accepted) => {
                 let RegisterValue { epoch, voters, .. } = accepted.value.clone();
                 let is_voter = voters.contains(&self.me);
                 RecoveryStep::Done(AcceptorRecord {
-                    promised: self.round.ballot(),
+                    promised: self.run.ballot(),
                     voter_state: if is_voter { VoterState::Voter } else { VoterState::NonVoter },
                     chosen_voters: Some(RegisterValue { epoch, voters, payload: Bytes::new() }),
                     accepted: Some(accepted),
--- a/system/config-register/tests/exhaustive_schedules.rs
+++ b/system/config-register/tests/exhaustive_schedules.rs
@@ -1,9 +1,10 @@
-//! All schedules of a small fleet: two to four voters, two proposers of one change each, of which one may be a change of the
-//! voters, and one voter that loses its disk once and is restored. Messages come late, in any order or never.
+//! Model check of all schedules of a small cluster: two to four voters, two proposers of one change each, one of which may
+//! change the voters, and one voter that loses its disk once and recovers. Messages are delayed, reordered or lost.
 
 use bytes::Bytes;
 use config_register::{
-    Acceptor, BallotSource, Change, Outbox, Proposer, ProposerStep, Recovery, RecoveryStep, founding_record,
+    Acceptor, BallotSource, Change, Outbox, OutgoingRequest, Proposer, ProposerStep, Recovery, RecoveryStep,
+    founding_record,
 };
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use googletest::prelude::*;
@@ -17,17 +18,17 @@
     Ipv4Addr::new(10, 0, 0, 3),
     Ipv4Addr::new(10, 0, 0, 4),
 ];
-const LOSER: usize = 0;
+const DISK_LOSS_NODE: usize = 0;
 
-/// Who waits for a reply: a proposer by its number, or a try of the restore.
+/// Who awaits a reply: a proposer by its number, or an attempt of the recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Asker {
+enum Requester {
     Proposer(usize),
     Recovery(u8),
 }
 
-/// A request under way: who asks, which acceptor, what.
-type Message = (Asker, usize, RegisterRequest);
+/// A request in flight: the requester, the acceptor, the request.
+type Message = (Requester, usize, RegisterRequest);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Run {
@@ -41,12 +42,12 @@
     acceptors: Vec<Acceptor>,
     runs: Vec<Run>,
     restore: Option<Recovery>,
-    tries: u8,
+    attempts: u8,
     lost_disk: bool,
     /// What the restore has ended with.
     restored: Option<AcceptedValue>,
     /// Whose second round has begun.
-    accepting: BTreeSet<Asker>,
+    accepting: BTreeSet<Requester>,
     /// In an order of its own, so that equal states are found equal.
     network: Vec<Message>,
 }
@@ -74,15 +75,15 @@
     second: Second,
     rounds: [u64; 2],
     loses_disk: bool,
-    /// A voter with an empty disk does not vote; without this, it starts anew as if it had never voted.
-    has_amnesia_guard: bool,
+    /// A voter with an empty disk does not vote; if false, it starts as if it had never voted.
+    requires_recovery: bool,
 }
 
 fn proposer(number: usize) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 1, number as u8 + 1)
 }
 
-/// The ballot above `seen` of a proposer whose life has the nonce 0.
+/// The ballot above `seen` of a proposer whose incarnation is 0.
 fn next_round(seen: Ballot, me: Ipv4Addr) -> Ballot {
     let mut ballots = BallotSource::new(me, 0);
     ballots.observe(seen);
@@ -108,47 +109,47 @@
 }
 
 impl Fleet {
-    fn send(&mut self, asker: Asker, outbox: Outbox) {
-        for (to, request) in outbox {
+    fn send(&mut self, requester: Requester, outbox: Outbox) {
+        for OutgoingRequest { to, request } in outbox {
             let to = MACHINES.iter().position(|ip| *ip == to).unwrap();
             if matches!(request, RegisterRequest::Accept(_)) {
-                self.accepting.insert(asker);
+                self.accepting.insert(requester);
             }
-            self.network.push((asker, to, request));
+            self.network.push((requester, to, request));
         }
     }
 
     fn start_restore(&mut self, seen: Ballot, founding: &RegisterValue) {
-        if self.tries == 2 {
+        if self.attempts == 2 {
             self.restore = None;
             return;
         }
-        self.tries += 1;
-        let me = MACHINES[LOSER];
+        self.attempts += 1;
+        let me = MACHINES[DISK_LOSS_NODE];
         let restore = Recovery::start_from(me, next_round(seen, me), founding, &founding.voters);
-        self.send(Asker::Recovery(self.tries), restore.outbox());
+        self.send(Requester::Recovery(self.attempts), restore.outbox());
         self.restore = Some(restore);
     }
 
-    fn on_reply(&mut self, model: &Schedules, asker: Asker, from: usize, reply: &RegisterReply) {
-        match asker {
-            Asker::Proposer(number) => {
+    fn on_reply(&mut self, model: &Schedules, requester: Requester, from: usize, reply: &RegisterReply) {
+        match requester {
+            Requester::Proposer(number) => {
                 let Run::Running(run) = &mut self.runs[number] else { return };
                 match run.on_reply(MACHINES[from], reply, &mut |read| model.change(number, read)) {
                     ProposerStep::Wait => {}
-                    ProposerStep::Send(outbox) => self.send(asker, outbox),
+                    ProposerStep::Send(outbox) => self.send(requester, outbox),
                     ProposerStep::Done(value) => self.runs[number] = Run::Done(value),
                     ProposerStep::Lost { .. } | ProposerStep::Failed => self.runs[number] = Run::Over,
                 }
             }
-            Asker::Recovery(_) => {
+            Requester::Recovery(_) => {
                 let Some(restore) = &mut self.restore else { return };
                 match restore.on_reply(MACHINES[from], reply) {
                     RecoveryStep::Wait => {}
-                    RecoveryStep::Send(outbox) => self.send(asker, outbox),
+                    RecoveryStep::Send(outbox) => self.send(requester, outbox),
                     RecoveryStep::Done(record) => {
                         self.restored = record.accepted.clone();
-                        self.acceptors[LOSER].restore(record);
+                        self.acceptors[DISK_LOSS_NODE].restore(record);
                         self.restore = None;
                     }
                     RecoveryStep::Lost { seen } => self.start_restore(seen, &model.founding()),
@@ -158,7 +159,7 @@
         }
     }
 
-    fn known_chosen_value(&self) -> Vec<&AcceptedValue> {
+    fn reported_chosen(&self) -> Vec<&AcceptedValue> {
         let done = self.runs.iter().filter_map(|run| match run {
             Run::Done(value) => Some(value),
             _ => None,
@@ -166,29 +167,30 @@
         done.chain(&self.restored).collect()
     }
 
-    fn is_past(&self, asker: Asker) -> bool {
-        match asker {
-            Asker::Proposer(number) => !matches!(self.runs[number], Run::Running(_)),
-            Asker::Recovery(number) => self.restore.is_none() || number != self.tries,
+    fn is_past(&self, requester: Requester) -> bool {
+        match requester {
+            Requester::Proposer(number) => !matches!(self.runs[number], Run::Running(_)),
+            Requester::Recovery(number) => self.restore.is_none() || number != self.attempts,
         }
     }
 
     /// Drops what would change nothing, and orders the rest.
     fn tidy(&mut self) {
         let mut network = std::mem::take(&mut self.network);
-        network.retain(|(asker, to, request)| {
+        network.retain(|(requester, to, request)| {
             let (ballot, is_prepare) = match request {
                 RegisterRequest::Prepare(ballot) => (*ballot, true),
                 RegisterRequest::Accept(value) => (value.ballot, false),
                 _ => unreachable!(),
             };
-            let is_past = is_prepare && (self.is_past(*asker) || self.accepting.contains(asker));
+            let is_past = is_prepare && (self.is_past(*requester) || self.accepting.contains(requester));
             let promised = self.acceptors[*to].record().map(|record| record.promised);
-            let is_refused = *to != LOSER && promised > Some(ballot);
+            let is_refused = *to != DISK_LOSS_NODE && promised > Some(ballot);
             !is_past && !is_refused
         });
-        network
-            .sort_by_key(|(asker, to, request)| (*asker, *to, matches!(request, RegisterRequest::Accept(_))));
+        network.sort_by_key(|(requester, to, request)| {
+            (*requester, *to, matches!(request, RegisterRequest::Accept(_)))
+        });
         self.network = network;
     }
 }
@@ -215,7 +217,7 @@
             acceptors: vec![Acceptor::new(founding_record(self.founding().voters)); MACHINES.len()],
             runs: vec![],
             restore: None,
-            tries: 0,
+            attempts: 0,
             lost_disk: false,
             restored: None,
             accepting: BTreeSet::new(),
@@ -224,8 +226,8 @@
         for (number, round) in self.rounds.into_iter().enumerate() {
             let me = proposer(number);
             let ballot = Ballot { round, proposer: u32::from(me), incarnation: 0 };
-            let run = Proposer::start(me, ballot, &self.founding());
-            fleet.send(Asker::Proposer(number), run.outbox());
+            let run = Proposer::start(ballot, &self.founding());
+            fleet.send(Requester::Proposer(number), run.outbox());
             fleet.runs.push(Run::Running(Box::new(run)));
         }
         fleet.tidy();
@@ -250,19 +252,19 @@
         match event {
             Event::LoseDisk => {
                 fleet.lost_disk = true;
-                if self.has_amnesia_guard {
-                    fleet.acceptors[LOSER] = Acceptor::recovering();
+                if self.requires_recovery {
+                    fleet.acceptors[DISK_LOSS_NODE] = Acceptor::recovering();
                     fleet.start_restore(Ballot::default(), &self.founding());
                 } else {
-                    fleet.acceptors[LOSER] = Acceptor::new(founding_record(self.founding().voters));
+                    fleet.acceptors[DISK_LOSS_NODE] = Acceptor::new(founding_record(self.founding().voters));
                 }
             }
             Event::Deliver { message, reply_is_lost } => {
                 let position = fleet.network.iter().position(|other| *other == message)?;
-                let (asker, to, request) = fleet.network.remove(position);
-                let (reply, _) = fleet.acceptors[to].handle(&request);
-                if !reply_is_lost && !fleet.is_past(asker) {
-                    fleet.on_reply(self, asker, to, &reply);
+                let (requester, to, request) = fleet.network.remove(position);
+                let reply = fleet.acceptors[to].handle(&request).reply;
+                if !reply_is_lost && !fleet.is_past(requester) {
+                    fleet.on_reply(self, requester, to, &reply);
                 }
             }
         }
@@ -272,8 +274,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("what was told to be chosen forms one chain", |_, fleet: &Fleet| {
-                let mut chosen = fleet.known_chosen_value();
+            Property::always("reported values form one chain", |_, fleet: &Fleet| {
+                let mut chosen = fleet.reported_chosen();
                 chosen.sort_by_key(|value| value.ballot);
                 chosen.is_sorted_by(|older, newer| is_chain(older, newer))
             }),
@@ -281,7 +283,7 @@
                 fleet.runs.iter().all(|run| matches!(run, Run::Done(_)))
             }),
             Property::sometimes(
-                "the disk's loser is restored after a change",
+                "the node without a disk recovers after a change",
                 |model: &Self, fleet: &Fleet| {
                     let is_done = fleet.runs.iter().any(|run| matches!(run, Run::Done(_)));
                     !model.loses_disk || (fleet.restored.is_some() && is_done)
@@ -296,7 +298,7 @@
     second: Second::Append,
     rounds: [2, 3],
     loses_disk: false,
-    has_amnesia_guard: true,
+    requires_recovery: true,
 };
 
 /// Goes through all schedules; how many states there are.
@@ -318,13 +320,13 @@
 }
 
 #[gtest]
-fn a_voter_more_and_a_lost_disk_in_all_schedules() {
+fn an_added_voter_and_a_lost_disk_in_all_schedules() {
     let schedules = Schedules { second: Second::AddVoter, loses_disk: true, ..TWO_CHANGES };
     expect_that!(check(schedules), gt(10_000));
 }
 
 #[gtest]
-fn a_voter_less_and_a_lost_disk_in_all_schedules() {
+fn a_removed_voter_and_a_lost_disk_in_all_schedules() {
     let schedules = Schedules { second: Second::RemoveVoter, loses_disk: true, ..TWO_CHANGES };
     expect_that!(check(schedules), gt(10_000));
 }
@@ -340,7 +342,7 @@
 }
 
 #[gtest]
-fn a_voter_more_or_less_below_the_other_change_in_all_schedules() {
+fn a_voter_change_under_the_lower_ballot_in_all_schedules() {
     for second in [Second::AddVoter, Second::RemoveVoter] {
         let schedules = Schedules { second, rounds: [3, 2], loses_disk: true, ..TWO_CHANGES };
         expect_that!(check(schedules), gt(10_000));
@@ -348,10 +350,10 @@
 }
 
 #[gtest]
-fn the_checker_finds_a_voter_that_votes_with_an_empty_disk() {
+fn the_checker_detects_a_voter_that_votes_with_an_empty_disk() {
     for second in [Second::Append, Second::AddVoter, Second::RemoveVoter] {
-        let schedules = Schedules { second, loses_disk: true, has_amnesia_guard: false, ..TWO_CHANGES };
+        let schedules = Schedules { second, loses_disk: true, requires_recovery: false, ..TWO_CHANGES };
         let checker = schedules.checker().threads(2).spawn_bfs().join();
-        expect_that!(checker.discovery("what was told to be chosen forms one chain"), some(anything()));
+        expect_that!(checker.discovery("reported values form one chain"), some(anything()));
     }
 }
--- a/system/config-register/tests/proposer_contention.rs
+++ b/system/config-register/tests/proposer_contention.rs
@@ -1,8 +1,9 @@
-//! Proposers beside their acceptors in simulated time, with a value so large that it takes long to carry.
+//! Contention among proposers in simulated time, with a value that takes long to transfer.
 
 use bytes::Bytes;
 use config_register::{
-    Acceptor, BallotSource, Change, Outbox, Proposer, ProposerBackoff, ProposerStep, founding_record,
+    Acceptor, BallotSource, Change, Outbox, OutgoingRequest, Proposer, ProposerBackoff, ProposerStep,
+    founding_record,
 };
 use fleet_model::{Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use googletest::prelude::*;
@@ -11,16 +12,16 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// A request or reply without the value takes so long, in milliseconds.
-const SMALL: u64 = 2;
-/// Each further copy of the value on one machine's link takes so long.
-const LARGE: u64 = 9;
+/// Latency of a request or reply without the value, in milliseconds.
+const SMALL_MESSAGE_MS: u64 = 2;
+/// Time to send one copy of the value on a node's link, in milliseconds.
+const VALUE_TRANSFER_MS: u64 = 9;
 
 fn ballot(round: u64, proposer: u8) -> Ballot {
     Ballot { round, proposer: u32::from(machine(proposer)), incarnation: 0 }
 }
 
-/// The ballot above `seen` of a proposer whose life has the nonce 0.
+/// The ballot above `seen` of a proposer whose incarnation is 0.
 fn next_round(seen: Ballot, me: Ipv4Addr) -> Ballot {
     let mut ballots = BallotSource::new(me, 0);
     ballots.observe(seen);
@@ -32,7 +33,7 @@
 }
 
 #[gtest]
-fn a_run_begins_at_once_where_nobody_elses_is_under_way() {
+fn a_ballot_starts_at_once_without_competition() {
     // Given a proposer that has heard nothing.
     let backoff = ProposerBackoff::default();
     // Then it does not wait.
@@ -40,7 +41,7 @@
 }
 
 #[gtest]
-fn anothers_run_is_given_way_to_until_it_is_over_or_silent() {
+fn a_competing_ballot_is_deferred_to_until_chosen_or_timed_out() {
     // Given a run of another that was heard at 1,000 and, going on, at 1,100.
     let mut backoff = ProposerBackoff::default();
     backoff.on_competing_ballot(1_000, ballot(5, 2));
@@ -57,15 +58,15 @@
 }
 
 #[gtest]
-fn pauses_grow_from_one_change_to_the_next_until_a_run_is_won() {
+fn backoff_grows_until_a_ballot_is_won() {
     // Given a proposer whose runs for several changes were all lost.
     let mut backoff = ProposerBackoff::default();
     for _ in 0..3 {
         backoff.on_lost(0, 63);
     }
-    // Then the pause is drawn from four times the first span.
+    // Then the pause is random from four times the first span.
     expect_that!(backoff.remaining_delay_ms(0), eq(67));
-    // When a run is won, then the next pause is drawn from the first span again.
+    // When a run is won, then the next pause is random from the first span again.
     backoff.reset();
     backoff.on_lost(0, 63);
     expect_that!(backoff.remaining_delay_ms(0), eq(19));
@@ -116,23 +117,23 @@
         Self { machines, events: BTreeMap::new(), events_made: 0, now: 0, random, chosen }
     }
 
-    fn at(&mut self, at: u64, event: Event) {
+    fn schedule(&mut self, at: u64, event: Event) {
         self.events_made += 1;
         self.events.insert((at, self.events_made), event);
     }
 
     /// When what a machine sends now arrives.
-    fn carried(&mut self, sender: u8, is_large: bool) -> u64 {
+    fn arrival_time(&mut self, sender: u8, is_large: bool) -> u64 {
         let sender = self.machines.get_mut(&sender).unwrap();
-        let takes = if is_large { LARGE } else { 0 };
+        let takes = if is_large { VALUE_TRANSFER_MS } else { 0 };
         sender.link_free = sender.link_free.max(self.now) + takes;
-        sender.link_free + SMALL
+        sender.link_free + SMALL_MESSAGE_MS
     }
 
     fn send(&mut self, from: u8, run: Ballot, requests: Outbox) {
-        for (ip, request) in requests {
-            let at = self.carried(from, matches!(request, RegisterRequest::Accept(_)));
-            self.at(at, Event::Request { to: ip.octets()[3], from, run, request });
+        for OutgoingRequest { to: ip, request } in requests {
+            let at = self.arrival_time(from, matches!(request, RegisterRequest::Accept(_)));
+            self.schedule(at, Event::Request { to: ip.octets()[3], from, run, request });
         }
     }
 
@@ -143,11 +144,11 @@
             return;
         }
         if machine.backoff.remaining_delay_ms(self.now) > 0 {
-            return self.at(again, Event::Wake(number));
+            return self.schedule(again, Event::Wake(number));
         }
         let ballot = next_round(machine.seen, Ipv4Addr::new(10, 0, 0, number));
         machine.seen = ballot;
-        let proposal = Proposer::start(Ipv4Addr::new(10, 0, 0, number), ballot, &self.chosen);
+        let proposal = Proposer::start(ballot, &self.chosen);
         let requests = proposal.outbox();
         machine.run = Some(proposal);
         self.send(number, ballot, requests);
@@ -155,18 +156,18 @@
 
     fn request(&mut self, to: u8, from: u8, run: Ballot, request: &RegisterRequest) {
         let machine = self.machines.get_mut(&to).unwrap();
-        let (reply, _) = machine.acceptor.handle(request);
-        let lets_pass = matches!(reply, RegisterReply::Promised(_) | RegisterReply::Accepted);
-        if from != to && lets_pass {
+        let reply = machine.acceptor.handle(request).reply;
+        let is_granted = matches!(reply, RegisterReply::Promised(_) | RegisterReply::Accepted);
+        if from != to && is_granted {
             machine.backoff.on_competing_ballot(self.now, run);
         }
         machine.seen = machine.seen.max(run);
-        let at = self.carried(to, matches!(reply, RegisterReply::Promised(_)));
-        self.at(at, Event::Reply { to: from, from: to, run, reply });
+        let at = self.arrival_time(to, matches!(reply, RegisterReply::Promised(_)));
+        self.schedule(at, Event::Reply { to: from, from: to, run, reply });
     }
 
     fn reply(&mut self, to: u8, from: u8, run: Ballot, reply: &RegisterReply) {
-        let drawn = u64::from(self.random.next_u32());
+        let random = u64::from(self.random.next_u32());
         let machine = self.machines.get_mut(&to).unwrap();
         let Some(proposal) = machine.run.as_mut().filter(|proposal| proposal.ballot() == run) else { return };
         let mut change = |_: &RegisterValue| Change::Set(Bytes::from(vec![to]));
@@ -184,14 +185,14 @@
             }
             ProposerStep::Lost { .. } | ProposerStep::Failed => {
                 machine.run = None;
-                machine.backoff.on_lost(self.now, drawn);
-                self.at(self.now + 1, Event::Wake(to));
+                machine.backoff.on_lost(self.now, random);
+                self.schedule(self.now + 1, Event::Wake(to));
             }
         }
     }
 
-    /// Plays for so long; how many machines have had their change chosen.
-    fn play(&mut self, until: u64) -> usize {
+    /// Runs until this time; returns how many nodes have had their change chosen.
+    fn run_until(&mut self, until: u64) -> usize {
         while let Some(((at, _), event)) = self.events.pop_first()
             && at <= until
         {
@@ -207,16 +208,16 @@
 }
 
 #[gtest]
-fn proposers_of_a_large_value_all_come_to_their_end() {
+fn all_proposers_of_a_large_value_succeed() {
     for seed in 0..50 {
         // Given eight machines, and a value that takes a tenth of a second to be carried to all of them.
         let mut fleet = Fleet::new(8, seed);
         // When all want a change within 20 ms.
         for number in 1..=8 {
             let at = u64::from(fleet.random.next_u32()) % 20;
-            fleet.at(at, Event::Wake(number));
+            fleet.schedule(at, Event::Wake(number));
         }
         // Then every change is chosen within four seconds.
-        expect_that!(fleet.play(4_000), eq(8), "seed {}", seed);
+        expect_that!(fleet.run_until(4_000), eq(8), "seed {}", seed);
     }
 }
--- a/system/config-register/tests/quorum_and_recovery.rs
+++ b/system/config-register/tests/quorum_and_recovery.rs
@@ -1,9 +1,10 @@
-//! Stories over a small fleet in memory, in which a run's rounds reach the machines that the story says.
+//! Quorum loss, voter changes and recovery in a small in-memory cluster; each test states which nodes a phase reaches.
 
 use bytes::Bytes;
 use config_register::{
-    Acceptor, AcceptorRecord, BallotSource, Change, Learner, Outbox, PollOutcome, Proposer, ProposerStep,
-    Recovery, RecoveryStep, VoterState, founding_record, known_chosen_value,
+    Acceptor, AcceptorRecord, AcceptorResponse, BallotSource, Change, Learner, Outbox, OutgoingRequest,
+    PollOutcome, Proposer, ProposerStep, Recovery, RecoveryStep, VoterState, founding_record,
+    known_chosen_value,
 };
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use googletest::prelude::*;
@@ -23,7 +24,7 @@
     Ballot { round, proposer: u32::from(proposer), incarnation: 0 }
 }
 
-/// The ballot above `seen` of a proposer whose life has the nonce 0.
+/// The ballot above `seen` of a proposer whose incarnation is 0.
 fn next_round(seen: Ballot, me: Ipv4Addr) -> Ballot {
     let mut ballots = BallotSource::new(me, 0);
     ballots.observe(seen);
@@ -61,7 +62,7 @@
     }
 
     fn handle(&mut self, to: Ipv4Addr, request: &RegisterRequest) -> RegisterReply {
-        self.acceptors.get_mut(&to).unwrap().handle(request).0
+        self.acceptors.get_mut(&to).unwrap().handle(request).reply
     }
 
     /// Carries the requests to those in `reach`, and what they set off, until a run ends or starts its second round
@@ -75,7 +76,7 @@
         stop_at_accept: bool,
     ) -> ProposerStep {
         let mut queue: std::collections::VecDeque<_> = outbox.into();
-        while let Some((to, request)) = queue.pop_front() {
+        while let Some(OutgoingRequest { to, request }) = queue.pop_front() {
             let step = if reach.contains(&to) {
                 let reply = self.handle(to, &request);
                 run.on_reply(to, &reply, change)
@@ -85,7 +86,7 @@
             match step {
                 ProposerStep::Wait => {}
                 ProposerStep::Send(outbox) => {
-                    if stop_at_accept && matches!(outbox[0].1, RegisterRequest::Accept(_)) {
+                    if stop_at_accept && matches!(outbox[0].request, RegisterRequest::Accept(_)) {
                         return ProposerStep::Send(outbox);
                     }
                     queue.extend(outbox);
@@ -96,7 +97,7 @@
         ProposerStep::Wait
     }
 
-    /// A whole run.
+    /// A complete attempt.
     fn run(
         &mut self,
         ballot: Ballot,
@@ -104,7 +105,7 @@
         reach: &[Ipv4Addr],
         mut change: impl FnMut(&RegisterValue) -> Change,
     ) -> ProposerStep {
-        let mut run = Proposer::start(Ipv4Addr::from(ballot.proposer), ballot, known);
+        let mut run = Proposer::start(ballot, known);
         let outbox = run.outbox();
         self.carry(&mut run, outbox, reach, &mut change, false)
     }
@@ -117,7 +118,7 @@
         reach: &[Ipv4Addr],
         mut change: impl FnMut(&RegisterValue) -> Change,
     ) -> (Proposer, Outbox) {
-        let mut run = Proposer::start(Ipv4Addr::from(ballot.proposer), ballot, known);
+        let mut run = Proposer::start(ballot, known);
         let outbox = run.outbox();
         let ProposerStep::Send(outbox) = self.carry(&mut run, outbox, reach, &mut change, true) else {
             panic!("no second round")
@@ -131,7 +132,7 @@
 
     fn restore(&mut self, me: Ipv4Addr, mut restore: Recovery, reach: &[Ipv4Addr]) -> RecoveryStep {
         let mut queue: std::collections::VecDeque<_> = restore.outbox().into();
-        while let Some((to, request)) = queue.pop_front() {
+        while let Some(OutgoingRequest { to, request }) = queue.pop_front() {
             let step = if reach.contains(&to) {
                 let reply = self.handle(to, &request);
                 restore.on_reply(to, &reply)
@@ -179,7 +180,7 @@
 }
 
 #[gtest]
-fn a_voter_back_with_an_empty_disk_answers_nothing_until_it_is_restored() {
+fn a_voter_with_an_empty_disk_does_not_answer_until_it_recovers() {
     let mut fleet = Fleet::new();
     fleet.run(ballot(1, P), &founding(), &[A, B], replace("", "x"));
     fleet.lose_disk(A);
@@ -205,7 +206,7 @@
 }
 
 #[gtest]
-fn a_restore_is_told_of_a_higher_ballot() {
+fn a_recovery_reports_a_higher_ballot() {
     let mut fleet = Fleet::new();
     fleet.run(ballot(7, P), &founding(), &ALL, replace("", "x"));
     fleet.lose_disk(A);
@@ -218,22 +219,22 @@
 }
 
 #[gtest]
-fn a_late_accept_from_before_a_restore_is_refused() {
+fn a_late_accept_from_before_a_recovery_is_rejected() {
     let mut fleet = Fleet::new();
     let (_, late) = fleet.freeze(ballot(1, P), &founding(), &[A, B], replace("", "late"));
     fleet.lose_disk(A);
     fleet.restore(A, Recovery::start_from(A, ballot(2, A), &founding(), &ALL), &[B, C]);
 
-    for (to, request) in late {
+    for OutgoingRequest { to, request } in late {
         expect_that!(fleet.handle(to, &request), eq(&RegisterReply::Rejected(ballot(2, A))));
     }
 }
 
 #[gtest]
-fn a_promise_from_before_a_restore_does_not_hide_a_change_made_with_the_restored_voter() {
+fn a_promise_forgotten_by_a_recovered_voter_does_not_hide_a_later_change() {
     // Given a run whose Prepare has reached A alone,
     let mut fleet = Fleet::new();
-    let mut slow = Proposer::start(P, ballot(10, P), &founding());
+    let mut slow = Proposer::start(ballot(10, P), &founding());
     let prepare = RegisterRequest::Prepare(ballot(10, P));
     let from_a = fleet.handle(A, &prepare);
     expect_that!(slow.on_reply(A, &from_a, &mut replace("", "slow")), eq(&ProposerStep::Wait));
@@ -247,7 +248,7 @@
     // when the Prepare reaches C, then the run asks A again and finds the change.
     let from_c = fleet.handle(C, &prepare);
     let step = slow.on_reply(C, &from_c, &mut replace("", "slow"));
-    expect_that!(step, eq(&ProposerStep::Send(vec![(A, prepare)])));
+    expect_that!(step, eq(&ProposerStep::Send(vec![OutgoingRequest { to: A, request: prepare }])));
     let ProposerStep::Send(outbox) = step else { unreachable!() };
     let step = fleet.carry(&mut slow, outbox, &[A, C], &mut replace("", "slow"), false);
     expect_that!(payload(step), eq("kept"));
@@ -293,10 +294,10 @@
 }
 
 #[gtest]
-fn a_value_accepted_by_a_minority_is_completed_by_a_reader() {
+fn a_reader_completes_a_value_accepted_by_a_minority() {
     let mut fleet = Fleet::new();
     let (_, outbox) = fleet.freeze(ballot(1, P), &founding(), &[A, B, C], replace("", "x"));
-    let (to, request) = &outbox[0];
+    let OutgoingRequest { to, request } = &outbox[0];
     expect_that!(fleet.handle(*to, request), eq(&RegisterReply::Accepted));
 
     let read = done(fleet.run(ballot(2, Q), &founding(), &[A, B], keep));
@@ -308,12 +309,12 @@
 }
 
 #[gtest]
-fn a_voter_is_replaced_while_a_change_is_under_way() {
+fn a_voter_is_replaced_during_a_change() {
     let mut fleet = Fleet::new();
     let (mut change, outbox) = fleet.freeze(ballot(1, P), &founding(), &[A, B, C], replace("", "x"));
-    expect_that!(fleet.handle(A, &outbox[0].1), eq(&RegisterReply::Accepted));
+    expect_that!(fleet.handle(A, &outbox[0].request), eq(&RegisterReply::Accepted));
 
-    // C is gone: D comes in, then C goes out.
+    // C is down: D comes in, then C goes out.
     let added = done(fleet.run(ballot(2, Q), &founding(), &[A, B, D], voters(&[A, B, C, D])));
     expect_that!(added.value.epoch, eq(1));
     let removed = done(fleet.run(ballot(3, Q), &added.value, &[A, B, D], voters(&[A, B, D])));
@@ -331,8 +332,8 @@
     let mut fleet = Fleet::new();
 
     for wanted in [&[A, B, D][..], &[A, B, C, D, E], &[A, B, C, C], &[A, B, C], &[]] {
-        let kept = done(fleet.run(ballot(1, P), &founding(), &ALL, voters(wanted)));
-        expect_that!(kept.value, eq(&founding()));
+        let unchanged = done(fleet.run(ballot(1, P), &founding(), &ALL, voters(wanted)));
+        expect_that!(unchanged.value, eq(&founding()));
     }
 }
 
@@ -348,12 +349,12 @@
     // The next run finds it and needs both as well, whatever it wants.
     let short = fleet.run(ballot(2, Q), &founding(), &[A, C], replace("", "x"));
     expect_that!(short, eq(&ProposerStep::Failed));
-    let whole = done(fleet.run(ballot(3, Q), &founding(), &[A, B, D], replace("", "x")));
-    expect_that!((whole.value.epoch, whole.value.voters), eq(&(1, four.voters)));
+    let complete = done(fleet.run(ballot(3, Q), &founding(), &[A, B, D], replace("", "x")));
+    expect_that!((complete.value.epoch, complete.value.voters), eq(&(1, four.voters)));
 }
 
 #[gtest]
-fn a_voter_is_not_taken_out_by_a_majority_of_the_remaining_ones_alone() {
+fn a_majority_of_the_remaining_voters_alone_does_not_remove_a_voter() {
     let mut fleet = Fleet::new();
     let four = done(fleet.run(ballot(1, Q), &founding(), &ALL, voters(&[A, B, C, D]))).value;
 
@@ -367,10 +368,10 @@
 }
 
 #[gtest]
-fn no_change_of_voters_is_put_on_top_of_an_unfinished_one() {
+fn no_voter_change_is_made_on_top_of_an_unfinished_one() {
     let mut fleet = Fleet::new();
     let (_, outbox) = fleet.freeze(ballot(1, P), &founding(), &[A, B, C], voters(&[A, B, C, D]));
-    fleet.handle(A, &outbox[0].1);
+    fleet.handle(A, &outbox[0].request);
 
     let first = done(fleet.run(ballot(2, Q), &founding(), &ALL, voters(&[A, B, C, D, E])));
     expect_that!((first.value.epoch, first.value.voters.len()), eq((1, 4)));
@@ -379,21 +380,21 @@
 }
 
 #[gtest]
-fn an_abandoned_change_of_voters_does_not_keep_its_machine_from_voting() {
+fn an_abandoned_voter_change_does_not_block_its_acceptor() {
     // Given A with a change of voters that nobody else has, and a newer value chosen without A,
     let mut fleet = Fleet::new();
     let (_, outbox) = fleet.freeze(ballot(1, P), &founding(), &[A, B, C], voters(&[A, B, C, D]));
-    fleet.handle(A, &outbox[0].1);
+    fleet.handle(A, &outbox[0].request);
     expect_that!(payload(fleet.run(ballot(2, Q), &founding(), &[B, C], replace("", "x"))), eq("x"));
     expect_that!(fleet.accepted(A).value.epoch, eq(1));
 
-    // when C is gone, then A and B carry on.
+    // when C is down, then A and B carry on.
     expect_that!(payload(fleet.run(ballot(3, Q), &founding(), &[A, B], replace("x", "y"))), eq("y"));
     expect_that!(fleet.accepted(A).value.epoch, eq(0));
 }
 
 #[gtest]
-fn an_earlier_epoch_is_refused_from_a_proposer_that_did_not_ask() {
+fn an_earlier_epoch_is_rejected_without_prepare() {
     let mut fleet = Fleet::new();
     fleet.run(ballot(1, P), &founding(), &ALL, voters(&[A, B, C, D]));
 
@@ -403,7 +404,7 @@
 }
 
 #[gtest]
-fn a_side_without_a_majority_fails() {
+fn a_partition_without_a_majority_fails() {
     let mut fleet = Fleet::new();
 
     expect_that!(fleet.run(ballot(1, P), &founding(), &[A], replace("", "x")), eq(&ProposerStep::Failed));
@@ -425,7 +426,7 @@
 }
 
 #[gtest]
-fn a_proposer_two_changes_behind_fails_rather_than_guess_when_it_reaches_a_bare_majority() {
+fn a_proposer_two_voter_changes_behind_fails_at_a_bare_majority() {
     let mut fleet = Fleet::new();
     let four = done(fleet.run(ballot(1, Q), &founding(), &ALL, voters(&[A, B, C, D]))).value;
     let three = done(fleet.run(ballot(2, Q), &four, &ALL, voters(&[B, C, D]))).value;
@@ -436,7 +437,7 @@
 }
 
 #[gtest]
-fn a_ballot_that_was_used_before_is_not_used_again() {
+fn a_used_ballot_is_not_used_again() {
     let mut fleet = Fleet::new();
     fleet.run(ballot(1, P), &founding(), &ALL, replace("", "x"));
 
@@ -446,38 +447,42 @@
 }
 
 #[gtest]
-fn an_acceptor_tells_when_its_record_is_to_be_synced() {
+fn an_acceptor_reports_when_its_record_changed() {
     let mut acceptor = Acceptor::new(founding_record(vec![A, B, C]));
     let value = AcceptedValue { ballot: ballot(1, P), value: founding() };
 
-    expect_that!(acceptor.handle(&RegisterRequest::Prepare(ballot(1, P))).1, eq(true));
-    expect_that!(acceptor.handle(&RegisterRequest::Prepare(ballot(1, P))).1, eq(false));
+    expect_that!(acceptor.handle(&RegisterRequest::Prepare(ballot(1, P))).record_changed, eq(true));
+    expect_that!(acceptor.handle(&RegisterRequest::Prepare(ballot(1, P))).record_changed, eq(false));
     expect_that!(
         acceptor.handle(&RegisterRequest::Prepare(Ballot::default())),
-        eq(&(RegisterReply::Rejected(ballot(1, P)), false))
+        eq(&AcceptorResponse { reply: RegisterReply::Rejected(ballot(1, P)), record_changed: false })
     );
-    expect_that!(acceptor.handle(&RegisterRequest::Accept(value.clone())).1, eq(true));
-    expect_that!(acceptor.handle(&RegisterRequest::Accept(value)).1, eq(false));
-    expect_that!(acceptor.handle(&RegisterRequest::Fetch).1, eq(false));
+    expect_that!(acceptor.handle(&RegisterRequest::Accept(value.clone())).record_changed, eq(true));
+    expect_that!(acceptor.handle(&RegisterRequest::Accept(value)).record_changed, eq(false));
+    expect_that!(acceptor.handle(&RegisterRequest::Fetch).record_changed, eq(false));
 }
 
 #[gtest]
-fn an_acceptor_keeps_the_voters_that_it_learns_to_be_chosen() {
+fn an_acceptor_records_the_voters_that_it_learns_to_be_chosen() {
     let mut fleet = Fleet::new();
     let four = done(fleet.run(ballot(1, Q), &founding(), &ALL, voters(&[A, B, C, D])));
     let acceptor = fleet.acceptors.get_mut(&A).unwrap();
     let chosen_voters = |acceptor: &Acceptor| acceptor.record().unwrap().chosen_voters.clone().unwrap().epoch;
 
     expect_that!(chosen_voters(acceptor), eq(0));
-    expect_that!(acceptor.handle(&RegisterRequest::Poll { chosen: Ballot::default() }).1, eq(false));
-    let (reply, changed) = acceptor.handle(&RegisterRequest::Poll { chosen: four.ballot });
+    expect_that!(
+        acceptor.handle(&RegisterRequest::Poll { chosen: Ballot::default() }).record_changed,
+        eq(false)
+    );
+    let AcceptorResponse { reply, record_changed: changed } =
+        acceptor.handle(&RegisterRequest::Poll { chosen: four.ballot });
     expect_that!(reply, eq(&RegisterReply::Polled { accepted: Some(four.ballot), chosen: four.ballot }));
     expect_that!(changed, eq(true));
     expect_that!(chosen_voters(acceptor), eq(1));
 }
 
 #[gtest]
-fn a_machine_joins_without_a_vote_and_is_made_a_voter() {
+fn a_node_joins_without_a_vote_and_becomes_a_voter() {
     let mut fleet = Fleet::new();
     fleet.lose_disk(D);
     fleet.run(ballot(1, P), &founding(), &ALL, replace("", "x"));
@@ -496,8 +501,8 @@
 }
 
 #[gtest]
-fn a_machine_that_replaces_a_voter_joins_while_that_one_is_gone() {
-    // Given three voters, of which C is gone for good, and D, which has an empty disk.
+fn a_replacement_joins_while_the_replaced_voter_is_down() {
+    // Given three voters, of which C is permanently down, and D, which has an empty disk.
     let mut fleet = Fleet::new();
     fleet.lose_disk(D);
     let chosen = done(fleet.run(ballot(1, P), &founding(), &[A, B], replace("", "x")));
@@ -506,12 +511,12 @@
     let alone = fleet.restore(D, Recovery::start(D, ballot(2, D), &[A, B, C]), &[A, B]);
     expect_that!(alone, eq(&RecoveryStep::Failed));
     // When it asks what is chosen, A does not know it and B does.
-    let mut told = |from| {
+    let mut chosen_at = |from| {
         let polled = fleet.handle(from, &RegisterRequest::Poll { chosen: Ballot::default() });
         known_chosen_value(&polled, &fleet.handle(from, &RegisterRequest::Fetch))
     };
-    expect_that!(told(A), none());
-    let known = told(B);
+    expect_that!(chosen_at(A), none());
+    let known = chosen_at(B);
     expect_that!(known, some(eq(&chosen.value)));
     // Then a majority is enough, and it can be made a voter.
     let restore = Recovery::start_from(D, ballot(3, D), &known.unwrap(), &[A, B, C]);
@@ -522,7 +527,7 @@
 }
 
 #[gtest]
-fn what_is_held_and_not_known_to_be_chosen_is_not_told_as_chosen() {
+fn an_accepted_value_not_known_to_be_chosen_is_not_reported_as_chosen() {
     let value = AcceptedValue { ballot: ballot(2, P), value: founding() };
     let fetched = RegisterReply::Fetched(Some(value.clone()));
     let polled = |accepted, chosen| RegisterReply::Polled { accepted: Some(accepted), chosen };
@@ -543,15 +548,15 @@
 }
 
 #[gtest]
-fn a_poll_is_behind_when_a_newer_ballot_is_told_to_be_chosen_or_has_a_majority() {
+fn a_poll_is_behind_when_a_newer_ballot_is_reported_chosen_or_has_a_majority() {
     let newer = ballot(4, P);
     let behind = |from: &[Ipv4Addr]| PollOutcome::Behind { from: from.to_vec(), ballot: newer };
     let fetched = AcceptedValue { ballot: newer, value: founding() };
     let other_voters = AcceptedValue { ballot: newer, value: RegisterValue { epoch: 1, ..founding() } };
 
-    let mut told = Learner::start(&[A, B, C], ballot(3, P));
-    expect_that!(told.on_polled(A, Some(newer), newer), eq(&behind(&[A])));
-    expect_that!(told.confirms(&founding(), &other_voters), eq(true));
+    let mut reported = Learner::start(&[A, B, C], ballot(3, P));
+    expect_that!(reported.on_polled(A, Some(newer), newer), eq(&behind(&[A])));
+    expect_that!(reported.confirms(&founding(), &other_voters), eq(true));
 
     let mut majority = Learner::start(&[A, B, C], ballot(3, P));
     expect_that!(majority.on_polled(A, Some(newer), ballot(3, P)), eq(&PollOutcome::Pending));
@@ -563,7 +568,7 @@
 }
 
 #[gtest]
-fn a_poll_is_unsettled_when_a_newer_ballot_can_get_no_majority_from_it() {
+fn a_poll_is_undecided_when_a_newer_ballot_can_reach_no_majority() {
     let mut learner = Learner::start(&[A, B, C], ballot(3, P));
 
     expect_that!(learner.on_polled(A, Some(ballot(4, P)), ballot(3, P)), eq(&PollOutcome::Pending));
@@ -581,17 +586,17 @@
 }
 
 #[gtest]
-fn given_a_value_left_unsettled_when_all_see_it_then_each_has_another_place_and_its_proposer_the_last() {
+fn nodes_complete_an_undecided_value_in_distinct_order_its_proposer_last() {
     let voters: Vec<Ipv4Addr> = (1..=8).map(|number| Ipv4Addr::new(10, 0, 0, number)).collect();
     let mut firsts = std::collections::BTreeSet::new();
     for round in 1..200 {
         let ballot = Ballot { round, proposer: u32::from(voters[2]), incarnation: 0 };
-        let mut places: Vec<usize> =
+        let mut ranks: Vec<usize> =
             voters.iter().map(|ip| config_register::completion_rank(*ip, &voters, ballot)).collect();
-        expect_that!(places[2], eq(7));
-        firsts.insert(places.iter().position(|place| *place == 0));
-        places.sort_unstable();
-        expect_that!(places, eq(&(0..8).collect::<Vec<_>>()));
+        expect_that!(ranks[2], eq(7));
+        firsts.insert(ranks.iter().position(|rank| *rank == 0));
+        ranks.sort_unstable();
+        expect_that!(ranks, eq(&(0..8).collect::<Vec<_>>()));
     }
     // It is not always the same one that comes first.
     expect_that!(firsts.len(), eq(7));
--- a/system/config-register/tests/random_schedules.rs
+++ b/system/config-register/tests/random_schedules.rs
@@ -1,10 +1,10 @@
-//! Random schedules of five machines, of which some are voters: requests are lost, late, repeated and out of order,
-//! machines restart and lose their disks, voters change. What is checked is the history alone.
+//! Random schedules of five nodes, some of them voters: requests are lost, delayed, duplicated and reordered, nodes restart
+//! and lose their disks, voters change. Only the history of what nodes reported is checked.
 
 use bytes::Bytes;
 use config_register::{
-    Acceptor, BallotSource, Change, Learner, Outbox, PollOutcome, Proposer, ProposerStep, Recovery,
-    RecoveryStep, founding_record,
+    Acceptor, BallotSource, Change, Learner, Outbox, OutgoingRequest, PollOutcome, Proposer, ProposerStep,
+    Recovery, RecoveryStep, founding_record,
 };
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest, RegisterValue};
 use googletest::prelude::*;
@@ -24,57 +24,57 @@
 }
 
 #[derive(Clone)]
-enum Wish {
+enum Intent {
     Append(u32),
     Read,
-    /// Adds a voter or takes it out, but leaves so many.
+    /// Adds the voter, or removes it if at least this many remain.
     Toggle(Ipv4Addr, usize),
 }
 
-impl Wish {
+impl Intent {
     fn change(&self, read: &RegisterValue) -> Change {
         match self {
-            Wish::Append(id) => Change::Set([&read.payload[..], &id.to_be_bytes()].concat().into()),
-            Wish::Read => Change::Keep,
-            Wish::Toggle(machine, least) => {
+            Intent::Append(id) => Change::Set([&read.payload[..], &id.to_be_bytes()].concat().into()),
+            Intent::Read => Change::Keep,
+            Intent::Toggle(machine, min_voters) => {
                 let mut voters = read.voters.clone();
                 voters.retain(|voter| voter != machine);
                 if voters.len() == read.voters.len() {
                     voters.push(*machine);
                 }
-                if voters.len() < *least { Change::Keep } else { Change::Voters(voters) }
+                if voters.len() < *min_voters { Change::Keep } else { Change::Voters(voters) }
             }
         }
     }
 }
 
 enum Run {
-    Proposer(Proposer, Wish),
+    Proposer(Proposer, Intent),
     Recovery(Recovery),
     Poll(Learner, AcceptedValue),
     Fetch(Learner, AcceptedValue),
 }
 
-/// A machine's process with its disk.
+/// A node's process with its disk.
 struct Machine {
     acceptor: Acceptor,
     known: Option<AcceptedValue>,
     run: Option<Run>,
     /// When the run began, in events of the history.
     begun: usize,
-    /// The ballots of its life: of what earlier ones used, a life knows what is on its disk.
+    /// The ballots of its incarnation, which knows of earlier ones only what is on its disk.
     ballots: BallotSource,
 }
 
-/// What somebody was told.
+/// What a node reported to its host.
 #[derive(Clone, Debug)]
-enum Told {
+enum Report {
     /// This value was chosen. `begun`: how much of the history there was when the run began.
     Chosen { begun: usize, value: AcceptedValue },
     /// Nothing newer than this ballot was chosen by then.
     Fresh { begun: usize, ballot: Ballot },
-    /// Learnt in passing: no claim as to what is newest.
-    Learnt(AcceptedValue),
+    /// Learned from another node; no claim as to what is newest.
+    Learned(AcceptedValue),
 }
 
 #[derive(Clone)]
@@ -89,7 +89,7 @@
     changed: usize,
     restored: usize,
     fresh: usize,
-    learnt: usize,
+    learned: usize,
 }
 
 struct Fleet {
@@ -99,14 +99,14 @@
     network: Vec<Envelope>,
     last_call: u64,
     last_id: u32,
-    least_voters: usize,
+    min_voters: usize,
     wiped: Option<usize>,
-    /// How a life draws its nonce from a random number.
+    /// How an incarnation derives its nonce from a random number.
     nonce: fn(u64) -> u64,
     used: BTreeSet<Ballot>,
     /// The first ballot that a second run has.
     shared: Option<Ballot>,
-    history: Vec<Told>,
+    history: Vec<Report>,
     counts: Counts,
 }
 
@@ -131,7 +131,7 @@
             network: vec![],
             last_call: 0,
             last_id: 0,
-            least_voters: if seed.is_multiple_of(2) { 2 } else { 3 },
+            min_voters: if seed.is_multiple_of(2) { 2 } else { 3 },
             wiped: None,
             nonce,
             used: BTreeSet::new(),
@@ -146,7 +146,7 @@
     }
 
     fn send(&mut self, from: usize, outbox: Outbox) {
-        for (to, request) in outbox {
+        for OutgoingRequest { to, request } in outbox {
             let to = all().iter().position(|other| *other == to).unwrap();
             self.last_call += 1;
             self.calls.insert(self.last_call, (from, to));
@@ -173,20 +173,21 @@
         }
         let begun = self.history.len();
         let kind = self.below(10);
-        let is_blind = self.below(3) == 0;
+        let starts_without_known_value = self.below(3) == 0;
         // Only a machine that may vote is made a voter.
         let fit: Vec<_> =
             (0..MACHINES).filter(|other| self.machines[*other].acceptor.record().is_some()).map(ip).collect();
         let toggled = fit[self.below(fit.len())];
         let other = self.below(MACHINES);
-        // Any machine may be told by another which voters are in force.
-        let told = self.machines[other].acceptor.record().and_then(|record| record.chosen_voters.clone());
+        // Any node may learn from another which voters are in force.
+        let other_voters =
+            self.machines[other].acceptor.record().and_then(|record| record.chosen_voters.clone());
         let machine = &mut self.machines[number];
         machine.begun = begun;
         let record = machine.acceptor.record();
         let chosen_voters = record.and_then(|record| record.chosen_voters.clone());
         let known = machine.known.clone();
-        let start = [known.as_ref().map(|known| known.value.clone()), chosen_voters, told];
+        let start = [known.as_ref().map(|known| known.value.clone()), chosen_voters, other_voters];
         let start = start.into_iter().flatten().max_by_key(|start| start.epoch);
         if let Some(record) = record {
             machine.ballots.observe(record.promised);
@@ -194,7 +195,9 @@
         if record.is_none() {
             let ballot = self.next_ballot(number);
             let restore = match start {
-                Some(start) if !is_blind => Recovery::start_from(ip(number), ballot, &start, &all()),
+                Some(start) if !starts_without_known_value => {
+                    Recovery::start_from(ip(number), ballot, &start, &all())
+                }
                 _ => Recovery::start(ip(number), ballot, &all()),
             };
             let outbox = restore.outbox();
@@ -213,17 +216,17 @@
         }
         let Some(start) = start else { return };
         let ballot = self.next_ballot(number);
-        let proposal = Proposer::start(ip(number), ballot, &start);
+        let proposal = Proposer::start(ballot, &start);
         let outbox = proposal.outbox();
-        let wish = match kind {
-            2..=3 => Wish::Read,
-            4..=5 => Wish::Toggle(toggled, self.least_voters),
+        let intent = match kind {
+            2..=3 => Intent::Read,
+            4..=5 => Intent::Toggle(toggled, self.min_voters),
             _ => {
                 self.last_id += 1;
-                Wish::Append(self.last_id)
+                Intent::Append(self.last_id)
             }
         };
-        self.machines[number].run = Some(Run::Proposer(proposal, wish));
+        self.machines[number].run = Some(Run::Proposer(proposal, intent));
         self.send(number, outbox);
     }
 
@@ -236,107 +239,120 @@
     }
 
     fn on_outcome(&mut self, number: usize, from: usize, reply: Option<&RegisterReply>) {
-        let begun = self.machines[number].begun;
-        match &mut self.machines[number].run {
+        match self.machines[number].run {
             None => {}
-            Some(Run::Proposer(proposal, wish)) => {
-                let wish = wish.clone();
-                let mut change = |read: &RegisterValue| wish.change(read);
-                let step = match reply {
-                    Some(reply) => proposal.on_reply(ip(from), reply, &mut change),
-                    None => proposal.on_failure(ip(from), &mut change),
-                };
-                match step {
-                    ProposerStep::Wait => {}
-                    ProposerStep::Send(outbox) => self.send(number, outbox),
-                    ProposerStep::Done(value) => {
-                        match wish {
-                            Wish::Append(_) => self.counts.appended += 1,
-                            Wish::Toggle(..) if value.value.epoch > 0 => self.counts.changed += 1,
-                            _ => {}
-                        }
-                        self.end_run(number);
-                        self.learn(number, &value);
-                        self.history.push(Told::Chosen { begun, value });
-                    }
-                    ProposerStep::Lost { seen } => {
-                        self.end_run(number);
-                        self.machines[number].ballots.observe(seen);
-                    }
-                    ProposerStep::Failed => {
-                        self.end_run(number);
-                    }
+            Some(Run::Proposer(..)) => self.on_proposer_outcome(number, from, reply),
+            Some(Run::Recovery(_)) => self.on_recovery_outcome(number, from, reply),
+            Some(Run::Poll(..)) => self.on_poll_outcome(number, from, reply),
+            Some(Run::Fetch(..)) => self.on_fetch_outcome(number, reply),
+        }
+    }
+
+    fn on_proposer_outcome(&mut self, number: usize, from: usize, reply: Option<&RegisterReply>) {
+        let begun = self.machines[number].begun;
+        let Some(Run::Proposer(proposer, intent)) = &mut self.machines[number].run else { unreachable!() };
+        let intent = intent.clone();
+        let mut change = |read: &RegisterValue| intent.change(read);
+        let step = match reply {
+            Some(reply) => proposer.on_reply(ip(from), reply, &mut change),
+            None => proposer.on_failure(ip(from), &mut change),
+        };
+        match step {
+            ProposerStep::Wait => {}
+            ProposerStep::Send(outbox) => self.send(number, outbox),
+            ProposerStep::Done(value) => {
+                match intent {
+                    Intent::Append(_) => self.counts.appended += 1,
+                    Intent::Toggle(..) if value.value.epoch > 0 => self.counts.changed += 1,
+                    _ => {}
                 }
+                self.end_run(number);
+                self.learn(number, &value);
+                self.history.push(Report::Chosen { begun, value });
             }
-            Some(Run::Recovery(restore)) => {
-                let step = match reply {
-                    Some(reply) => restore.on_reply(ip(from), reply),
-                    None => restore.on_failure(ip(from)),
-                };
-                match step {
-                    RecoveryStep::Wait => {}
-                    RecoveryStep::Send(outbox) => self.send(number, outbox),
-                    RecoveryStep::Done(record) => {
-                        self.end_run(number);
-                        let value = record.accepted.clone().unwrap();
-                        self.machines[number].acceptor.restore(record);
-                        self.learn(number, &value);
-                        self.history.push(Told::Chosen { begun, value });
-                        self.wiped.take_if(|wiped| *wiped == number);
-                        self.counts.restored += 1;
-                    }
-                    RecoveryStep::Lost { seen } => {
-                        self.end_run(number);
-                        self.machines[number].ballots.observe(seen);
-                    }
-                    RecoveryStep::Failed => {
-                        self.end_run(number);
-                    }
-                }
+            ProposerStep::Lost { seen } => {
+                self.end_run(number);
+                self.machines[number].ballots.observe(seen);
             }
-            Some(Run::Poll(learner, known)) => {
-                let verdict = match reply {
-                    Some(RegisterReply::Polled { accepted, chosen }) => {
-                        learner.on_polled(ip(from), *accepted, *chosen)
-                    }
-                    _ => learner.on_failure(ip(from)),
-                };
-                let known = known.clone();
-                match verdict {
-                    PollOutcome::Pending => {}
-                    PollOutcome::Fresh => {
-                        self.end_run(number);
-                        self.counts.fresh += 1;
-                        self.history.push(Told::Fresh { begun, ballot: known.ballot });
-                    }
-                    PollOutcome::Behind { from, .. } => {
-                        let Some(Run::Poll(learner, known)) = self.end_run(number) else { unreachable!() };
-                        self.machines[number].run = Some(Run::Fetch(learner, known));
-                        let from = from[self.below(from.len())];
-                        self.send(number, vec![(from, RegisterRequest::Fetch)]);
-                    }
-                    PollOutcome::Undecided | PollOutcome::Failed => {
-                        self.end_run(number);
-                    }
-                }
+            ProposerStep::Failed => {
+                self.end_run(number);
             }
-            Some(Run::Fetch(..)) => {
-                let Some(Run::Fetch(learner, known)) = self.end_run(number) else { unreachable!() };
-                if let Some(RegisterReply::Fetched(Some(value))) = reply
-                    && learner.confirms(&known.value, value)
-                {
-                    self.counts.learnt += 1;
-                    self.learn(number, value);
-                    self.history.push(Told::Learnt(value.clone()));
-                }
+        }
+    }
+
+    fn on_recovery_outcome(&mut self, number: usize, from: usize, reply: Option<&RegisterReply>) {
+        let begun = self.machines[number].begun;
+        let Some(Run::Recovery(recovery)) = &mut self.machines[number].run else { unreachable!() };
+        let step = match reply {
+            Some(reply) => recovery.on_reply(ip(from), reply),
+            None => recovery.on_failure(ip(from)),
+        };
+        match step {
+            RecoveryStep::Wait => {}
+            RecoveryStep::Send(outbox) => self.send(number, outbox),
+            RecoveryStep::Done(record) => {
+                self.end_run(number);
+                let value = record.accepted.clone().unwrap();
+                self.machines[number].acceptor.restore(record);
+                self.learn(number, &value);
+                self.history.push(Report::Chosen { begun, value });
+                self.wiped.take_if(|wiped| *wiped == number);
+                self.counts.restored += 1;
+            }
+            RecoveryStep::Lost { seen } => {
+                self.end_run(number);
+                self.machines[number].ballots.observe(seen);
+            }
+            RecoveryStep::Failed => {
+                self.end_run(number);
             }
         }
     }
 
+    fn on_poll_outcome(&mut self, number: usize, from: usize, reply: Option<&RegisterReply>) {
+        let begun = self.machines[number].begun;
+        let Some(Run::Poll(learner, known)) = &mut self.machines[number].run else { unreachable!() };
+        let outcome = match reply {
+            Some(RegisterReply::Polled { accepted, chosen }) => {
+                learner.on_polled(ip(from), *accepted, *chosen)
+            }
+            _ => learner.on_failure(ip(from)),
+        };
+        let known = known.clone();
+        match outcome {
+            PollOutcome::Pending => {}
+            PollOutcome::Fresh => {
+                self.end_run(number);
+                self.counts.fresh += 1;
+                self.history.push(Report::Fresh { begun, ballot: known.ballot });
+            }
+            PollOutcome::Behind { from, .. } => {
+                let Some(Run::Poll(learner, known)) = self.end_run(number) else { unreachable!() };
+                self.machines[number].run = Some(Run::Fetch(learner, known));
+                let from = from[self.below(from.len())];
+                self.send(number, vec![OutgoingRequest { to: from, request: RegisterRequest::Fetch }]);
+            }
+            PollOutcome::Undecided | PollOutcome::Failed => {
+                self.end_run(number);
+            }
+        }
+    }
+
+    fn on_fetch_outcome(&mut self, number: usize, reply: Option<&RegisterReply>) {
+        let Some(Run::Fetch(learner, known)) = self.end_run(number) else { unreachable!() };
+        if let Some(RegisterReply::Fetched(Some(value))) = reply
+            && learner.confirms(&known.value, value)
+        {
+            self.counts.learned += 1;
+            self.learn(number, value);
+            self.history.push(Report::Learned(value.clone()));
+        }
+    }
+
     fn deliver(&mut self, position: usize) {
         match self.network.swap_remove(position) {
             Envelope::Request { call, to, request } => {
-                let (reply, _) = self.machines[to].acceptor.handle(&request);
+                let reply = self.machines[to].acceptor.handle(&request).reply;
                 self.network.push(Envelope::Reply { call, reply });
             }
             Envelope::Reply { call, reply } => {
@@ -360,10 +376,10 @@
     /// The process ends and starts again, with its disk.
     fn restart(&mut self, number: usize) {
         self.end_run(number);
-        let life = (self.nonce)(self.rng.next_u64());
+        let incarnation = (self.nonce)(self.rng.next_u64());
         let machine = &mut self.machines[number];
         machine.known = None;
-        machine.ballots = BallotSource::new(ip(number), life);
+        machine.ballots = BallotSource::new(ip(number), incarnation);
         machine.acceptor = machine.acceptor.record().cloned().map_or(Acceptor::recovering(), Acceptor::new);
     }
 
@@ -419,7 +435,7 @@
             for other in 0..MACHINES {
                 self.gossip(other, number);
             }
-            // The second try is above what the first was refused for.
+            // The second attempt is above the ballot for which the first was rejected.
             for _ in 0..3 {
                 self.start(number);
                 while let Some(position) = self.network.len().checked_sub(1) {
@@ -435,13 +451,13 @@
     value.value.payload.chunks(4).map(|id| u32::from_be_bytes(id.try_into().unwrap())).collect()
 }
 
-/// What is wrong with a history, if anything is.
-fn fault(history: &[Told]) -> Option<String> {
+/// The rule that a history violates, if any.
+fn history_violation(history: &[Report]) -> Option<String> {
     let chosen: Vec<_> = history
         .iter()
-        .filter_map(|told| match told {
-            Told::Chosen { value, .. } | Told::Learnt(value) => Some(value),
-            Told::Fresh { .. } => None,
+        .filter_map(|report| match report {
+            Report::Chosen { value, .. } | Report::Learned(value) => Some(value),
+            Report::Fresh { .. } => None,
         })
         .collect();
     let mut ordered = chosen.clone();
@@ -464,17 +480,17 @@
             return Some(format!("a change was made twice: {ids:?}"));
         }
     }
-    for told in history {
-        let (begun, ballot) = match told {
-            Told::Chosen { begun, value } => (*begun, value.ballot),
-            Told::Fresh { begun, ballot } => (*begun, *ballot),
-            Told::Learnt(_) => continue,
+    for report in history {
+        let (begun, ballot) = match report {
+            Report::Chosen { begun, value } => (*begun, value.ballot),
+            Report::Fresh { begun, ballot } => (*begun, *ballot),
+            Report::Learned(_) => continue,
         };
         for earlier in &history[..begun] {
-            if let Told::Chosen { value, .. } | Told::Learnt(value) = earlier
+            if let Report::Chosen { value, .. } | Report::Learned(value) = earlier
                 && value.ballot > ballot
             {
-                return Some(format!("{told:?} misses {value:?}, which was told before it began"));
+                return Some(format!("{report:?} misses {value:?}, which was reported before it began"));
             }
         }
     }
@@ -490,18 +506,19 @@
     let calm = fleet.history.len();
     fleet.settle();
     let unfit = fleet.machines.iter().filter(|machine| machine.acceptor.record().is_none()).count();
-    let is_alive =
-        fleet.history[calm..].iter().any(|told| matches!(told, Told::Chosen { begun, .. } if *begun >= calm));
-    // Where one of two voters loses its disk amid two changes, the register stands still rather than guess.
-    let must_live = fleet.least_voters > 2;
+    let is_alive = fleet.history[calm..]
+        .iter()
+        .any(|report| matches!(report, Report::Chosen { begun, .. } if *begun >= calm));
+    // Where one of two voters loses its disk during two changes, the register makes no progress rather than guess.
+    let must_live = fleet.min_voters > 2;
     let stuck = (must_live && (unfit > 0 || !is_alive))
         .then(|| format!("stuck without faults, {unfit} machines unfit"));
     let shared = fleet.shared.map(|ballot| format!("two runs under {ballot:?}"));
-    (fault(&fleet.history).or(shared).or(stuck), counts)
+    (history_violation(&fleet.history).or(shared).or(stuck), counts)
 }
 
 #[gtest]
-fn random_schedules_keep_one_chain_of_changes_and_lose_none() {
+fn random_schedules_preserve_one_chain_of_changes() {
     let mut total = Counts::default();
     for seed in 0..3000 {
         let (fault, counts) = run(seed, 1000, |drawn| drawn);
@@ -510,29 +527,29 @@
         total.changed += counts.changed;
         total.restored += counts.restored;
         total.fresh += counts.fresh;
-        total.learnt += counts.learnt;
+        total.learned += counts.learned;
     }
 
     println!("{total:?}");
-    // Without these the schedules would tell little.
+    // Without these the schedules would prove little.
     expect_that!(total.appended, gt(4000));
     expect_that!(total.changed, gt(4000));
     expect_that!(total.restored, gt(4000));
     expect_that!(total.fresh, gt(1000));
-    expect_that!(total.learnt, gt(1000));
+    expect_that!(total.learned, gt(1000));
 }
 
 #[gtest]
-fn the_checker_finds_lives_without_a_nonce() {
-    let told: Vec<String> = (0..300).filter_map(|seed| run(seed, 1000, |_| 0).0).collect();
+fn the_checker_detects_incarnations_without_a_nonce() {
+    let violations: Vec<String> = (0..300).filter_map(|seed| run(seed, 1000, |_| 0).0).collect();
 
-    let shared = told.iter().filter(|what| what.starts_with("two runs under")).count();
+    let shared = violations.iter().filter(|what| what.starts_with("two runs under")).count();
     println!("{shared} of 300 schedules share a ballot");
     expect_that!(shared, gt(200));
 }
 
 #[gtest]
-fn the_checker_finds_a_change_that_was_lost() {
+fn the_checker_detects_a_lost_change() {
     let value = |round, ids: &[u32]| AcceptedValue {
         ballot: Ballot { round, proposer: 1, incarnation: 0 },
         value: RegisterValue {
@@ -541,15 +558,17 @@
         },
     };
 
-    let lost =
-        [Told::Chosen { begun: 0, value: value(1, &[1]) }, Told::Chosen { begun: 0, value: value(2, &[2]) }];
+    let lost = [
+        Report::Chosen { begun: 0, value: value(1, &[1]) },
+        Report::Chosen { begun: 0, value: value(2, &[2]) },
+    ];
     let stale = [
-        Told::Learnt(value(2, &[2])),
-        Told::Fresh { begun: 1, ballot: Ballot { round: 1, proposer: 1, incarnation: 0 } },
+        Report::Learned(value(2, &[2])),
+        Report::Fresh { begun: 1, ballot: Ballot { round: 1, proposer: 1, incarnation: 0 } },
     ];
-    let kept = [Told::Chosen { begun: 0, value: value(2, &[1, 2]) }, Told::Learnt(value(1, &[1]))];
+    let valid = [Report::Chosen { begun: 0, value: value(2, &[1, 2]) }, Report::Learned(value(1, &[1]))];
 
-    expect_that!(fault(&lost), some(starts_with("no chain")));
-    expect_that!(fault(&stale), some(contains_substring("misses")));
-    expect_that!(fault(&kept), none());
+    expect_that!(history_violation(&lost), some(starts_with("no chain")));
+    expect_that!(history_violation(&stale), some(contains_substring("misses")));
+    expect_that!(history_violation(&valid), none());
 }
--- a/system/control-node/src/durable_acceptor.rs
+++ b/system/control-node/src/durable_acceptor.rs
@@ -8,7 +8,7 @@
 //! answered was never promised. Each write holds the whole state, so that a later one makes good those before it; they are
 //! to be written one after another in their order, and one may be left out if a later one is written in its place.
 
-use config_register::{Acceptor, AcceptorRecord};
+use config_register::{Acceptor, AcceptorRecord, AcceptorResponse};
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest};
 use std::collections::BTreeMap;
 
@@ -126,14 +126,14 @@
             RegisterRequest::Prepare(_) | RegisterRequest::Accept(_) => self.vote(request),
             RegisterRequest::Poll { chosen } => self.poll(*chosen),
             RegisterRequest::Fetch => {
-                let (reply, _) = self.synced.handle(request);
+                let reply = self.synced.handle(request).reply;
                 PendingReply { reply, after: None, write: None }
             }
         }
     }
 
     fn vote(&mut self, request: &RegisterRequest) -> PendingReply {
-        let (reply, changed) = self.newest.handle(request);
+        let AcceptorResponse { reply, record_changed: changed } = self.newest.handle(request);
         let write = if changed { self.write_newest() } else { None };
         // What an answer tells of promise or value is synced before it is told, whoever's write it was.
         let after = (self.outcome(self.newest_write) != WriteOutcome::Synced).then_some(self.newest_write);
@@ -143,7 +143,8 @@
     /// That a value was chosen is written some time, and the answer does not wait for it.
     fn poll(&mut self, chosen: Ballot) -> PendingReply {
         let newest_changed = self.newest.learn_chosen(chosen);
-        let (reply, synced_changed) = self.synced.handle(&RegisterRequest::Poll { chosen });
+        let AcceptorResponse { reply, record_changed: synced_changed } =
+            self.synced.handle(&RegisterRequest::Poll { chosen });
         let write = if newest_changed || synced_changed { self.write_newest() } else { None };
         PendingReply { reply, after: None, write }
     }
--- a/system/control-node/src/learner.rs
+++ b/system/control-node/src/learner.rs
@@ -2,7 +2,7 @@
 
 use crate::proposer::{PATIENCE, Wanted};
 use crate::{ControlBackend, ControlNode};
-use config_register::{Learner, PollOutcome, completion_rank};
+use config_register::{Learner, Outbox, OutgoingRequest, PollOutcome, completion_rank};
 use fleet_model::{Ballot, RegisterReply, RegisterRequest};
 use node_runtime::{Runtime, timeout, timeout_at};
 use std::net::Ipv4Addr;
@@ -89,10 +89,10 @@
     /// asked to see whether it is there.
     fn ask_all(
         self: &Rc<Self>,
-        requests: Vec<(Ipv4Addr, RegisterRequest)>,
+        requests: Outbox,
     ) -> mpsc::UnboundedReceiver<(Ipv4Addr, Option<RegisterReply>)> {
         let (answers, answered) = mpsc::unbounded_channel();
-        for (ip, request) in requests {
+        for OutgoingRequest { to: ip, request } in requests {
             let (node, answers) = (self.clone(), answers.clone());
             self.runtime.spawn(async move {
                 let reply = node.ask(ip, request, PATIENCE).await;
--- a/system/control-node/src/proposer.rs
+++ b/system/control-node/src/proposer.rs
@@ -2,7 +2,7 @@
 
 use crate::{ControlBackend, ControlEvent, ControlNode};
 use bytes::Bytes;
-use config_register::{Change, Proposer, ProposerStep};
+use config_register::{Change, OutgoingRequest, Proposer, ProposerStep};
 use fleet_model::{Ballot, ControlState, RegisterValue};
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use node_runtime::{Runtime, timeout_at};
@@ -175,7 +175,7 @@
         known: &RegisterValue,
         wanted: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> Wanted,
     ) -> Ended {
-        let mut proposal = Proposer::start(self.me, self.next_ballot(), known);
+        let mut proposal = Proposer::start(self.next_ballot(), known);
         let mut aim: Option<Aim> = None;
         let mut change = |read: &RegisterValue| {
             let (change, aims) = self.proposed(read, wanted);
@@ -185,7 +185,9 @@
             change
         };
         let mut calls = FuturesUnordered::new();
-        let call = |(ip, request)| async move { (ip, self.ask(ip, request, PATIENCE).await) };
+        let call = |OutgoingRequest { to, request }: OutgoingRequest| async move {
+            (to, self.ask(to, request, PATIENCE).await)
+        };
         calls.extend(proposal.outbox().into_iter().map(call));
         while let Some((ip, reply)) = calls.next().await {
             let step = match reply {
--- a/system/control-node/src/recovery.rs
+++ b/system/control-node/src/recovery.rs
@@ -3,7 +3,7 @@
 
 use crate::proposer::PATIENCE;
 use crate::{ControlBackend, ControlEvent, ControlNode};
-use config_register::{AcceptorRecord, Recovery, RecoveryStep};
+use config_register::{AcceptorRecord, OutgoingRequest, Recovery, RecoveryStep};
 use fleet_model::{Answer, Ballot, Call, RegisterReply, RegisterRequest, RegisterValue};
 use futures_util::future::join_all;
 use futures_util::stream::{FuturesUnordered, StreamExt};
@@ -84,7 +84,9 @@
             None => Recovery::start(self.me, self.recovery_ballot(), &others),
         };
         let mut calls = FuturesUnordered::new();
-        let call = |(ip, request)| async move { (ip, self.ask(ip, request, PATIENCE).await) };
+        let call = |OutgoingRequest { to, request }: OutgoingRequest| async move {
+            (to, self.ask(to, request, PATIENCE).await)
+        };
         calls.extend(restore.outbox().into_iter().map(call));
         while let Some((ip, reply)) = calls.next().await {
             let step = match reply {
--- a/system/controllers/tests/orders.rs
+++ b/system/controllers/tests/orders.rs
@@ -6,7 +6,9 @@
 //! power are among the schedules: voters keep what they have synced, and what was under way is never heard of again.
 
 use bytes::Bytes;
-use config_register::{Acceptor, BallotSource, Change, Proposer, ProposerStep, founding_record};
+use config_register::{
+    Acceptor, BallotSource, Change, Outbox, OutgoingRequest, Proposer, ProposerStep, founding_record,
+};
 use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
     AcceptedValue, Ballot, CommittedVersion, ControlState, RegisterReply, RegisterRequest, RegisterValue,
@@ -212,14 +214,17 @@
                 run.is_reading = false;
                 let ballot = run.proposal.ballot();
                 let reached = (0..MACHINES.len()).filter(|machine| reach >> machine & 1 == 1);
-                let prepares = reached.map(|to| (MACHINES[to], RegisterRequest::Prepare(ballot)));
+                let prepares = reached.map(|to| OutgoingRequest {
+                    to: MACHINES[to],
+                    request: RegisterRequest::Prepare(ballot),
+                });
                 self.carry(&mut fleet, *call, prepares.collect());
             }
             Event::Accept { late, answer_is_lost } => {
                 let at = fleet.late.iter().position(|(other, _)| other == late).unwrap();
                 let (late, value) = fleet.late.remove(at);
                 let is_awaited = fleet.awaits(&late);
-                let (reply, _) = fleet.acceptors[late.to].handle(&RegisterRequest::Accept(value));
+                let reply = fleet.acceptors[late.to].handle(&RegisterRequest::Accept(value)).reply;
                 if is_awaited && !answer_is_lost {
                     self.on_reply(&mut fleet, late.call, MACHINES[late.to], &reply);
                 }
@@ -229,16 +234,16 @@
         fleet
     }
 
-    fn carry(&self, fleet: &mut Fleet, call: usize, mut requests: Vec<(Ipv4Addr, RegisterRequest)>) {
+    fn carry(&self, fleet: &mut Fleet, call: usize, mut requests: Outbox) {
         while !requests.is_empty() && fleet.calls[call].run.is_some() {
-            let (to, request) = requests.remove(0);
+            let OutgoingRequest { to, request } = requests.remove(0);
             match request {
                 RegisterRequest::Accept(value) => {
                     let late = Late { call, to: place(to), ballot: value.ballot };
                     fleet.late.push((late, value));
                 }
                 prepare => {
-                    let (reply, _) = fleet.acceptors[place(to)].handle(&prepare);
+                    let reply = fleet.acceptors[place(to)].handle(&prepare).reply;
                     requests.extend(self.on_reply(fleet, call, to, &reply));
                 }
             }
@@ -246,13 +251,7 @@
     }
 
     /// Takes a reply to a call's run; what it sends next.
-    fn on_reply(
-        &self,
-        fleet: &mut Fleet,
-        number: usize,
-        from: Ipv4Addr,
-        reply: &RegisterReply,
-    ) -> Vec<(Ipv4Addr, RegisterRequest)> {
+    fn on_reply(&self, fleet: &mut Fleet, number: usize, from: Ipv4Addr, reply: &RegisterReply) -> Outbox {
         let call = &mut fleet.calls[number];
         let Some(run) = &mut call.run else { return vec![] };
         let (judged, wanted) = (&mut run.judged, &mut run.wanted);
@@ -292,7 +291,7 @@
         call.tries -= 1;
         call.ballots.observe(promised.unwrap_or_default());
         let ballot = call.ballots.next_ballot();
-        let proposal = Proposer::start(Ipv4Addr::from(ballot.proposer), ballot, &founding());
+        let proposal = Proposer::start(ballot, &founding());
         call.run = Some(Run { proposal, is_reading: true, judged: None, wanted: None });
     }
 
--- a/system/programs/src/control/record.rs
+++ b/system/programs/src/control/record.rs
@@ -28,7 +28,7 @@
 
 /// Reads a record of a form that this program knows.
 fn read_record(folder: &Path, bytes: &[u8]) -> Result<AcceptorRecord, StartError> {
-    match RecordFormat::of(bytes) {
+    match RecordFormat::detect(bytes) {
         RecordFormat::Current => read(folder, bytes),
         RecordFormat::V1 => read::<RecordV1>(folder, bytes).map(AcceptorRecord::from),
         RecordFormat::Unknown(form) => {
--- a/system/programs/src/control/record/tests.rs
+++ b/system/programs/src/control/record/tests.rs
@@ -137,7 +137,7 @@
     expect_that!(opened.beginning, eq(&InitialState::Recovering));
     // Then it answers as one that lost its disk.
     let mut acceptor = Acceptor::recovering();
-    let (reply, _) = acceptor.handle(&RegisterRequest::Prepare(ballot(9)));
+    let reply = acceptor.handle(&RegisterRequest::Prepare(ballot(9))).reply;
     expect_that!(reply, eq(&RegisterReply::Recovering));
     // And what it is restored with is there in its next life.
     put(&opened.durable, &voted(5));
@@ -184,7 +184,7 @@
     drop(opened);
     expect_that!(open_as(folder.path(), false, ip(1)).beginning, eq(&InitialState::Existing(record.clone())));
     // The forms are told apart by how they begin, whatever the first promise was.
-    let form = |bytes: Vec<u8>| RecordFormat::of(&bytes);
+    let form = |bytes: Vec<u8>| RecordFormat::detect(&bytes);
     expect_that!(form(postcard::to_allocvec(&record).unwrap()), eq(RecordFormat::Current));
     expect_that!(form(postcard::to_allocvec(&founding).unwrap()), eq(RecordFormat::V1));
     expect_that!(form(postcard::to_allocvec(&(u64::MAX, u32::MAX)).unwrap()), eq(RecordFormat::V1));
@@ -219,7 +219,7 @@
         for request in
             [RegisterRequest::Prepare(ballot(version)), RegisterRequest::Accept(accepted(version, &state))]
         {
-            let (_, changed) = acceptor.handle(&request);
+            let changed = acceptor.handle(&request).record_changed;
             expect_that!(changed, eq(true));
             put(&opened.durable, acceptor.record().unwrap());
         }
--- a/testbed/tests/record_log.rs
+++ b/testbed/tests/record_log.rs
@@ -2,7 +2,7 @@
 //! log; a start reads it in a moment at any time between.
 
 use bytes::Bytes;
-use config_register::{Acceptor, AcceptorRecord, founding_record};
+use config_register::{Acceptor, AcceptorRecord, AcceptorResponse, founding_record};
 use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
     AcceptedValue, Ballot, CommittedVersion, ControlState, RegisterReply, RegisterRequest, RegisterValue,
@@ -74,7 +74,7 @@
 
 impl Voter {
     fn handle(&mut self, request: RegisterRequest) -> RegisterReply {
-        let (reply, changed) = self.acceptor.handle(&request);
+        let AcceptorResponse { reply, record_changed: changed } = self.acceptor.handle(&request);
         if changed {
             let record = postcard::to_allocvec(self.acceptor.record().expect("it votes")).expect("plain");
             self.log.put(&record).expect("the disk has room");
