--- a/system/peer-wire/src/client.rs
+++ b/system/peer-wire/src/client.rs
@@ -1,7 +1,7 @@
 //! Calling.
 
 use crate::codec::{decode, encode};
-use crate::framing::{framing, hello, read_hello, tune, write_frames};
+use crate::framing::{configure_socket, framing, hello, read_hello, write_frames};
 use bytes::Bytes;
 use fleet_model::{Answer, Call, Frame, Push};
 use futures_util::{SinkExt, StreamExt};
@@ -23,7 +23,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// How many frames wait to be written; further calls wait within their patience.
-const QUEUE_FRAMES: usize = 1024;
+const MAX_QUEUED_FRAMES: usize = 1024;
 
 /// Why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
@@ -78,7 +78,7 @@
     state: RefCell<State>,
     /// The number of the last call. It rises over all connections, so that an answer to a call of a former one is no
     /// answer to any of this one.
-    last_number: Cell<u64>,
+    last_call_id: Cell<u64>,
     /// Attempts since a connection last brought something.
     failures: Cell<u32>,
 }
@@ -88,38 +88,38 @@
     /// No connection, and none is tried before this moment, if there is one.
     Closed(Option<Instant>),
     /// An attempt is under way, for these.
-    Connecting(Vec<oneshot::Sender<Rc<Link>>>),
+    Connecting(Vec<oneshot::Sender<Rc<Connection>>>),
     /// There is a connection, which may have ended.
-    Open(Rc<Link>),
+    Open(Rc<Connection>),
 }
 
 /// One connection.
 #[derive(Debug)]
-struct Link {
+struct Connection {
     queue: mpsc::Sender<Bytes>,
     pending: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
     last_received: Cell<Option<Instant>>,
     /// When the first of the calls was sent that timed out with nothing received since then.
-    silent_since: Cell<Option<Instant>>,
-    ended: CancellationToken,
+    unresponsive_since: Cell<Option<Instant>>,
+    closed: CancellationToken,
 }
 
 /// Forgets a call when its caller does.
 struct PendingCall<'a> {
-    link: &'a Link,
-    number: u64,
+    connection: &'a Connection,
+    call_id: u64,
 }
 
 impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        self.link.pending.borrow_mut().remove(&self.number);
+        self.connection.pending.borrow_mut().remove(&self.call_id);
     }
 }
 
 impl Drop for Shared {
     fn drop(&mut self) {
-        if let State::Open(link) = self.state.get_mut() {
-            link.end();
+        if let State::Open(connection) = self.state.get_mut() {
+            connection.close();
         }
     }
 }
@@ -138,8 +138,8 @@
         limits: CallLimits,
     ) -> Self {
         let (state, failures) = (RefCell::new(State::Closed(None)), Cell::new(0));
-        let last_number = Cell::new(0);
-        Self { shared: Rc::new(Shared { address, fleet, local, limits, state, last_number, failures }) }
+        let last_call_id = Cell::new(0);
+        Self { shared: Rc::new(Shared { address, fleet, local, limits, state, last_call_id, failures }) }
     }
 
     /// The address of the process that it calls.
@@ -148,32 +148,32 @@
     }
 
     /// Calls, and waits for the answer for at most `patience`, connecting included.
-    pub async fn call(&self, call: Call, patience: Duration) -> Result<Answer, CallFailure> {
-        let deadline = Instant::now() + patience;
-        let link = self.link(deadline).await?;
-        let number = self.shared.last_number.get() + 1;
-        self.shared.last_number.set(number);
-        let frame = encode(&Frame::Call(number, call)).map_err(|error| {
-            log::error!("a call cannot be sent: {error}");
+    pub async fn call(&self, call: Call, timeout: Duration) -> Result<Answer, CallFailure> {
+        let deadline = Instant::now() + timeout;
+        let connection = self.open_or_reuse(deadline).await?;
+        let call_id = self.shared.last_call_id.get() + 1;
+        self.shared.last_call_id.set(call_id);
+        let frame = encode(&Frame::Call(call_id, call)).map_err(|error| {
+            log::error!("failed to encode a call: {error}");
             CallFailure::Unreachable
         })?;
-        let place = match timeout_at(deadline, link.queue.reserve()).await {
-            Ok(Ok(place)) => place,
+        let permit = match timeout_at(deadline, connection.queue.reserve()).await {
+            Ok(Ok(permit)) => permit,
             Ok(Err(_)) | Err(_) => return Err(CallFailure::Unreachable),
         };
-        if link.ended.is_cancelled() {
+        if connection.closed.is_cancelled() {
             return Err(CallFailure::Unreachable);
         }
         let (sender, answer) = oneshot::channel();
-        link.pending.borrow_mut().insert(number, sender);
-        let _pending = PendingCall { link: &link, number };
+        connection.pending.borrow_mut().insert(call_id, sender);
+        let _pending = PendingCall { connection: &connection, call_id };
         let sent = Instant::now();
-        place.send(frame);
+        permit.send(frame);
         match timeout_at(deadline, answer).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(_)) => Err(CallFailure::Lost),
             Err(_) => {
-                link.heard_nothing_since(sent, self.shared.limits.silence_timeout);
+                connection.handle_call_timeout(sent, self.shared.limits.silence_timeout);
                 Err(CallFailure::TimedOut)
             }
         }
@@ -184,11 +184,11 @@
     pub async fn subscribe(
         &self,
         call: Call,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<(Answer, PushStream), CallFailure> {
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         let frame = encode(&Frame::Call(1, call)).map_err(|error| {
-            log::error!("a call cannot be sent: {error}");
+            log::error!("failed to encode a call: {error}");
             CallFailure::Unreachable
         })?;
         let stream = match timeout_at(deadline, self.shared.connect()).await {
@@ -197,14 +197,17 @@
         };
         let (reader, writer) = stream.into_split();
         let mut writer = FramedWrite::new(writer, framing());
-        let mut pushes =
-            PushStream { frames: FramedRead::new(reader, framing()), early: VecDeque::new(), _writer: None };
+        let mut pushes = PushStream {
+            frames: FramedRead::new(reader, framing()),
+            pushes_before_answer: VecDeque::new(),
+            _writer: None,
+        };
         let answer = timeout_at(deadline, async {
             writer.send(frame).await.ok()?;
             loop {
-                match pushes.frame().await? {
+                match pushes.next_frame().await? {
                     Frame::Answer(1, answer) => return Some(answer),
-                    Frame::Push(push) => pushes.early.push_back(push),
+                    Frame::Push(push) => pushes.pushes_before_answer.push_back(push),
                     _ => return None,
                 }
             }
@@ -220,30 +223,30 @@
     }
 
     /// The connection, opened if there is none.
-    async fn link(&self, deadline: Instant) -> Result<Rc<Link>, CallFailure> {
+    async fn open_or_reuse(&self, deadline: Instant) -> Result<Rc<Connection>, CallFailure> {
         let (sender, opened) = oneshot::channel();
         {
             let state = &mut *self.shared.state.borrow_mut();
-            if let State::Open(link) = state {
-                if !link.ended.is_cancelled() {
-                    return Ok(link.clone());
+            if let State::Open(connection) = state {
+                if !connection.closed.is_cancelled() {
+                    return Ok(connection.clone());
                 }
-                let pause = self.shared.pause_after(link);
-                *state = State::Closed(pause);
+                let backoff_end = self.shared.backoff_end_after(connection);
+                *state = State::Closed(backoff_end);
             }
             match state {
-                State::Connecting(waiting) => waiting.push(sender),
+                State::Connecting(waiters) => waiters.push(sender),
                 State::Closed(Some(until)) if Instant::now() < *until => {
                     return Err(CallFailure::Unreachable);
                 }
                 State::Closed(_) | State::Open(_) => {
                     *state = State::Connecting(vec![sender]);
-                    spawn_local(open(Rc::downgrade(&self.shared)));
+                    spawn_local(open_connection(Rc::downgrade(&self.shared)));
                 }
             }
         }
         match timeout_at(deadline, opened).await {
-            Ok(Ok(link)) => Ok(link),
+            Ok(Ok(connection)) => Ok(connection),
             Ok(Err(_)) | Err(_) => Err(CallFailure::Unreachable),
         }
     }
@@ -252,112 +255,114 @@
 impl Shared {
     /// A connection on which both hellos were said.
     async fn connect(&self) -> io::Result<TcpStream> {
-        dial(self.address, self.fleet, self.local, self.limits.connect_timeout).await
+        connect(self.address, self.fleet, self.local, self.limits.connect_timeout).await
     }
 
     /// Until when nothing is tried after one more failure.
-    fn pause(&self) -> Option<Instant> {
+    fn next_backoff_end(&self) -> Option<Instant> {
         let failures = self.failures.get();
         self.failures.set(failures.saturating_add(1));
-        let pause = self.limits.initial_backoff.saturating_mul(1 << failures.min(16));
-        Some(Instant::now() + pause.min(self.limits.max_backoff))
+        let backoff = self.limits.initial_backoff.saturating_mul(1 << failures.min(16));
+        Some(Instant::now() + backoff.min(self.limits.max_backoff))
     }
 
     /// A connection that brought something may be opened again at once, another one is a failure.
-    fn pause_after(&self, link: &Link) -> Option<Instant> {
-        if link.last_received.get().is_some() {
+    fn backoff_end_after(&self, connection: &Connection) -> Option<Instant> {
+        if connection.last_received.get().is_some() {
             self.failures.set(0);
             return None;
         }
-        self.pause()
+        self.next_backoff_end()
     }
 }
 
-async fn dial(
+async fn connect(
     address: SocketAddrV4,
     fleet: u16,
     local: Option<Ipv4Addr>,
-    patience: Duration,
+    connect_timeout: Duration,
 ) -> io::Result<TcpStream> {
-    timeout(patience, async {
+    timeout(connect_timeout, async {
         let socket = TcpSocket::new_v4()?;
         if let Some(local) = local {
             socket.bind(SocketAddrV4::new(local, 0).into())?;
         }
         let mut stream = socket.connect(address.into()).await?;
-        tune(&stream)?;
+        configure_socket(&stream)?;
         stream.write_all(&hello(fleet)).await?;
         match read_hello(&mut stream, fleet).await? {
             true => Ok(stream),
-            false => Err(io::Error::new(io::ErrorKind::InvalidData, "another hello")),
+            false => {
+                Err(io::Error::new(io::ErrorKind::InvalidData, "the hello is of another fleet or version"))
+            }
         }
     })
     .await?
 }
 
 /// Opens the connection and tells those who wait for it. Does not keep the client alive.
-async fn open(shared: Weak<Shared>) {
+async fn open_connection(shared: Weak<Shared>) {
     let Some(attempt) = shared.upgrade().map(|s| (s.address, s.fleet, s.local, s.limits.connect_timeout))
     else {
         return;
     };
-    let (address, fleet, local, patience) = attempt;
-    let stream = dial(address, fleet, local, patience).await;
+    let (address, fleet, local, connect_timeout) = attempt;
+    let stream = connect(address, fleet, local, connect_timeout).await;
     let Some(shared) = shared.upgrade() else { return };
     let next = match stream {
-        Ok(stream) => State::Open(Link::start(stream)),
+        Ok(stream) => State::Open(Connection::start(stream)),
         Err(error) => {
-            log::debug!("no connection to {address}: {error}");
-            State::Closed(shared.pause())
+            log::debug!("failed to connect to {address}: {error}");
+            State::Closed(shared.next_backoff_end())
         }
     };
-    let link = match &next {
-        State::Open(link) => Some(link.clone()),
+    let connection = match &next {
+        State::Open(connection) => Some(connection.clone()),
         _ => None,
     };
-    if let (State::Connecting(waiting), Some(link)) = (shared.state.replace(next), link) {
-        for waiter in waiting {
+    if let (State::Connecting(waiters), Some(connection)) = (shared.state.replace(next), connection) {
+        for waiter in waiters {
             // Fails if the caller has lost its patience.
-            let _ = waiter.send(link.clone());
+            let _ = waiter.send(connection.clone());
         }
     }
 }
 
-impl Link {
+impl Connection {
     fn start(stream: TcpStream) -> Rc<Self> {
         let (reader, writer) = stream.into_split();
-        let (queue, outgoing) = mpsc::channel(QUEUE_FRAMES);
-        let link = Rc::new(Self {
+        let (queue, outgoing) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let connection = Rc::new(Self {
             queue,
             pending: RefCell::default(),
             last_received: Cell::new(None),
-            silent_since: Cell::new(None),
-            ended: CancellationToken::new(),
+            unresponsive_since: Cell::new(None),
+            closed: CancellationToken::new(),
         });
-        let running = link.clone();
+        let running = connection.clone();
         spawn_local(async move {
             tokio::select! {
-                () = running.ended.cancelled() => {}
+                () = running.closed.cancelled() => {}
                 () = running.read_answers(reader) => {}
                 _ = write_frames(writer, outgoing, |frame| frame) => {}
             }
-            running.end();
+            running.close();
         });
-        link
+        connection
     }
 
     /// Those who wait for answers learn that the connection is lost.
-    fn end(&self) {
-        self.ended.cancel();
+    fn close(&self) {
+        self.closed.cancel();
         self.pending.borrow_mut().clear();
     }
 
     async fn read_answers(&self, reader: OwnedReadHalf) {
-        let mut frames = FramedRead::new(Heard { reader, link: self }, framing());
+        let mut frames = FramedRead::new(ActivityReader { reader, connection: self }, framing());
         while let Some(Ok(bytes)) = frames.next().await {
             match decode(&bytes) {
-                Ok(Frame::Answer(number, answer)) => {
-                    let caller = self.pending.borrow_mut().remove(&number);
+                Ok(Frame::Answer(call_id, answer)) => {
+                    let caller = self.pending.borrow_mut().remove(&call_id);
                     if let Some(caller) = caller {
                         // Fails if the caller has lost its patience.
                         let _ = caller.send(answer);
@@ -365,11 +370,11 @@
                 }
                 Ok(Frame::Push(_)) => {}
                 Ok(Frame::Call(..)) => {
-                    log::warn!("closed a connection: a call came where answers are due");
+                    log::warn!("closing a connection: received a call from a server");
                     return;
                 }
                 Err(error) => {
-                    log::warn!("closed a connection: {error}");
+                    log::warn!("closing a connection: {error}");
                     return;
                 }
             }
@@ -377,26 +382,26 @@
     }
 
     /// A call that was sent then has timed out.
-    fn heard_nothing_since(self: &Rc<Self>, sent: Instant, silence: Duration) {
-        if self.last_received.get().is_some_and(|received| received >= sent) || self.ended.is_cancelled() {
+    fn handle_call_timeout(self: &Rc<Self>, sent: Instant, silence_timeout: Duration) {
+        if self.last_received.get().is_some_and(|received| received >= sent) || self.closed.is_cancelled() {
             return;
         }
-        if self.silent_since.get().is_some_and(|since| since <= sent) {
-            return; // The end of the silence is awaited already.
+        if self.unresponsive_since.get().is_some_and(|since| since <= sent) {
+            return; // A check is scheduled already.
         }
-        self.silent_since.set(Some(sent));
-        let end = sent + silence;
-        if Instant::now() >= end {
-            self.end();
+        self.unresponsive_since.set(Some(sent));
+        let close_at = sent + silence_timeout;
+        if Instant::now() >= close_at {
+            self.close();
             return;
         }
-        let link = self.clone();
+        let connection = self.clone();
         spawn_local(async move {
             tokio::select! {
-                () = link.ended.cancelled() => {}
-                () = sleep_until(end) => {
-                    if link.silent_since.get() == Some(sent) {
-                        link.end();
+                () = connection.closed.cancelled() => {}
+                () = sleep_until(close_at) => {
+                    if connection.unresponsive_since.get() == Some(sent) {
+                        connection.close();
                     }
                 }
             }
@@ -405,12 +410,12 @@
 }
 
 /// Notes when bytes came.
-struct Heard<'a> {
+struct ActivityReader<'a> {
     reader: OwnedReadHalf,
-    link: &'a Link,
+    connection: &'a Connection,
 }
 
-impl AsyncRead for Heard<'_> {
+impl AsyncRead for ActivityReader<'_> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -419,8 +424,8 @@
         let before = buf.filled().len();
         let read = Pin::new(&mut self.reader).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.link.last_received.set(Some(Instant::now()));
-            self.link.silent_since.set(None);
+            self.connection.last_received.set(Some(Instant::now()));
+            self.connection.unresponsive_since.set(None);
         }
         read
     }
@@ -431,7 +436,7 @@
 pub struct PushStream {
     frames: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
     /// Came before the answer.
-    early: VecDeque<Push>,
+    pushes_before_answer: VecDeque<Push>,
     /// Dropped, it would close the connection in its direction.
     _writer: Option<OwnedWriteHalf>,
 }
@@ -439,17 +444,17 @@
 impl PushStream {
     /// The next push; nothing once the connection is gone. Loses none when dropped while it waits.
     pub async fn next(&mut self) -> Option<Push> {
-        if let Some(push) = self.early.pop_front() {
+        if let Some(push) = self.pushes_before_answer.pop_front() {
             return Some(push);
         }
-        match self.frame().await? {
+        match self.next_frame().await? {
             Frame::Push(push) => Some(push),
             _ => None,
         }
     }
 
-    async fn frame(&mut self) -> Option<Frame> {
+    async fn next_frame(&mut self) -> Option<Frame> {
         let bytes = self.frames.next().await?.ok()?;
-        decode(&bytes).inspect_err(|error| log::warn!("a feed is closed: {error}")).ok()
+        decode(&bytes).inspect_err(|error| log::warn!("closing a subscription: {error}")).ok()
     }
 }
--- a/system/peer-wire/src/codec.rs
+++ b/system/peer-wire/src/codec.rs
@@ -50,7 +50,7 @@
 
 /// A frame's bytes, without the length that goes before them on a connection.
 pub fn encode(frame: &Frame) -> Result<Bytes, WireError> {
-    let size = bulk(frame);
+    let size = estimated_len(frame);
     if size > MAX_FRAME_LEN {
         return Err(WireError::TooLong(size));
     }
@@ -76,23 +76,23 @@
     }
     let mut rest = bytes;
     // What a message tells of its size is asked for before it is read: no more than these bytes can unpack to.
-    let most = (bytes.len() * WORDS_PER_PACKED_BYTE).min(MAX_FRAME_LEN / 8);
-    let options = ReaderOptions { traversal_limit_in_words: Some(2 * most), nesting_limit: 16 };
+    let max_words = (bytes.len() * WORDS_PER_PACKED_BYTE).min(MAX_FRAME_LEN / 8);
+    let options = ReaderOptions { traversal_limit_in_words: Some(2 * max_words), nesting_limit: 16 };
     let message = serialize_packed::read_message(&mut rest, options)?;
     if !rest.is_empty() {
         return Err(WireError::Trailing(rest.len()));
     }
-    let words = Words(message.size_in_words());
+    let words = MessageWords(message.size_in_words());
     read_frame(message.get_root()?, words)
 }
 
 /// The length of the message that is read.
 #[derive(Clone, Copy)]
-struct Words(usize);
+struct MessageWords(usize);
 
-impl Words {
+impl MessageWords {
     /// A list whose elements have room in the message. Elements without fields take none, however many there are.
-    fn hold<'a, T: OwnedStruct>(
+    fn check_len<'a, T: OwnedStruct>(
         self,
         list: struct_list::Reader<'a, T>,
     ) -> Result<struct_list::Reader<'a, T>, WireError>
@@ -102,13 +102,13 @@
         let element = <T::Builder<'a> as HasStructSize>::STRUCT_SIZE.total() as usize;
         match list.len() as usize * element <= self.0 {
             true => Ok(list),
-            false => Err(malformed("a list longer than the message")),
+            false => Err(malformed("a list is longer than the message")),
         }
     }
 }
 
 /// About how many bytes the long fields of a frame take.
-fn bulk(frame: &Frame) -> usize {
+fn estimated_len(frame: &Frame) -> usize {
     fn endpoints(list: &[Endpoint]) -> usize {
         list.iter().map(|e| 72 + e.instance_id.len() + e.service.len() + e.zone.len()).sum()
     }
@@ -121,7 +121,7 @@
     }
     match frame {
         Frame::Call(_, Call::Register(RegisterRequest::Accept(value))) => accepted(value),
-        Frame::Call(_, Call::StoreTurn { turn: kept, .. }) => turn(kept),
+        Frame::Call(_, Call::StoreTurn { turn: stored, .. }) => turn(stored),
         Frame::Call(..) => 0,
         Frame::Answer(_, answer) => match answer {
             Answer::Register(RegisterReply::Promised(Some(value)) | RegisterReply::Fetched(Some(value))) => {
@@ -140,8 +140,8 @@
             Push::Heartbeat { .. } => 0,
             Push::Value(value) => value.payload.len() + 4 * value.voters.len(),
             Push::List(list) => endpoints(&list.endpoints),
-            Push::ListDelta { upserted: put, removed: gone, .. } => {
-                endpoints(put) + gone.iter().map(|id| 16 + id.len()).sum::<usize>()
+            Push::ListDelta { upserted, removed, .. } => {
+                endpoints(upserted) + removed.iter().map(|id| 16 + id.len()).sum::<usize>()
             }
         },
     }
@@ -149,244 +149,247 @@
 
 /// A list's length as the schema's compiler wants it. [`encode`] refuses long frames before it writes them, so that what
 /// is longer cannot come here but with lists of empty things, of which none are sent.
-fn count(len: usize) -> u32 {
+fn list_len(len: usize) -> u32 {
     u32::try_from(len).unwrap_or(u32::MAX)
 }
 
-fn write_frame(mut to: wire::frame::Builder<'_>, frame: &Frame) {
+fn write_frame(mut builder: wire::frame::Builder<'_>, frame: &Frame) {
     match frame {
-        Frame::Call(number, call) => {
-            to.set_number(*number);
-            write_call(to.init_call(), call);
+        Frame::Call(call_id, call) => {
+            builder.set_number(*call_id);
+            write_call(builder.init_call(), call);
         }
-        Frame::Answer(number, answer) => {
-            to.set_number(*number);
-            write_answer(to.init_answer(), answer);
+        Frame::Answer(call_id, answer) => {
+            builder.set_number(*call_id);
+            write_answer(builder.init_answer(), answer);
         }
-        Frame::Push(push) => write_push(to.init_push(), push),
+        Frame::Push(push) => write_push(builder.init_push(), push),
     }
 }
 
-fn read_frame(from: wire::frame::Reader<'_>, words: Words) -> Result<Frame, WireError> {
-    let number = from.get_number();
-    Ok(match from.which()? {
-        wire::frame::Nothing(()) => return Err(malformed("nothing in it")),
-        wire::frame::Call(call) => Frame::Call(number, read_call(call?)?),
-        wire::frame::Answer(answer) => Frame::Answer(number, read_answer(answer?, words)?),
+fn read_frame(reader: wire::frame::Reader<'_>, words: MessageWords) -> Result<Frame, WireError> {
+    let call_id = reader.get_number();
+    Ok(match reader.which()? {
+        wire::frame::Nothing(()) => return Err(malformed("the frame is empty")),
+        wire::frame::Call(call) => Frame::Call(call_id, read_call(call?)?),
+        wire::frame::Answer(answer) => Frame::Answer(call_id, read_answer(answer?, words)?),
         wire::frame::Push(push) => Frame::Push(read_push(push?, words)?),
     })
 }
 
-fn write_call(mut to: wire::call::Builder<'_>, call: &Call) {
+fn write_call(mut builder: wire::call::Builder<'_>, call: &Call) {
     match call {
-        Call::Register(request) => write_register_request(to.init_register(), request),
-        Call::JoinCore { ip } => to.init_join_core().set_ip((*ip).into()),
-        Call::JoinStorage { store } => write_store(to.init_join_storage(), store),
+        Call::Register(request) => write_register_request(builder.init_register(), request),
+        Call::JoinCore { ip } => builder.init_join_core().set_ip((*ip).into()),
+        Call::JoinStorage { store } => write_storage_node(builder.init_join_storage(), store),
         Call::InSync { disk, epoch } => {
-            let mut to = to.init_filled();
-            to.set_disk(*disk);
-            to.set_epoch(*epoch);
+            let mut builder = builder.init_filled();
+            builder.set_disk(*disk);
+            builder.set_epoch(*epoch);
         }
         Call::Subscribe { ip, zone, urgent, value, list } => {
-            let mut to = to.init_subscribe();
-            to.set_ip((*ip).into());
-            to.set_zone(zone);
-            to.set_urgent(*urgent);
-            write_ballot(to.reborrow().init_value(), value);
-            write_list_version(to.init_list(), *list);
+            let mut builder = builder.init_subscribe();
+            builder.set_ip((*ip).into());
+            builder.set_zone(zone);
+            builder.set_urgent(*urgent);
+            write_ballot(builder.reborrow().init_value(), value);
+            write_list_version(builder.init_list(), *list);
         }
         Call::Reserve { epoch, program, reservation } => {
-            let mut to = to.init_reserve();
-            to.set_epoch(*epoch);
-            to.set_program(program);
-            to.set_attempt(reservation.attempt);
-            to.set_tokens(reservation.tokens);
+            let mut builder = builder.init_reserve();
+            builder.set_epoch(*epoch);
+            builder.set_program(program);
+            builder.set_attempt(reservation.attempt);
+            builder.set_tokens(reservation.tokens);
         }
         Call::Settle { epoch, program, reservation } => {
-            let mut to = to.init_settle();
-            to.set_epoch(*epoch);
-            to.set_program(program);
-            to.set_attempt(reservation.attempt);
-            to.set_tokens(reservation.tokens);
+            let mut builder = builder.init_settle();
+            builder.set_epoch(*epoch);
+            builder.set_program(program);
+            builder.set_attempt(reservation.attempt);
+            builder.set_tokens(reservation.tokens);
         }
         Call::ReadAccount { epoch, program } => {
-            let mut to = to.init_read_account();
-            to.set_epoch(*epoch);
-            to.set_program(program);
+            let mut builder = builder.init_read_account();
+            builder.set_epoch(*epoch);
+            builder.set_program(program);
         }
         Call::StoreTurn { epoch, turn } => {
-            let mut to = to.init_keep_turn();
-            to.set_epoch(*epoch);
-            write_turn(to.init_turn(), turn);
+            let mut builder = builder.init_keep_turn();
+            builder.set_epoch(*epoch);
+            write_turn(builder.init_turn(), turn);
         }
         Call::ReadChain { epoch, attempt } => {
-            let mut to = to.init_read_chain();
-            to.set_epoch(*epoch);
-            to.set_attempt(attempt);
+            let mut builder = builder.init_read_chain();
+            builder.set_epoch(*epoch);
+            builder.set_attempt(attempt);
         }
         Call::Backfill { epoch, disk, cursor } => {
-            let mut to = to.init_fill();
-            to.set_epoch(*epoch);
-            to.set_disk(*disk);
-            to.set_cursor(cursor);
+            let mut builder = builder.init_fill();
+            builder.set_epoch(*epoch);
+            builder.set_disk(*disk);
+            builder.set_cursor(cursor);
         }
         Call::BackfillDone { epoch, disk } => {
-            let mut to = to.init_fill_done();
-            to.set_epoch(*epoch);
-            to.set_disk(*disk);
+            let mut builder = builder.init_fill_done();
+            builder.set_epoch(*epoch);
+            builder.set_disk(*disk);
         }
-        Call::Inspect { topic } => to.set_inspect(topic),
+        Call::Inspect { topic } => builder.set_inspect(topic),
     }
 }
 
-fn read_call(from: wire::call::Reader<'_>) -> Result<Call, WireError> {
+fn read_call(reader: wire::call::Reader<'_>) -> Result<Call, WireError> {
     use wire::call::Which;
-    Ok(match from.which()? {
+    Ok(match reader.which()? {
         Which::Register(request) => Call::Register(read_register_request(request?)?),
-        Which::JoinCore(from) => Call::JoinCore { ip: from.get_ip().into() },
-        Which::JoinStorage(store) => Call::JoinStorage { store: read_store(store?)? },
-        Which::Filled(from) => Call::InSync { disk: from.get_disk(), epoch: from.get_epoch() },
-        Which::Subscribe(from) => Call::Subscribe {
-            ip: from.get_ip().into(),
-            zone: read_text(from.get_zone()?)?,
-            urgent: from.get_urgent(),
-            value: read_ballot(from.get_value()?),
-            list: read_list_version(from.get_list()?),
+        Which::JoinCore(reader) => Call::JoinCore { ip: reader.get_ip().into() },
+        Which::JoinStorage(store) => Call::JoinStorage { store: read_storage_node(store?)? },
+        Which::Filled(reader) => Call::InSync { disk: reader.get_disk(), epoch: reader.get_epoch() },
+        Which::Subscribe(reader) => Call::Subscribe {
+            ip: reader.get_ip().into(),
+            zone: read_text(reader.get_zone()?)?,
+            urgent: reader.get_urgent(),
+            value: read_ballot(reader.get_value()?),
+            list: read_list_version(reader.get_list()?),
         },
-        Which::Reserve(from) => Call::Reserve {
-            epoch: from.get_epoch(),
-            program: read_text(from.get_program()?)?,
-            reservation: Reservation { attempt: from.get_attempt(), tokens: from.get_tokens() },
+        Which::Reserve(reader) => Call::Reserve {
+            epoch: reader.get_epoch(),
+            program: read_text(reader.get_program()?)?,
+            reservation: Reservation { attempt: reader.get_attempt(), tokens: reader.get_tokens() },
         },
-        Which::Settle(from) => Call::Settle {
-            epoch: from.get_epoch(),
-            program: read_text(from.get_program()?)?,
-            reservation: Reservation { attempt: from.get_attempt(), tokens: from.get_tokens() },
+        Which::Settle(reader) => Call::Settle {
+            epoch: reader.get_epoch(),
+            program: read_text(reader.get_program()?)?,
+            reservation: Reservation { attempt: reader.get_attempt(), tokens: reader.get_tokens() },
         },
-        Which::ReadAccount(from) => {
-            Call::ReadAccount { epoch: from.get_epoch(), program: read_text(from.get_program()?)? }
+        Which::ReadAccount(reader) => {
+            Call::ReadAccount { epoch: reader.get_epoch(), program: read_text(reader.get_program()?)? }
         }
-        Which::KeepTurn(from) => {
-            Call::StoreTurn { epoch: from.get_epoch(), turn: read_turn(from.get_turn()?)? }
+        Which::KeepTurn(reader) => {
+            Call::StoreTurn { epoch: reader.get_epoch(), turn: read_turn(reader.get_turn()?)? }
         }
-        Which::ReadChain(from) => {
-            Call::ReadChain { epoch: from.get_epoch(), attempt: read_text(from.get_attempt()?)? }
+        Which::ReadChain(reader) => {
+            Call::ReadChain { epoch: reader.get_epoch(), attempt: read_text(reader.get_attempt()?)? }
         }
-        Which::Fill(from) => Call::Backfill {
-            epoch: from.get_epoch(),
-            disk: from.get_disk(),
-            cursor: Bytes::copy_from_slice(from.get_cursor()?),
+        Which::Fill(reader) => Call::Backfill {
+            epoch: reader.get_epoch(),
+            disk: reader.get_disk(),
+            cursor: Bytes::copy_from_slice(reader.get_cursor()?),
         },
-        Which::FillDone(from) => Call::BackfillDone { epoch: from.get_epoch(), disk: from.get_disk() },
+        Which::FillDone(reader) => Call::BackfillDone { epoch: reader.get_epoch(), disk: reader.get_disk() },
         Which::Inspect(topic) => Call::Inspect { topic: read_text(topic?)? },
     })
 }
 
-fn write_answer(mut to: wire::answer::Builder<'_>, answer: &Answer) {
+fn write_answer(mut builder: wire::answer::Builder<'_>, answer: &Answer) {
     match answer {
-        Answer::Register(reply) => write_register_reply(to.init_register(), reply),
-        Answer::Done => to.set_done(()),
-        Answer::NotReady => to.set_unready(()),
+        Answer::Register(reply) => write_register_reply(builder.init_register(), reply),
+        Answer::Done => builder.set_done(()),
+        Answer::NotReady => builder.set_unready(()),
         Answer::Redirect(addresses) => {
-            let mut to = to.init_redirect(count(addresses.len()));
+            let mut builder = builder.init_redirect(list_len(addresses.len()));
             for (index, address) in (0..).zip(addresses) {
-                let mut to = to.reborrow().get(index);
-                to.set_ip((*address.ip()).into());
-                to.set_port(address.port());
+                let mut builder = builder.reborrow().get(index);
+                builder.set_ip((*address.ip()).into());
+                builder.set_port(address.port());
             }
         }
-        Answer::WrongEpoch(epoch) => to.set_wrong_epoch(*epoch),
+        Answer::WrongEpoch(epoch) => builder.set_wrong_epoch(*epoch),
         Answer::Account(reservations) => {
-            write_reservations(to.init_account(count(reservations.len())), reservations);
+            write_reservations(builder.init_account(list_len(reservations.len())), reservations);
         }
         Answer::Chain { text, missing } => {
-            let mut to = to.init_chain();
-            to.set_text(text);
+            let mut builder = builder.init_chain();
+            builder.set_text(text);
             if let Some(missing) = missing {
-                to.set_missing(missing);
+                builder.set_missing(missing);
             }
         }
-        Answer::Absent { complete } => to.init_absent().set_complete(*complete),
+        Answer::Absent { complete } => builder.init_absent().set_complete(*complete),
         Answer::Records { turns, accounts, cursor } => {
-            let mut to = to.init_records();
-            let mut list = to.reborrow().init_turns(count(turns.len()));
+            let mut builder = builder.init_records();
+            let mut list = builder.reborrow().init_turns(list_len(turns.len()));
             for (index, turn) in (0..).zip(turns) {
                 write_turn(list.reborrow().get(index), turn);
             }
-            let mut list = to.reborrow().init_accounts(count(accounts.len()));
+            let mut list = builder.reborrow().init_accounts(list_len(accounts.len()));
             for (index, (program, reservations)) in (0..).zip(accounts) {
-                let mut to = list.reborrow().get(index);
-                to.set_program(program);
-                write_reservations(to.init_reservations(count(reservations.len())), reservations);
+                let mut builder = list.reborrow().get(index);
+                builder.set_program(program);
+                write_reservations(builder.init_reservations(list_len(reservations.len())), reservations);
             }
             if let Some(cursor) = cursor {
-                to.set_cursor(cursor);
+                builder.set_cursor(cursor);
             }
         }
-        Answer::View(json) => to.set_view(json),
+        Answer::View(json) => builder.set_view(json),
     }
 }
 
-fn read_answer(from: wire::answer::Reader<'_>, words: Words) -> Result<Answer, WireError> {
+fn read_answer(reader: wire::answer::Reader<'_>, words: MessageWords) -> Result<Answer, WireError> {
     use wire::answer::Which;
-    Ok(match from.which()? {
+    Ok(match reader.which()? {
         Which::Register(reply) => Answer::Register(read_register_reply(reply?)?),
         Which::Done(()) => Answer::Done,
         Which::Unready(()) => Answer::NotReady,
         Which::Redirect(addresses) => Answer::Redirect(
             words
-                .hold(addresses?)?
+                .check_len(addresses?)?
                 .iter()
                 .map(|address| SocketAddrV4::new(address.get_ip().into(), address.get_port()))
                 .collect(),
         ),
         Which::WrongEpoch(epoch) => Answer::WrongEpoch(epoch),
-        Which::Account(reservations) => Answer::Account(read_reservations(words.hold(reservations?)?)),
-        Which::Chain(from) => Answer::Chain {
-            text: Bytes::copy_from_slice(from.get_text()?),
-            missing: from.has_missing().then(|| read_text(from.get_missing()?)).transpose()?,
+        Which::Account(reservations) => Answer::Account(read_reservations(words.check_len(reservations?)?)),
+        Which::Chain(reader) => Answer::Chain {
+            text: Bytes::copy_from_slice(reader.get_text()?),
+            missing: reader.has_missing().then(|| read_text(reader.get_missing()?)).transpose()?,
         },
-        Which::Absent(from) => Answer::Absent { complete: from.get_complete() },
-        Which::Records(from) => Answer::Records {
-            turns: words.hold(from.get_turns()?)?.iter().map(read_turn).collect::<Result<_, _>>()?,
+        Which::Absent(reader) => Answer::Absent { complete: reader.get_complete() },
+        Which::Records(reader) => Answer::Records {
+            turns: words.check_len(reader.get_turns()?)?.iter().map(read_turn).collect::<Result<_, _>>()?,
             accounts: words
-                .hold(from.get_accounts()?)?
+                .check_len(reader.get_accounts()?)?
                 .iter()
                 .map(|account| {
-                    let reservations = words.hold(account.get_reservations()?)?;
+                    let reservations = words.check_len(account.get_reservations()?)?;
                     Ok((read_text(account.get_program()?)?, read_reservations(reservations)))
                 })
                 .collect::<Result<_, WireError>>()?,
-            cursor: from.has_cursor().then(|| from.get_cursor().map(Bytes::copy_from_slice)).transpose()?,
+            cursor: reader
+                .has_cursor()
+                .then(|| reader.get_cursor().map(Bytes::copy_from_slice))
+                .transpose()?,
         },
         Which::View(json) => Answer::View(read_text(json?)?),
     })
 }
 
-fn write_push(to: wire::push::Builder<'_>, push: &Push) {
+fn write_push(builder: wire::push::Builder<'_>, push: &Push) {
     match push {
         Push::Heartbeat { age_ms, proxies } => {
-            let mut to = to.init_beat();
-            to.set_age_ms(*age_ms);
-            to.set_proxies(*proxies);
+            let mut builder = builder.init_beat();
+            builder.set_age_ms(*age_ms);
+            builder.set_proxies(*proxies);
         }
         Push::Value(value) => {
-            let mut to = to.init_value();
-            write_ballot(to.reborrow().init_ballot(), &value.ballot);
-            write_ips(to.reborrow().init_voters(count(value.voters.len())), &value.voters);
-            to.set_payload(&value.payload);
+            let mut builder = builder.init_value();
+            write_ballot(builder.reborrow().init_ballot(), &value.ballot);
+            write_ips(builder.reborrow().init_voters(list_len(value.voters.len())), &value.voters);
+            builder.set_payload(&value.payload);
         }
         Push::List(list) => {
-            let mut to = to.init_list();
-            write_list_version(to.reborrow().init_stamp(), list.version);
-            write_endpoints(to.init_endpoints(count(list.endpoints.len())), &list.endpoints);
+            let mut builder = builder.init_list();
+            write_list_version(builder.reborrow().init_stamp(), list.version);
+            write_endpoints(builder.init_endpoints(list_len(list.endpoints.len())), &list.endpoints);
         }
         Push::ListDelta { base, version, upserted, removed } => {
-            let mut to = to.init_list_change();
-            write_list_version(to.reborrow().init_base(), *base);
-            write_list_version(to.reborrow().init_stamp(), *version);
-            write_endpoints(to.reborrow().init_put(count(upserted.len())), upserted);
-            let mut list = to.init_gone(count(removed.len()));
+            let mut builder = builder.init_list_change();
+            write_list_version(builder.reborrow().init_base(), *base);
+            write_list_version(builder.reborrow().init_stamp(), *version);
+            write_endpoints(builder.reborrow().init_put(list_len(upserted.len())), upserted);
+            let mut list = builder.init_gone(list_len(removed.len()));
             for (index, instance) in (0..).zip(removed) {
                 list.set(index, instance);
             }
@@ -394,24 +397,24 @@
     }
 }
 
-fn read_push(from: wire::push::Reader<'_>, words: Words) -> Result<Push, WireError> {
+fn read_push(reader: wire::push::Reader<'_>, words: MessageWords) -> Result<Push, WireError> {
     use wire::push::Which;
-    Ok(match from.which()? {
-        Which::Beat(from) => Push::Heartbeat { age_ms: from.get_age_ms(), proxies: from.get_proxies() },
-        Which::Value(from) => Push::Value(ChosenValue {
-            ballot: read_ballot(from.get_ballot()?),
-            voters: read_ips(from.get_voters()?),
-            payload: Bytes::copy_from_slice(from.get_payload()?),
+    Ok(match reader.which()? {
+        Which::Beat(reader) => Push::Heartbeat { age_ms: reader.get_age_ms(), proxies: reader.get_proxies() },
+        Which::Value(reader) => Push::Value(ChosenValue {
+            ballot: read_ballot(reader.get_ballot()?),
+            voters: read_ips(reader.get_voters()?),
+            payload: Bytes::copy_from_slice(reader.get_payload()?),
         }),
-        Which::List(from) => Push::List(EndpointList {
-            version: read_list_version(from.get_stamp()?),
-            endpoints: read_endpoints(words.hold(from.get_endpoints()?)?)?,
+        Which::List(reader) => Push::List(EndpointList {
+            version: read_list_version(reader.get_stamp()?),
+            endpoints: read_endpoints(words.check_len(reader.get_endpoints()?)?)?,
         }),
-        Which::ListChange(from) => Push::ListDelta {
-            base: read_list_version(from.get_base()?),
-            version: read_list_version(from.get_stamp()?),
-            upserted: read_endpoints(words.hold(from.get_put()?)?)?,
-            removed: from
+        Which::ListChange(reader) => Push::ListDelta {
+            base: read_list_version(reader.get_base()?),
+            version: read_list_version(reader.get_stamp()?),
+            upserted: read_endpoints(words.check_len(reader.get_put()?)?)?,
+            removed: reader
                 .get_gone()?
                 .iter()
                 .map(|instance| read_text(instance?))
@@ -420,18 +423,18 @@
     })
 }
 
-fn write_register_request(mut to: wire::register_request::Builder<'_>, request: &RegisterRequest) {
+fn write_register_request(mut builder: wire::register_request::Builder<'_>, request: &RegisterRequest) {
     match request {
-        RegisterRequest::Prepare(ballot) => write_ballot(to.init_prepare(), ballot),
-        RegisterRequest::Accept(value) => write_accepted(to.init_accept(), value),
-        RegisterRequest::Poll { chosen } => write_ballot(to.init_poll(), chosen),
-        RegisterRequest::Fetch => to.set_fetch(()),
+        RegisterRequest::Prepare(ballot) => write_ballot(builder.init_prepare(), ballot),
+        RegisterRequest::Accept(value) => write_accepted(builder.init_accept(), value),
+        RegisterRequest::Poll { chosen } => write_ballot(builder.init_poll(), chosen),
+        RegisterRequest::Fetch => builder.set_fetch(()),
     }
 }
 
-fn read_register_request(from: wire::register_request::Reader<'_>) -> Result<RegisterRequest, WireError> {
+fn read_register_request(reader: wire::register_request::Reader<'_>) -> Result<RegisterRequest, WireError> {
     use wire::register_request::Which;
-    Ok(match from.which()? {
+    Ok(match reader.which()? {
         Which::Prepare(ballot) => RegisterRequest::Prepare(read_ballot(ballot?)),
         Which::Accept(value) => RegisterRequest::Accept(read_accepted(value?)?),
         Which::Poll(chosen) => RegisterRequest::Poll { chosen: read_ballot(chosen?) },
@@ -439,73 +442,73 @@
     })
 }
 
-fn write_register_reply(mut to: wire::register_reply::Builder<'_>, reply: &RegisterReply) {
+fn write_register_reply(mut builder: wire::register_reply::Builder<'_>, reply: &RegisterReply) {
     match reply {
         RegisterReply::Promised(value) => {
-            let to = to.init_promised();
+            let builder = builder.init_promised();
             if let Some(value) = value {
-                write_accepted(to.init_value(), value);
+                write_accepted(builder.init_value(), value);
             }
         }
-        RegisterReply::Accepted => to.set_accepted(()),
-        RegisterReply::Rejected(ballot) => write_ballot(to.init_refused(), ballot),
-        RegisterReply::Recovering => to.set_unfit(()),
+        RegisterReply::Accepted => builder.set_accepted(()),
+        RegisterReply::Rejected(ballot) => write_ballot(builder.init_refused(), ballot),
+        RegisterReply::Recovering => builder.set_unfit(()),
         RegisterReply::Polled { accepted, chosen } => {
-            let mut to = to.init_polled();
+            let mut builder = builder.init_polled();
             if let Some(accepted) = accepted {
-                write_ballot(to.reborrow().init_accepted(), accepted);
+                write_ballot(builder.reborrow().init_accepted(), accepted);
             }
-            write_ballot(to.init_chosen(), chosen);
+            write_ballot(builder.init_chosen(), chosen);
         }
         RegisterReply::Fetched(value) => {
-            let to = to.init_fetched();
+            let builder = builder.init_fetched();
             if let Some(value) = value {
-                write_accepted(to.init_value(), value);
+                write_accepted(builder.init_value(), value);
             }
         }
     }
 }
 
-fn read_register_reply(from: wire::register_reply::Reader<'_>) -> Result<RegisterReply, WireError> {
+fn read_register_reply(reader: wire::register_reply::Reader<'_>) -> Result<RegisterReply, WireError> {
     use wire::register_reply::Which;
     let some = |has: bool, value: capnp::Result<wire::accepted_value::Reader<'_>>| {
         has.then(|| read_accepted(value?)).transpose()
     };
-    Ok(match from.which()? {
-        Which::Promised(from) => RegisterReply::Promised(some(from.has_value(), from.get_value())?),
+    Ok(match reader.which()? {
+        Which::Promised(reader) => RegisterReply::Promised(some(reader.has_value(), reader.get_value())?),
         Which::Accepted(()) => RegisterReply::Accepted,
         Which::Refused(ballot) => RegisterReply::Rejected(read_ballot(ballot?)),
         Which::Unfit(()) => RegisterReply::Recovering,
-        Which::Polled(from) => RegisterReply::Polled {
-            accepted: from.has_accepted().then(|| from.get_accepted().map(read_ballot)).transpose()?,
-            chosen: read_ballot(from.get_chosen()?),
+        Which::Polled(reader) => RegisterReply::Polled {
+            accepted: reader.has_accepted().then(|| reader.get_accepted().map(read_ballot)).transpose()?,
+            chosen: read_ballot(reader.get_chosen()?),
         },
-        Which::Fetched(from) => RegisterReply::Fetched(some(from.has_value(), from.get_value())?),
+        Which::Fetched(reader) => RegisterReply::Fetched(some(reader.has_value(), reader.get_value())?),
     })
 }
 
-fn write_ballot(mut to: wire::ballot::Builder<'_>, ballot: &Ballot) {
-    to.set_round(ballot.round);
-    to.set_proposer(ballot.proposer);
-    to.set_life(ballot.incarnation);
+fn write_ballot(mut builder: wire::ballot::Builder<'_>, ballot: &Ballot) {
+    builder.set_round(ballot.round);
+    builder.set_proposer(ballot.proposer);
+    builder.set_life(ballot.incarnation);
 }
 
-fn read_ballot(from: wire::ballot::Reader<'_>) -> Ballot {
-    Ballot { round: from.get_round(), proposer: from.get_proposer(), incarnation: from.get_life() }
+fn read_ballot(reader: wire::ballot::Reader<'_>) -> Ballot {
+    Ballot { round: reader.get_round(), proposer: reader.get_proposer(), incarnation: reader.get_life() }
 }
 
-fn write_accepted(mut to: wire::accepted_value::Builder<'_>, accepted: &AcceptedValue) {
-    write_ballot(to.reborrow().init_ballot(), &accepted.ballot);
-    let mut to = to.init_value();
-    to.set_epoch(accepted.value.epoch);
-    write_ips(to.reborrow().init_voters(count(accepted.value.voters.len())), &accepted.value.voters);
-    to.set_payload(&accepted.value.payload);
+fn write_accepted(mut builder: wire::accepted_value::Builder<'_>, accepted: &AcceptedValue) {
+    write_ballot(builder.reborrow().init_ballot(), &accepted.ballot);
+    let mut builder = builder.init_value();
+    builder.set_epoch(accepted.value.epoch);
+    write_ips(builder.reborrow().init_voters(list_len(accepted.value.voters.len())), &accepted.value.voters);
+    builder.set_payload(&accepted.value.payload);
 }
 
-fn read_accepted(from: wire::accepted_value::Reader<'_>) -> Result<AcceptedValue, WireError> {
-    let value = from.get_value()?;
+fn read_accepted(reader: wire::accepted_value::Reader<'_>) -> Result<AcceptedValue, WireError> {
+    let value = reader.get_value()?;
     Ok(AcceptedValue {
-        ballot: read_ballot(from.get_ballot()?),
+        ballot: read_ballot(reader.get_ballot()?),
         value: RegisterValue {
             epoch: value.get_epoch(),
             voters: read_ips(value.get_voters()?),
@@ -514,59 +517,62 @@
     })
 }
 
-fn write_list_version(mut to: wire::stamp::Builder<'_>, version: ListVersion) {
-    to.set_fence(version.token);
-    to.set_reading(version.poll);
+fn write_list_version(mut builder: wire::stamp::Builder<'_>, version: ListVersion) {
+    builder.set_fence(version.token);
+    builder.set_reading(version.poll);
 }
 
-fn read_list_version(from: wire::stamp::Reader<'_>) -> ListVersion {
-    ListVersion::new(from.get_fence(), from.get_reading())
+fn read_list_version(reader: wire::stamp::Reader<'_>) -> ListVersion {
+    ListVersion::new(reader.get_fence(), reader.get_reading())
 }
 
-fn write_ips(mut to: primitive_list::Builder<'_, u32>, ips: &[Ipv4Addr]) {
+fn write_ips(mut builder: primitive_list::Builder<'_, u32>, ips: &[Ipv4Addr]) {
     for (index, ip) in (0..).zip(ips) {
-        to.set(index, (*ip).into());
+        builder.set(index, (*ip).into());
     }
 }
 
-fn read_ips(from: primitive_list::Reader<'_, u32>) -> Vec<Ipv4Addr> {
-    from.iter().map(Ipv4Addr::from).collect()
+fn read_ips(reader: primitive_list::Reader<'_, u32>) -> Vec<Ipv4Addr> {
+    reader.iter().map(Ipv4Addr::from).collect()
 }
 
-fn write_store(mut to: wire::store::Builder<'_>, store: &StorageNode) {
-    to.set_name(&store.name);
-    to.set_ip(store.ip.into());
-    to.set_zone(&store.zone);
-    to.set_disk(store.disk);
+fn write_storage_node(mut builder: wire::store::Builder<'_>, store: &StorageNode) {
+    builder.set_name(&store.name);
+    builder.set_ip(store.ip.into());
+    builder.set_zone(&store.zone);
+    builder.set_disk(store.disk);
 }
 
-fn read_store(from: wire::store::Reader<'_>) -> Result<StorageNode, WireError> {
+fn read_storage_node(reader: wire::store::Reader<'_>) -> Result<StorageNode, WireError> {
     Ok(StorageNode {
-        name: read_text(from.get_name()?)?,
-        ip: from.get_ip().into(),
-        zone: read_text(from.get_zone()?)?,
-        disk: from.get_disk(),
+        name: read_text(reader.get_name()?)?,
+        ip: reader.get_ip().into(),
+        zone: read_text(reader.get_zone()?)?,
+        disk: reader.get_disk(),
     })
 }
 
-fn write_endpoints(mut to: struct_list::Builder<'_, wire::endpoint::Owned>, endpoints: &[Endpoint]) {
+fn write_endpoints(mut builder: struct_list::Builder<'_, wire::endpoint::Owned>, endpoints: &[Endpoint]) {
     for (index, endpoint) in (0..).zip(endpoints) {
-        let mut to = to.reborrow().get(index);
-        to.set_instance_id(&endpoint.instance_id);
-        to.set_service(&endpoint.service);
-        to.set_ip((*endpoint.address.ip()).into());
-        to.set_port(endpoint.address.port());
-        to.set_zone(&endpoint.zone);
-        to.set_capacity_slots(endpoint.capacity_slots);
-        to.set_state(match endpoint.state {
+        let mut builder = builder.reborrow().get(index);
+        builder.set_instance_id(&endpoint.instance_id);
+        builder.set_service(&endpoint.service);
+        builder.set_ip((*endpoint.address.ip()).into());
+        builder.set_port(endpoint.address.port());
+        builder.set_zone(&endpoint.zone);
+        builder.set_capacity_slots(endpoint.capacity_slots);
+        builder.set_state(match endpoint.state {
             EndpointState::Ready => wire::endpoint::State::Ready,
             EndpointState::Draining => wire::endpoint::State::Draining,
         });
     }
 }
 
-fn read_endpoints(from: struct_list::Reader<'_, wire::endpoint::Owned>) -> Result<Vec<Endpoint>, WireError> {
-    from.iter()
+fn read_endpoints(
+    reader: struct_list::Reader<'_, wire::endpoint::Owned>,
+) -> Result<Vec<Endpoint>, WireError> {
+    reader
+        .iter()
         .map(|endpoint| {
             Ok(Endpoint {
                 instance_id: read_text(endpoint.get_instance_id()?)?,
@@ -583,46 +589,46 @@
         .collect()
 }
 
-fn write_turn(mut to: wire::turn::Builder<'_>, turn: &Turn) {
-    to.set_attempt(&turn.attempt);
+fn write_turn(mut builder: wire::turn::Builder<'_>, turn: &Turn) {
+    builder.set_attempt(&turn.attempt);
     if let Some(previous) = &turn.previous {
-        to.set_previous(previous);
+        builder.set_previous(previous);
     }
-    to.set_input(&turn.input);
-    to.set_output(&turn.output);
-    to.set_retention_ms(turn.retention_ms);
-    let mut holders = to.init_holders(count(turn.replicas.len()));
+    builder.set_input(&turn.input);
+    builder.set_output(&turn.output);
+    builder.set_retention_ms(turn.retention_ms);
+    let mut replicas = builder.init_holders(list_len(turn.replicas.len()));
     for (index, disk) in (0..).zip(&turn.replicas) {
-        holders.set(index, *disk);
+        replicas.set(index, *disk);
     }
 }
 
-fn read_turn(from: wire::turn::Reader<'_>) -> Result<Turn, WireError> {
+fn read_turn(reader: wire::turn::Reader<'_>) -> Result<Turn, WireError> {
     Ok(Turn {
-        attempt: read_text(from.get_attempt()?)?,
-        previous: from.has_previous().then(|| read_text(from.get_previous()?)).transpose()?,
-        input: Bytes::copy_from_slice(from.get_input()?),
-        output: Bytes::copy_from_slice(from.get_output()?),
-        retention_ms: from.get_retention_ms(),
-        replicas: from.get_holders()?.iter().collect(),
+        attempt: read_text(reader.get_attempt()?)?,
+        previous: reader.has_previous().then(|| read_text(reader.get_previous()?)).transpose()?,
+        input: Bytes::copy_from_slice(reader.get_input()?),
+        output: Bytes::copy_from_slice(reader.get_output()?),
+        retention_ms: reader.get_retention_ms(),
+        replicas: reader.get_holders()?.iter().collect(),
     })
 }
 
 fn write_reservations(
-    mut to: struct_list::Builder<'_, wire::reservation::Owned>,
+    mut builder: struct_list::Builder<'_, wire::reservation::Owned>,
     reservations: &[Reservation],
 ) {
     for (index, reservation) in (0..).zip(reservations) {
-        let mut to = to.reborrow().get(index);
-        to.set_attempt(reservation.attempt);
-        to.set_tokens(reservation.tokens);
+        let mut builder = builder.reborrow().get(index);
+        builder.set_attempt(reservation.attempt);
+        builder.set_tokens(reservation.tokens);
     }
 }
 
-fn read_reservations(from: struct_list::Reader<'_, wire::reservation::Owned>) -> Vec<Reservation> {
-    from.iter().map(|r| Reservation { attempt: r.get_attempt(), tokens: r.get_tokens() }).collect()
+fn read_reservations(reader: struct_list::Reader<'_, wire::reservation::Owned>) -> Vec<Reservation> {
+    reader.iter().map(|r| Reservation { attempt: r.get_attempt(), tokens: r.get_tokens() }).collect()
 }
 
-fn read_text(from: text::Reader<'_>) -> Result<String, WireError> {
-    Ok(from.to_str()?.to_owned())
+fn read_text(reader: text::Reader<'_>) -> Result<String, WireError> {
+    Ok(reader.to_str()?.to_owned())
 }
--- a/system/peer-wire/src/framing.rs
+++ b/system/peer-wire/src/framing.rs
@@ -20,18 +20,18 @@
 /// Length of the hello that each side sends once: four bytes of magic, the version and the fleet's number, big-endian.
 pub const HELLO_LEN: usize = 8;
 
-const MAGIC: [u8; 4] = *b"MDpw";
+const HELLO_MAGIC: [u8; 4] = *b"MDpw";
 
 /// How long the kernel waits for sent bytes to be acknowledged before it breaks the connection.
-const USER_TIMEOUT: Duration = Duration::from_secs(2);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// After so long without traffic the kernel asks whether the other machine is still there.
-const KEEPALIVE: Duration = Duration::from_secs(60);
+const TCP_KEEPALIVE_IDLE: Duration = Duration::from_secs(60);
 
 /// The hello of a member of this fleet.
 pub(crate) fn hello(fleet: u16) -> [u8; HELLO_LEN] {
     let mut hello = [0; HELLO_LEN];
-    hello[..4].copy_from_slice(&MAGIC);
+    hello[..4].copy_from_slice(&HELLO_MAGIC);
     hello[4..6].copy_from_slice(&PROTOCOL_VERSION.to_be_bytes());
     hello[6..].copy_from_slice(&fleet.to_be_bytes());
     hello
@@ -39,9 +39,9 @@
 
 /// Reads the other side's hello; tells whether it is of this fleet.
 pub(crate) async fn read_hello(stream: &mut (impl AsyncRead + Unpin), fleet: u16) -> io::Result<bool> {
-    let mut read = [0; HELLO_LEN];
-    stream.read_exact(&mut read).await?;
-    Ok(read == hello(fleet))
+    let mut received = [0; HELLO_LEN];
+    stream.read_exact(&mut received).await?;
+    Ok(received == hello(fleet))
 }
 
 /// Frames with their length before them, as four bytes.
@@ -50,33 +50,33 @@
 }
 
 /// Sends at once, and has the kernel notice a peer that is gone.
-pub(crate) fn tune(stream: &TcpStream) -> io::Result<()> {
+pub(crate) fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
 
 /// For the side that only answers: a caller's machine that lost its power would stay connected for ever.
-pub(crate) fn keep_alive(stream: &TcpStream) -> io::Result<()> {
-    SockRef::from(stream).set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE))
+pub(crate) fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
+    SockRef::from(stream).set_tcp_keepalive(&TcpKeepalive::new().with_time(TCP_KEEPALIVE_IDLE))
 }
 
 /// So many bytes go into one write, unless a single frame is longer.
-const WRITE_LEN: usize = 64 << 10;
+const WRITE_BUFFER_BYTES: usize = 64 << 10;
 
 /// Writes what is queued; what waits at one time goes out together. `take` gives an item's frame.
 pub(crate) async fn write_frames<T>(
     writer: OwnedWriteHalf,
     mut queue: mpsc::Receiver<T>,
-    mut take: impl FnMut(T) -> Bytes,
+    mut into_frame: impl FnMut(T) -> Bytes,
 ) -> io::Result<()> {
     let mut sink = FramedWrite::new(writer, framing());
-    sink.set_backpressure_boundary(WRITE_LEN);
+    sink.set_backpressure_boundary(WRITE_BUFFER_BYTES);
     while let Some(mut item) = queue.recv().await {
         loop {
-            SinkExt::<Bytes>::feed(&mut sink, take(item)).await?;
+            SinkExt::<Bytes>::feed(&mut sink, into_frame(item)).await?;
             match queue.try_recv() {
-                Ok(more) => item = more,
+                Ok(next) => item = next,
                 Err(_) => break,
             }
         }
--- a/system/peer-wire/src/server.rs
+++ b/system/peer-wire/src/server.rs
@@ -1,7 +1,7 @@
 //! Answering calls.
 
 use crate::codec::{WireError, decode, encode};
-use crate::framing::{framing, hello, keep_alive, read_hello, tune, write_frames};
+use crate::framing::{configure_socket, enable_keepalive, framing, hello, read_hello, write_frames};
 use bytes::Bytes;
 use fleet_model::{Answer, Call, Frame, Push};
 use futures_util::{Stream, StreamExt};
@@ -18,19 +18,19 @@
 use tokio_util::codec::FramedRead;
 
 /// A connection without a hello is closed after so long.
-const HELLO_PATIENCE: Duration = Duration::from_secs(2);
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How many calls of one connection are worked on at once; further ones wait in the socket.
-const CALLS_AT_ONCE: usize = 256;
+const MAX_CONCURRENT_CALLS: usize = 256;
 
 /// How many frames wait to be written on one connection.
-const QUEUE_FRAMES: usize = 512;
+const MAX_QUEUED_FRAMES: usize = 512;
 
 /// How many bytes of pushes wait to be written on one connection; a single push may be longer.
-const QUEUE_PUSH_BYTES: usize = 4 << 20;
+const MAX_QUEUED_PUSH_BYTES: usize = 4 << 20;
 
 /// How long no connection is taken in after that failed, as when files have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What a process does with calls.
 pub trait Handler: 'static {
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub struct Pusher {
     queue: mpsc::Sender<Outgoing>,
-    waiting: Rc<Cell<usize>>,
+    queued_push_bytes: Rc<Cell<usize>>,
 }
 
 /// A frame that is to be written, and how many bytes of it count as waiting pushes.
@@ -75,7 +75,7 @@
         match PreparedPush::new(push) {
             Ok(push) => self.try_send(&push),
             Err(error) => {
-                log::error!("a push cannot be sent: {error}");
+                log::error!("failed to encode a push: {error}");
                 false
             }
         }
@@ -83,13 +83,13 @@
 
     /// As [`Pusher::try_push`], with a push that is encoded already.
     pub fn try_send(&self, push: &PreparedPush) -> bool {
-        let (waiting, push_bytes) = (self.waiting.get(), push.len());
-        if waiting > 0 && waiting + push_bytes > QUEUE_PUSH_BYTES {
+        let (queued_push_bytes, push_bytes) = (self.queued_push_bytes.get(), push.len());
+        if queued_push_bytes > 0 && queued_push_bytes + push_bytes > MAX_QUEUED_PUSH_BYTES {
             return false;
         }
         let queued = self.queue.try_send(Outgoing { frame: push.0.clone(), push_bytes }).is_ok();
         if queued {
-            self.waiting.set(waiting + push_bytes);
+            self.queued_push_bytes.set(queued_push_bytes + push_bytes);
         }
         queued
     }
@@ -105,34 +105,38 @@
     }
 }
 
-/// Takes connections in and hands their calls to a [`Handler`]. Clones share the handler and the count of strangers.
+/// Takes connections in and hands their calls to a [`Handler`]. Clones share the handler and the count of rejected_connections.
 #[derive(Debug)]
 pub struct PeerServer<H> {
     fleet: u16,
     handler: Rc<H>,
-    strangers: Rc<Cell<u64>>,
+    rejected_connections: Rc<Cell<u64>>,
 }
 
 impl<H> Clone for PeerServer<H> {
     fn clone(&self) -> Self {
-        Self { fleet: self.fleet, handler: self.handler.clone(), strangers: self.strangers.clone() }
+        Self {
+            fleet: self.fleet,
+            handler: self.handler.clone(),
+            rejected_connections: self.rejected_connections.clone(),
+        }
     }
 }
 
 /// Why a connection ended.
-enum End {
+enum ConnectionEnd {
     /// The other side left, or the network failed.
-    Gone,
+    Closed,
     /// It is none of the fleet, or does not speak as one.
-    Stranger(String),
+    Rejected(String),
 }
 
-impl From<io::Error> for End {
+impl From<io::Error> for ConnectionEnd {
     fn from(error: io::Error) -> Self {
         // The framing tells of too long a frame in this way.
         match error.kind() {
-            io::ErrorKind::InvalidData => Self::Stranger(error.to_string()),
-            _ => Self::Gone,
+            io::ErrorKind::InvalidData => Self::Rejected(error.to_string()),
+            _ => Self::Closed,
         }
     }
 }
@@ -140,13 +144,13 @@
 impl<H: Handler> PeerServer<H> {
     /// A server for members of this fleet.
     pub fn new(fleet: u16, handler: Rc<H>) -> Self {
-        Self { fleet, handler, strangers: Rc::default() }
+        Self { fleet, handler, rejected_connections: Rc::default() }
     }
 
     /// How many connections were closed since they were none of the fleet's: another hello, or none within 2 s, or bytes
     /// that are no calls.
-    pub fn strangers(&self) -> u64 {
-        self.strangers.get()
+    pub fn rejected_connections(&self) -> u64 {
+        self.rejected_connections.get()
     }
 
     /// Serves until it is dropped, and then closes the connections. Has to run within a `LocalSet`.
@@ -157,11 +161,11 @@
                 accepted = listener.accept() => match accepted {
                     Ok((stream, from)) => {
                         let server = self.clone();
-                        connections.spawn_local(async move { server.connection(stream, from).await });
+                        connections.spawn_local(async move { server.handle_connection(stream, from).await });
                     }
                     Err(error) => {
-                        log::warn!("no connection could be taken in: {error}");
-                        tokio::time::sleep(ACCEPT_PAUSE).await;
+                        log::warn!("failed to accept a connection: {error}");
+                        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
                 Some(_) = connections.join_next() => {}
@@ -169,31 +173,33 @@
         }
     }
 
-    async fn connection(&self, stream: TcpStream, from: SocketAddr) {
-        if let Err(End::Stranger(why)) = self.converse(stream, from).await {
-            self.strangers.set(self.strangers.get() + 1);
-            log::warn!("closed the connection of a stranger at {from}: {why}");
+    async fn handle_connection(&self, stream: TcpStream, from: SocketAddr) {
+        if let Err(ConnectionEnd::Rejected(reason)) = self.serve_connection(stream, from).await {
+            self.rejected_connections.set(self.rejected_connections.get() + 1);
+            log::warn!("rejected a connection from {from}: {reason}");
         }
     }
 
-    async fn converse(&self, mut stream: TcpStream, from: SocketAddr) -> Result<(), End> {
-        tune(&stream)?;
-        keep_alive(&stream)?;
-        match tokio::time::timeout(HELLO_PATIENCE, read_hello(&mut stream, self.fleet)).await {
+    async fn serve_connection(&self, mut stream: TcpStream, from: SocketAddr) -> Result<(), ConnectionEnd> {
+        configure_socket(&stream)?;
+        enable_keepalive(&stream)?;
+        match tokio::time::timeout(HELLO_TIMEOUT, read_hello(&mut stream, self.fleet)).await {
             Ok(Ok(true)) => {}
-            Ok(Ok(false)) => return Err(End::Stranger("another hello".into())),
+            Ok(Ok(false)) => {
+                return Err(ConnectionEnd::Rejected("the hello is of another fleet or version".into()));
+            }
             Ok(Err(error)) => return Err(error.into()),
-            Err(_) => return Err(End::Stranger("no hello".into())),
+            Err(_) => return Err(ConnectionEnd::Rejected("no hello within the time-out".into())),
         }
         stream.write_all(&hello(self.fleet)).await?;
         let (reader, writer) = stream.into_split();
-        let (queue, outgoing) = mpsc::channel(QUEUE_FRAMES);
-        let pusher = Pusher { queue, waiting: Rc::default() };
-        let waiting = pusher.waiting.clone();
+        let (queue, outgoing) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let pusher = Pusher { queue, queued_push_bytes: Rc::default() };
+        let queued_push_bytes = pusher.queued_push_bytes.clone();
         tokio::select! {
             end = self.read_calls(FramedRead::new(reader, framing()), from, pusher) => end,
             written = write_frames(writer, outgoing, |next: Outgoing| {
-                waiting.set(waiting.get() - next.push_bytes);
+                queued_push_bytes.set(queued_push_bytes.get() - next.push_bytes);
                 next.frame
             }) => Ok(written?),
         }
@@ -204,21 +210,21 @@
         mut frames: impl Stream<Item = io::Result<bytes::BytesMut>> + Unpin,
         from: SocketAddr,
         pusher: Pusher,
-    ) -> Result<(), End> {
-        let permits = Arc::new(Semaphore::new(CALLS_AT_ONCE));
+    ) -> Result<(), ConnectionEnd> {
+        let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
         while let Some(bytes) = frames.next().await {
-            let (number, call) = match decode(&bytes?) {
-                Ok(Frame::Call(number, call)) => (number, call),
-                Ok(_) => return Err(End::Stranger("a frame that is no call".into())),
-                Err(error) => return Err(End::Stranger(error.to_string())),
+            let (call_id, call) = match decode(&bytes?) {
+                Ok(Frame::Call(call_id, call)) => (call_id, call),
+                Ok(_) => return Err(ConnectionEnd::Rejected("the frame is not a call".into())),
+                Err(error) => return Err(ConnectionEnd::Rejected(error.to_string())),
             };
             let permit = permits.clone().acquire_owned().await.expect("never closed");
             let (handler, pusher) = (self.handler.clone(), pusher.clone());
             spawn_local(async move {
                 let answer = handler.call(from, call, pusher.clone()).await;
-                let frame = encode(&Frame::Answer(number, answer)).or_else(|error| {
-                    log::error!("an answer cannot be sent: {error}");
-                    encode(&Frame::Answer(number, Answer::NotReady))
+                let frame = encode(&Frame::Answer(call_id, answer)).or_else(|error| {
+                    log::error!("failed to encode an answer: {error}");
+                    encode(&Frame::Answer(call_id, Answer::NotReady))
                 });
                 if let Ok(frame) = frame {
                     // Fails if the caller is gone.
--- a/system/peer-wire/tests/calls.rs
+++ b/system/peer-wire/tests/calls.rs
@@ -348,16 +348,16 @@
         for (bytes, count) in strange.iter().zip(1..) {
             let heard = say(served.address, bytes).await;
             assert!(heard.is_empty() || heard == hello(FLEET), "{heard:?}");
-            assert_that!(served.server.strangers(), eq(count));
+            assert_that!(served.server.rejected_connections(), eq(count));
         }
 
         let stranger = PeerClient::new(served.address, FLEET + 1, None);
         assert_that!(stranger.call(inspect("x"), PATIENCE).await, err(eq(&CallFailure::Unreachable)));
         let subscribed = stranger.subscribe(subscribe(), PATIENCE).await;
         assert!(matches!(subscribed, Err(CallFailure::Unreachable)));
-        assert_that!(served.server.strangers(), eq(7));
+        assert_that!(served.server.rejected_connections(), eq(7));
         assert_that!(served.client().call(inspect("x"), PATIENCE).await, ok(eq(&view("x"))));
-        assert_that!(served.server.strangers(), eq(7));
+        assert_that!(served.server.rejected_connections(), eq(7));
     });
 }
 
@@ -379,7 +379,7 @@
             let length = u32::try_from(bytes.len()).unwrap().to_be_bytes();
             let heard = say(served.address, &[&hello(FLEET)[..], &length, bytes].concat()).await;
             assert!(heard.is_empty() || heard == hello(FLEET), "{heard:?}");
-            assert_that!(served.server.strangers(), eq(count));
+            assert_that!(served.server.rejected_connections(), eq(count));
         }
         assert_that!(served.client().call(inspect("x"), PATIENCE).await, ok(eq(&view("x"))));
     });
