--- a/system/peer-wire/src/client.rs
+++ b/system/peer-wire/src/client.rs
@@ -1,29 +1,26 @@
-//! Calling.
+//! Client side: calls to one peer over a shared connection, and subscriptions.
 
-use crate::codec::{decode, encode};
-use crate::framing::{configure_socket, framing, hello, read_hello, write_frames};
-use bytes::Bytes;
-use fleet_model::{Answer, Call, Frame, Push};
-use futures_util::{SinkExt, StreamExt};
+mod connection;
+mod push_stream;
+
+pub use push_stream::PushStream;
+
+use self::connection::{Connection, PendingCall, connect};
+use crate::codec::encode;
+use crate::framing::framing;
+use fleet_model::{Answer, Call, Frame};
+use futures_util::SinkExt;
 use std::cell::{Cell, RefCell};
-use std::collections::{HashMap, VecDeque};
+use std::collections::VecDeque;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4};
-use std::pin::Pin;
 use std::rc::{Rc, Weak};
-use std::task::{Context, Poll};
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncWriteExt, ReadBuf};
-use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
-use tokio::net::{TcpSocket, TcpStream};
-use tokio::sync::{mpsc, oneshot};
+use tokio::net::TcpStream;
+use tokio::sync::oneshot;
 use tokio::task::spawn_local;
-use tokio::time::{Instant, sleep_until, timeout, timeout_at};
-use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
-use tokio_util::sync::CancellationToken;
-
-/// How many frames wait to be written; further calls wait within their patience.
-const MAX_QUEUED_FRAMES: usize = 1024;
+use tokio::time::{Instant, timeout_at};
+use tokio_util::codec::{FramedRead, FramedWrite};
 
 /// Why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
@@ -93,29 +90,6 @@
     Open(Rc<Connection>),
 }
 
-/// One connection.
-#[derive(Debug)]
-struct Connection {
-    queue: mpsc::Sender<Bytes>,
-    pending: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
-    last_received: Cell<Option<Instant>>,
-    /// When the first of the calls was sent that timed out with nothing received since then.
-    unresponsive_since: Cell<Option<Instant>>,
-    closed: CancellationToken,
-}
-
-/// Forgets a call when its caller does.
-struct PendingCall<'a> {
-    connection: &'a Connection,
-    call_id: u64,
-}
-
-impl Drop for PendingCall<'_> {
-    fn drop(&mut self) {
-        self.connection.pending.borrow_mut().remove(&self.call_id);
-    }
-}
-
 impl Drop for Shared {
     fn drop(&mut self) {
         if let State::Open(connection) = self.state.get_mut() {
@@ -276,30 +250,6 @@
     }
 }
 
-async fn connect(
-    address: SocketAddrV4,
-    fleet: u16,
-    local: Option<Ipv4Addr>,
-    connect_timeout: Duration,
-) -> io::Result<TcpStream> {
-    timeout(connect_timeout, async {
-        let socket = TcpSocket::new_v4()?;
-        if let Some(local) = local {
-            socket.bind(SocketAddrV4::new(local, 0).into())?;
-        }
-        let mut stream = socket.connect(address.into()).await?;
-        configure_socket(&stream)?;
-        stream.write_all(&hello(fleet)).await?;
-        match read_hello(&mut stream, fleet).await? {
-            true => Ok(stream),
-            false => {
-                Err(io::Error::new(io::ErrorKind::InvalidData, "the hello is of another fleet or version"))
-            }
-        }
-    })
-    .await?
-}
-
 /// Opens the connection and tells those who wait for it. Does not keep the client alive.
 async fn open_connection(shared: Weak<Shared>) {
     let Some(attempt) = shared.upgrade().map(|s| (s.address, s.fleet, s.local, s.limits.connect_timeout))
@@ -327,134 +277,3 @@
         }
     }
 }
-
-impl Connection {
-    fn start(stream: TcpStream) -> Rc<Self> {
-        let (reader, writer) = stream.into_split();
-        let (queue, outgoing) = mpsc::channel(MAX_QUEUED_FRAMES);
-        let connection = Rc::new(Self {
-            queue,
-            pending: RefCell::default(),
-            last_received: Cell::new(None),
-            unresponsive_since: Cell::new(None),
-            closed: CancellationToken::new(),
-        });
-        let running = connection.clone();
-        spawn_local(async move {
-            tokio::select! {
-                () = running.closed.cancelled() => {}
-                () = running.read_answers(reader) => {}
-                _ = write_frames(writer, outgoing, |frame| frame) => {}
-            }
-            running.close();
-        });
-        connection
-    }
-
-    /// Those who wait for answers learn that the connection is lost.
-    fn close(&self) {
-        self.closed.cancel();
-        self.pending.borrow_mut().clear();
-    }
-
-    async fn read_answers(&self, reader: OwnedReadHalf) {
-        let mut frames = FramedRead::new(ActivityReader { reader, connection: self }, framing());
-        while let Some(Ok(bytes)) = frames.next().await {
-            match decode(&bytes) {
-                Ok(Frame::Answer(call_id, answer)) => {
-                    let caller = self.pending.borrow_mut().remove(&call_id);
-                    if let Some(caller) = caller {
-                        // Fails if the caller has lost its patience.
-                        let _ = caller.send(answer);
-                    }
-                }
-                Ok(Frame::Push(_)) => {}
-                Ok(Frame::Call(..)) => {
-                    log::warn!("closing a connection: received a call from a server");
-                    return;
-                }
-                Err(error) => {
-                    log::warn!("closing a connection: {error}");
-                    return;
-                }
-            }
-        }
-    }
-
-    /// A call that was sent then has timed out.
-    fn handle_call_timeout(self: &Rc<Self>, sent: Instant, silence_timeout: Duration) {
-        if self.last_received.get().is_some_and(|received| received >= sent) || self.closed.is_cancelled() {
-            return;
-        }
-        if self.unresponsive_since.get().is_some_and(|since| since <= sent) {
-            return; // A check is scheduled already.
-        }
-        self.unresponsive_since.set(Some(sent));
-        let close_at = sent + silence_timeout;
-        if Instant::now() >= close_at {
-            self.close();
-            return;
-        }
-        let connection = self.clone();
-        spawn_local(async move {
-            tokio::select! {
-                () = connection.closed.cancelled() => {}
-                () = sleep_until(close_at) => {
-                    if connection.unresponsive_since.get() == Some(sent) {
-                        connection.close();
-                    }
-                }
-            }
-        });
-    }
-}
-
-/// Notes when bytes came.
-struct ActivityReader<'a> {
-    reader: OwnedReadHalf,
-    connection: &'a Connection,
-}
-
-impl AsyncRead for ActivityReader<'_> {
-    fn poll_read(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        let read = Pin::new(&mut self.reader).poll_read(cx, buf);
-        if buf.filled().len() > before {
-            self.connection.last_received.set(Some(Instant::now()));
-            self.connection.unresponsive_since.set(None);
-        }
-        read
-    }
-}
-
-/// The pushes of one subscription. Dropped, it closes its connection.
-#[derive(Debug)]
-pub struct PushStream {
-    frames: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
-    /// Came before the answer.
-    pushes_before_answer: VecDeque<Push>,
-    /// Dropped, it would close the connection in its direction.
-    _writer: Option<OwnedWriteHalf>,
-}
-
-impl PushStream {
-    /// The next push; nothing once the connection is gone. Loses none when dropped while it waits.
-    pub async fn next(&mut self) -> Option<Push> {
-        if let Some(push) = self.pushes_before_answer.pop_front() {
-            return Some(push);
-        }
-        match self.next_frame().await? {
-            Frame::Push(push) => Some(push),
-            _ => None,
-        }
-    }
-
-    async fn next_frame(&mut self) -> Option<Frame> {
-        let bytes = self.frames.next().await?.ok()?;
-        decode(&bytes).inspect_err(|error| log::warn!("closing a subscription: {error}")).ok()
-    }
-}
--- /dev/null
+++ b/system/peer-wire/src/client/connection.rs
@@ -0,0 +1,176 @@
+//! One connection of a client: writing calls, matching answers to them, and closing when the peer stays silent.
+
+use crate::codec::decode;
+use crate::framing::{configure_socket, framing, hello, read_hello, write_frames};
+use bytes::Bytes;
+use fleet_model::{Answer, Frame};
+use futures_util::StreamExt;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWriteExt, ReadBuf};
+use tokio::net::tcp::OwnedReadHalf;
+use tokio::net::{TcpSocket, TcpStream};
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep_until, timeout};
+use tokio_util::codec::FramedRead;
+use tokio_util::sync::CancellationToken;
+
+/// Maximum number of frames queued for writing; further calls wait until their time-out.
+const MAX_QUEUED_FRAMES: usize = 1024;
+
+/// One connection.
+#[derive(Debug)]
+pub(super) struct Connection {
+    pub(super) queue: mpsc::Sender<Bytes>,
+    pub(super) pending: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
+    pub(super) last_received: Cell<Option<Instant>>,
+    /// When the first of the calls was sent that timed out with nothing received since then.
+    unresponsive_since: Cell<Option<Instant>>,
+    pub(super) closed: CancellationToken,
+}
+
+/// Forgets a call when its caller does.
+pub(super) struct PendingCall<'a> {
+    pub(super) connection: &'a Connection,
+    pub(super) call_id: u64,
+}
+
+impl Drop for PendingCall<'_> {
+    fn drop(&mut self) {
+        self.connection.pending.borrow_mut().remove(&self.call_id);
+    }
+}
+
+impl Connection {
+    pub(super) fn start(stream: TcpStream) -> Rc<Self> {
+        let (reader, writer) = stream.into_split();
+        let (queue, outgoing) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let connection = Rc::new(Self {
+            queue,
+            pending: RefCell::default(),
+            last_received: Cell::new(None),
+            unresponsive_since: Cell::new(None),
+            closed: CancellationToken::new(),
+        });
+        let running = connection.clone();
+        spawn_local(async move {
+            tokio::select! {
+                () = running.closed.cancelled() => {}
+                () = running.read_answers(reader) => {}
+                _ = write_frames(writer, outgoing, |frame| frame) => {}
+            }
+            running.close();
+        });
+        connection
+    }
+
+    /// Those who wait for answers learn that the connection is lost.
+    pub(super) fn close(&self) {
+        self.closed.cancel();
+        self.pending.borrow_mut().clear();
+    }
+
+    async fn read_answers(&self, reader: OwnedReadHalf) {
+        let mut frames = FramedRead::new(ActivityReader { reader, connection: self }, framing());
+        while let Some(Ok(bytes)) = frames.next().await {
+            match decode(&bytes) {
+                Ok(Frame::Answer(call_id, answer)) => {
+                    let caller = self.pending.borrow_mut().remove(&call_id);
+                    if let Some(caller) = caller {
+                        // Fails if the caller has lost its patience.
+                        let _ = caller.send(answer);
+                    }
+                }
+                Ok(Frame::Push(_)) => {}
+                Ok(Frame::Call(..)) => {
+                    log::warn!("closing a connection: received a call from a server");
+                    return;
+                }
+                Err(error) => {
+                    log::warn!("closing a connection: {error}");
+                    return;
+                }
+            }
+        }
+    }
+
+    /// A call that was sent then has timed out.
+    pub(super) fn handle_call_timeout(self: &Rc<Self>, sent: Instant, silence_timeout: Duration) {
+        if self.last_received.get().is_some_and(|received| received >= sent) || self.closed.is_cancelled() {
+            return;
+        }
+        if self.unresponsive_since.get().is_some_and(|since| since <= sent) {
+            return; // A check is scheduled already.
+        }
+        self.unresponsive_since.set(Some(sent));
+        let close_at = sent + silence_timeout;
+        if Instant::now() >= close_at {
+            self.close();
+            return;
+        }
+        let connection = self.clone();
+        spawn_local(async move {
+            tokio::select! {
+                () = connection.closed.cancelled() => {}
+                () = sleep_until(close_at) => {
+                    if connection.unresponsive_since.get() == Some(sent) {
+                        connection.close();
+                    }
+                }
+            }
+        });
+    }
+}
+
+/// Notes when bytes came.
+struct ActivityReader<'a> {
+    reader: OwnedReadHalf,
+    pub(super) connection: &'a Connection,
+}
+
+impl AsyncRead for ActivityReader<'_> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let before = buf.filled().len();
+        let read = Pin::new(&mut self.reader).poll_read(cx, buf);
+        if buf.filled().len() > before {
+            self.connection.last_received.set(Some(Instant::now()));
+            self.connection.unresponsive_since.set(None);
+        }
+        read
+    }
+}
+
+pub(super) async fn connect(
+    address: SocketAddrV4,
+    fleet: u16,
+    local: Option<Ipv4Addr>,
+    connect_timeout: Duration,
+) -> io::Result<TcpStream> {
+    timeout(connect_timeout, async {
+        let socket = TcpSocket::new_v4()?;
+        if let Some(local) = local {
+            socket.bind(SocketAddrV4::new(local, 0).into())?;
+        }
+        let mut stream = socket.connect(address.into()).await?;
+        configure_socket(&stream)?;
+        stream.write_all(&hello(fleet)).await?;
+        match read_hello(&mut stream, fleet).await? {
+            true => Ok(stream),
+            false => {
+                Err(io::Error::new(io::ErrorKind::InvalidData, "the hello is of another fleet or version"))
+            }
+        }
+    })
+    .await?
+}
--- /dev/null
+++ b/system/peer-wire/src/codec/call.rs
@@ -0,0 +1,116 @@
+//! Calls: requests of one process to another.
+
+use super::WireError;
+use super::register::{read_register_request, write_register_request};
+use super::values::{
+    read_ballot, read_list_version, read_storage_node, read_text, read_turn, write_ballot,
+    write_list_version, write_storage_node, write_turn,
+};
+use crate::peer_capnp as wire;
+use bytes::Bytes;
+use fleet_model::{Call, Reservation};
+
+pub(super) fn write_call(mut builder: wire::call::Builder<'_>, call: &Call) {
+    match call {
+        Call::Register(request) => write_register_request(builder.init_register(), request),
+        Call::JoinCore { ip } => builder.init_join_core().set_ip((*ip).into()),
+        Call::JoinStorage { store } => write_storage_node(builder.init_join_storage(), store),
+        Call::InSync { disk, epoch } => {
+            let mut builder = builder.init_filled();
+            builder.set_disk(*disk);
+            builder.set_epoch(*epoch);
+        }
+        Call::Subscribe { ip, zone, urgent, value, list } => {
+            let mut builder = builder.init_subscribe();
+            builder.set_ip((*ip).into());
+            builder.set_zone(zone);
+            builder.set_urgent(*urgent);
+            write_ballot(builder.reborrow().init_value(), value);
+            write_list_version(builder.init_list(), *list);
+        }
+        Call::Reserve { epoch, program, reservation } => {
+            let mut builder = builder.init_reserve();
+            builder.set_epoch(*epoch);
+            builder.set_program(program);
+            builder.set_attempt(reservation.attempt);
+            builder.set_tokens(reservation.tokens);
+        }
+        Call::Settle { epoch, program, reservation } => {
+            let mut builder = builder.init_settle();
+            builder.set_epoch(*epoch);
+            builder.set_program(program);
+            builder.set_attempt(reservation.attempt);
+            builder.set_tokens(reservation.tokens);
+        }
+        Call::ReadAccount { epoch, program } => {
+            let mut builder = builder.init_read_account();
+            builder.set_epoch(*epoch);
+            builder.set_program(program);
+        }
+        Call::StoreTurn { epoch, turn } => {
+            let mut builder = builder.init_keep_turn();
+            builder.set_epoch(*epoch);
+            write_turn(builder.init_turn(), turn);
+        }
+        Call::ReadChain { epoch, attempt } => {
+            let mut builder = builder.init_read_chain();
+            builder.set_epoch(*epoch);
+            builder.set_attempt(attempt);
+        }
+        Call::Backfill { epoch, disk, cursor } => {
+            let mut builder = builder.init_fill();
+            builder.set_epoch(*epoch);
+            builder.set_disk(*disk);
+            builder.set_cursor(cursor);
+        }
+        Call::BackfillDone { epoch, disk } => {
+            let mut builder = builder.init_fill_done();
+            builder.set_epoch(*epoch);
+            builder.set_disk(*disk);
+        }
+        Call::Inspect { topic } => builder.set_inspect(topic),
+    }
+}
+
+pub(super) fn read_call(reader: wire::call::Reader<'_>) -> Result<Call, WireError> {
+    use wire::call::Which;
+    Ok(match reader.which()? {
+        Which::Register(request) => Call::Register(read_register_request(request?)?),
+        Which::JoinCore(reader) => Call::JoinCore { ip: reader.get_ip().into() },
+        Which::JoinStorage(store) => Call::JoinStorage { store: read_storage_node(store?)? },
+        Which::Filled(reader) => Call::InSync { disk: reader.get_disk(), epoch: reader.get_epoch() },
+        Which::Subscribe(reader) => Call::Subscribe {
+            ip: reader.get_ip().into(),
+            zone: read_text(reader.get_zone()?)?,
+            urgent: reader.get_urgent(),
+            value: read_ballot(reader.get_value()?),
+            list: read_list_version(reader.get_list()?),
+        },
+        Which::Reserve(reader) => Call::Reserve {
+            epoch: reader.get_epoch(),
+            program: read_text(reader.get_program()?)?,
+            reservation: Reservation { attempt: reader.get_attempt(), tokens: reader.get_tokens() },
+        },
+        Which::Settle(reader) => Call::Settle {
+            epoch: reader.get_epoch(),
+            program: read_text(reader.get_program()?)?,
+            reservation: Reservation { attempt: reader.get_attempt(), tokens: reader.get_tokens() },
+        },
+        Which::ReadAccount(reader) => {
+            Call::ReadAccount { epoch: reader.get_epoch(), program: read_text(reader.get_program()?)? }
+        }
+        Which::KeepTurn(reader) => {
+            Call::StoreTurn { epoch: reader.get_epoch(), turn: read_turn(reader.get_turn()?)? }
+        }
+        Which::ReadChain(reader) => {
+            Call::ReadChain { epoch: reader.get_epoch(), attempt: read_text(reader.get_attempt()?)? }
+        }
+        Which::Fill(reader) => Call::Backfill {
+            epoch: reader.get_epoch(),
+            disk: reader.get_disk(),
+            cursor: Bytes::copy_from_slice(reader.get_cursor()?),
+        },
+        Which::FillDone(reader) => Call::BackfillDone { epoch: reader.get_epoch(), disk: reader.get_disk() },
+        Which::Inspect(topic) => Call::Inspect { topic: read_text(topic?)? },
+    })
+}
