--- a/system/peer-wire/src/client.rs
+++ b/system/peer-wire/src/client.rs
@@ -25,27 +25,27 @@
 /// Why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum CallFailure {
-    /// Nothing of it was sent.
+    /// No connection: nothing of the call was sent.
     #[error("unreachable")]
     Unreachable,
-    /// The connection broke: it may have been carried out.
+    /// The connection was lost: the call may have been executed.
     #[error("lost")]
     Lost,
-    /// No answer within the patience: it may have been carried out.
+    /// No answer before the time-out: the call may have been executed.
     #[error("timed out")]
     TimedOut,
 }
 
-/// Bounds of a client's connections.
+/// Time-outs and backoff of a client's connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallLimits {
-    /// How long an attempt to connect lasts at most, hellos included.
+    /// Time-out of a connection attempt, hellos included.
     pub connect_timeout: Duration,
-    /// The pause after the first failed attempt, doubled with each further one.
+    /// Backoff after the first failed attempt; it doubles with each further one.
     pub initial_backoff: Duration,
-    /// The longest pause.
+    /// Maximum backoff.
     pub max_backoff: Duration,
-    /// Calls time out and nothing is received since they were sent: after so long the connection is closed.
+    /// A connection on which a call timed out is closed if nothing was received for this long since that call was sent.
     pub silence_timeout: Duration,
 }
 
@@ -60,7 +60,8 @@
     }
 }
 
-/// Calls one peer over one connection, opened when it is needed. Clones share it. Has to be used within a `LocalSet`.
+/// Client of one peer, with one connection that is opened on demand. Clones share it. Must be used within a
+/// [`tokio::task::LocalSet`].
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     shared: Rc<Shared>,
@@ -73,20 +74,20 @@
     local: Option<Ipv4Addr>,
     limits: CallLimits,
     state: RefCell<State>,
-    /// The number of the last call. It rises over all connections, so that an answer to a call of a former one is no
-    /// answer to any of this one.
+    /// Id of the last call. Ids increase across connections, so that an answer to a call on an earlier connection never
+    /// matches a call on this one.
     last_call_id: Cell<u64>,
-    /// Attempts since a connection last brought something.
+    /// Failed attempts since data was last received on a connection.
     failures: Cell<u32>,
 }
 
 #[derive(Debug)]
 enum State {
-    /// No connection, and none is tried before this moment, if there is one.
+    /// No connection; if there is a backoff, no attempt is made before it ends.
     Closed(Option<Instant>),
-    /// An attempt is under way, for these.
+    /// A connection attempt is in progress, for these callers.
     Connecting(Vec<oneshot::Sender<Rc<Connection>>>),
-    /// There is a connection, which may have ended.
+    /// A connection, which may have been closed.
     Open(Rc<Connection>),
 }
 
@@ -99,7 +100,7 @@
 }
 
 impl PeerClient {
-    /// A client of the process at `address`, for members of this fleet; its connections come from `local`, if given.
+    /// Creates a client of the process at `address` in this fleet; its connections are bound to `local`, if given.
     pub fn new(address: SocketAddrV4, fleet: u16, local: Option<Ipv4Addr>) -> Self {
         Self::with_limits(address, fleet, local, CallLimits::default())
     }
@@ -116,12 +117,16 @@
         Self { shared: Rc::new(Shared { address, fleet, local, limits, state, last_call_id, failures }) }
     }
 
-    /// The address of the process that it calls.
+    /// Address of the peer.
     pub fn address(&self) -> SocketAddrV4 {
         self.shared.address
     }
 
-    /// Calls, and waits for the answer for at most `patience`, connecting included.
+    /// Sends a call and waits for the answer, for at most `timeout`, connecting included.
+    ///
+    /// # Errors
+    ///
+    /// If there is no connection, or no answer before the time-out; see [`CallFailure`] for what is known of the call.
     pub async fn call(&self, call: Call, timeout: Duration) -> Result<Answer, CallFailure> {
         let deadline = Instant::now() + timeout;
         let connection = self.open_or_reuse(deadline).await?;
@@ -153,8 +158,12 @@
         }
     }
 
-    /// Calls on a connection of its own, which then brings pushes; to be used with [`Call::Subscribe`]. The pauses
-    /// between attempts are the caller's affair.
+    /// Sends a call on a separate connection, which then carries pushes; for [`Call::Subscribe`]. Backoff between
+    /// attempts is left to the caller.
+    ///
+    /// # Errors
+    ///
+    /// If there is no connection, or no answer before the time-out.
     pub async fn subscribe(
         &self,
         call: Call,
@@ -196,7 +205,7 @@
         }
     }
 
-    /// The connection, opened if there is none.
+    /// The current connection; opens one if there is none.
     async fn open_or_reuse(&self, deadline: Instant) -> Result<Rc<Connection>, CallFailure> {
         let (sender, opened) = oneshot::channel();
         {
@@ -227,12 +236,12 @@
 }
 
 impl Shared {
-    /// A connection on which both hellos were said.
+    /// Opens a connection and exchanges hellos.
     async fn connect(&self) -> io::Result<TcpStream> {
         connect(self.address, self.fleet, self.local, self.limits.connect_timeout).await
     }
 
-    /// Until when nothing is tried after one more failure.
+    /// Counts a failure; returns the end of the backoff that follows it.
     fn next_backoff_end(&self) -> Option<Instant> {
         let failures = self.failures.get();
         self.failures.set(failures.saturating_add(1));
@@ -240,7 +249,8 @@
         Some(Instant::now() + backoff.min(self.limits.max_backoff))
     }
 
-    /// A connection that brought something may be opened again at once, another one is a failure.
+    /// The end of the backoff after a closed connection: none if data was received on it; otherwise it counts as a
+    /// failure.
     fn backoff_end_after(&self, connection: &Connection) -> Option<Instant> {
         if connection.last_received.get().is_some() {
             self.failures.set(0);
@@ -250,7 +260,7 @@
     }
 }
 
-/// Opens the connection and tells those who wait for it. Does not keep the client alive.
+/// Opens the connection and passes it to the waiting callers. Does not keep the client alive.
 async fn open_connection(shared: Weak<Shared>) {
     let Some(attempt) = shared.upgrade().map(|s| (s.address, s.fleet, s.local, s.limits.connect_timeout))
     else {
@@ -272,7 +282,7 @@
     };
     if let (State::Connecting(waiters), Some(connection)) = (shared.state.replace(next), connection) {
         for waiter in waiters {
-            // Fails if the caller has lost its patience.
+            // Fails if the caller has timed out.
             let _ = waiter.send(connection.clone());
         }
     }
--- a/system/peer-wire/src/client/connection.rs
+++ b/system/peer-wire/src/client/connection.rs
@@ -25,18 +25,18 @@
 /// Maximum number of frames queued for writing; further calls wait until their time-out.
 const MAX_QUEUED_FRAMES: usize = 1024;
 
-/// One connection.
+/// One open connection.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) queue: mpsc::Sender<Bytes>,
     pub(super) pending: RefCell<HashMap<u64, oneshot::Sender<Answer>>>,
     pub(super) last_received: Cell<Option<Instant>>,
-    /// When the first of the calls was sent that timed out with nothing received since then.
+    /// When the earliest timed-out call was sent since which nothing was received.
     unresponsive_since: Cell<Option<Instant>>,
     pub(super) closed: CancellationToken,
 }
 
-/// Forgets a call when its caller does.
+/// Removes a call from the pending ones when its caller drops it.
 pub(super) struct PendingCall<'a> {
     pub(super) connection: &'a Connection,
     pub(super) call_id: u64,
@@ -71,7 +71,7 @@
         connection
     }
 
-    /// Those who wait for answers learn that the connection is lost.
+    /// Closes the connection; pending calls fail as lost.
     pub(super) fn close(&self) {
         self.closed.cancel();
         self.pending.borrow_mut().clear();
@@ -84,7 +84,7 @@
                 Ok(Frame::Answer(call_id, answer)) => {
                     let caller = self.pending.borrow_mut().remove(&call_id);
                     if let Some(caller) = caller {
-                        // Fails if the caller has lost its patience.
+                        // Fails if the caller has timed out.
                         let _ = caller.send(answer);
                     }
                 }
@@ -101,7 +101,8 @@
         }
     }
 
-    /// A call that was sent then has timed out.
+    /// Handles the time-out of a call sent at `sent`: closes the connection at `sent + silence_timeout` unless something is
+    /// received before.
     pub(super) fn handle_call_timeout(self: &Rc<Self>, sent: Instant, silence_timeout: Duration) {
         if self.last_received.get().is_some_and(|received| received >= sent) || self.closed.is_cancelled() {
             return;
@@ -129,7 +130,7 @@
     }
 }
 
-/// Notes when bytes came.
+/// Reader that records when bytes are received.
 struct ActivityReader<'a> {
     reader: OwnedReadHalf,
     pub(super) connection: &'a Connection,
--- a/system/peer-wire/src/client/push_stream.rs
+++ b/system/peer-wire/src/client/push_stream.rs
@@ -7,18 +7,18 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio_util::codec::{FramedRead, LengthDelimitedCodec};
 
-/// The pushes of one subscription. Dropped, it closes its connection.
+/// The pushes of one subscription. Dropping it closes its connection.
 #[derive(Debug)]
 pub struct PushStream {
     pub(super) frames: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
-    /// Came before the answer.
+    /// Pushes received before the answer to the subscription.
     pub(super) pushes_before_answer: VecDeque<Push>,
-    /// Dropped, it would close the connection in its direction.
+    /// Held only to keep the connection's write direction open.
     pub(super) _writer: Option<OwnedWriteHalf>,
 }
 
 impl PushStream {
-    /// The next push; nothing once the connection is gone. Loses none when dropped while it waits.
+    /// The next push; `None` once the connection is closed. Cancel-safe: no push is lost if the future is dropped.
     pub async fn next(&mut self) -> Option<Push> {
         if let Some(push) = self.pushes_before_answer.pop_front() {
             return Some(push);
--- a/system/peer-wire/src/codec.rs
+++ b/system/peer-wire/src/codec.rs
@@ -18,16 +18,16 @@
 use capnp::serialize_packed;
 use fleet_model::Frame;
 
-/// Bytes that are no frame, or a frame that does not fit.
+/// Why bytes are not a frame, or a frame cannot be encoded.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// Longer than [`MAX_FRAME_LEN`].
+    /// The frame is longer than [`MAX_FRAME_LEN`].
     #[error("a frame of {0} bytes is too long")]
     TooLong(usize),
-    /// Not a frame, or with a field that this version does not know.
+    /// The bytes are not a frame, or have a variant that this version does not know.
     #[error("malformed frame: {0}")]
     Malformed(#[from] capnp::Error),
-    /// A frame with more bytes after it.
+    /// There are bytes after the frame.
     #[error("{0} bytes follow the frame")]
     Trailing(usize),
 }
@@ -48,13 +48,21 @@
     WireError::Malformed(capnp::Error::failed(what.into()))
 }
 
-/// Two packed bytes may be a word of zeros with 255 more.
+/// Maximum expansion of the packed encoding: two bytes encode up to 256 words of zeros.
 const WORDS_PER_PACKED_BYTE: usize = 128;
 
-/// Words of a message's first segment: enough for most frames but lists and turns.
+/// Minimum size in words of a message's first segment: enough for most frames except lists and turns.
 const FIRST_SEGMENT_WORDS: u32 = 64;
 
-/// A frame's bytes, without the length that goes before them on a connection.
+/// Encodes a frame, without the length prefix that precedes it on a connection.
+///
+/// # Errors
+///
+/// If the frame is longer than [`MAX_FRAME_LEN`].
+///
+/// # Panics
+///
+/// Never: the only conversion that can fail is of a length that was checked.
 pub fn encode(frame: &Frame) -> Result<Bytes, WireError> {
     let size = estimated_len(frame);
     if size > MAX_FRAME_LEN {
@@ -75,13 +83,18 @@
     Ok(bytes.into())
 }
 
-/// The frame of which these are the bytes.
+/// Decodes a frame.
+///
+/// # Errors
+///
+/// If the bytes are not exactly one frame of at most [`MAX_FRAME_LEN`] bytes.
 pub fn decode(bytes: &[u8]) -> Result<Frame, WireError> {
     if bytes.len() > MAX_FRAME_LEN {
         return Err(WireError::TooLong(bytes.len()));
     }
     let mut rest = bytes;
-    // What a message tells of its size is asked for before it is read: no more than these bytes can unpack to.
+    // The segment sizes in the message are untrusted and allocated before reading: allow no more than the bytes can
+    // unpack to.
     let max_words = (bytes.len() * WORDS_PER_PACKED_BYTE).min(MAX_FRAME_LEN / 8);
     let options = ReaderOptions { traversal_limit_in_words: Some(2 * max_words), nesting_limit: 16 };
     let message = serialize_packed::read_message(&mut rest, options)?;
--- a/system/peer-wire/src/codec/limits.rs
+++ b/system/peer-wire/src/codec/limits.rs
@@ -6,12 +6,13 @@
 use capnp::traits::{HasStructSize, OwnedStruct};
 use fleet_model::{AcceptedValue, Answer, Call, Endpoint, Frame, Push, RegisterReply, RegisterRequest, Turn};
 
-/// The length of the message that is read.
+/// Length in words of the message that is read.
 #[derive(Clone, Copy)]
 pub(super) struct MessageWords(pub(super) usize);
 
 impl MessageWords {
-    /// A list whose elements have room in the message. Elements without fields take none, however many there are.
+    /// Checks that the elements of a list fit into the message, against lists that claim more elements than were sent.
+    /// Elements without fields take no words, however many there are.
     pub(super) fn check_len<'a, T: OwnedStruct>(
         self,
         list: struct_list::Reader<'a, T>,
@@ -27,7 +28,7 @@
     }
 }
 
-/// About how many bytes the long fields of a frame take.
+/// Estimated number of bytes of the variable-length fields of a frame.
 pub(super) fn estimated_len(frame: &Frame) -> usize {
     fn endpoints(list: &[Endpoint]) -> usize {
         list.iter().map(|e| 72 + e.instance_id.len() + e.service.len() + e.zone.len()).sum()
@@ -67,8 +68,8 @@
     }
 }
 
-/// A list's length as the schema's compiler wants it. [`encode`] refuses long frames before it writes them, so that what
-/// is longer cannot come here but with lists of empty things, of which none are sent.
+/// Length of a list as the generated code takes it. [`encode`](super::encode) rejects long frames before it writes them, so
+/// that a longer list could only have empty elements, and none of these are sent.
 pub(super) fn list_len(len: usize) -> u32 {
     u32::try_from(len).unwrap_or(u32::MAX)
 }
--- a/system/peer-wire/src/framing.rs
+++ b/system/peer-wire/src/framing.rs
@@ -1,4 +1,4 @@
-//! How frames follow one another on a connection.
+//! Framing on a connection: the hello, length-prefixed frames, and socket options.
 
 use bytes::Bytes;
 use futures_util::SinkExt;
@@ -11,24 +11,25 @@
 use tokio::sync::mpsc;
 use tokio_util::codec::{FramedWrite, LengthDelimitedCodec};
 
-/// The longest frame, packed and unpacked.
+/// Maximum length of a frame in bytes, both packed and unpacked.
 pub const MAX_FRAME_LEN: usize = 16 << 20;
 
-/// Version of the frames: a peer with another one is refused.
+/// Version of the protocol: a peer with another one is rejected.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// Length of the hello that each side sends once: four bytes of magic, the version and the fleet's number, big-endian.
+/// Length in bytes of the hello that each side sends first: four magic bytes, the version and the fleet number, both as
+/// 16-bit big-endian integers.
 pub const HELLO_LEN: usize = 8;
 
 const HELLO_MAGIC: [u8; 4] = *b"MDpw";
 
-/// How long the kernel waits for sent bytes to be acknowledged before it breaks the connection.
+/// Time for which the kernel waits for sent data to be acknowledged before it closes the connection (RFC 5482).
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// After so long without traffic the kernel asks whether the other machine is still there.
+/// Idle time after which the kernel sends TCP keep-alive probes.
 const TCP_KEEPALIVE_IDLE: Duration = Duration::from_secs(60);
 
-/// The hello of a member of this fleet.
+/// The hello of a process of this fleet.
 pub(crate) fn hello(fleet: u16) -> [u8; HELLO_LEN] {
     let mut hello = [0; HELLO_LEN];
     hello[..4].copy_from_slice(&HELLO_MAGIC);
@@ -37,34 +38,35 @@
     hello
 }
 
-/// Reads the other side's hello; tells whether it is of this fleet.
+/// Reads the other side's hello; returns whether it has this fleet and version.
 pub(crate) async fn read_hello(stream: &mut (impl AsyncRead + Unpin), fleet: u16) -> io::Result<bool> {
     let mut received = [0; HELLO_LEN];
     stream.read_exact(&mut received).await?;
     Ok(received == hello(fleet))
 }
 
-/// Frames with their length before them, as four bytes.
+/// Codec of frames with a 32-bit big-endian length prefix.
 pub(crate) fn framing() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().length_field_length(4).max_frame_length(MAX_FRAME_LEN).new_codec()
 }
 
-/// Sends at once, and has the kernel notice a peer that is gone.
+/// Disables Nagle's algorithm and sets the user time-out, so that the kernel detects a lost peer.
 pub(crate) fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
 
-/// For the side that only answers: a caller's machine that lost its power would stay connected for ever.
+/// Enables keep-alive, for the server side: it sends only answers, and would never detect a client whose machine lost
+/// power.
 pub(crate) fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
     SockRef::from(stream).set_tcp_keepalive(&TcpKeepalive::new().with_time(TCP_KEEPALIVE_IDLE))
 }
 
-/// So many bytes go into one write, unless a single frame is longer.
+/// Maximum number of bytes in one write, unless a single frame is longer.
 const WRITE_BUFFER_BYTES: usize = 64 << 10;
 
-/// Writes what is queued; what waits at one time goes out together. `take` gives an item's frame.
+/// Writes queued frames; those queued at one time are batched into one flush. `into_frame` converts a queued item.
 pub(crate) async fn write_frames<T>(
     writer: OwnedWriteHalf,
     mut queue: mpsc::Receiver<T>,
--- a/system/peer-wire/src/server.rs
+++ b/system/peer-wire/src/server.rs
@@ -1,4 +1,4 @@
-//! Answering calls.
+//! Server side: accepting connections, running calls, and pushing to subscribers.
 
 use crate::codec::{WireError, decode, encode};
 use crate::framing::{configure_socket, enable_keepalive, framing, hello, read_hello, write_frames};
@@ -17,52 +17,56 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio_util::codec::FramedRead;
 
-/// A connection without a hello is closed after so long.
+/// Time-out for the client's hello.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How many calls of one connection are worked on at once; further ones wait in the socket.
+/// Maximum number of calls of one connection that run concurrently; further ones remain unread in the socket.
 const MAX_CONCURRENT_CALLS: usize = 256;
 
-/// How many frames wait to be written on one connection.
+/// Maximum number of frames queued for writing on one connection.
 const MAX_QUEUED_FRAMES: usize = 512;
 
-/// How many bytes of pushes wait to be written on one connection; a single push may be longer.
+/// Maximum number of bytes of pushes queued on one connection; a single push may be longer.
 const MAX_QUEUED_PUSH_BYTES: usize = 4 << 20;
 
-/// How long no connection is taken in after that failed, as when files have run out.
+/// Delay after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a process does with calls.
+/// Application logic that answers calls.
 pub trait Handler: 'static {
-    /// The answer to a call; `pusher` sends pushes on the call's connection. Runs to its end also if the caller leaves.
+    /// Answers a call; `pusher` sends pushes on the call's connection. Runs to completion even if the caller disconnects.
     fn call(&self, from: SocketAddr, call: Call, pusher: Pusher) -> impl Future<Output = Answer>;
 }
 
-/// A push in the form in which it is sent: for many subscribers it is encoded once.
+/// An encoded push, so that it is encoded only once for many subscribers.
 #[derive(Clone, Debug)]
 pub struct PreparedPush(Bytes);
 
 impl PreparedPush {
     /// Encodes the push.
+    ///
+    /// # Errors
+    ///
+    /// If the push is longer than [`MAX_FRAME_LEN`](crate::MAX_FRAME_LEN).
     pub fn new(push: &Push) -> Result<Self, WireError> {
         encode(&Frame::Push(push.clone())).map(Self)
     }
 
-    /// Its length.
+    /// Encoded length in bytes.
     #[expect(clippy::len_without_is_empty, reason = "no frame is empty")]
     pub fn len(&self) -> usize {
         self.0.len()
     }
 }
 
-/// Sends pushes on one connection, in the order in which they are given.
+/// Sends pushes on one connection, in order.
 #[derive(Clone, Debug)]
 pub struct Pusher {
     queue: mpsc::Sender<Outgoing>,
     queued_push_bytes: Rc<Cell<usize>>,
 }
 
-/// A frame that is to be written, and how many bytes of it count as waiting pushes.
+/// A frame queued for writing, and how many of its bytes count towards the limit on queued pushes.
 #[derive(Debug)]
 struct Outgoing {
     frame: Bytes,
@@ -70,7 +74,8 @@
 }
 
 impl Pusher {
-    /// Queues a push. `false`: it is not sent, since the link is full or gone, or the push is too long.
+    /// Queues a push. Returns `false` if it is dropped because the queue is full, the connection is closed, or the push is
+    /// too long.
     pub fn try_push(&self, push: &Push) -> bool {
         match PreparedPush::new(push) {
             Ok(push) => self.try_send(&push),
@@ -81,7 +86,7 @@
         }
     }
 
-    /// As [`Pusher::try_push`], with a push that is encoded already.
+    /// Like [`Pusher::try_push`], with an encoded push.
     pub fn try_send(&self, push: &PreparedPush) -> bool {
         let (queued_push_bytes, push_bytes) = (self.queued_push_bytes.get(), push.len());
         if queued_push_bytes > 0 && queued_push_bytes + push_bytes > MAX_QUEUED_PUSH_BYTES {
@@ -94,18 +99,19 @@
         queued
     }
 
-    /// Whether the connection is gone.
+    /// Whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.queue.is_closed()
     }
 
-    /// Waits until the connection is gone.
+    /// Waits until the connection is closed.
     pub async fn closed(&self) {
         self.queue.closed().await;
     }
 }
 
-/// Takes connections in and hands their calls to a [`Handler`]. Clones share the handler and the count of rejected_connections.
+/// Accepts connections and passes their calls to a [`Handler`]. Clones share the handler and the count of rejected
+/// connections.
 #[derive(Debug)]
 pub struct PeerServer<H> {
     fleet: u16,
@@ -125,15 +131,15 @@
 
 /// Why a connection ended.
 enum ConnectionEnd {
-    /// The other side left, or the network failed.
+    /// The client disconnected, or the network failed.
     Closed,
-    /// It is none of the fleet, or does not speak as one.
+    /// The client is not of this fleet, or violates the protocol.
     Rejected(String),
 }
 
 impl From<io::Error> for ConnectionEnd {
     fn from(error: io::Error) -> Self {
-        // The framing tells of too long a frame in this way.
+        // The framing reports a frame that is too long in this way.
         match error.kind() {
             io::ErrorKind::InvalidData => Self::Rejected(error.to_string()),
             _ => Self::Closed,
@@ -142,18 +148,19 @@
 }
 
 impl<H: Handler> PeerServer<H> {
-    /// A server for members of this fleet.
+    /// Creates a server for processes of this fleet.
     pub fn new(fleet: u16, handler: Rc<H>) -> Self {
         Self { fleet, handler, rejected_connections: Rc::default() }
     }
 
-    /// How many connections were closed since they were none of the fleet's: another hello, or none within 2 s, or bytes
-    /// that are no calls.
+    /// Number of connections rejected because they are not of this fleet: a different hello, none within 2 s, or bytes that
+    /// are not calls.
     pub fn rejected_connections(&self) -> u64 {
         self.rejected_connections.get()
     }
 
-    /// Serves until it is dropped, and then closes the connections. Has to run within a `LocalSet`.
+    /// Serves until the future is dropped, and then closes the connections. Must run within a
+    /// [`tokio::task::LocalSet`].
     pub async fn serve(&self, listener: TcpListener) {
         let mut connections = JoinSet::new();
         loop {
@@ -227,7 +234,7 @@
                     encode(&Frame::Answer(call_id, Answer::NotReady))
                 });
                 if let Ok(frame) = frame {
-                    // Fails if the caller is gone.
+                    // Fails if the caller has disconnected.
                     let _ = pusher.queue.send(Outgoing { frame, push_bytes: 0 }).await;
                 }
                 drop(permit);
--- a/system/peer-wire/tests/answers.rs
+++ b/system/peer-wire/tests/answers.rs
@@ -17,20 +17,20 @@
 
 const FLEET: u16 = 12;
 
-/// Far more than any call here takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Far longer than any call here takes.
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Between attempts to connect.
-const PAUSE: Duration = Duration::from_millis(1);
+/// Backoff between attempts to connect.
+const BACKOFF: Duration = Duration::from_millis(1);
 
-/// What the peer does when a call has come.
+/// What the peer does with a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Act {
+enum PeerAction {
     Answer,
     AnswerTwice,
-    /// It answers all that it ever was asked, on whichever connection, and then this one.
+    /// It answers all earlier calls, also those of earlier connections, and then this one.
     AnswerOldCallsFirst,
-    /// It answers the calls that are to come, and then this one.
+    /// It answers calls that were not sent yet, and then this one.
     AnswerFutureCallsFirst,
     /// No answer now; the caller gives up.
     Withhold,
@@ -40,20 +40,20 @@
     AnswerAndEnd,
 }
 
-const ACTS: [Act; 7] = [
-    Act::Answer,
-    Act::AnswerTwice,
-    Act::AnswerOldCallsFirst,
-    Act::AnswerFutureCallsFirst,
-    Act::Withhold,
-    Act::EndConnection,
-    Act::AnswerAndEnd,
+const PEER_ACTIONS: [PeerAction; 7] = [
+    PeerAction::Answer,
+    PeerAction::AnswerTwice,
+    PeerAction::AnswerOldCallsFirst,
+    PeerAction::AnswerFutureCallsFirst,
+    PeerAction::Withhold,
+    PeerAction::EndConnection,
+    PeerAction::AnswerAndEnd,
 ];
 
-/// The peer: what it is to do, and all that it was asked.
+/// The peer: its action for each call, and all calls that it has received.
 struct Peer {
-    acts: Vec<Act>,
-    asked: RefCell<Vec<(u64, String)>>,
+    actions: Vec<PeerAction>,
+    received_calls: RefCell<Vec<(u64, String)>>,
 }
 
 async fn write(stream: &mut TcpStream, number: u64, text: &str) {
@@ -74,111 +74,112 @@
 }
 
 impl Peer {
-    /// One connection, to its end.
-    async fn converse(&self, mut stream: TcpStream) {
+    /// Serves one connection until it ends.
+    async fn serve_connection(&self, mut stream: TcpStream) {
         let mut hello = [0; HELLO_LEN];
         if stream.read_exact(&mut hello).await.is_err() || stream.write_all(&hello).await.is_err() {
             return;
         }
         while let Some((number, topic)) = read(&mut stream).await {
-            let act = self.acts[topic.parse::<usize>().unwrap()];
-            let before = self.asked.borrow().clone();
-            self.asked.borrow_mut().push((number, topic.clone()));
-            match act {
-                Act::Answer | Act::AnswerAndEnd => {}
-                Act::AnswerTwice => write(&mut stream, number, &topic).await,
-                Act::AnswerOldCallsFirst => {
+            let action = self.actions[topic.parse::<usize>().unwrap()];
+            let before = self.received_calls.borrow().clone();
+            self.received_calls.borrow_mut().push((number, topic.clone()));
+            match action {
+                PeerAction::Answer | PeerAction::AnswerAndEnd => {}
+                PeerAction::AnswerTwice => write(&mut stream, number, &topic).await,
+                PeerAction::AnswerOldCallsFirst => {
                     for (number, topic) in before {
                         write(&mut stream, number, &topic).await;
                     }
                 }
-                Act::AnswerFutureCallsFirst => {
+                PeerAction::AnswerFutureCallsFirst => {
                     for next in 1..4 {
                         write(&mut stream, number + next, "of the future").await;
                     }
                 }
-                Act::Withhold => continue,
-                Act::EndConnection => return,
+                PeerAction::Withhold => continue,
+                PeerAction::EndConnection => return,
             }
             write(&mut stream, number, &topic).await;
-            if act == Act::AnswerAndEnd {
+            if action == PeerAction::AnswerAndEnd {
                 return;
             }
         }
     }
 }
 
-/// Makes a call for each act, one after the other; the error says whose answer came to whom.
-async fn play(acts: Vec<Act>) -> std::result::Result<(), String> {
+/// Makes a call for each action, one after the other; the error describes a wrong answer.
+async fn run_calls(actions: Vec<PeerAction>) -> std::result::Result<(), String> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
-    let peer = Rc::new(Peer { acts: acts.clone(), asked: RefCell::default() });
+    let peer = Rc::new(Peer { actions: actions.clone(), received_calls: RefCell::default() });
     let serving = spawn_local(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
             let peer = peer.clone();
-            spawn_local(async move { peer.converse(stream).await });
+            spawn_local(async move { peer.serve_connection(stream).await });
         }
     });
     let limits = CallLimits {
-        connect_timeout: PATIENCE,
-        silence_timeout: PATIENCE,
-        initial_backoff: PAUSE,
-        max_backoff: PAUSE,
+        connect_timeout: LONG_TIMEOUT,
+        silence_timeout: LONG_TIMEOUT,
+        initial_backoff: BACKOFF,
+        max_backoff: BACKOFF,
     };
     let client = PeerClient::with_limits(address, FLEET, None, limits);
-    let mut told = Ok(());
-    for (place, act) in acts.iter().enumerate() {
-        let topic = place.to_string();
-        let answers = !matches!(act, Act::Withhold | Act::EndConnection);
-        let patience = if *act == Act::Withhold { Duration::from_millis(15) } else { PATIENCE };
-        let came = loop {
-            match client.call(Call::Inspect { topic: topic.clone() }, patience).await {
+    let mut result = Ok(());
+    for (index, action) in actions.iter().enumerate() {
+        let topic = index.to_string();
+        let answers = !matches!(action, PeerAction::Withhold | PeerAction::EndConnection);
+        let timeout = if *action == PeerAction::Withhold { Duration::from_millis(15) } else { LONG_TIMEOUT };
+        let outcome = loop {
+            match client.call(Call::Inspect { topic: topic.clone() }, timeout).await {
                 // The end of the last connection shows only now: this call is made again.
                 Err(CallFailure::Unreachable | CallFailure::Lost) if answers => {
                     tokio::task::yield_now().await
                 }
-                came => break came,
+                outcome => break outcome,
             }
         };
-        let fits = match &came {
+        let fits = match &outcome {
             Ok(Answer::View(text)) => answers && *text == topic,
             Ok(_) => false,
             Err(_) => !answers,
         };
         if !fits {
-            told = Err(format!("call {topic} got {came:?} with {acts:?}"));
+            result = Err(format!("call {topic} got {outcome:?} with {actions:?}"));
             break;
         }
     }
     serving.abort();
-    told
+    result
 }
 
-fn play_all(orders: impl IntoIterator<Item = Vec<Act>>) -> usize {
+fn run_all(sequences: impl IntoIterator<Item = Vec<PeerAction>>) -> usize {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let mut played = 0;
-    for order in orders {
+    let mut runs = 0;
+    for sequence in sequences {
         LocalSet::new().block_on(&runtime, async {
-            expect_that!(play(order).await, ok(()));
+            expect_that!(run_calls(sequence).await, ok(()));
         });
-        played += 1;
+        runs += 1;
     }
-    played
+    runs
 }
 
 #[gtest]
-fn given_every_order_of_three_answers_then_each_call_gets_its_own_or_none() {
-    let count = ACTS.len();
-    let orders = (0..count.pow(3))
-        .map(|number| (0..3).map(|place| ACTS[number / count.pow(place) % count]).collect::<Vec<_>>());
-    expect_that!(play_all(orders), eq(343));
+fn each_call_gets_its_own_answer_or_none_over_all_sequences_of_three_actions() {
+    let count = PEER_ACTIONS.len();
+    let sequences = (0..count.pow(3)).map(|number| {
+        (0..3).map(|index| PEER_ACTIONS[number / count.pow(index) % count]).collect::<Vec<_>>()
+    });
+    expect_that!(run_all(sequences), eq(343));
 }
 
 #[gtest]
-fn given_longer_orders_then_each_call_gets_its_own_or_none() {
-    let strategy = prop::collection::vec(prop::sample::select(ACTS.to_vec()), 4..12);
+fn each_call_gets_its_own_answer_or_none_over_random_longer_sequences() {
+    let strategy = prop::collection::vec(prop::sample::select(PEER_ACTIONS.to_vec()), 4..12);
     let mut runner = TestRunner::deterministic();
-    let orders = (0..100).map(|_| strategy.new_tree(&mut runner).unwrap().current());
-    expect_that!(play_all(orders.collect::<Vec<_>>()), eq(100));
+    let sequences = (0..100).map(|_| strategy.new_tree(&mut runner).unwrap().current());
+    expect_that!(run_all(sequences.collect::<Vec<_>>()), eq(100));
 }
--- a/system/peer-wire/tests/calls.rs
+++ b/system/peer-wire/tests/calls.rs
@@ -21,15 +21,15 @@
 
 const FLEET: u16 = 12;
 
-/// Far more than any call here takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Far longer than any call here takes.
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Answers `Inspect` with the topic, but after `hold` only once it was let go.
+/// Answers `Inspect` with the topic; a topic that starts with `blocked` only after its release.
 #[derive(Default)]
 struct Echo {
-    held: Cell<usize>,
-    hold_came: Notify,
-    let_go: Notify,
+    blocked_calls: Cell<usize>,
+    call_blocked: Notify,
+    release: Notify,
     callers: RefCell<Vec<SocketAddr>>,
     pushers: RefCell<Vec<Pusher>>,
 }
@@ -39,10 +39,10 @@
         self.callers.borrow_mut().push(from);
         match call {
             Call::Inspect { topic } => {
-                if topic.starts_with("hold") {
-                    self.held.set(self.held.get() + 1);
-                    self.hold_came.notify_one();
-                    self.let_go.notified().await;
+                if topic.starts_with("blocked") {
+                    self.blocked_calls.set(self.blocked_calls.get() + 1);
+                    self.call_blocked.notify_one();
+                    self.release.notified().await;
                 }
                 Answer::View(topic)
             }
@@ -59,10 +59,10 @@
 
 /// A busy machine may take long to connect.
 fn limits() -> CallLimits {
-    CallLimits { connect_timeout: PATIENCE, ..CallLimits::default() }
+    CallLimits { connect_timeout: LONG_TIMEOUT, ..CallLimits::default() }
 }
 
-struct Served {
+struct EchoServer {
     echo: Rc<Echo>,
     server: PeerServer<Echo>,
     address: SocketAddrV4,
@@ -75,7 +75,7 @@
     (listener, address)
 }
 
-async fn serve_at(address: SocketAddrV4) -> Served {
+async fn serve_at(address: SocketAddrV4) -> EchoServer {
     let (listener, address) = listen(address).await;
     let echo = Rc::new(Echo::default());
     let server = PeerServer::new(FLEET, echo.clone());
@@ -83,14 +83,14 @@
         let server = server.clone();
         async move { server.serve(listener).await }
     });
-    Served { echo, server, address, task }
+    EchoServer { echo, server, address, task }
 }
 
-async fn serve() -> Served {
+async fn serve() -> EchoServer {
     serve_at(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).await
 }
 
-impl Served {
+impl EchoServer {
     fn client(&self) -> PeerClient {
         PeerClient::with_limits(self.address, FLEET, None, limits())
     }
@@ -114,112 +114,112 @@
     Answer::View(topic.into())
 }
 
-fn local(story: impl Future<Output = ()>) {
+fn local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, story);
+    LocalSet::new().block_on(&runtime, test);
 }
 
 #[test]
-fn given_many_calls_at_once_when_answered_then_each_gets_its_own_over_one_connection() {
+fn concurrent_calls_share_one_connection_and_each_gets_its_own_answer() {
     local(async {
-        let served = serve().await;
-        let client = served.client();
+        let peer = serve().await;
+        let client = peer.client();
         let calls: Vec<_> = (0..1000)
             .map(|number| {
                 let client = client.clone();
-                spawn_local(async move { client.call(inspect(&number.to_string()), PATIENCE).await })
+                spawn_local(async move { client.call(inspect(&number.to_string()), LONG_TIMEOUT).await })
             })
             .collect();
 
         for (number, call) in calls.into_iter().enumerate() {
             assert_that!(call.await.unwrap(), ok(eq(&view(&number.to_string()))));
         }
-        let callers = served.echo.callers.borrow();
+        let callers = peer.echo.callers.borrow();
         assert_that!(callers.len(), eq(1000));
         assert!(callers.iter().all(|caller| *caller == callers[0]), "more than one connection");
     });
 }
 
 #[test]
-fn given_a_call_that_lasts_when_another_comes_then_the_later_one_is_answered_first() {
+fn a_slow_call_does_not_block_a_later_one() {
     local(async {
-        let served = serve().await;
-        let client = served.client();
+        let peer = serve().await;
+        let client = peer.client();
         let first = spawn_local({
             let client = client.clone();
-            async move { client.call(inspect("hold"), PATIENCE).await }
+            async move { client.call(inspect("blocked"), LONG_TIMEOUT).await }
         });
-        served.echo.hold_came.notified().await;
+        peer.echo.call_blocked.notified().await;
 
-        assert_that!(client.call(inspect("quick"), PATIENCE).await, ok(eq(&view("quick"))));
+        assert_that!(client.call(inspect("quick"), LONG_TIMEOUT).await, ok(eq(&view("quick"))));
         assert!(!first.is_finished());
-        served.echo.let_go.notify_one();
-        assert_that!(first.await.unwrap(), ok(eq(&view("hold"))));
+        peer.echo.release.notify_one();
+        assert_that!(first.await.unwrap(), ok(eq(&view("blocked"))));
     });
 }
 
 #[test]
-fn given_a_call_that_timed_out_when_its_answer_comes_then_no_other_call_gets_it() {
+fn the_late_answer_of_a_timed_out_call_reaches_no_other_call() {
     local(async {
-        let served = serve().await;
-        let limits = CallLimits { silence_timeout: PATIENCE, ..limits() };
-        let client = PeerClient::with_limits(served.address, FLEET, None, limits);
-        client.call(inspect("open"), PATIENCE).await.unwrap();
-        let late = client.call(inspect("hold"), Duration::from_millis(20)).await;
+        let peer = serve().await;
+        let limits = CallLimits { silence_timeout: LONG_TIMEOUT, ..limits() };
+        let client = PeerClient::with_limits(peer.address, FLEET, None, limits);
+        client.call(inspect("open"), LONG_TIMEOUT).await.unwrap();
+        let late = client.call(inspect("blocked"), Duration::from_millis(20)).await;
         assert_that!(late, err(eq(&CallFailure::TimedOut)));
 
-        served.echo.let_go.notify_one();
-        assert_that!(client.call(inspect("next"), PATIENCE).await, ok(eq(&view("next"))));
+        peer.echo.release.notify_one();
+        assert_that!(client.call(inspect("next"), LONG_TIMEOUT).await, ok(eq(&view("next"))));
     });
 }
 
 #[test]
-fn given_an_address_of_ones_own_when_calling_then_the_call_comes_from_it() {
+fn connections_are_bound_to_the_given_local_address() {
     local(async {
-        let served = serve().await;
+        let peer = serve().await;
         let local = Ipv4Addr::new(127, 0, 0, 9);
-        let client = PeerClient::with_limits(served.address, FLEET, Some(local), limits());
-        client.call(inspect("x"), PATIENCE).await.unwrap();
-        assert_that!(served.echo.callers.borrow()[0].ip(), eq(local));
+        let client = PeerClient::with_limits(peer.address, FLEET, Some(local), limits());
+        client.call(inspect("x"), LONG_TIMEOUT).await.unwrap();
+        assert_that!(peer.echo.callers.borrow()[0].ip(), eq(local));
     });
 }
 
 #[test]
-fn given_nobody_listens_when_called_then_it_is_unreachable_and_in_the_pause_nothing_is_tried() {
+fn calls_fail_as_unreachable_without_a_connection_attempt_during_backoff() {
     local(async {
         let (listener, address) = listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).await;
         drop(listener);
-        let limits = CallLimits { initial_backoff: PATIENCE, max_backoff: PATIENCE, ..limits() };
+        let limits = CallLimits { initial_backoff: LONG_TIMEOUT, max_backoff: LONG_TIMEOUT, ..limits() };
         let client = PeerClient::with_limits(address, FLEET, None, limits);
-        assert_that!(client.call(inspect("x"), PATIENCE).await, err(eq(&CallFailure::Unreachable)));
+        assert_that!(client.call(inspect("x"), LONG_TIMEOUT).await, err(eq(&CallFailure::Unreachable)));
 
-        let served = serve_at(address).await;
-        assert_that!(client.call(inspect("x"), PATIENCE).await, err(eq(&CallFailure::Unreachable)));
-        assert_that!(served.client().call(inspect("x"), PATIENCE).await, ok(eq(&view("x"))));
+        let peer = serve_at(address).await;
+        assert_that!(client.call(inspect("x"), LONG_TIMEOUT).await, err(eq(&CallFailure::Unreachable)));
+        assert_that!(peer.client().call(inspect("x"), LONG_TIMEOUT).await, ok(eq(&view("x"))));
     });
 }
 
 #[test]
-fn given_the_peer_went_with_a_call_under_way_when_called_again_then_lost_and_unreachable_are_told_apart() {
+fn a_lost_in_flight_call_is_distinguished_from_an_unreachable_peer() {
     local(async {
-        let served = serve().await;
-        let client = served.client();
-        let under_way = spawn_local({
+        let peer = serve().await;
+        let client = peer.client();
+        let in_flight = spawn_local({
             let client = client.clone();
-            async move { client.call(inspect("hold"), PATIENCE).await }
+            async move { client.call(inspect("blocked"), LONG_TIMEOUT).await }
         });
-        served.echo.hold_came.notified().await;
-        let address = served.address;
-        served.stop().await;
+        peer.echo.call_blocked.notified().await;
+        let address = peer.address;
+        peer.stop().await;
 
-        assert_that!(under_way.await.unwrap(), err(eq(&CallFailure::Lost)));
-        assert_that!(client.call(inspect("x"), PATIENCE).await, err(eq(&CallFailure::Unreachable)));
+        assert_that!(in_flight.await.unwrap(), err(eq(&CallFailure::Lost)));
+        assert_that!(client.call(inspect("x"), LONG_TIMEOUT).await, err(eq(&CallFailure::Unreachable)));
 
         let _back = serve_at(address).await;
         // Fails at once while the pause lasts, so that this ends.
         let mut failures = vec![];
         let answer = loop {
-            match client.call(inspect("again"), PATIENCE).await {
+            match client.call(inspect("again"), LONG_TIMEOUT).await {
                 Ok(answer) => break answer,
                 Err(failure) => failures.push(failure),
             }
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn given_a_peer_that_says_nothing_when_calls_time_out_then_the_next_call_opens_another_connection() {
+fn an_unresponsive_connection_is_closed_and_the_next_call_opens_another() {
     local(async {
         let (listener, address) = listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).await;
         let (accepted, mut connections) = mpsc::unbounded_channel();
@@ -255,7 +255,7 @@
         });
         let limits = CallLimits { silence_timeout: Duration::from_millis(60), ..limits() };
         let client = PeerClient::with_limits(address, FLEET, None, limits);
-        assert_that!(client.call(inspect("x"), PATIENCE).await, ok(eq(&Answer::Done)));
+        assert_that!(client.call(inspect("x"), LONG_TIMEOUT).await, ok(eq(&Answer::Done)));
         let mut first = connections.recv().await.unwrap();
         let short = client.call(inspect("x"), Duration::from_millis(5)).await;
         assert_that!(short, err(eq(&CallFailure::TimedOut)));
@@ -263,18 +263,18 @@
         // Closed without any further call.
         let mut rest = vec![];
         first.read_to_end(&mut rest).await.unwrap();
-        assert_that!(client.call(inspect("x"), PATIENCE).await, ok(eq(&Answer::Done)));
+        assert_that!(client.call(inspect("x"), LONG_TIMEOUT).await, ok(eq(&Answer::Done)));
         assert!(connections.recv().await.is_some());
     });
 }
 
 #[test]
-fn given_a_subscription_when_pushed_then_all_come_in_order_and_the_end_is_told_on_both_sides() {
+fn pushes_arrive_in_order_and_both_sides_notice_the_end() {
     local(async {
-        let served = serve().await;
-        let (answer, mut pushes) = served.client().subscribe(subscribe(), PATIENCE).await.unwrap();
+        let peer = serve().await;
+        let (answer, mut pushes) = peer.client().subscribe(subscribe(), LONG_TIMEOUT).await.unwrap();
         assert_that!(answer, eq(&Answer::Done));
-        let pusher = served.echo.pushers.borrow()[0].clone();
+        let pusher = peer.echo.pushers.borrow()[0].clone();
         for age_ms in 1..200 {
             assert!(pusher.try_push(&Push::Heartbeat { age_ms, proxies: 1 }));
         }
@@ -292,42 +292,42 @@
         pusher.closed().await;
         assert!(!pusher.try_push(&Push::Heartbeat { age_ms: 0, proxies: 0 }));
 
-        let (_, mut pushes) = served.client().subscribe(subscribe(), PATIENCE).await.unwrap();
+        let (_, mut pushes) = peer.client().subscribe(subscribe(), LONG_TIMEOUT).await.unwrap();
         assert!(pushes.next().await.is_some());
-        served.stop().await;
+        peer.stop().await;
         assert_that!(pushes.next().await, none());
     });
 }
 
 #[test]
-fn given_a_subscriber_that_does_not_read_when_pushed_then_the_link_is_full_and_others_are_served() {
+fn a_subscriber_that_does_not_read_fills_its_queue_only() {
     local(async {
-        let served = serve().await;
-        let (_, _pushes) = served.client().subscribe(subscribe(), PATIENCE).await.unwrap();
-        let pusher = served.echo.pushers.borrow()[0].clone();
-        let beat = Push::Heartbeat { age_ms: 0, proxies: 0 };
-        let taken = (0..100_000).take_while(|_| pusher.try_push(&beat)).count();
-        assert_that!(taken, all![gt(100), lt(100_000)]);
-        assert_that!(served.client().call(inspect("x"), PATIENCE).await, ok(eq(&view("x"))));
+        let peer = serve().await;
+        let (_, _pushes) = peer.client().subscribe(subscribe(), LONG_TIMEOUT).await.unwrap();
+        let pusher = peer.echo.pushers.borrow()[0].clone();
+        let heartbeat = Push::Heartbeat { age_ms: 0, proxies: 0 };
+        let accepted = (0..100_000).take_while(|_| pusher.try_push(&heartbeat)).count();
+        assert_that!(accepted, all![gt(100), lt(100_000)]);
+        assert_that!(peer.client().call(inspect("x"), LONG_TIMEOUT).await, ok(eq(&view("x"))));
     });
 }
 
 #[test]
-fn given_an_answer_too_long_for_a_frame_when_called_then_the_caller_learns_that_it_cannot_be_had() {
+fn an_answer_too_long_for_a_frame_becomes_not_ready() {
     local(async {
-        let served = serve().await;
+        let peer = serve().await;
         let chain = Call::ReadChain { epoch: 1, attempt: "a".into() };
-        assert_that!(served.client().call(chain, PATIENCE).await, ok(eq(&Answer::NotReady)));
+        assert_that!(peer.client().call(chain, LONG_TIMEOUT).await, ok(eq(&Answer::NotReady)));
     });
 }
 
-async fn say(address: SocketAddrV4, bytes: &[u8]) -> Vec<u8> {
+async fn send_and_receive(address: SocketAddrV4, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes).await.unwrap();
-    let mut heard = vec![];
+    let mut received = vec![];
     // Reset where bytes were left unread.
-    let _ = stream.read_to_end(&mut heard).await;
-    heard
+    let _ = stream.read_to_end(&mut received).await;
+    received
 }
 
 fn hello(fleet: u16) -> Vec<u8> {
@@ -335,64 +335,68 @@
 }
 
 #[test]
-fn given_strangers_when_they_speak_then_they_are_closed_and_counted() {
+fn invalid_connections_are_rejected_and_counted() {
     local(async {
-        let served = serve().await;
-        let strange = [
+        let peer = serve().await;
+        let invalid = [
             b"GET / HTTP/1.1\r\n\r\n".to_vec(),
             hello(FLEET + 1),
             [hello(FLEET), vec![0xff; 4]].concat(),
             [hello(FLEET), vec![0, 0, 0, 3, 1, 2, 3]].concat(),
             vec![],
         ];
-        for (bytes, count) in strange.iter().zip(1..) {
-            let heard = say(served.address, bytes).await;
-            assert!(heard.is_empty() || heard == hello(FLEET), "{heard:?}");
-            assert_that!(served.server.rejected_connections(), eq(count));
+        for (bytes, count) in invalid.iter().zip(1..) {
+            let received = send_and_receive(peer.address, bytes).await;
+            assert!(received.is_empty() || received == hello(FLEET), "{received:?}");
+            assert_that!(peer.server.rejected_connections(), eq(count));
         }
 
-        let stranger = PeerClient::new(served.address, FLEET + 1, None);
-        assert_that!(stranger.call(inspect("x"), PATIENCE).await, err(eq(&CallFailure::Unreachable)));
-        let subscribed = stranger.subscribe(subscribe(), PATIENCE).await;
+        let foreign_client = PeerClient::new(peer.address, FLEET + 1, None);
+        assert_that!(
+            foreign_client.call(inspect("x"), LONG_TIMEOUT).await,
+            err(eq(&CallFailure::Unreachable))
+        );
+        let subscribed = foreign_client.subscribe(subscribe(), LONG_TIMEOUT).await;
         assert!(matches!(subscribed, Err(CallFailure::Unreachable)));
-        assert_that!(served.server.rejected_connections(), eq(7));
-        assert_that!(served.client().call(inspect("x"), PATIENCE).await, ok(eq(&view("x"))));
-        assert_that!(served.server.rejected_connections(), eq(7));
+        assert_that!(peer.server.rejected_connections(), eq(7));
+        assert_that!(peer.client().call(inspect("x"), LONG_TIMEOUT).await, ok(eq(&view("x"))));
+        assert_that!(peer.server.rejected_connections(), eq(7));
     });
 }
 
 #[test]
-fn given_frames_that_are_no_calls_when_sent_then_each_sender_is_closed_and_counted() {
+fn connections_that_send_other_frames_than_calls_are_rejected_and_counted() {
     local(async {
-        let served = serve().await;
+        let peer = serve().await;
         // Given changed frames that are no calls, and frames that are none.
         let samples: Vec<Vec<u8>> =
             samples::frames().iter().map(|frame| encode(frame).unwrap().to_vec()).collect();
         let strategy = mutated(samples.clone());
         let mut runner = TestRunner::deterministic();
-        let mut strange = samples;
-        strange.extend((0..300).map(|_| strategy.new_tree(&mut runner).unwrap().current()));
-        strange.retain(|bytes| !matches!(decode(bytes), Ok(Frame::Call(..))));
-        assert_that!(strange.len(), gt(200));
+        let mut invalid = samples;
+        invalid.extend((0..300).map(|_| strategy.new_tree(&mut runner).unwrap().current()));
+        invalid.retain(|bytes| !matches!(decode(bytes), Ok(Frame::Call(..))));
+        assert_that!(invalid.len(), gt(200));
         // When they are sent after a hello, then each connection is closed and counted, and nothing is answered.
-        for (bytes, count) in strange.iter().zip(1..) {
+        for (bytes, count) in invalid.iter().zip(1..) {
             let length = u32::try_from(bytes.len()).unwrap().to_be_bytes();
-            let heard = say(served.address, &[&hello(FLEET)[..], &length, bytes].concat()).await;
-            assert!(heard.is_empty() || heard == hello(FLEET), "{heard:?}");
-            assert_that!(served.server.rejected_connections(), eq(count));
+            let received =
+                send_and_receive(peer.address, &[&hello(FLEET)[..], &length, bytes].concat()).await;
+            assert!(received.is_empty() || received == hello(FLEET), "{received:?}");
+            assert_that!(peer.server.rejected_connections(), eq(count));
         }
-        assert_that!(served.client().call(inspect("x"), PATIENCE).await, ok(eq(&view("x"))));
+        assert_that!(peer.client().call(inspect("x"), LONG_TIMEOUT).await, ok(eq(&view("x"))));
     });
 }
 
 #[test]
-fn given_a_client_when_dropped_then_its_connection_is_closed() {
+fn dropping_a_client_closes_its_connection() {
     local(async {
-        let served = serve().await;
-        let client = served.client();
+        let peer = serve().await;
+        let client = peer.client();
         // With the connection, the handler keeps a pusher of it.
-        client.call(subscribe(), PATIENCE).await.unwrap();
-        let pusher = served.echo.pushers.borrow()[0].clone();
+        client.call(subscribe(), LONG_TIMEOUT).await.unwrap();
+        let pusher = peer.echo.pushers.borrow()[0].clone();
         assert!(!pusher.is_closed());
         drop(client);
         pusher.closed().await;
--- a/system/peer-wire/tests/codec.rs
+++ b/system/peer-wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames to bytes and back.
+//! Encoding and decoding of frames.
 
 mod samples;
 
@@ -59,7 +59,7 @@
 const VARIANTS: usize = 35;
 
 #[test]
-fn given_every_variant_when_encoded_and_decoded_then_it_is_the_same() {
+fn every_variant_survives_encoding_and_decoding() {
     let frames = frames();
     let seen: BTreeSet<_> = frames.iter().map(variant).collect();
     assert_that!(seen, eq(&(0..VARIANTS).collect::<BTreeSet<_>>()));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn given_frequent_frames_when_encoded_then_they_are_short() {
+fn frequent_frames_are_short() {
     let len = |frame: Frame| encode(&frame).unwrap().len();
     let lens = [
         len(Frame::Push(Push::Heartbeat { age_ms: 120, proxies: 40 })),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn given_a_frame_too_long_when_encoded_then_it_is_refused() {
+fn a_frame_that_is_too_long_is_rejected_by_the_encoder() {
     let frame = |len| Frame::Answer(1, Answer::Chain { text: vec![1; len].into(), missing: None });
 
     assert!(matches!(encode(&frame(MAX_FRAME_LEN + 1)), Err(WireError::TooLong(_))));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn given_bytes_that_unpack_to_far_more_when_decoded_then_they_are_refused() {
+fn bytes_that_unpack_beyond_the_limit_are_rejected() {
     // One segment of 2^28 words, all zero: two packed bytes for each 256 words.
     let mut bytes = vec![0b1000_0000, 0x10];
     bytes.extend([0x00, 0xff].repeat(1 << 20));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn given_no_frame_when_decoded_then_it_is_refused() {
+fn bytes_that_are_not_a_frame_are_rejected() {
     // An empty message, a message with nothing in it, and a frame with bytes after it.
     assert!(matches!(decode(&[]), Err(WireError::Malformed(_))));
     assert!(matches!(decode(&[0x10, 0x01, 0x00, 0x00]), Err(WireError::Malformed(_))));
@@ -115,23 +115,23 @@
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn given_any_bytes_when_decoded_then_nothing_panics(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         if let Ok(frame) = decode(&bytes) {
             prop_assert_eq!(decode(&encode(&frame).unwrap()).unwrap(), frame);
         }
     }
 
     #[test]
-    fn given_changed_bits_when_decoded_then_nothing_panics(
+    fn flipped_bits_never_panic(
         which in any::<proptest::sample::Index>(),
         flips in proptest::collection::vec((any::<proptest::sample::Index>(), 0..8_u8), 1..6),
         cut in proptest::option::weighted(0.2, any::<proptest::sample::Index>()),
     ) {
         let frames = frames();
         let mut bytes = encode(which.get(&frames)).unwrap().to_vec();
-        for (place, bit) in flips {
-            let place = place.index(bytes.len());
-            bytes[place] ^= 1 << bit;
+        for (position, bit) in flips {
+            let position = position.index(bytes.len());
+            bytes[position] ^= 1 << bit;
         }
         if let Some(cut) = cut {
             bytes.truncate(cut.index(bytes.len()));
@@ -142,7 +142,7 @@
     }
 
     #[test]
-    fn given_any_fields_when_encoded_and_decoded_then_they_are_the_same(
+    fn arbitrary_field_values_survive_encoding_and_decoding(
         number in any::<u64>(),
         epoch in any::<u64>(),
         texts in proptest::collection::vec(".{0,40}", 2),
--- a/system/peer-wire/tests/fuzz.rs
+++ b/system/peer-wire/tests/fuzz.rs
@@ -1,6 +1,6 @@
-//! Frames that were changed in many ways: none breaks a process, takes much memory, or comes back as another.
+//! Mutated frames: decoding never panics, allocates little memory, and yields only frames that encode stably.
 
-// One test only: what is asked for is counted for the whole process.
+// One test only: what is requested for is counted for the whole process.
 mod samples;
 
 use byte_mutation::mutated;
@@ -15,15 +15,19 @@
 static ALLOCATED: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 /// What decoding may ask for: packing makes two bytes of 256 words of zeros, and what is read takes a few times that.
-fn most(len: usize) -> usize {
+fn max_allocated_bytes(len: usize) -> usize {
     (16 << 10) + 4 * (1024 * len).min(MAX_FRAME_LEN)
 }
 
 fn check(bytes: &[u8]) -> bool {
     let region = Region::new(ALLOCATED);
     let decoded = decode(bytes);
-    let asked = region.change().bytes_allocated;
-    assert!(asked <= most(bytes.len()), "{asked} bytes for a frame of {}: {bytes:?}", bytes.len());
+    let requested = region.change().bytes_allocated;
+    assert!(
+        requested <= max_allocated_bytes(bytes.len()),
+        "{requested} bytes for a frame of {}: {bytes:?}",
+        bytes.len()
+    );
     match decoded {
         Ok(frame) => {
             assert_eq!(decode(&encode(&frame).unwrap()).unwrap(), frame);
@@ -89,7 +93,7 @@
 }
 
 #[gtest]
-fn given_changed_frames_when_decoded_then_they_are_refused_or_the_same_again_within_bounds() {
+fn mutated_frames_are_rejected_or_decode_stably_within_memory_bounds() {
     // Given a frame that tells of far more words than it has.
     let long = [vec![0x70, 0xff, 0xff, 0x1f], vec![0; 12]].concat();
     expect_that!(check(&long), eq(false));
--- a/system/peer-wire/tests/recorded.rs
+++ b/system/peer-wire/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! Frames that earlier programs sent are read as they meant them, and written again by the same bytes.
+//! Compatibility with recorded frames of earlier releases: they decode to the same values and encode to the same bytes.
 
 mod samples;
 
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 /// Far more than anything here takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn bytes(digits: &str) -> Vec<u8> {
     let byte = |pair: &[u8]| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap();
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn a_frame_of_every_kind_sent_before_is_read_and_written_alike() {
+fn recorded_frames_of_every_kind_decode_and_encode_unchanged() {
     let recorded = recorded("frames");
     expect_that!(recorded.len(), eq(frames().len()));
     for (frame, bytes) in frames().into_iter().zip(recorded) {
@@ -56,9 +56,9 @@
     }
 }
 
-fn local(story: impl Future<Output = ()>) {
+fn local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, story);
+    LocalSet::new().block_on(&runtime, test);
 }
 
 async fn listen() -> (TcpListener, SocketAddrV4) {
@@ -73,9 +73,9 @@
 }
 
 async fn next_bytes(stream: &mut TcpStream, count: usize) -> Vec<u8> {
-    let mut came = vec![0; count];
-    timeout(PATIENCE, stream.read_exact(&mut came)).await.unwrap().unwrap();
-    came
+    let mut received = vec![0; count];
+    timeout(LONG_TIMEOUT, stream.read_exact(&mut received)).await.unwrap().unwrap();
+    received
 }
 
 #[test]
@@ -94,13 +94,13 @@
             (hello, call, stream)
         });
         // When a client calls, then it is answered.
-        let limits = CallLimits { connect_timeout: PATIENCE, ..CallLimits::default() };
+        let limits = CallLimits { connect_timeout: LONG_TIMEOUT, ..CallLimits::default() };
         let client = PeerClient::with_limits(address, FLEET, None, limits);
-        let answered = client.call(Call::Inspect { topic: TOPIC.into() }, PATIENCE).await;
+        let answered = client.call(Call::Inspect { topic: TOPIC.into() }, LONG_TIMEOUT).await;
         assert_that!(answered, ok(eq(&Answer::View(VIEW.into()))));
         // And it said what was recorded.
-        let (came, called, _stream) = serving.await.unwrap();
-        assert_that!(came, eq(&hello));
+        let (received, called, _stream) = serving.await.unwrap();
+        assert_that!(received, eq(&hello));
         assert_that!(called, eq(&call));
     });
 }
--- a/system/peer-wire/tests/samples/mod.rs
+++ b/system/peer-wire/tests/samples/mod.rs
@@ -1,4 +1,4 @@
-//! A frame of each kind.
+//! Sample frames of each variant.
 
 use bytes::Bytes;
 use fleet_model::*;
@@ -43,26 +43,24 @@
     }
 }
 
-pub fn reservations(count: u64) -> Vec<Reservation> {
+pub(crate) fn reservations(count: u64) -> Vec<Reservation> {
     (1..=count).map(|n| Reservation { attempt: n.wrapping_mul(0x9e37_79b9_7f4a_7c15), tokens: 800 }).collect()
 }
 
-pub fn reserve() -> Call {
+pub(crate) fn reserve() -> Call {
     let reservation = Reservation { attempt: 0x9e37_79b9_7f4a_7c15, tokens: 800 };
     Call::Reserve { epoch: 4, program: "summaries".into(), reservation }
 }
 
-pub fn frames() -> Vec<Frame> {
-    use RegisterReply as Reply;
-    use RegisterRequest as Request;
+fn calls() -> Vec<Call> {
     let store =
         StorageNode { name: "storage-1".into(), ip: ip(9), zone: "zone-a".into(), disk: u64::MAX - 1 };
     let reservation = Reservation { attempt: u64::MAX, tokens: u32::MAX };
-    let calls = [
-        Call::Register(Request::Prepare(ballot(u64::MAX))),
-        Call::Register(Request::Accept(accepted())),
-        Call::Register(Request::Poll { chosen: ballot(4) }),
-        Call::Register(Request::Fetch),
+    vec![
+        Call::Register(RegisterRequest::Prepare(ballot(u64::MAX))),
+        Call::Register(RegisterRequest::Accept(accepted())),
+        Call::Register(RegisterRequest::Poll { chosen: ballot(4) }),
+        Call::Register(RegisterRequest::Fetch),
         Call::JoinCore { ip: ip(255) },
         Call::JoinStorage { store },
         Call::InSync { disk: 1, epoch: 2 },
@@ -91,7 +89,10 @@
         Call::Backfill { epoch: 9, disk: 10, cursor: Bytes::from_static(b"next") },
         Call::BackfillDone { epoch: 11, disk: 12 },
         Call::Inspect { topic: "members".into() },
-    ];
+    ]
+}
+
+fn answers() -> Vec<Answer> {
     let chain = |missing: Option<&str>| Answer::Chain {
         text: Bytes::from_static(b"in\nout\n"),
         missing: missing.map(Into::into),
@@ -101,16 +102,16 @@
         accounts: vec![("p".into(), reservations(3)), ("q".into(), vec![])],
         cursor,
     };
-    let answers = [
-        Answer::Register(Reply::Promised(None)),
-        Answer::Register(Reply::Promised(Some(accepted()))),
-        Answer::Register(Reply::Accepted),
-        Answer::Register(Reply::Rejected(ballot(3))),
-        Answer::Register(Reply::Recovering),
-        Answer::Register(Reply::Polled { accepted: None, chosen: Ballot::default() }),
-        Answer::Register(Reply::Polled { accepted: Some(Ballot::default()), chosen: ballot(1) }),
-        Answer::Register(Reply::Fetched(None)),
-        Answer::Register(Reply::Fetched(Some(accepted()))),
+    vec![
+        Answer::Register(RegisterReply::Promised(None)),
+        Answer::Register(RegisterReply::Promised(Some(accepted()))),
+        Answer::Register(RegisterReply::Accepted),
+        Answer::Register(RegisterReply::Rejected(ballot(3))),
+        Answer::Register(RegisterReply::Recovering),
+        Answer::Register(RegisterReply::Polled { accepted: None, chosen: Ballot::default() }),
+        Answer::Register(RegisterReply::Polled { accepted: Some(Ballot::default()), chosen: ballot(1) }),
+        Answer::Register(RegisterReply::Fetched(None)),
+        Answer::Register(RegisterReply::Fetched(Some(accepted()))),
         Answer::Done,
         Answer::NotReady,
         Answer::Redirect(vec![]),
@@ -127,9 +128,12 @@
         records(Some(Bytes::new())),
         records(Some(Bytes::from_static(b"c"))),
         Answer::View("{\"a\":1}".into()),
-    ];
+    ]
+}
+
+fn pushes() -> Vec<Push> {
     let endpoints = vec![endpoint(1, EndpointState::Ready), endpoint(2, EndpointState::Draining)];
-    let pushes = [
+    vec![
         Push::Heartbeat { age_ms: 120, proxies: 40 },
         Push::Value(ChosenValue {
             ballot: ballot(8),
@@ -143,8 +147,12 @@
             upserted: endpoints,
             removed: vec!["x".into(), "".into()],
         },
-    ];
-    let calls = (1..).zip(calls).map(|(number, call)| Frame::Call(number, call));
-    let answers = answers.into_iter().map(|answer| Frame::Answer(u64::MAX, answer));
-    calls.chain(answers).chain(pushes.into_iter().map(Frame::Push)).collect()
+    ]
+}
+
+/// One frame or more of each variant of [`Call`], [`Answer`] and [`Push`].
+pub(crate) fn frames() -> Vec<Frame> {
+    let calls = (1..).zip(calls()).map(|(number, call)| Frame::Call(number, call));
+    let answers = answers().into_iter().map(|answer| Frame::Answer(u64::MAX, answer));
+    calls.chain(answers).chain(pushes().into_iter().map(Frame::Push)).collect()
 }
--- a/system/peer-wire/tests/schema.rs
+++ b/system/peer-wire/tests/schema.rs
@@ -1,11 +1,11 @@
-//! The committed code is what the schema's compiler makes of the schema.
+//! The committed generated code matches the schema.
 
 use std::path::Path;
 use std::process::Command;
 
 /// Where the compiler of Cap'n Proto is not installed, this tells so and compares nothing.
 #[test]
-fn given_the_schema_when_compiled_again_then_the_committed_code_comes_out() {
+fn the_committed_code_matches_the_schema() {
     if Command::new("capnp").arg("--version").output().is_err() {
         println!("not compared: there is no `capnp` on the PATH");
         return;
