--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -274,7 +274,7 @@
         let (state_before, value_before) = (self.feed.state(), self.feed.value());
         let voters = accepted.value.voters.clone();
         self.heard.borrow_mut().extend(voters.iter().copied());
-        let learned = self.feed.learn_value(ChosenValue {
+        let learned = self.feed.update_value(ChosenValue {
             ballot: accepted.ballot,
             voters,
             payload: accepted.value.payload,
@@ -294,7 +294,7 @@
     /// Waits until what is known here is confirmed as of now, by a quorum read.
     pub(crate) async fn confirm_now(&self, within: Duration) -> bool {
         let asked = self.runtime.now();
-        let is_confirmed = || self.feed.fresh_at().is_some_and(|at| at >= asked);
+        let is_confirmed = || self.feed.confirmed_at().is_some_and(|at| at >= asked);
         let confirmed = async {
             while !is_confirmed() {
                 let polled = self.polled.notified();
--- a/system/control-node/src/singleton_tasks.rs
+++ b/system/control-node/src/singleton_tasks.rs
@@ -80,7 +80,7 @@
             Ok(endpoints) => {
                 let now = self.runtime.now_ms();
                 if let Some(list) = readings.accept_poll(now, asked, token, &self.feed.list(), endpoints) {
-                    self.feed.learn_list(list);
+                    self.feed.update_list(list);
                 }
             }
             Err(e) => self.backend.on_event(&ControlEvent::DiscoveryFailed(&e.to_string())),
--- a/system/node-runtime/src/feed.rs
+++ b/system/node-runtime/src/feed.rs
@@ -1,5 +1,5 @@
-//! What a node knows through the state feed and passes on. `state-feed` decides what is pushed to whom; here it is carried
-//! out over links.
+//! The state that a node knows through the feed, and its subscribers. [`state_feed::FeedState`] decides which pushes go to which
+//! subscriber; this module sends them over links.
 
 use crate::{FeedEvent, Runtime, Subscriber};
 use fleet_model::{Answer, Call, ChosenValue, ControlState, EndpointList, Push};
@@ -11,125 +11,126 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// What a node knows through the feed, and passes on.
+/// The feed of a node: the state that it knows, and the links of its subscribers.
 pub struct Feed<R: Runtime> {
     runtime: R,
-    decides: RefCell<FeedState>,
+    feed_state: RefCell<FeedState>,
     subscribers: RefCell<BTreeMap<SubscriberId, R::Subscriber>>,
-    last_link: Cell<SubscriberId>,
-    /// Counts changes of value and list.
-    changed: watch::Sender<u64>,
+    last_link_id: Cell<SubscriberId>,
+    /// Number of changes of the value or the list.
+    changes: watch::Sender<u64>,
 }
 
 impl<R: Runtime> Feed<R> {
-    /// Of a node that has just started: it knows nothing.
+    /// The feed of a node that has just started and knows nothing.
     pub fn new(runtime: R) -> Rc<Self> {
         Rc::new(Self {
             runtime,
-            decides: RefCell::default(),
+            feed_state: RefCell::default(),
             subscribers: RefCell::default(),
-            last_link: Cell::new(0),
-            changed: watch::Sender::new(0),
+            last_link_id: Cell::new(0),
+            changes: watch::Sender::new(0),
         })
     }
 
-    /// The process that it runs in.
+    /// The runtime of the node's process.
     pub fn runtime(&self) -> &R {
         &self.runtime
     }
 
     /// The newest value.
     pub fn value(&self) -> Rc<ChosenValue> {
-        self.decides.borrow().value().clone()
+        self.feed_state.borrow().value().clone()
     }
 
-    /// The newest value, read.
+    /// The control state decoded from the newest value.
     pub fn state(&self) -> Rc<ControlState> {
-        self.decides.borrow().state().clone()
+        self.feed_state.borrow().state().clone()
     }
 
-    /// The newest list.
+    /// The newest endpoint list.
     pub fn list(&self) -> Rc<EndpointList> {
-        self.decides.borrow().list().clone()
+        self.feed_state.borrow().list().clone()
     }
 
-    /// Proxies in the fleet, as last told; 0 if nobody told.
+    /// Number of proxies in the fleet as last reported; 0 if unknown.
     pub fn proxies(&self) -> u32 {
-        self.decides.borrow().proxies()
+        self.feed_state.borrow().proxies()
     }
 
-    /// Tells how many proxies there are.
+    /// Sets the number of proxies in the fleet.
     pub fn set_proxies(&self, count: u32) {
-        self.decides.borrow_mut().set_proxies(count);
+        self.feed_state.borrow_mut().set_proxies(count);
     }
 
-    /// Counts changes of value and list.
+    /// A receiver of the number of changes of the value or the list, to wait for the next one.
     pub fn changes(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.changes.subscribe()
     }
 
-    /// A majority of the core had nothing newer at that time.
+    /// Records that a majority of the voters had nothing newer at `at`.
     pub fn confirm(&self, at: Duration) {
-        self.decides.borrow_mut().confirm(at);
+        self.feed_state.borrow_mut().confirm(at);
     }
 
-    /// How old at most what is known here is.
+    /// Upper bound on the age of the state; `None` before the first confirmation.
     pub fn age(&self) -> Option<Duration> {
-        self.decides.borrow().age(self.runtime.now())
+        self.feed_state.borrow().age(self.runtime.now())
     }
 
-    /// When what is known was last confirmed.
-    pub fn fresh_at(&self) -> Option<Duration> {
-        self.decides.borrow().fresh_at()
+    /// When the state was last confirmed to be current, if ever.
+    pub fn confirmed_at(&self) -> Option<Duration> {
+        self.feed_state.borrow().confirmed_at()
     }
 
-    /// Takes a newer value.
-    pub fn learn_value(&self, value: ChosenValue) -> bool {
-        let learned = self.decides.borrow_mut().learn_value(value);
-        self.carry_out(learned).changed
+    /// Applies a value if it is newer; returns whether it is. An unreadable value is reported and ignored.
+    pub fn update_value(&self, value: ChosenValue) -> bool {
+        let update = self.feed_state.borrow_mut().update_value(value);
+        self.apply_update(update).changed
     }
 
-    /// Takes a newer list.
-    pub fn learn_list(&self, list: EndpointList) -> bool {
-        let learned = self.decides.borrow_mut().learn_list(list);
-        self.carry_out(Ok(learned)).changed
+    /// Applies an endpoint list if it is newer; returns whether it is.
+    pub fn update_list(&self, list: EndpointList) -> bool {
+        let update = self.feed_state.borrow_mut().update_list(list);
+        self.apply_update(Ok(update)).changed
     }
 
-    /// Carries out a push; false if the link's list is not the one known here.
+    /// Applies a push of an upstream. Returns `false` if it is relative to a list or configuration that is not known here.
+    /// `confirms` tells whether the upstream's heartbeats confirm the state.
     pub fn apply_push(&self, push: Push, confirms: bool) -> bool {
-        let learned = {
-            let mut decides = self.decides.borrow_mut();
-            self.runtime.before_push(&mut decides, &push);
-            decides.apply_push(self.runtime.now(), push, confirms)
+        let update = {
+            let mut feed_state = self.feed_state.borrow_mut();
+            self.runtime.before_push(&mut feed_state, &push);
+            feed_state.apply_push(self.runtime.now(), push, confirms)
         };
-        !self.carry_out(learned).out_of_step
+        !self.apply_update(update).out_of_sync
     }
 
-    /// Passes on what was learned, and tells of it.
-    fn carry_out(&self, learned: Result<FeedUpdate, UnreadableValue>) -> FeedUpdate {
-        let mut learned = learned.unwrap_or_else(|e| {
-            self.runtime.on_feed(FeedEvent::Unreadable(&e));
+    /// Forwards an update to the subscribers and reports it to the runtime.
+    fn apply_update(&self, update: Result<FeedUpdate, UnreadableValue>) -> FeedUpdate {
+        let mut update = update.unwrap_or_else(|error| {
+            self.runtime.on_feed(FeedEvent::Unreadable(&error));
             FeedUpdate::default()
         });
-        self.spread(std::mem::take(&mut learned.spreads));
-        if learned.changed {
-            self.changed.send_modify(|count| *count += 1);
+        self.send_broadcasts(std::mem::take(&mut update.broadcasts));
+        if update.changed {
+            self.changes.send_modify(|count| *count += 1);
             let (value, state, list) = (self.value(), self.state(), self.list());
             self.runtime.on_feed(FeedEvent::Changed { value: &value, state: &state, list: &list });
         }
-        learned
+        update
     }
 
-    fn spread(&self, spreads: Vec<Broadcast>) {
-        for Broadcast { push, to } in spreads {
+    fn send_broadcasts(&self, broadcasts: Vec<Broadcast>) {
+        for Broadcast { push, to } in broadcasts {
             let prepared = R::Subscriber::prepare(&push);
             for link in to {
-                let pushed = match (&prepared, self.subscribers.borrow().get(&link)) {
+                let was_sent = match (&prepared, self.subscribers.borrow().get(&link)) {
                     (Some(push), Some(subscriber)) => subscriber.send(push),
                     _ => false,
                 };
-                // What it missed it would never get: it has to ask again.
-                if !pushed {
+                // A missed push is never repeated on a link: the subscriber has to subscribe again.
+                if !was_sent {
                     self.remove_subscriber(link);
                 }
             }
@@ -138,32 +139,32 @@
 
     fn remove_subscriber(&self, link: SubscriberId) {
         self.subscribers.borrow_mut().remove(&link);
-        self.decides.borrow_mut().remove(link);
+        self.feed_state.borrow_mut().remove(link);
     }
 
-    /// When the next heartbeat is due.
+    /// When the next heartbeat is due if none is sent before.
     fn heartbeat_due(&self) -> Duration {
-        self.decides.borrow().heartbeat_due()
+        self.feed_state.borrow().heartbeat_due()
     }
 
-    /// A heartbeat to every subscriber.
+    /// Sends a heartbeat to all subscribers.
     pub fn send_heartbeats(&self) {
-        let spreads = self.decides.borrow_mut().heartbeat(self.runtime.now());
-        self.spread(spreads);
+        let broadcasts = self.feed_state.borrow_mut().heartbeat(self.runtime.now());
+        self.send_broadcasts(broadcasts);
     }
 
-    /// Takes a subscriber on, or names others to ask. `relay`: this is no control node.
-    pub fn subscribe(&self, call: &Call, relay: bool, subscriber: R::Subscriber) -> Answer {
+    /// Accepts a subscriber, rejects it or redirects it to other nodes. `is_relay` tells that this is no control node.
+    pub fn subscribe(&self, call: &Call, is_relay: bool, subscriber: R::Subscriber) -> Answer {
         self.remove_closed_subscribers();
-        let link = self.last_link.get() + 1;
-        self.last_link.set(link);
-        let role = if relay { Role::Relay } else { Role::ControlNode };
+        let link = self.last_link_id.get() + 1;
+        self.last_link_id.set(link);
+        let role = if is_relay { Role::Relay } else { Role::ControlNode };
         let (now, peer_port) = (self.runtime.now(), self.runtime.peer_port());
-        let subscription = self.decides.borrow_mut().subscribe(now, role, peer_port, call, link);
-        let sent = |push: &Push| R::Subscriber::prepare(push).is_some_and(|push| subscriber.send(&push));
-        // A subscriber that lacks what it was to be told first would be told that it lacks nothing.
-        if !subscription.pushes.iter().all(sent) {
-            self.decides.borrow_mut().remove(link);
+        let subscription = self.feed_state.borrow_mut().subscribe(now, role, peer_port, call, link);
+        let was_sent = |push: &Push| R::Subscriber::prepare(push).is_some_and(|push| subscriber.send(&push));
+        // A subscriber that missed an initial push would later be treated as if it had it.
+        if !subscription.pushes.iter().all(was_sent) {
+            self.feed_state.borrow_mut().remove(link);
             return Answer::NotReady;
         }
         if subscription.answer == Answer::Done {
@@ -183,19 +184,19 @@
         }
     }
 
-    /// Addresses of subscribers, for staff.
+    /// Addresses of the subscribers, for operators.
     pub fn subscriber_addresses(&self) -> Vec<Ipv4Addr> {
-        self.decides.borrow().subscriber_addresses()
+        self.feed_state.borrow().subscriber_addresses()
     }
 }
 
-/// Sends heartbeats for good.
+/// Sends heartbeats whenever they are due; never returns.
 pub async fn run_heartbeats<R: Runtime>(feed: Rc<Feed<R>>) {
     loop {
-        let left = feed.heartbeat_due().saturating_sub(feed.runtime.now());
-        match left.is_zero() {
+        let remaining = feed.heartbeat_due().saturating_sub(feed.runtime.now());
+        match remaining.is_zero() {
             true => feed.send_heartbeats(),
-            false => feed.runtime.sleep(left).await,
+            false => feed.runtime.sleep(remaining).await,
         }
     }
 }
--- a/system/node-runtime/src/lib.rs
+++ b/system/node-runtime/src/lib.rs
@@ -1,6 +1,8 @@
-//! What a node of the fleet needs of its process: time, chance, tasks, calls to its peers and links of the state feed. All of
-//! it is behind [`Runtime`], so that the code that runs in service is the code that the simulation plays. Nothing here does
-//! I/O, reads a clock or draws random numbers.
+//! The interface of a node to its process: time, randomness, tasks, calls to its peers and links of the state feed.
+//!
+//! All of it is behind the [`Runtime`] trait, so that the simulation runs the same code as the service. This crate does no I/O,
+//! reads no clock and generates no random numbers itself. On top of the trait it runs the state feed ([`Feed`], [`follow`])
+//! and provides time-outs ([`timeout`], [`timeout_at`]).
 
 mod feed;
 mod follow;
@@ -16,44 +18,44 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// A process as its node sees it. Everything runs on one thread.
-#[allow(async_fn_in_trait)]
+/// The process of a node. Everything runs on one thread, so futures need not be `Send`.
+#[allow(async_fn_in_trait, reason = "all tasks run on one thread, so no bound on the futures is needed")]
 pub trait Runtime: Clone + 'static {
-    /// A task that was begun.
+    /// Handle of a spawned task.
     type Task: Task;
-    /// The subscriber's end of a link of the feed.
+    /// The subscriber's end of a link of the state feed.
     type Upstream: Upstream;
-    /// The feeding node's end of a link of the feed.
+    /// The serving node's end of a link of the state feed.
     type Subscriber: Subscriber;
 
-    /// This machine's address.
+    /// Address of this machine.
     fn ip(&self) -> Ipv4Addr;
 
-    /// This machine's zone.
+    /// Zone of this machine.
     fn zone(&self) -> String;
 
-    /// The core machines that the settings name.
+    /// Addresses of the control nodes in the settings.
     fn seeds(&self) -> Vec<Ipv4Addr>;
 
-    /// Where machines take calls of their peers.
+    /// Port on which machines accept calls of their peers.
     fn peer_port(&self) -> u16;
 
-    /// Time that only rises. It begins far from zero, since ages are taken off it.
+    /// Time of a monotonic clock. Its origin is far in the past, since ages are subtracted from it.
     fn now(&self) -> Duration;
 
     /// A random number.
     fn random_u64(&self) -> u64;
 
-    /// Passes when so much time is over.
-    async fn sleep(&self, pause: Duration);
+    /// Completes after `duration`.
+    async fn sleep(&self, duration: Duration);
 
-    /// Begins a task, which ends with the process at the latest.
+    /// Spawns a task, which ends with the process at the latest.
     fn spawn(&self, work: impl Future<Output = ()> + 'static) -> Self::Task;
 
-    /// Calls the node of another machine; none without an answer in time.
+    /// Calls the node of another machine; `None` without an answer within `timeout`.
     async fn call(&self, to: Ipv4Addr, call: Call, timeout: Duration) -> Option<Answer>;
 
-    /// Opens a link of the feed; none without an answer in time.
+    /// Opens a link of the state feed; `None` without an answer within `timeout`.
     async fn subscribe(
         &self,
         to: SocketAddrV4,
@@ -61,11 +63,10 @@
         timeout: Duration,
     ) -> Option<(Answer, Self::Upstream)>;
 
-    /// Is told what happens to the feed.
+    /// Is notified of events of the feed.
     fn on_feed(&self, event: FeedEvent<'_>);
 
-    /// Sees each push before it is taken. Nothing is to be done here in service; a simulation that breaks the feed on purpose
-    /// does it here.
+    /// Is called with each push before it is applied. The default does nothing; a simulation overrides it to inject faults.
     fn before_push(&self, _known: &mut FeedState, _push: &Push) {}
 
     /// Time in milliseconds, of the same clock as [`Runtime::now`].
@@ -74,48 +75,48 @@
     }
 }
 
-/// A task that was begun. It goes on when this is dropped.
+/// Handle of a spawned task. The task continues if the handle is dropped.
 pub trait Task {
-    /// Ends it.
+    /// Cancels the task.
     fn abort(self);
 }
 
-/// The subscriber's end of a link; the link closes when this is dropped.
-#[allow(async_fn_in_trait)]
+/// The subscriber's end of a link; dropping it closes the link.
+#[allow(async_fn_in_trait, reason = "all tasks run on one thread, so no bound on the futures is needed")]
 pub trait Upstream {
-    /// The next push; none once the link is closed.
+    /// The next push; `None` once the link is closed.
     async fn next(&mut self) -> Option<Push>;
 }
 
-/// The feeding node's end of a link.
+/// The serving node's end of a link.
 pub trait Subscriber {
-    /// A push in the form in which it is sent.
+    /// An encoded push.
     type Prepared;
 
-    /// Brings a push into that form, once for all subscribers; none if it cannot be sent.
+    /// Encodes a push, once for all subscribers; `None` if it cannot be sent.
     fn prepare(push: &Push) -> Option<Self::Prepared>;
 
-    /// Sends a push after those before it; false if it will not get there.
+    /// Sends a push, in order; returns `false` if it cannot be delivered.
     fn send(&self, push: &Self::Prepared) -> bool;
 
     /// Whether the link is closed.
     fn is_closed(&self) -> bool;
 }
 
-/// What happens to a node's feed.
+/// An event of a node's feed.
 #[derive(Debug)]
 pub enum FeedEvent<'a> {
-    /// It goes by another value or list.
+    /// The value or the list changed.
     Changed {
         /// The newest value.
         value: &'a ChosenValue,
-        /// The same, read.
+        /// The control state decoded from it.
         state: &'a ControlState,
-        /// The newest list.
+        /// The newest endpoint list.
         list: &'a EndpointList,
     },
-    /// A value was passed over, since it cannot be read.
+    /// A value was ignored because it cannot be decoded.
     Unreadable(&'a UnreadableValue),
-    /// It is fed by another upstream now, or by none.
+    /// The upstream changed; `None` while there is none.
     UpstreamChanged(Option<SocketAddrV4>),
 }
--- a/system/node-runtime/src/timeout.rs
+++ b/system/node-runtime/src/timeout.rs
@@ -1,4 +1,4 @@
-//! Bounds on time.
+//! Time-outs for futures.
 
 use crate::Runtime;
 use std::future::poll_fn;
@@ -6,18 +6,18 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// What the work comes to, if it does in this time.
-pub async fn timeout<R: Runtime, F: Future>(runtime: &R, within: Duration, work: F) -> Option<F::Output> {
+/// The output of `work`; `None` if it does not complete within `duration`.
+pub async fn timeout<R: Runtime, F: Future>(runtime: &R, duration: Duration, work: F) -> Option<F::Output> {
     let mut work = pin!(work);
-    let mut over = pin!(runtime.sleep(within));
+    let mut sleep = pin!(runtime.sleep(duration));
     poll_fn(|cx| match work.as_mut().poll(cx) {
-        Poll::Ready(done) => Poll::Ready(Some(done)),
-        Poll::Pending => over.as_mut().poll(cx).map(|()| None),
+        Poll::Ready(output) => Poll::Ready(Some(output)),
+        Poll::Pending => sleep.as_mut().poll(cx).map(|()| None),
     })
     .await
 }
 
-/// What the work comes to, if it does before this moment of [`Runtime::now`].
+/// The output of `work`; `None` if it does not complete before `deadline`, a time of [`Runtime::now`].
 pub async fn timeout_at<R: Runtime, F: Future>(
     runtime: &R,
     deadline: Duration,
--- a/system/programs/src/proxy.rs
+++ b/system/programs/src/proxy.rs
@@ -41,7 +41,7 @@
         let complete = config.is_some() && list.as_ref().is_some_and(|list| !list.endpoints.is_empty());
         forwarder.update(SystemState { config, list, proxies });
         // What is there was confirmed since this process began: nothing is kept from an earlier life.
-        if complete && feed.fresh_at().is_some() && !ready.replace(true) {
+        if complete && feed.confirmed_at().is_some() && !ready.replace(true) {
             log::info!("ready with configuration {version}");
         }
         // Beats change neither value nor list: the first one is looked for now and then.
--- a/system/programs/src/storage/placement.rs
+++ b/system/programs/src/storage/placement.rs
@@ -113,7 +113,7 @@
         let roster = Rc::new(self.feed.state().roster.clone());
         let place = || self.replica.with(|replica| Place::of(replica, roster.clone()));
         let Some(before) = place() else { return BUSY_PAUSE_MS };
-        if self.feed.fresh_at().is_some() && before.must_join() {
+        if self.feed.confirmed_at().is_some() && before.must_join() {
             self.tell_core(Call::JoinStorage { store: before.me }).await;
         }
         if let Some(filling) = self.replica.with(|replica| replica.state.backfill()).flatten() {
--- a/system/programs/tests/loopback/chains_and_budgets.rs
+++ b/system/programs/tests/loopback/chains_and_budgets.rs
@@ -30,7 +30,7 @@
     let process = Machine::new(own_address(), zone, port).process;
     let feed = new_feed(&process);
     let state = ControlState { roster: storage.roster.clone(), ..ControlState::default() };
-    feed.learn_value(chosen(1, &state));
+    feed.update_value(chosen(1, &state));
     Turns(TurnClient::new(process, feed))
 }
 
--- a/system/programs/tests/loopback/graceful_shutdown.rs
+++ b/system/programs/tests/loopback/graceful_shutdown.rs
@@ -107,8 +107,8 @@
         let feed = Source::start(&machine.process, feed_listener);
         let endpoint = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let SocketAddr::V4(address) = endpoint.local_addr().unwrap() else { unreachable!() };
-        feed.learn_value(chosen(1, &state_with(CONFIG)));
-        feed.learn_list(EndpointList {
+        feed.update_value(chosen(1, &state_with(CONFIG)));
+        feed.update_list(EndpointList {
             version: ListVersion::new(1, 1),
             endpoints: vec![endpoint_at(address)],
         });
--- a/system/state-feed/src/follower.rs
+++ b/system/state-feed/src/follower.rs
@@ -1,7 +1,8 @@
-//! By whom a process is fed: whom it asks next, when it leaves its upstream, when it asks a control node urgently.
+//! Selection of the upstream of a subscriber: where it subscribes next, when it leaves its upstream, and when it subscribes
+//! urgently at a control node.
 //!
-//! An upstream that grows silent or stale is kept until another one feeds: it may come back, and none may be better. What any
-//! link brings is taken in, so during a change two links do no harm.
+//! An unresponsive or stale upstream is kept until another one delivers: it may recover, and none may be better. Updates from
+//! every open link are applied, so two links during a change do no harm.
 
 use crate::{MAX_RELAY_STATE_AGE, MAX_STATE_AGE, UPSTREAM_TIMEOUT};
 use fleet_model::{Answer, rendezvous_rank};
@@ -9,211 +10,216 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// Names an asked process's link; no two of a follower have the same.
+/// Number of a link that a follower opened; unique within the follower.
 pub type LinkId = u64;
 
-/// How long an asked process may take to answer, and then to send its first heartbeat.
-const PATIENCE: Duration = Duration::from_millis(300);
-/// After so long without an answer the next one is asked as well.
-const HEDGE: Duration = Duration::from_millis(120);
-/// Asked at once.
-const MOST_ATTEMPTS: usize = 2;
-/// Pauses that are doubled from the first to the longest.
+/// Time that a process has to answer a subscription, and then to send its first heartbeat.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time without an answer after which a hedged request goes to the next candidate.
+const HEDGE_DELAY: Duration = Duration::from_millis(120);
+/// Maximum number of concurrent subscription attempts.
+const MAX_CONCURRENT_ATTEMPTS: usize = 2;
+/// An exponential backoff that doubles from the initial to the maximum delay.
 struct Backoff {
-    first: Duration,
-    longest: Duration,
+    initial: Duration,
+    max: Duration,
 }
 
-/// After a round in which nobody fed.
-const ROUNDS: Backoff = Backoff { first: Duration::from_millis(40), longest: Duration::from_millis(400) };
-/// The same for a follower of one upstream.
-const ROUNDS_OF_ONE: Backoff =
-    Backoff { first: Duration::from_millis(10), longest: Duration::from_millis(200) };
-/// Who has asked a control node urgently asks to be fed by the tree after these.
-const RETURNS: Backoff = Backoff { first: Duration::from_secs(4), longest: Duration::from_secs(32) };
-/// What failed is asked again only after the others for so long.
-const AVOIDED: Duration = Duration::from_secs(3);
-/// An upstream that is silent for so long is given up, also if there is no other.
-const GIVEN_UP: Duration = Duration::from_secs(5);
-/// Up to so long who lost an upstream waits, by chance: its former siblings have lost it too.
-const SPREAD: Duration = Duration::from_millis(60);
-
-/// Who may feed a follower.
+/// Backoff after a round in which no candidate delivered.
+const ROUND_BACKOFF: Backoff =
+    Backoff { initial: Duration::from_millis(40), max: Duration::from_millis(400) };
+/// The same for a follower of a single upstream.
+const SINGLE_SOURCE_BACKOFF: Backoff =
+    Backoff { initial: Duration::from_millis(10), max: Duration::from_millis(200) };
+/// Backoff before an urgently accepted subscriber tries to return to the regular tree.
+const RETURN_BACKOFF: Backoff = Backoff { initial: Duration::from_secs(4), max: Duration::from_secs(32) };
+/// Time for which a failed candidate is tried only after the others.
+const AVOID_DURATION: Duration = Duration::from_secs(3);
+/// Time after which an unresponsive upstream is abandoned even if there is no other.
+const UPSTREAM_ABANDON_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum random delay after the loss of an upstream, since its other subscribers have lost it at the same time.
+const MAX_JITTER: Duration = Duration::from_millis(60);
+
+/// The processes that may be the upstream of a follower.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Sources {
-    /// The control nodes, and relays that they name. `urgent`: only control nodes.
+    /// The control nodes, and the relays to which they redirect.
     Tree {
-        /// The control nodes are to feed this process themselves.
+        /// Whether the control nodes have to serve this process themselves, without relays.
         urgent: bool,
     },
-    /// One process, however stale.
+    /// A single process, however stale.
     One,
 }
 
-/// What happened.
+/// An input of the follower.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Time has passed, or nothing but the control nodes changed.
+    /// Time has passed, or the set of control nodes changed.
     Tick,
-    /// The asked one answered.
+    /// The subscription on the link was answered.
     Answered(LinkId, Answer),
-    /// A heartbeat came that told this age. What else the link brings is no event here.
-    Beat(LinkId, Duration),
-    /// What the link brought is on top of a list that is not known here.
-    OutOfStep(LinkId),
-    /// The link broke, or could not be opened.
+    /// A heartbeat arrived that reported this age. Other pushes on the link are no events.
+    Heartbeat(LinkId, Duration),
+    /// The link delivered a change relative to a list or configuration that is not known here.
+    OutOfSync(LinkId),
+    /// The link closed, or could not be opened.
     Closed(LinkId),
 }
 
-/// What the caller is to do.
+/// An action for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Open a link to `parent` and ask it to feed this process.
-    Ask {
-        /// Under this number events tell of the link.
+    /// Open a link to `upstream` and subscribe to its feed.
+    Subscribe {
+        /// Number of the link in later events.
         link: LinkId,
-        /// Whom.
-        parent: SocketAddrV4,
-        /// Take this process on, however many there are.
+        /// Address of the process.
+        upstream: SocketAddrV4,
+        /// Whether the process has to accept the subscription even beyond its limit.
         urgent: bool,
     },
-    /// Close the link; nothing that it brings from now on counts.
+    /// Close the link and ignore whatever still arrives on it.
     Close(LinkId),
 }
 
-/// The link on which this process is fed.
+/// The link that delivers the feed.
 #[derive(Clone, Debug)]
 struct Upstream {
     link: LinkId,
     address: SocketAddrV4,
     is_control_node: bool,
-    /// It took this process on because it was asked urgently, however many it feeds.
+    /// Whether it accepted this process only because the subscription was urgent.
     is_urgent: bool,
-    heard_at: Duration,
+    last_seen_at: Duration,
     confirmed_at: Option<Duration>,
 }
 
+/// A subscription that has not delivered a heartbeat yet.
 #[derive(Clone, Debug)]
 struct Attempt {
     link: LinkId,
     address: SocketAddrV4,
     is_control_node: bool,
     urgent: bool,
-    until: Duration,
+    deadline: Duration,
 }
 
-/// Who is to be asked.
+/// A process to subscribe to.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     address: SocketAddrV4,
     urgent: bool,
 }
 
-/// Who is asked in turn.
+/// One pass over the candidates.
 #[derive(Clone, Debug)]
 struct Round {
     queue: VecDeque<Candidate>,
     attempts: Vec<Attempt>,
-    /// From then on the next one is asked, though others have not answered yet.
+    /// When the next candidate is tried although others have not answered yet.
     hedge_at: Duration,
-    /// All is well, but a control node was asked urgently: now the tree is asked.
-    returning: bool,
+    /// Whether the upstream is fine but was acquired urgently, and this round tries to return to the regular tree.
+    is_return: bool,
 }
 
-/// What the follower is at, beside the upstream that it may have.
+/// State of the search for an upstream, independent of the present one.
 #[derive(Clone, Debug)]
 enum Search {
     /// The upstream is trusted.
-    Resting,
-    /// A round begins then.
+    Idle,
+    /// The next round starts at this time.
     BackingOff(Duration),
-    /// A round is under way.
-    Asking(Round),
+    /// A round is in progress.
+    InRound(Round),
 }
 
-/// Decides by whom a process is fed.
+/// Selects the upstream of one process, as a state machine without I/O.
 #[derive(Clone, Debug)]
 pub struct Follower {
     me: Ipv4Addr,
     sources: Sources,
     seed: u64,
-    draws: u64,
+    random_count: u64,
     last_link: LinkId,
     upstream: Option<Upstream>,
     search: Search,
-    /// Whether the control nodes are asked urgently.
+    /// Whether subscriptions at control nodes are urgent.
     asks_urgently: bool,
-    /// The pause after the next round in which nobody feeds.
+    /// Delay after the next round in which no candidate delivers.
     backoff: Duration,
-    /// Drawn for each upstream, so that siblings do not leave it at one time.
-    slack: Duration,
+    /// Random for each upstream, so that its subscribers do not all leave it at the same time.
+    jitter: Duration,
     return_at: Duration,
     return_backoff: Duration,
     avoided: BTreeMap<SocketAddrV4, Duration>,
 }
 
 impl Follower {
-    /// Of machine `me`; `seed` is drawn by chance.
+    /// The follower of machine `me`; `seed` has to be random.
     pub fn new(me: Ipv4Addr, sources: Sources, seed: u64) -> Self {
-        let backoff = Self::round_backoff(&sources).first;
+        let backoff = Self::round_backoff(&sources).initial;
         Self {
             me,
             asks_urgently: sources != Sources::Tree { urgent: false },
             sources,
             seed,
-            draws: 0,
+            random_count: 0,
             last_link: 0,
             upstream: None,
             search: Search::BackingOff(Duration::ZERO),
             backoff,
-            slack: Duration::ZERO,
+            jitter: Duration::ZERO,
             return_at: Duration::MAX,
-            return_backoff: RETURNS.first,
+            return_backoff: RETURN_BACKOFF.initial,
             avoided: BTreeMap::new(),
         }
     }
 
-    /// Who feeds this process now, be it silent.
-    pub fn parent(&self) -> Option<SocketAddrV4> {
+    /// Address of the present upstream, which may be unresponsive.
+    pub fn upstream_address(&self) -> Option<SocketAddrV4> {
         self.upstream.as_ref().map(|upstream| upstream.address)
     }
 
-    /// The one place where state changes. `control_nodes`: those known now; with [`Sources::One`] the one upstream.
+    /// Handles an event and returns the actions that follow; the only method that changes state.
+    ///
+    /// `control_nodes` are the addresses known now; with [`Sources::One`] that of the single upstream.
     pub fn handle(&mut self, now: Duration, control_nodes: &[SocketAddrV4], event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
         self.avoided.retain(|_, until| now < *until);
         match event {
             Event::Tick => {}
-            Event::Answered(link, answer) => self.answered(now, control_nodes, link, answer, &mut commands),
-            Event::Beat(link, age) => self.heartbeat(now, link, age, &mut commands),
-            Event::OutOfStep(link) => self.out_of_step(now, link, &mut commands),
-            Event::Closed(link) => self.closed(now, link, &mut commands),
+            Event::Answered(link, answer) => self.on_answer(now, control_nodes, link, answer, &mut commands),
+            Event::Heartbeat(link, age) => self.on_heartbeat(now, link, age, &mut commands),
+            Event::OutOfSync(link) => self.on_out_of_sync(now, link, &mut commands),
+            Event::Closed(link) => self.on_closed(now, link, &mut commands),
         }
         self.advance(now, control_nodes, &mut commands);
         commands
     }
 
-    /// When [`Event::Tick`] is due, if nothing else happens before.
+    /// When [`Event::Tick`] is due if no other event arrives before.
     pub fn wake_at(&self) -> Duration {
         let upstream = self.upstream.as_ref();
-        let silent = upstream.map_or(Duration::MAX, |upstream| upstream.heard_at + GIVEN_UP);
+        let silent =
+            upstream.map_or(Duration::MAX, |upstream| upstream.last_seen_at + UPSTREAM_ABANDON_TIMEOUT);
         match &self.search {
-            Search::Resting => {
-                let returning = if upstream.is_some_and(|upstream| upstream.is_urgent) {
+            Search::Idle => {
+                let is_return = if upstream.is_some_and(|upstream| upstream.is_urgent) {
                     self.return_at
                 } else {
                     Duration::MAX
                 };
-                upstream.map_or(Duration::ZERO, |upstream| self.trusted_until(upstream)).min(returning)
+                upstream.map_or(Duration::ZERO, |upstream| self.trusted_until(upstream)).min(is_return)
             }
             Search::BackingOff(until) => silent.min(*until),
-            Search::Asking(round) => {
+            Search::InRound(round) => {
                 let mut at =
-                    round.attempts.iter().map(|attempt| attempt.until).min().unwrap_or(Duration::ZERO);
-                if round.attempts.len() < MOST_ATTEMPTS && !round.queue.is_empty() {
+                    round.attempts.iter().map(|attempt| attempt.deadline).min().unwrap_or(Duration::ZERO);
+                if round.attempts.len() < MAX_CONCURRENT_ATTEMPTS && !round.queue.is_empty() {
                     at = at.min(round.hedge_at);
                 }
-                if round.returning
+                if round.is_return
                     && let Some(upstream) = upstream
                 {
                     at = at.min(self.trusted_until(upstream));
@@ -224,72 +230,72 @@
     }
 
     fn round_backoff(sources: &Sources) -> Backoff {
-        if *sources == Sources::One { ROUNDS_OF_ONE } else { ROUNDS }
+        if *sources == Sources::One { SINGLE_SOURCE_BACKOFF } else { ROUND_BACKOFF }
     }
 
-    fn draw(&mut self) -> u64 {
-        self.draws += 1;
-        rendezvous_rank(&self.draws.to_le_bytes(), self.seed)
+    fn random_u64(&mut self) -> u64 {
+        self.random_count += 1;
+        rendezvous_rank(&self.random_count.to_le_bytes(), self.seed)
     }
 
-    fn draw_below(&mut self, below: Duration) -> Duration {
+    fn random_below(&mut self, below: Duration) -> Duration {
         let below = u64::try_from(below.as_millis()).unwrap_or(u64::MAX).max(1);
-        Duration::from_millis((self.draw() >> 16) % below)
+        Duration::from_millis((self.random_u64() >> 16) % below)
     }
 
-    fn is_one(&self) -> bool {
+    fn has_single_source(&self) -> bool {
         self.sources == Sources::One
     }
 
-    /// Until then an upstream is trusted, if nothing more comes of it.
+    /// Until when the upstream is trusted if it sends nothing more.
     fn trusted_until(&self, upstream: &Upstream) -> Duration {
-        let stale = match (self.is_one(), upstream.confirmed_at) {
+        let stale = match (self.has_single_source(), upstream.confirmed_at) {
             (true, _) => Duration::MAX,
             (false, None) => Duration::ZERO,
             (false, Some(at)) => {
                 at + if upstream.is_control_node { MAX_STATE_AGE } else { MAX_RELAY_STATE_AGE }
             }
         };
-        (upstream.heard_at + UPSTREAM_TIMEOUT).min(stale).saturating_add(self.slack)
+        (upstream.last_seen_at + UPSTREAM_TIMEOUT).min(stale).saturating_add(self.jitter)
     }
 
     fn trusts_upstream(&self, now: Duration) -> bool {
         self.upstream.as_ref().is_some_and(|upstream| now < self.trusted_until(upstream))
     }
 
-    /// What is known here is as good as it can be until something changes.
-    fn settle(&mut self) {
-        self.search = Search::Resting;
-        self.backoff = Self::round_backoff(&self.sources).first;
+    /// Ends the search: the present upstream is as good as any until something changes.
+    fn become_idle(&mut self) {
+        self.search = Search::Idle;
+        self.backoff = Self::round_backoff(&self.sources).initial;
         self.asks_urgently = self.sources != Sources::Tree { urgent: false };
     }
 
-    fn take_attempt(&mut self, link: LinkId) -> Option<Attempt> {
-        let Search::Asking(round) = &mut self.search else { return None };
-        let place = round.attempts.iter().position(|attempt| attempt.link == link)?;
-        Some(round.attempts.remove(place))
+    fn remove_attempt(&mut self, link: LinkId) -> Option<Attempt> {
+        let Search::InRound(round) = &mut self.search else { return None };
+        let index = round.attempts.iter().position(|attempt| attempt.link == link)?;
+        Some(round.attempts.remove(index))
     }
 
     fn close_attempts(&mut self, commands: &mut Vec<Command>) {
-        if let Search::Asking(round) = &mut self.search {
+        if let Search::InRound(round) = &mut self.search {
             commands.extend(round.attempts.drain(..).map(|attempt| Command::Close(attempt.link)));
         }
     }
 
     fn avoid(&mut self, now: Duration, address: SocketAddrV4) {
-        if !self.is_one() {
-            self.avoided.insert(address, now + AVOIDED);
+        if !self.has_single_source() {
+            self.avoided.insert(address, now + AVOID_DURATION);
         }
     }
 
-    /// It can be seen to live, so to ask it again brings nothing.
-    fn hears(&self, now: Duration, address: SocketAddrV4) -> bool {
-        self.upstream
-            .as_ref()
-            .is_some_and(|upstream| upstream.address == address && now < upstream.heard_at + UPSTREAM_TIMEOUT)
+    /// Whether the process is the upstream and responsive, so that another subscription gains nothing.
+    fn is_responsive_upstream(&self, now: Duration, address: SocketAddrV4) -> bool {
+        self.upstream.as_ref().is_some_and(|upstream| {
+            upstream.address == address && now < upstream.last_seen_at + UPSTREAM_TIMEOUT
+        })
     }
 
-    fn answered(
+    fn on_answer(
         &mut self,
         now: Duration,
         control_nodes: &[SocketAddrV4],
@@ -298,26 +304,26 @@
         commands: &mut Vec<Command>,
     ) {
         if answer == Answer::Done {
-            if let Search::Asking(round) = &mut self.search
+            if let Search::InRound(round) = &mut self.search
                 && let Some(attempt) = round.attempts.iter_mut().find(|attempt| attempt.link == link)
             {
-                // Its first heartbeat is waited for.
-                attempt.until = now + PATIENCE;
+                // The first heartbeat has to follow.
+                attempt.deadline = now + ANSWER_TIMEOUT;
             }
             return;
         }
-        let Some(attempt) = self.take_attempt(link) else { return };
+        let Some(attempt) = self.remove_attempt(link) else { return };
         commands.push(Command::Close(link));
         match answer {
             Answer::Redirect(relays) if attempt.is_control_node && !attempt.urgent => {
-                self.redirected(now, control_nodes, attempt.address, relays);
+                self.on_redirect(now, control_nodes, attempt.address, relays);
             }
             _ => self.avoid(now, attempt.address),
         }
     }
 
-    /// First those that were named are asked, then the control nodes, urgently.
-    fn redirected(
+    /// Continues the round with the named relays, and then with urgent subscriptions at the control nodes.
+    fn on_redirect(
         &mut self,
         now: Duration,
         control_nodes: &[SocketAddrV4],
@@ -325,17 +331,19 @@
         mut relays: Vec<SocketAddrV4>,
     ) {
         relays.retain(|relay| {
-            *relay.ip() != self.me && !self.avoided.contains_key(relay) && !self.hears(now, *relay)
+            *relay.ip() != self.me
+                && !self.avoided.contains_key(relay)
+                && !self.is_responsive_upstream(now, *relay)
         });
-        let draw = self.draw();
-        relays.sort_by_key(|relay| rendezvous_rank(&relay.ip().octets(), draw));
-        let Search::Asking(round) = &mut self.search else { return };
+        let order_seed = self.random_u64();
+        relays.sort_by_key(|relay| rendezvous_rank(&relay.ip().octets(), order_seed));
+        let Search::InRound(round) = &mut self.search else { return };
         relays.retain(|relay| {
             !round.queue.iter().any(|candidate| candidate.address == *relay)
                 && !round.attempts.iter().any(|attempt| attempt.address == *relay)
         });
         round.hedge_at = now;
-        if round.returning {
+        if round.is_return {
             round.queue.extend(relays.into_iter().map(|address| Candidate { address, urgent: false }));
             return;
         }
@@ -352,24 +360,24 @@
         }
     }
 
-    fn heartbeat(&mut self, now: Duration, link: LinkId, age: Duration, commands: &mut Vec<Command>) {
+    fn on_heartbeat(&mut self, now: Duration, link: LinkId, age: Duration, commands: &mut Vec<Command>) {
         let at = now.checked_sub(age);
         if let Some(upstream) = self.upstream.as_mut().filter(|upstream| upstream.link == link) {
-            upstream.heard_at = now;
+            upstream.last_seen_at = now;
             upstream.confirmed_at = upstream.confirmed_at.max(at);
             return;
         }
-        let returning = matches!(&self.search, Search::Asking(round) if round.returning);
-        let Some(attempt) = self.take_attempt(link) else { return };
-        let fresh = self.is_one() || age < MAX_STATE_AGE;
+        let is_return = matches!(&self.search, Search::InRound(round) if round.is_return);
+        let Some(attempt) = self.remove_attempt(link) else { return };
+        let fresh = self.has_single_source() || age < MAX_STATE_AGE;
         let better = match &self.upstream {
             None => true,
             Some(upstream) => {
-                now >= upstream.heard_at + UPSTREAM_TIMEOUT
+                now >= upstream.last_seen_at + UPSTREAM_TIMEOUT
                     || at > upstream.confirmed_at.map(|confirmed| confirmed + MAX_STATE_AGE / 4)
             }
         };
-        if !fresh && (returning || !better) {
+        if !fresh && (is_return || !better) {
             commands.push(Command::Close(link));
             self.avoid(now, attempt.address);
             return;
@@ -381,98 +389,101 @@
             address: attempt.address,
             is_control_node: attempt.is_control_node,
             is_urgent,
-            heard_at: now,
+            last_seen_at: now,
             confirmed_at: at,
         };
         if let Some(former) = self.upstream.replace(upstream) {
             commands.push(Command::Close(former.link));
         }
-        self.slack = self.draw_below(SPREAD);
+        self.jitter = self.random_below(MAX_JITTER);
         if !is_urgent {
-            self.return_backoff = RETURNS.first;
+            self.return_backoff = RETURN_BACKOFF.initial;
         }
-        self.return_at = now + self.return_backoff + self.draw_below(self.return_backoff);
+        self.return_at = now + self.return_backoff + self.random_below(self.return_backoff);
         if fresh {
             self.close_attempts(commands);
-            self.settle();
+            self.become_idle();
         }
     }
 
-    fn out_of_step(&mut self, now: Duration, link: LinkId, commands: &mut Vec<Command>) {
-        if self.take_attempt(link).is_some() {
+    fn on_out_of_sync(&mut self, now: Duration, link: LinkId, commands: &mut Vec<Command>) {
+        if self.remove_attempt(link).is_some() {
             commands.push(Command::Close(link));
             return;
         }
         let Some(upstream) = self.upstream.take_if(|upstream| upstream.link == link) else { return };
         commands.push(Command::Close(link));
-        // Nothing is wrong with it: it only has to send the whole list.
-        let again = Candidate { address: upstream.address, urgent: upstream.is_urgent || self.asks_urgently };
+        // The upstream is healthy: a new subscription makes it send the complete list.
+        let retry = Candidate { address: upstream.address, urgent: upstream.is_urgent || self.asks_urgently };
         match &mut self.search {
-            Search::Asking(round) if !round.returning => round.queue.push_front(again),
+            Search::InRound(round) if !round.is_return => round.queue.push_front(retry),
             _ => {
                 self.close_attempts(commands);
-                self.search = Search::Asking(Round {
-                    queue: [again].into(),
+                self.search = Search::InRound(Round {
+                    queue: [retry].into(),
                     attempts: Vec::new(),
                     hedge_at: now,
-                    returning: false,
+                    is_return: false,
                 });
             }
         }
     }
 
-    fn closed(&mut self, now: Duration, link: LinkId, commands: &mut Vec<Command>) {
-        if let Some(attempt) = self.take_attempt(link) {
+    fn on_closed(&mut self, now: Duration, link: LinkId, commands: &mut Vec<Command>) {
+        if let Some(attempt) = self.remove_attempt(link) {
             self.avoid(now, attempt.address);
         } else if let Some(upstream) = self.upstream.take_if(|upstream| upstream.link == link) {
             self.avoid(now, upstream.address);
-            if !matches!(&self.search, Search::Asking(round) if !round.returning) {
+            if !matches!(&self.search, Search::InRound(round) if !round.is_return) {
                 self.close_attempts(commands);
-                let spread = if self.is_one() { self.backoff } else { self.draw_below(SPREAD) };
+                let spread =
+                    if self.has_single_source() { self.backoff } else { self.random_below(MAX_JITTER) };
                 self.search = Search::BackingOff(now + spread);
             }
         }
     }
 
-    /// Goes on with what has become due.
+    /// Performs the transitions that are due.
     fn advance(&mut self, now: Duration, control_nodes: &[SocketAddrV4], commands: &mut Vec<Command>) {
-        if let Some(upstream) = self.upstream.take_if(|upstream| now >= upstream.heard_at + GIVEN_UP) {
+        if let Some(upstream) =
+            self.upstream.take_if(|upstream| now >= upstream.last_seen_at + UPSTREAM_ABANDON_TIMEOUT)
+        {
             commands.push(Command::Close(upstream.link));
         }
         loop {
             let trusted = self.trusts_upstream(now);
             let next = match &mut self.search {
-                Search::Resting if !trusted => {
-                    if let Some(address) = self.parent() {
+                Search::Idle if !trusted => {
+                    if let Some(address) = self.upstream_address() {
                         self.avoid(now, address);
                     }
                     Search::BackingOff(now)
                 }
-                Search::Resting => match &self.upstream {
-                    Some(upstream) if upstream.is_urgent && now >= self.return_at => Search::Asking(Round {
+                Search::Idle => match &self.upstream {
+                    Some(upstream) if upstream.is_urgent && now >= self.return_at => Search::InRound(Round {
                         queue: [Candidate { address: upstream.address, urgent: false }].into(),
                         attempts: Vec::new(),
                         hedge_at: now,
-                        returning: true,
+                        is_return: true,
                     }),
                     _ => return,
                 },
                 Search::BackingOff(_) if trusted => {
-                    self.settle();
+                    self.become_idle();
                     return;
                 }
                 Search::BackingOff(until) if now < *until => return,
-                Search::BackingOff(_) => Search::Asking(self.round(now, control_nodes)),
-                Search::Asking(round) if trusted && !round.returning => {
+                Search::BackingOff(_) => Search::InRound(self.new_round(now, control_nodes)),
+                Search::InRound(round) if trusted && !round.is_return => {
                     self.close_attempts(commands);
-                    self.settle();
+                    self.become_idle();
                     return;
                 }
-                Search::Asking(round) if !trusted && round.returning => {
+                Search::InRound(round) if !trusted && round.is_return => {
                     self.close_attempts(commands);
                     Search::BackingOff(now)
                 }
-                Search::Asking(_) => match self.ask_on(now, control_nodes, commands) {
+                Search::InRound(_) => match self.advance_round(now, control_nodes, commands) {
                     Some(next) => next,
                     None => return,
                 },
@@ -481,64 +492,69 @@
         }
     }
 
-    /// Goes on with a round; its end leads to another state.
-    fn ask_on(
+    /// Continues the round; returns the next state once the round is finished.
+    fn advance_round(
         &mut self,
         now: Duration,
         control_nodes: &[SocketAddrV4],
         commands: &mut Vec<Command>,
     ) -> Option<Search> {
-        let Search::Asking(round) = &mut self.search else { return None };
-        let mut late = Vec::new();
+        let Search::InRound(round) = &mut self.search else { return None };
+        let mut timed_out = Vec::new();
         round.attempts.retain(|attempt| {
-            let stays = now < attempt.until;
-            if !stays {
+            let is_pending = now < attempt.deadline;
+            if !is_pending {
                 commands.push(Command::Close(attempt.link));
-                late.push(attempt.address);
+                timed_out.push(attempt.address);
             }
-            stays
+            is_pending
         });
-        while round.attempts.is_empty() || (now >= round.hedge_at && round.attempts.len() < MOST_ATTEMPTS) {
+        while round.attempts.is_empty()
+            || (now >= round.hedge_at && round.attempts.len() < MAX_CONCURRENT_ATTEMPTS)
+        {
             let Some(Candidate { address, urgent }) = round.queue.pop_front() else { break };
             self.last_link += 1;
-            commands.push(Command::Ask { link: self.last_link, parent: address, urgent });
+            commands.push(Command::Subscribe { link: self.last_link, upstream: address, urgent });
             let is_control_node = control_nodes.contains(&address) && self.sources != Sources::One;
-            let until = now + PATIENCE;
-            round.attempts.push(Attempt { link: self.last_link, address, is_control_node, urgent, until });
-            round.hedge_at = now + HEDGE;
+            let deadline = now + ANSWER_TIMEOUT;
+            round.attempts.push(Attempt { link: self.last_link, address, is_control_node, urgent, deadline });
+            round.hedge_at = now + HEDGE_DELAY;
         }
-        let (ended, returning) = (round.attempts.is_empty(), round.returning);
-        for address in late {
+        let (is_finished, is_return) = (round.attempts.is_empty(), round.is_return);
+        for address in timed_out {
             self.avoid(now, address);
         }
-        if !ended {
+        if !is_finished {
             return None;
         }
-        if returning {
-            self.return_backoff = (self.return_backoff * 2).min(RETURNS.longest);
-            self.return_at = now + self.return_backoff + self.draw_below(self.return_backoff);
-            return Some(Search::Resting);
+        if is_return {
+            self.return_backoff = (self.return_backoff * 2).min(RETURN_BACKOFF.max);
+            self.return_at = now + self.return_backoff + self.random_below(self.return_backoff);
+            return Some(Search::Idle);
         }
-        let until = now + self.backoff + self.draw_below(self.backoff);
-        let longest = Self::round_backoff(&self.sources).longest;
-        self.backoff = (self.backoff * 2).min(longest);
+        let until = now + self.backoff + self.random_below(self.backoff);
+        let max = Self::round_backoff(&self.sources).max;
+        self.backoff = (self.backoff * 2).min(max);
         self.asks_urgently = true;
         Some(Search::BackingOff(until))
     }
 
-    /// A round over the control nodes, in an order drawn by chance.
-    fn round(&mut self, now: Duration, control_nodes: &[SocketAddrV4]) -> Round {
-        let draw = self.draw();
+    /// A round over the control nodes in random order, recently failed ones last.
+    fn new_round(&mut self, now: Duration, control_nodes: &[SocketAddrV4]) -> Round {
+        let order_seed = self.random_u64();
         let mut order: Vec<SocketAddrV4> = control_nodes
             .iter()
             .copied()
-            .filter(|node| self.is_one() || (*node.ip() != self.me && !self.hears(now, *node)))
+            .filter(|node| {
+                self.has_single_source()
+                    || (*node.ip() != self.me && !self.is_responsive_upstream(now, *node))
+            })
             .collect();
         order.sort_by_key(|node| {
-            (self.avoided.contains_key(node), rendezvous_rank(&node.ip().octets(), draw))
+            (self.avoided.contains_key(node), rendezvous_rank(&node.ip().octets(), order_seed))
         });
         let queue =
             order.into_iter().map(|address| Candidate { address, urgent: self.asks_urgently }).collect();
-        Round { queue, attempts: Vec::new(), hedge_at: now, returning: false }
+        Round { queue, attempts: Vec::new(), hedge_at: now, is_return: false }
     }
 }
--- a/system/state-feed/src/lib.rs
+++ b/system/state-feed/src/lib.rs
@@ -1,12 +1,12 @@
-//! The feed: the register's value and the list of endpoints, from the core down a dissemination tree of relays to every
-//! proxy.
+//! The state feed: it disseminates the register's value and the endpoint list from the control nodes through a tree of relays
+//! to every proxy.
 //!
-//! [`FeedState`] is what a process knows and whom it feeds, [`Follower`] decides by whom it is fed. Neither has sockets,
-//! timers or a clock: callers hand in the time as a [`Duration`] since a moment of their own, which
-//! has to lie further back than any age that may be told, and carry out what comes back.
+//! [`FeedState`] holds what a process knows and whom it serves; [`Follower`] selects the upstream to which it subscribes.
+//! Neither has sockets, timers or a clock: the host passes in the time as a [`Duration`] since an origin of its own, which has
+//! to be further in the past than any reported age, and executes the returned commands and pushes.
 //!
-//! Values and lists only rise within a life. Heartbeats tell the staleness of what a link told, so that who hangs
-//! on a frozen, cut-off or misled upstream notices and takes another.
+//! Within one incarnation of a process its value and list only become newer. Heartbeats report the age of the delivered state,
+//! so that a subscriber detects a frozen, partitioned or outdated upstream and selects another one.
 
 mod follower;
 mod state;
@@ -16,19 +16,21 @@
 
 use std::time::Duration;
 
-/// Between two heartbeats of a control node. Relays pass them on as they come.
+/// Interval between two heartbeats of a control node. Relays forward them as they arrive.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// After so long without a heartbeat from its upstream a relay sends one by itself, to show that it is there.
+/// Time without a heartbeat from its upstream after which a relay sends one of its own, to show that it is alive.
 pub const RELAY_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Heartbeats from the upstream are not passed on more often.
+/// Minimum time between two forwarded heartbeats.
 pub const MIN_HEARTBEAT_GAP: Duration = Duration::from_millis(200);
-/// An upstream that has told nothing for so long is not trusted to be there.
+/// Time without any heartbeat after which an upstream is considered unresponsive.
 pub const UPSTREAM_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// What is older is stale: another control node is looked for, and a relay takes no one on.
+/// Age above which state is stale: subscribers search for another control node, and a relay accepts no subscribers.
 pub const MAX_STATE_AGE: Duration = Duration::from_millis(1_000);
-/// As long a relay may be stale before those below it look for another upstream: first it finds one itself.
+/// Age above which subscribers of a relay search for another upstream; longer than [`MAX_STATE_AGE`], so that the relay
+/// itself can find a fresh one first.
 pub const MAX_RELAY_STATE_AGE: Duration = Duration::from_millis(1_400);
-/// Relays of one zone that a control node feeds without being asked urgently; it names these to the zone's others.
-pub const MAX_HEADS_PER_ZONE: usize = 2;
-/// Machines that a relay feeds without being asked urgently.
+/// Maximum number of relays of one zone that a control node serves without urgency; it redirects the zone's other
+/// subscribers to them.
+pub const MAX_RELAYS_PER_ZONE: usize = 2;
+/// Maximum number of machines that a relay serves without urgency.
 pub const MAX_RELAY_SUBSCRIBERS: usize = 24;
--- a/system/state-feed/src/state.rs
+++ b/system/state-feed/src/state.rs
@@ -1,7 +1,7 @@
-//! What a process knows, whom it feeds, and what is pushed to whom.
+//! State of a process that takes part in the feed: what it knows, its subscribers, and the pushes to them.
 
 use crate::{
-    HEARTBEAT_INTERVAL, MAX_HEADS_PER_ZONE, MAX_RELAY_SUBSCRIBERS, MAX_STATE_AGE, MIN_HEARTBEAT_GAP,
+    HEARTBEAT_INTERVAL, MAX_RELAY_SUBSCRIBERS, MAX_RELAYS_PER_ZONE, MAX_STATE_AGE, MIN_HEARTBEAT_GAP,
     RELAY_HEARTBEAT_INTERVAL,
 };
 use fleet_model::{
@@ -12,80 +12,82 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Names a subscriber's link; the caller gives each link another number.
+/// Number of a subscriber's link; the caller assigns a unique one to each link.
 pub type SubscriberId = u64;
 
-/// What the asked process is in the tree.
+/// Role of a process in the dissemination tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It knows by itself what is chosen.
+    /// It learns chosen values from the register itself.
     ControlNode,
-    /// It knows only what it is told.
+    /// It knows only what its upstream pushes.
     Relay,
 }
 
-/// One push for some subscribers.
+/// One push to several subscribers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Broadcast {
-    /// What is pushed.
+    /// The push.
     pub push: Push,
-    /// To whom.
+    /// The subscribers that receive it.
     pub to: Vec<SubscriberId>,
 }
 
-/// What a call to subscribe comes to.
+/// Result of a subscription call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Subscription {
-    /// The answer; only with `Done` the link is fed.
+    /// The answer; only with [`Answer::Done`] the link is subscribed.
     pub answer: Answer,
-    /// What goes out on the link first. Where it cannot, the link has to be removed and the answer is `Unready`.
+    /// The first pushes on the link. If they cannot be sent, the caller has to remove the link and answer
+    /// [`Answer::NotReady`].
     pub pushes: Vec<Push>,
 }
 
-/// What came of something that was told.
+/// Effect of an update.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FeedUpdate {
-    /// Value or list is newer than before.
+    /// Whether the value or the list is newer than before.
     pub changed: bool,
-    /// The change was on top of a list that is not the one known here: the link is to be left.
-    pub out_of_step: bool,
-    /// What is to be passed on.
-    pub spreads: Vec<Broadcast>,
+    /// Whether the update was relative to a list or configuration that is not known here, so that the link has to be closed.
+    pub out_of_sync: bool,
+    /// Pushes to forward to subscribers.
+    pub broadcasts: Vec<Broadcast>,
 }
 
-/// A value that cannot be read is passed over.
+/// A value was ignored because it cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the value of ballot {ballot:?} cannot be read: {why}")]
+#[error("cannot decode the value with ballot {ballot:?}: {error}")]
 pub struct UnreadableValue {
-    /// Its ballot.
+    /// Ballot of the value.
     pub ballot: Ballot,
-    /// What is wrong with it.
-    pub why: String,
+    /// Why it cannot be decoded.
+    #[source]
+    pub error: PayloadError,
 }
 
 #[derive(Clone, Debug)]
 struct Subscriber {
     ip: Ipv4Addr,
     zone: String,
-    /// It was taken on without asking urgently, so others of its zone may be sent to it.
+    /// Whether it subscribed without urgency, so that other subscribers of its zone may be redirected to it.
     is_zone_relay: bool,
-    /// The version of the newest list that it was sent.
+    /// Version of the newest list that was sent to it.
     list: ListVersion,
 }
 
-/// What a process knows through the feed, and passes on.
+/// What a process knows through the feed, and its subscribers.
 #[derive(Clone, Debug, Default)]
 pub struct FeedState {
     value: Rc<ChosenValue>,
     state: Rc<ControlState>,
     list: Rc<EndpointList>,
-    /// The one before the newest.
+    /// The list before the newest one.
     previous_list: Rc<EndpointList>,
     confirmed_at: Option<Duration>,
     proxies: u32,
     subscribers: BTreeMap<SubscriberId, Subscriber>,
     last_heartbeat: Option<Duration>,
-    /// Heartbeats come from an upstream.
+    /// Whether heartbeats arrive from an upstream.
     has_upstream: bool,
 }
 
@@ -95,64 +97,70 @@
         &self.value
     }
 
-    /// The newest value, read.
+    /// The control state decoded from the newest value.
     pub fn state(&self) -> &Rc<ControlState> {
         &self.state
     }
 
-    /// The newest list.
+    /// The newest endpoint list.
     pub fn list(&self) -> &Rc<EndpointList> {
         &self.list
     }
 
-    /// Proxies in the fleet, as last told; 0 if nobody told.
+    /// Number of proxies in the fleet as last reported; 0 if unknown.
     pub fn proxies(&self) -> u32 {
         self.proxies
     }
 
-    /// Tells how many proxies there are.
+    /// Sets the number of proxies in the fleet.
     pub fn set_proxies(&mut self, count: u32) {
         self.proxies = count;
     }
 
-    /// When what is known was last confirmed.
-    pub fn fresh_at(&self) -> Option<Duration> {
+    /// When the state was last confirmed to be current, if ever.
+    pub fn confirmed_at(&self) -> Option<Duration> {
         self.confirmed_at
     }
 
-    /// How old at most what is known is.
+    /// Upper bound on the age of the state; `None` before the first confirmation.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.confirmed_at.map(|at| now.saturating_sub(at))
     }
 
-    /// A majority of the core had nothing newer at that time. True if none later was known.
+    /// Records that a majority of the voters had nothing newer at `at`. Returns whether that is later than any confirmation
+    /// before.
     pub fn confirm(&mut self, at: Duration) -> bool {
-        let later = self.confirmed_at.is_none_or(|confirmed| at > confirmed);
-        if later {
+        let is_newer = self.confirmed_at.is_none_or(|confirmed| at > confirmed);
+        if is_newer {
             self.confirmed_at = Some(at);
         }
-        later
+        is_newer
     }
 
-    /// Takes a newer value.
-    pub fn learn_value(&mut self, value: ChosenValue) -> Result<FeedUpdate, UnreadableValue> {
+    /// Applies a value if it is newer.
+    ///
+    /// # Errors
+    ///
+    /// [`UnreadableValue`] if its payload cannot be decoded; the state is unchanged then.
+    pub fn update_value(&mut self, value: ChosenValue) -> Result<FeedUpdate, UnreadableValue> {
         if value.ballot <= self.value.ballot {
             return Ok(FeedUpdate::default());
         }
-        let unreadable = |e: PayloadError| UnreadableValue { ballot: value.ballot, why: e.to_string() };
+        let ballot = value.ballot;
+        let unreadable = |error: PayloadError| UnreadableValue { ballot, error };
         let mut state = ControlState::from_payload(&value.payload).map_err(unreadable)?;
-        let same_config =
-            state.committed.last().is_some_and(|taken| self.state.committed.last() == Some(taken));
-        let (whole, slim) = match state.config.is_empty() && !state.committed.is_empty() {
-            // It came without the configuration, which has to be the one known here.
-            true if !same_config => return Ok(FeedUpdate { out_of_step: true, ..FeedUpdate::default() }),
+        let has_same_config =
+            state.committed.last().is_some_and(|current| self.state.committed.last() == Some(current));
+        let (complete, without_config) = match state.config.is_empty() && !state.committed.is_empty() {
+            // The value omits the configuration, which has to be the one known here.
+            true if !has_same_config => return Ok(FeedUpdate { out_of_sync: true, ..FeedUpdate::default() }),
             true => {
                 state.config = self.state.config.clone();
                 let payload = state.to_payload().map_err(unreadable)?;
                 (ChosenValue { payload, ..value.clone() }, value)
             }
-            // Whoever was fed the value before this one has its configuration.
-            false if same_config => {
+            // All subscribers received the value before this one, which has the same configuration.
+            false if has_same_config => {
                 let config = std::mem::take(&mut state.config);
                 let payload = state.to_payload().map_err(unreadable)?;
                 state.config = config;
@@ -161,63 +169,67 @@
             false => (value.clone(), value),
         };
         self.state = Rc::new(state);
-        self.value = Rc::new(whole);
-        Ok(FeedUpdate { changed: true, spreads: self.to_all(Push::Value(slim)), ..FeedUpdate::default() })
+        self.value = Rc::new(complete);
+        Ok(FeedUpdate {
+            changed: true,
+            broadcasts: self.broadcast(Push::Value(without_config)),
+            ..FeedUpdate::default()
+        })
     }
 
-    /// Takes a newer list.
-    pub fn learn_list(&mut self, list: EndpointList) -> FeedUpdate {
+    /// Applies an endpoint list if it is newer.
+    pub fn update_list(&mut self, list: EndpointList) -> FeedUpdate {
         if list.version <= self.list.version {
             return FeedUpdate::default();
         }
         self.previous_list = std::mem::replace(&mut self.list, Rc::new(list));
-        let (mut change, mut whole) = (Vec::new(), Vec::new());
+        let (mut with_previous, mut without_previous) = (Vec::new(), Vec::new());
         for (id, subscriber) in &mut self.subscribers {
             if subscriber.list < self.list.version {
                 match subscriber.list == self.previous_list.version
                     && subscriber.list != ListVersion::default()
                 {
-                    true => change.push(*id),
-                    false => whole.push(*id),
+                    true => with_previous.push(*id),
+                    false => without_previous.push(*id),
                 }
                 subscriber.list = self.list.version;
             }
         }
-        let mut spreads = Vec::new();
-        if !change.is_empty() {
-            spreads.push(Broadcast { push: self.list_change(), to: change });
+        let mut broadcasts = Vec::new();
+        if !with_previous.is_empty() {
+            broadcasts.push(Broadcast { push: self.list_delta(), to: with_previous });
         }
-        if !whole.is_empty() {
-            spreads.push(Broadcast { push: Push::List((*self.list).clone()), to: whole });
+        if !without_previous.is_empty() {
+            broadcasts.push(Broadcast { push: Push::List((*self.list).clone()), to: without_previous });
         }
-        FeedUpdate { changed: true, spreads, ..FeedUpdate::default() }
+        FeedUpdate { changed: true, broadcasts, ..FeedUpdate::default() }
     }
 
-    /// The newest list on top of the one before it.
-    fn list_change(&self) -> Push {
+    /// The changes from the previous to the newest list.
+    fn list_delta(&self) -> Push {
         let by_instance = |list: &EndpointList| -> BTreeMap<String, Endpoint> {
             list.endpoints.iter().map(|endpoint| (endpoint.instance_id.clone(), endpoint.clone())).collect()
         };
-        let (mut put, former) = (by_instance(&self.list), by_instance(&self.previous_list));
-        let gone = former.keys().filter(|instance| !put.contains_key(*instance)).cloned().collect();
-        put.retain(|instance, endpoint| former.get(instance) != Some(endpoint));
+        let (mut upserted, former) = (by_instance(&self.list), by_instance(&self.previous_list));
+        let removed = former.keys().filter(|instance| !upserted.contains_key(*instance)).cloned().collect();
+        upserted.retain(|instance, endpoint| former.get(instance) != Some(endpoint));
         let (base, version) = (self.previous_list.version, self.list.version);
-        Push::ListDelta { base, version, upserted: put.into_values().collect(), removed: gone }
+        Push::ListDelta { base, version, upserted: upserted.into_values().collect(), removed }
     }
 
-    /// Takes changes on top of a list.
-    fn learn_change(
+    /// Applies changes relative to the list of version `base`.
+    fn apply_delta(
         &mut self,
         base: ListVersion,
         version: ListVersion,
-        put: Vec<Endpoint>,
-        gone: &[String],
+        upserted: Vec<Endpoint>,
+        removed: &[String],
     ) -> FeedUpdate {
         if self.list.version >= version {
             return FeedUpdate::default();
         }
         if self.list.version != base {
-            return FeedUpdate { out_of_step: true, ..FeedUpdate::default() };
+            return FeedUpdate { out_of_sync: true, ..FeedUpdate::default() };
         }
         let mut endpoints: BTreeMap<String, Endpoint> = self
             .list
@@ -225,14 +237,18 @@
             .iter()
             .map(|endpoint| (endpoint.instance_id.clone(), endpoint.clone()))
             .collect();
-        for instance in gone {
+        for instance in removed {
             endpoints.remove(instance);
         }
-        endpoints.extend(put.into_iter().map(|endpoint| (endpoint.instance_id.clone(), endpoint)));
-        self.learn_list(EndpointList { version, endpoints: endpoints.into_values().collect() })
+        endpoints.extend(upserted.into_iter().map(|endpoint| (endpoint.instance_id.clone(), endpoint)));
+        self.update_list(EndpointList { version, endpoints: endpoints.into_values().collect() })
     }
 
-    /// Takes what an upstream pushes. `confirms`: its heartbeats count.
+    /// Applies a push of an upstream; `confirms` tells whether its heartbeats confirm the state.
+    ///
+    /// # Errors
+    ///
+    /// [`UnreadableValue`] if a value cannot be decoded; the state is unchanged then.
     pub fn apply_push(
         &mut self,
         now: Duration,
@@ -245,51 +261,51 @@
                     self.proxies = proxies;
                 }
                 let at = now.checked_sub(Duration::from_millis(age_ms.into()));
-                let later = confirms && at.is_some_and(|at| self.confirm(at));
+                let is_newer = confirms && at.is_some_and(|at| self.confirm(at));
                 self.has_upstream |= confirms;
-                let due =
+                let is_due =
                     self.last_heartbeat.is_none_or(|last| now.saturating_sub(last) >= MIN_HEARTBEAT_GAP);
-                let spreads = if later && due { self.heartbeat(now) } else { Vec::new() };
-                Ok(FeedUpdate { spreads, ..FeedUpdate::default() })
+                let broadcasts = if is_newer && is_due { self.heartbeat(now) } else { Vec::new() };
+                Ok(FeedUpdate { broadcasts, ..FeedUpdate::default() })
             }
-            Push::Value(value) => self.learn_value(value),
-            Push::List(list) => Ok(self.learn_list(list)),
+            Push::Value(value) => self.update_value(value),
+            Push::List(list) => Ok(self.update_list(list)),
             Push::ListDelta { base, version, upserted, removed } => {
-                Ok(self.learn_change(base, version, upserted, &removed))
+                Ok(self.apply_delta(base, version, upserted, &removed))
             }
         }
     }
 
-    /// When a heartbeat is due next, if none goes out before.
+    /// When the next heartbeat is due if none is sent before.
     pub fn heartbeat_due(&self) -> Duration {
         self.last_heartbeat.map_or(Duration::ZERO, |last| {
             last + if self.has_upstream { RELAY_HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL }
         })
     }
 
-    /// A heartbeat to every subscriber.
+    /// Heartbeats to all subscribers; none before the first confirmation.
     pub fn heartbeat(&mut self, now: Duration) -> Vec<Broadcast> {
         self.last_heartbeat = Some(now);
-        match self.heartbeat_now(now) {
-            Some(heartbeat) => self.to_all(heartbeat),
+        match self.current_heartbeat(now) {
+            Some(heartbeat) => self.broadcast(heartbeat),
             None => Vec::new(),
         }
     }
 
-    fn heartbeat_now(&self, now: Duration) -> Option<Push> {
+    fn current_heartbeat(&self, now: Duration) -> Option<Push> {
         let age_ms = u32::try_from(self.age(now)?.as_millis()).unwrap_or(u32::MAX);
         Some(Push::Heartbeat { age_ms, proxies: self.proxies })
     }
 
-    fn to_all(&self, push: Push) -> Vec<Broadcast> {
+    fn broadcast(&self, push: Push) -> Vec<Broadcast> {
         let to: Vec<SubscriberId> = self.subscribers.keys().copied().collect();
         if to.is_empty() { Vec::new() } else { vec![Broadcast { push, to }] }
     }
 
-    /// Answers a call to subscribe, and takes the link on if the answer is `Done`. Links that are gone have to be removed
+    /// Answers a subscription call, and registers the link if the answer is [`Answer::Done`]. Closed links have to be removed
     /// before.
     ///
-    /// Another link of the same machine stays: which of them lives, the machine knows better.
+    /// Other links of the same machine remain registered, since only the machine knows which of them it uses.
     pub fn subscribe(
         &mut self,
         now: Duration,
@@ -298,75 +314,81 @@
         call: &Call,
         link: SubscriberId,
     ) -> Subscription {
-        let refused = |answer| Subscription { answer, pushes: Vec::new() };
+        let rejected = |answer| Subscription { answer, pushes: Vec::new() };
         let Call::Subscribe { ip, zone, urgent, value, list } = call else {
-            return refused(Answer::NotReady);
+            return rejected(Answer::NotReady);
         };
         let is_stale = self.age(now).is_none_or(|age| age > MAX_STATE_AGE);
-        // A stale control node may be the only one left: who asks urgently is fed by it until there is another.
+        // A stale control node may be the only one left: it serves urgent subscribers until there is another one.
         if self.value.ballot == Ballot::default() || (is_stale && (role == Role::Relay || !urgent)) {
-            return refused(Answer::NotReady);
+            return rejected(Answer::NotReady);
         }
-        if !urgent && let Some(others) = self.redirects(role, peer_port, *ip, zone) {
-            return refused(Answer::Redirect(others));
+        if !urgent && let Some(addresses) = self.redirect_addresses(role, peer_port, *ip, zone) {
+            return rejected(Answer::Redirect(addresses));
         }
-        let pushes = self.first_pushes(now, *value, *list);
+        let pushes = self.initial_pushes(now, *value, *list);
         let list = self.list.version.max(*list);
         self.subscribers
             .insert(link, Subscriber { ip: *ip, zone: zone.clone(), is_zone_relay: !urgent, list });
         Subscription { answer: Answer::Done, pushes }
     }
 
-    /// Whom to ask instead of this process, if it feeds enough already; nobody is named by a relay.
-    fn redirects(&self, role: Role, peer_port: u16, ip: Ipv4Addr, zone: &str) -> Option<Vec<SocketAddrV4>> {
+    /// Where to redirect a subscriber if this process serves its maximum; a relay names no addresses.
+    fn redirect_addresses(
+        &self,
+        role: Role,
+        peer_port: u16,
+        ip: Ipv4Addr,
+        zone: &str,
+    ) -> Option<Vec<SocketAddrV4>> {
         match role {
             Role::ControlNode => {
                 let relays = self.zone_relays(ip, zone);
                 let addresses = || relays.iter().map(|relay| SocketAddrV4::new(*relay, peer_port)).collect();
-                (relays.len() >= MAX_HEADS_PER_ZONE).then(addresses)
+                (relays.len() >= MAX_RELAYS_PER_ZONE).then(addresses)
             }
             Role::Relay => {
                 let machines: BTreeSet<Ipv4Addr> =
                     self.subscribers.values().map(|subscriber| subscriber.ip).collect();
-                // A machine that is fed already, on a link that it may have given up, adds nothing.
+                // A machine that is subscribed already, perhaps on a link that it has abandoned, adds no load.
                 (machines.len() >= MAX_RELAY_SUBSCRIBERS && !machines.contains(&ip)).then(Vec::new)
             }
         }
     }
 
-    /// Machines of a zone, other than the asking one, that others may be sent to.
-    fn zone_relays(&self, asker: Ipv4Addr, zone: &str) -> BTreeSet<Ipv4Addr> {
+    /// Relays of a zone, other than the subscriber itself, to which subscribers may be redirected.
+    fn zone_relays(&self, subscriber_ip: Ipv4Addr, zone: &str) -> BTreeSet<Ipv4Addr> {
         let subscribers = self.subscribers.values();
         subscribers
             .filter(|subscriber| {
-                subscriber.ip != asker && subscriber.is_zone_relay && subscriber.zone == zone
+                subscriber.ip != subscriber_ip && subscriber.is_zone_relay && subscriber.zone == zone
             })
             .map(|subscriber| subscriber.ip)
             .collect()
     }
 
-    /// What a subscriber lacks that knows this value and this list, and a heartbeat.
-    fn first_pushes(&self, now: Duration, value: Ballot, list: ListVersion) -> Vec<Push> {
+    /// What a subscriber with this value and this list lacks, and a heartbeat.
+    fn initial_pushes(&self, now: Duration, value: Ballot, list: ListVersion) -> Vec<Push> {
         let mut pushes = Vec::new();
         if self.value.ballot > value {
             pushes.push(Push::Value((*self.value).clone()));
         }
         if self.list.version > list {
             pushes.push(match list == self.previous_list.version && list != ListVersion::default() {
-                true => self.list_change(),
+                true => self.list_delta(),
                 false => Push::List((*self.list).clone()),
             });
         }
-        pushes.extend(self.heartbeat_now(now));
+        pushes.extend(self.current_heartbeat(now));
         pushes
     }
 
-    /// A link is gone.
+    /// Removes a closed link.
     pub fn remove(&mut self, link: SubscriberId) {
         self.subscribers.remove(&link);
     }
 
-    /// Addresses of subscribers.
+    /// Addresses of the subscribers, one per link.
     pub fn subscriber_addresses(&self) -> Vec<Ipv4Addr> {
         self.subscribers.values().map(|subscriber| subscriber.ip).collect()
     }
--- a/system/state-feed/tests/fleet/world.rs
+++ b/system/state-feed/tests/fleet/world.rs
@@ -612,17 +612,17 @@
             voters: Vec::new(),
             payload: Bytes::new(),
         };
-        let learned = self.nodes[keeper].feed.learn_value(value).expect("an empty one can be read");
-        self.spread(learned.spreads);
+        let learned = self.nodes[keeper].feed.update_value(value).expect("an empty one can be read");
+        self.spread(learned.broadcasts);
         let list = self.newest_list();
-        let learned = self.nodes[keeper].feed.learn_list(list);
-        self.spread(learned.spreads);
+        let learned = self.nodes[keeper].feed.update_list(list);
+        self.spread(learned.broadcasts);
         self.note(keeper);
         self.plan(keeper);
     }
 
-    fn spread(&mut self, spreads: Vec<state_feed::Broadcast>) {
-        for spread in spreads {
+    fn spread(&mut self, broadcasts: Vec<state_feed::Broadcast>) {
+        for spread in broadcasts {
             for id in spread.to {
                 self.push(id, spread.push.clone());
             }
@@ -673,7 +673,7 @@
         let Some(follower) = &mut self.nodes[node].follower else { return };
         for command in follower.handle(now, &keepers, event) {
             match command {
-                Command::Ask { link, parent, urgent } => self.open(node, link, parent, urgent),
+                Command::Subscribe { link, upstream, urgent } => self.open(node, link, upstream, urgent),
                 Command::Close(link) => {
                     if let Some(id) = self.nodes[node].links.remove(&link) {
                         self.send(id, Side::Server, Message::Close);
@@ -759,12 +759,12 @@
                 };
                 let now = self.time();
                 let learned = self.nodes[node].feed.apply_push(now, push, true).expect("values can be read");
-                self.spread(learned.spreads);
+                self.spread(learned.broadcasts);
                 self.note(node);
-                if learned.out_of_step {
-                    self.follow(node, Event::OutOfStep(number));
+                if learned.out_of_sync {
+                    self.follow(node, Event::OutOfSync(number));
                 } else if let Some(age) = beat {
-                    self.follow(node, Event::Beat(number, age));
+                    self.follow(node, Event::Heartbeat(number, age));
                 }
             }
             Message::Close => {
@@ -795,8 +795,8 @@
     fn woken(&mut self, node: usize) {
         let now = self.time();
         if self.nodes[node].feed.heartbeat_due() <= now {
-            let spreads = self.nodes[node].feed.heartbeat(now);
-            self.spread(spreads);
+            let broadcasts = self.nodes[node].feed.heartbeat(now);
+            self.spread(broadcasts);
         }
         self.follow(node, Event::Tick);
         self.plan(node);
--- a/system/state-feed/tests/follower.rs
+++ b/system/state-feed/tests/follower.rs
@@ -62,7 +62,7 @@
         let asked: Vec<_> = commands
             .iter()
             .filter_map(|command| match command {
-                Command::Ask { link, parent, urgent } => Some((*link, *parent, *urgent)),
+                Command::Subscribe { link, upstream, urgent } => Some((*link, *upstream, *urgent)),
                 Command::Close(_) => None,
             })
             .collect();
@@ -73,7 +73,7 @@
     fn fed_by_keeper(&mut self) -> (LinkId, SocketAddrV4) {
         let (link, keeper, _) = Self::asked(&self.on(Event::Tick));
         assert_that!(self.on(Event::Answered(link, Answer::Done)), is_empty());
-        assert_that!(self.on(Event::Beat(link, ms(100))), is_empty());
+        assert_that!(self.on(Event::Heartbeat(link, ms(100))), is_empty());
         (link, keeper)
     }
 
@@ -81,10 +81,10 @@
     fn fed_by_relay(&mut self, number: u8) -> LinkId {
         let (link, _, _) = Self::asked(&self.on(Event::Tick));
         let commands = self.on(Event::Answered(link, Answer::Redirect(vec![relay(number)])));
-        let (link, parent, urgent) = Self::asked(&commands);
-        assert_that!((parent, urgent), eq((relay(number), false)));
+        let (link, upstream, urgent) = Self::asked(&commands);
+        assert_that!((upstream, urgent), eq((relay(number), false)));
         self.on(Event::Answered(link, Answer::Done));
-        self.on(Event::Beat(link, ms(100)));
+        self.on(Event::Heartbeat(link, ms(100)));
         link
     }
 }
@@ -124,8 +124,8 @@
     expect_that!(commands, not(contains(eq(&Command::Close(first)))));
     // And whoever feeds first is taken, and the other let go.
     story.on(Event::Answered(first, Answer::Done));
-    expect_that!(story.on(Event::Beat(first, ms(20))), eq(&vec![Command::Close(second)]));
-    expect_that!(story.follower.parent(), some(eq(keeper)));
+    expect_that!(story.on(Event::Heartbeat(first, ms(20))), eq(&vec![Command::Close(second)]));
+    expect_that!(story.follower.upstream_address(), some(eq(keeper)));
 }
 
 #[googletest::test]
@@ -146,8 +146,8 @@
     );
     // And with the first fresh beat it changes over.
     story.on(Event::Answered(next, Answer::Done));
-    expect_that!(story.on(Event::Beat(next, ms(50))), contains(eq(&Command::Close(link))));
-    expect_that!(story.follower.parent(), some(eq(other)));
+    expect_that!(story.on(Event::Heartbeat(next, ms(50))), contains(eq(&Command::Close(link))));
+    expect_that!(story.follower.upstream_address(), some(eq(other)));
 }
 
 #[googletest::test]
@@ -157,10 +157,10 @@
     let commands = story.until(START + UPSTREAM_TIMEOUT + ms(70));
     let (next, _, _) = Story::asked(&[commands[0].1]);
     // When the parent beats again before the other has.
-    let commands = story.on(Event::Beat(link, ms(30)));
+    let commands = story.on(Event::Heartbeat(link, ms(30)));
     // Then the other is let go.
     expect_that!(commands, contains(eq(&Command::Close(next))));
-    expect_that!(story.follower.parent(), some(eq(keeper)));
+    expect_that!(story.follower.upstream_address(), some(eq(keeper)));
     expect_that!(story.follower.wake_at(), ge(story.now + MAX_STATE_AGE / 2));
 }
 
@@ -169,9 +169,10 @@
     for step in 1..=20 {
         let at = START + ms(100 * step);
         let mut commands = story.until(at);
-        commands.extend(story.on(Event::Beat(link, at - START)).into_iter().map(|command| (at, command)));
-        if let Some((at, Command::Ask { parent, .. })) = commands.first() {
-            return (*at, *parent);
+        commands
+            .extend(story.on(Event::Heartbeat(link, at - START)).into_iter().map(|command| (at, command)));
+        if let Some((at, Command::Subscribe { upstream, .. })) = commands.first() {
+            return (*at, *upstream);
         }
     }
     panic!("never left");
@@ -198,16 +199,16 @@
     let mut story = Story::agent();
     let (link, keeper, _) = Story::asked(&story.on(Event::Tick));
     story.on(Event::Answered(link, Answer::Done));
-    story.on(Event::Beat(link, ms(5_000)));
+    story.on(Event::Heartbeat(link, ms(5_000)));
     // Then that one feeds it, but it looks further.
-    expect_that!(story.follower.parent(), some(eq(keeper)));
+    expect_that!(story.follower.upstream_address(), some(eq(keeper)));
     let commands: Vec<Command> =
         story.until(START + ms(130)).into_iter().map(|(_, command)| command).collect();
     let (next, _, _) = Story::asked(&commands);
     // And another one as stale is let go.
     story.on(Event::Answered(next, Answer::Done));
-    expect_that!(story.on(Event::Beat(next, ms(5_130))), contains(eq(&Command::Close(next))));
-    expect_that!(story.follower.parent(), some(eq(keeper)));
+    expect_that!(story.on(Event::Heartbeat(next, ms(5_130))), contains(eq(&Command::Close(next))));
+    expect_that!(story.follower.upstream_address(), some(eq(keeper)));
 }
 
 #[googletest::test]
@@ -220,26 +221,26 @@
     let (third, pressed, urgent) = Story::asked(&story.on(Event::Closed(second)));
     expect_that!((pressed, urgent), eq((keeper, true)));
     story.on(Event::Answered(third, Answer::Done));
-    story.on(Event::Beat(third, ms(0)));
+    story.on(Event::Heartbeat(third, ms(0)));
     // When it is fed for some seconds.
     let mut asked = Vec::new();
     while asked.is_empty() && story.now < START + ms(9_000) {
         let next = story.now + ms(400);
         asked = story.until(next);
-        asked.extend(story.on(Event::Beat(third, ms(0))).into_iter().map(|command| (next, command)));
+        asked.extend(story.on(Event::Heartbeat(third, ms(0))).into_iter().map(|command| (next, command)));
     }
     // Then it asks for its place again, without pressing, and keeps its link.
     expect_that!(asked[0].0, ge(START + ms(4_000)));
-    let (fourth, parent, urgent) = Story::asked(&[asked[0].1]);
-    expect_that!((parent, urgent), eq((keeper, false)));
+    let (fourth, upstream, urgent) = Story::asked(&[asked[0].1]);
+    expect_that!((upstream, urgent), eq((keeper, false)));
     // And changes over only when the relay feeds it.
     let commands = story.on(Event::Answered(fourth, Answer::Redirect(vec![relay(2)])));
     expect_that!(commands, contains(eq(&Command::Close(fourth))));
-    let (fifth, parent, urgent) = Story::asked(&commands);
-    expect_that!((parent, urgent), eq((relay(2), false)));
+    let (fifth, upstream, urgent) = Story::asked(&commands);
+    expect_that!((upstream, urgent), eq((relay(2), false)));
     story.on(Event::Answered(fifth, Answer::Done));
-    expect_that!(story.on(Event::Beat(fifth, ms(200))), eq(&vec![Command::Close(third)]));
-    expect_that!(story.follower.parent(), some(eq(relay(2))));
+    expect_that!(story.on(Event::Heartbeat(fifth, ms(200))), eq(&vec![Command::Close(third)]));
+    expect_that!(story.follower.upstream_address(), some(eq(relay(2))));
 }
 
 #[googletest::test]
@@ -247,7 +248,7 @@
     let mut story = Story::agent();
     let link = story.fed_by_relay(2);
     // When changes came on top of a list that is not known.
-    let commands = story.on(Event::OutOfStep(link));
+    let commands = story.on(Event::OutOfSync(link));
     // Then the same parent is asked again at once.
     expect_that!(commands, contains(eq(&Command::Close(link))));
     expect_that!(Story::asked(&commands).1, eq(relay(2)));
@@ -260,7 +261,7 @@
     let commands = story.until(START + ms(20_000));
     let asks: Vec<Duration> = commands
         .iter()
-        .filter(|(_, command)| matches!(command, Command::Ask { .. }))
+        .filter(|(_, command)| matches!(command, Command::Subscribe { .. }))
         .map(|(at, _)| *at)
         .collect();
     // Then it asks on, some times a second at most, with no gap of a second.
@@ -270,7 +271,7 @@
     // And never more than two at once.
     let mut open = 0_i32;
     for (_, command) in commands {
-        open += if matches!(command, Command::Ask { .. }) { 1 } else { -1 };
+        open += if matches!(command, Command::Subscribe { .. }) { 1 } else { -1 };
         expect_that!(open, le(2));
     }
 }
@@ -282,7 +283,7 @@
     expect_true!(urgent);
     story.on(Event::Answered(link, Answer::Done));
     for _ in 0..100 {
-        expect_that!(story.on(Event::Beat(link, ms(100))), is_empty());
+        expect_that!(story.on(Event::Heartbeat(link, ms(100))), is_empty());
         let next = story.now + ms(400);
         expect_that!(story.until(next), is_empty());
     }
@@ -294,12 +295,12 @@
     let mut story = Story::of(Sources::One);
     let (link, agent, _) = Story::asked(&story.on(Event::Tick));
     story.on(Event::Answered(link, Answer::Done));
-    story.on(Event::Beat(link, ms(100)));
+    story.on(Event::Heartbeat(link, ms(100)));
     // When what the agent tells is stale, but it tells.
     for age in 1..20 {
         let next = story.now + ms(500);
         expect_that!(story.until(next), is_empty());
-        expect_that!(story.on(Event::Beat(link, ms(500 * age))), is_empty());
+        expect_that!(story.on(Event::Heartbeat(link, ms(500 * age))), is_empty());
     }
     // Then it stays; it asks anew once the agent is silent, or gone.
     let silent = story.now;
--- a/system/state-feed/tests/state.rs
+++ b/system/state-feed/tests/state.rs
@@ -55,8 +55,8 @@
 /// One that knows value 3 and list 1, as of now.
 fn informed() -> FeedState {
     let mut feed = FeedState::default();
-    feed.learn_value(value(3)).expect("readable");
-    feed.learn_list(list(1, &["a", "b"]));
+    feed.update_value(value(3)).expect("readable");
+    feed.update_list(list(1, &["a", "b"]));
     feed.confirm(NOW);
     feed
 }
@@ -71,11 +71,11 @@
     let mut feed = informed();
     // When it is told others, older and equal.
     for round in [1, 2, 3] {
-        expect_false!(feed.learn_value(value(round)).expect("readable").changed);
+        expect_false!(feed.update_value(value(round)).expect("readable").changed);
     }
-    expect_false!(feed.learn_list(list(1, &["c"])).changed);
+    expect_false!(feed.update_list(list(1, &["c"])).changed);
     expect_false!(
-        feed.learn_list(EndpointList { version: ListVersion::new(0, 9), endpoints: Vec::new() }).changed
+        feed.update_list(EndpointList { version: ListVersion::new(0, 9), endpoints: Vec::new() }).changed
     );
     // Then it keeps what it had.
     expect_that!(feed.value().ballot.round, eq(3));
@@ -89,9 +89,9 @@
 fn a_value_that_cannot_be_read_leaves_all_as_it_was() {
     let mut feed = informed();
     let odd = ChosenValue { payload: Bytes::from_static(&[0xff; 3]), ..value(4) };
-    expect_that!(feed.learn_value(odd), err(anything()));
+    expect_that!(feed.update_value(odd), err(anything()));
     expect_that!(feed.value().ballot.round, eq(3));
-    expect_true!(feed.learn_value(value(5)).expect("readable").changed);
+    expect_true!(feed.update_value(value(5)).expect("readable").changed);
 }
 
 #[googletest::test]
@@ -124,12 +124,12 @@
 fn a_list_goes_as_its_changes_to_who_has_the_former_one_and_whole_to_others() {
     // Given one subscriber with the list, and one that came before there was any.
     let mut feed = FeedState::default();
-    feed.learn_value(value(1)).expect("readable");
+    feed.update_value(value(1)).expect("readable");
     feed.confirm(NOW);
     feed.subscribe(NOW, Role::ControlNode, PORT, &call(1, "z", false), 1);
-    let first = feed.learn_list(list(1, &["a", "b", "c"]));
+    let first = feed.update_list(list(1, &["a", "b", "c"]));
     expect_that!(
-        first.spreads,
+        first.broadcasts,
         eq(&vec![Broadcast { push: Push::List(list(1, &["a", "b", "c"])), to: vec![1] }])
     );
     let ahead = Call::Subscribe {
@@ -143,7 +143,7 @@
     // When the next one drains b, loses c and has d.
     let mut next = list(2, &["a", "b", "d"]);
     next.endpoints[1].state = EndpointState::Draining;
-    let learned = feed.learn_list(next.clone());
+    let learned = feed.update_list(next.clone());
     // Then changes go to the first, and nothing to the second, which has it.
     let change = Push::ListDelta {
         base: ListVersion::new(1, 1),
@@ -151,18 +151,18 @@
         upserted: vec![endpoint("b", EndpointState::Draining), endpoint("d", EndpointState::Ready)],
         removed: vec!["c".to_owned()],
     };
-    expect_that!(learned.spreads, eq(&vec![Broadcast { push: change.clone(), to: vec![1] }]));
+    expect_that!(learned.broadcasts, eq(&vec![Broadcast { push: change.clone(), to: vec![1] }]));
     // And who takes the changes in has the same list.
     let mut child = FeedState::default();
-    child.learn_list(list(1, &["a", "b", "c"]));
+    child.update_list(list(1, &["a", "b", "c"]));
     let taken = child.apply_push(NOW, change.clone(), true).expect("readable");
     expect_true!(taken.changed);
     expect_that!(child.list().endpoints, eq(&next.endpoints));
     // But on top of another list they are refused, until it is whole again.
     let mut other = FeedState::default();
-    other.learn_list(list(0, &[]));
+    other.update_list(list(0, &[]));
     let taken = other.apply_push(NOW, change.clone(), true).expect("readable");
-    expect_true!(taken.out_of_step);
+    expect_true!(taken.out_of_sync);
     expect_false!(taken.changed);
     // And known changes do no harm.
     expect_that!(
@@ -226,8 +226,8 @@
         matches_pattern!(Answer::Redirect(_))
     );
     // Then it is fed as before, until it says otherwise.
-    let learned = feed.learn_value(value(4)).expect("readable");
-    expect_that!(learned.spreads, eq(&vec![Broadcast { push: Push::Value(value(4)), to: vec![1, 2, 3] }]));
+    let learned = feed.update_value(value(4)).expect("readable");
+    expect_that!(learned.broadcasts, eq(&vec![Broadcast { push: Push::Value(value(4)), to: vec![1, 2, 3] }]));
 }
 
 #[googletest::test]
@@ -274,11 +274,11 @@
     let at = NOW + ms(600);
     let told = feed.apply_push(at, beat(100), true).expect("readable");
     // Then it passes that on at once.
-    expect_that!(told.spreads, eq(&vec![Broadcast { push: beat(100), to: vec![1] }]));
+    expect_that!(told.broadcasts, eq(&vec![Broadcast { push: beat(100), to: vec![1] }]));
     // But not what is no news, nor too much of it.
-    expect_that!(feed.apply_push(at + ms(300), beat(500), true).expect("readable").spreads, is_empty());
+    expect_that!(feed.apply_push(at + ms(300), beat(500), true).expect("readable").broadcasts, is_empty());
     expect_that!(
-        feed.apply_push(at + MIN_HEARTBEAT_GAP / 2, beat(0), true).expect("readable").spreads,
+        feed.apply_push(at + MIN_HEARTBEAT_GAP / 2, beat(0), true).expect("readable").broadcasts,
         is_empty()
     );
     // And where nothing comes it says by itself that it is there, and how old it all is.
@@ -287,9 +287,9 @@
     let grown = u32::try_from((due - at - MIN_HEARTBEAT_GAP / 2).as_millis()).expect("small");
     expect_that!(feed.heartbeat(due), eq(&vec![Broadcast { push: beat(grown), to: vec![1] }]));
     // And links that do not count confirm nothing.
-    let before = feed.fresh_at();
+    let before = feed.confirmed_at();
     feed.apply_push(due, beat(0), false).expect("readable");
-    expect_that!(feed.fresh_at(), eq(before));
+    expect_that!(feed.confirmed_at(), eq(before));
 }
 
 fn configured(round: u64, version: u64, epoch: u64) -> ChosenValue {
@@ -304,7 +304,7 @@
 fn a_value_with_the_configuration_that_is_known_goes_round_without_it() {
     // Given a process that feeds another, both with version 5.
     let mut feed = FeedState::default();
-    feed.learn_value(configured(3, 5, 1)).expect("readable");
+    feed.update_value(configured(3, 5, 1)).expect("readable");
     feed.confirm(NOW);
     let subscription = feed.subscribe(NOW, Role::ControlNode, PORT, &call(1, "z", false), 1);
     let mut fed = FeedState::default();
@@ -312,8 +312,8 @@
         fed.apply_push(NOW, push, true).expect("readable");
     }
     // When the roster changes and the configuration does not.
-    let spreads = feed.learn_value(configured(4, 5, 2)).expect("readable").spreads;
-    let [Broadcast { push, .. }] = spreads.as_slice() else { panic!("one push") };
+    let broadcasts = feed.update_value(configured(4, 5, 2)).expect("readable").broadcasts;
+    let [Broadcast { push, .. }] = broadcasts.as_slice() else { panic!("one push") };
     let Push::Value(slim) = push else { panic!("a value") };
     expect_that!(slim.payload.len(), lt(200));
     fed.apply_push(NOW, push.clone(), true).expect("readable");
@@ -323,13 +323,13 @@
     expect_that!(fed.value().payload, eq(&feed.value().payload));
     // And who knows another version cannot use it: it leaves, and gets the whole when it asks again.
     let mut other = FeedState::default();
-    other.learn_value(configured(2, 4, 1)).expect("readable");
-    expect_true!(other.apply_push(NOW, push.clone(), true).expect("readable").out_of_step);
+    other.update_value(configured(2, 4, 1)).expect("readable");
+    expect_true!(other.apply_push(NOW, push.clone(), true).expect("readable").out_of_sync);
     expect_that!(other.state().version(), eq(4));
     // And a new configuration goes round whole.
-    let spreads = feed.learn_value(configured(5, 6, 2)).expect("readable").spreads;
+    let broadcasts = feed.update_value(configured(5, 6, 2)).expect("readable").broadcasts;
     expect_that!(
-        spreads,
+        broadcasts,
         elements_are![matches_pattern!(Broadcast { push: eq(&Push::Value(configured(5, 6, 2))), .. })]
     );
 }
--- a/testbed/src/system/store.rs
+++ b/testbed/src/system/store.rs
@@ -90,7 +90,7 @@
             let roster = self.feed.state().roster.clone();
             let has = |stores: &[StorageNode]| stores.contains(&self.me);
             let placed = has(roster.next.as_ref().unwrap_or(&roster.current));
-            let known = self.feed.fresh_at().is_some();
+            let known = self.feed.confirmed_at().is_some();
             if known && !placed && !roster.retiring.contains(&self.me.name) {
                 self.tell_core(Call::JoinStorage { store: self.me.clone() }).await;
             }
