--- a/system/programs/src/storage/placement.rs
+++ b/system/programs/src/storage/placement.rs
@@ -113,7 +113,7 @@
         let roster = Rc::new(self.feed.state().roster.clone());
         let placement = || self.replica.with(|replica| Placement::of(replica, roster.clone()));
         let Some(before) = placement() else { return BUSY_POLL_INTERVAL_MS };
-        if self.feed.fresh_at().is_some() && before.must_join() {
+        if self.feed.confirmed_at().is_some() && before.must_join() {
             self.call_core(Call::JoinStorage { store: before.me }).await;
         }
         if let Some(backfill) = self.replica.with(|replica| replica.state.backfill()).flatten() {
