--- a/system/node-settings/src/form.rs
+++ b/system/node-settings/src/form.rs
@@ -1,4 +1,4 @@
-//! The file as it is written, before any check. Fields that are not named here are passed over.
+//! The settings file as written, before validation. Fields that are not named here are ignored.
 
 use crate::findings::Findings;
 use crate::{BoundValue, ListenAddresses};
@@ -78,14 +78,15 @@
 pub(crate) struct CloudApiForm {
     pub(crate) address: Field<SocketAddrV4>,
     pub(crate) rate_per_s: Field<Number>,
-    pub(crate) duties: Field<Vec<Field<String>>>,
+    #[serde(rename = "duties")]
+    pub(crate) singleton_roles: Field<Vec<Field<String>>>,
     pub(crate) max_lag_ms: Field<Number>,
 }
 
-/// A bound's value; what is no figure may stand under names that are not known.
+/// Value of a bound; under unknown names it may have any type.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub(crate) enum BoundForm {
-    Figure(BoundValue),
+    Value(BoundValue),
     Other(IgnoredAny),
 }
--- a/system/node-settings/src/lib.rs
+++ b/system/node-settings/src/lib.rs
@@ -1,5 +1,24 @@
-//! The settings file of a process. Reading is pure: it gives whole settings or everything that is wrong with the
-//! file, so a process keeps what it has when a new file cannot be read.
+//! The settings file of a process, in YAML.
+//!
+//! [`Settings::read`] returns either complete settings or every finding in the file, so that a process can keep its
+//! settings when a new file is invalid. Unknown fields are ignored, for compatibility with later releases. When a file is
+//! read again, and what a process does with a change, is left to the programs.
+//!
+//! The names of the fields are those of the operators' settings file; units are in the names (`_ms`, `_s`, `_mb`).
+//!
+//! ```
+//! use node_settings::Settings;
+//!
+//! let settings = Settings::parse(
+//!     "node_name: edge-1\nip_address: 10.0.0.1\nzone: zone-a\ninternal_port_range: [7000, 7003]\n",
+//! )?;
+//! assert_eq!(settings.peer_port(), 7000);
+//! assert_eq!(settings.heartbeat_interval_ms, 1_000);
+//!
+//! let error = Settings::parse("zone: zone-a").unwrap_err();
+//! assert_eq!(error.findings.len(), 3);
+//! # Ok::<(), node_settings::SettingsError>(())
+//! ```
 
 mod findings;
 mod form;
@@ -11,80 +30,95 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::{Path, PathBuf};
 
-/// The settings of a process.
+/// Settings of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The machine's name.
+    /// Name of the machine.
     pub node_name: String,
-    /// The role that this process runs.
+    /// Role that this process runs.
     pub role: String,
-    /// The machine's class.
+    /// Class of the machine.
     pub machine_class: String,
-    /// Who may call the role from outside.
+    /// Classes of external clients that the role serves.
     pub serves: Vec<String>,
-    /// The machine's address.
+    /// IP address of the machine.
     pub ip_address: Ipv4Addr,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// The machine's region; that of its zone if not given.
+    /// Region of the machine; by default that of its zone.
     pub region: String,
-    /// All zones with their regions.
+    /// Region of each zone, by the zone's name.
     pub zones: BTreeMap<String, String>,
-    /// Addresses for what the role serves.
+    /// Addresses on which the role listens.
     pub listen_addresses: ListenAddresses,
-    /// The first and the last port for what processes say to one another.
-    pub internal_port_range: (u16, u16),
-    /// Addresses of machines that serve `control_plane`, as they stood when the file was written.
+    /// Ports for traffic between the system's own processes.
+    pub internal_port_range: PortRange,
+    /// Addresses of machines that served `control_plane` when the file was written.
     pub seed_nodes: Vec<SocketAddrV4>,
     /// Whether the whole system starts for the first time, with empty disks.
     pub first_start: bool,
     /// Whether this machine's loss counts towards `fault_tolerance`.
     pub counted_loss: bool,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: Limits,
-    /// The folder on the machine's disk, if it has one.
+    /// Directory on the machine's disk, if it has one.
     pub data_directory: Option<PathBuf>,
-    /// How endpoints are found.
+    /// Method of endpoint discovery.
     pub discovery: String,
-    /// How clients come in.
+    /// How clients reach the system.
     pub entry_mode: String,
-    /// The heartbeat's interval.
+    /// Interval between heartbeats, in ms.
     pub heartbeat_interval_ms: u64,
-    /// Parts of the rules in force.
+    /// Names of the contracts in force.
     pub contracts: Vec<String>,
-    /// What may be lost at once while all rules are kept.
+    /// Losses at one time under which all contracts still hold.
     pub fault_tolerance: FaultTolerance,
-    /// Figures of the rules.
+    /// Bounds of the contracts.
     pub bounds: Bounds,
-    /// The platform's list of endpoints.
+    /// The platform's API that lists endpoints.
     pub cloud_api: Option<CloudApi>,
 }
 
 /// Addresses for what a role serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// For clients.
+    /// For clients' requests.
     pub front: Option<SocketAddrV4>,
-    /// For the platform's question whether the sender is ready.
+    /// For the platform's readiness checks.
     pub readiness: Option<SocketAddrV4>,
-    /// For endpoints and the operator.
+    /// For endpoints and the operators.
     pub control_plane: Option<SocketAddrV4>,
 }
 
-/// What a process may use.
+/// An inclusive range of ports.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PortRange {
+    /// First port.
+    pub first: u16,
+    /// Last port.
+    pub last: u16,
+}
+
+impl From<(u16, u16)> for PortRange {
+    fn from((first, last): (u16, u16)) -> Self {
+        Self { first, last }
+    }
+}
+
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Share of a core.
+    /// Share of a core, 1.0 being a whole one.
     pub cpu_share: f64,
     /// Speed of that core.
     pub cpu_cores: f64,
-    /// Memory.
+    /// Memory, in MB.
     pub memory_mb: f64,
-    /// Descriptors.
+    /// Maximum number of open file descriptors.
     pub max_file_descriptors: u64,
-    /// Bandwidth of the machine's link.
+    /// Bandwidth of the machine's network link, in Mbit/s.
     pub link_mbps: f64,
-    /// Room on the disk.
+    /// Disk capacity, in MB.
     pub disk_mb: f64,
 }
 
@@ -101,53 +135,53 @@
     }
 }
 
-/// What may be lost at once while all rules are kept.
+/// Losses at one time under which all contracts still hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// Machines for which `counted_loss` is true.
+    /// Number of machines for which `counted_loss` is true.
     pub machines: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
 }
 
-/// Figures of the rules in force. Milliseconds are whole, fractions rounded up.
+/// Bounds of the contracts in force. Milliseconds are integers, fractions are rounded up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// How far the operator's list lags.
+    /// Maximum lag of the operator's seed list, in seconds.
     pub seed_lag_s: f64,
-    /// How soon an endpoint's address may be given to another.
+    /// Minimum time before an endpoint's address is reused, in seconds.
     pub address_reuse_s: f64,
-    /// How long the operator goes on asking.
+    /// Time for which the operator retries contact, in ms.
     pub contact_ms: u64,
-    /// For how long orders are sent again.
+    /// Time for which unacknowledged commands are retried, in ms.
     pub ack_ms: u64,
-    /// How long a machine counts as lost after its return.
+    /// Time for which a machine counts as lost after its return, in seconds.
     pub catch_up_s: f64,
-    /// How long a draining endpoint goes on.
+    /// Time for which a draining endpoint finishes requests, in ms.
     pub drain_ms: u64,
-    /// From SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL, in seconds.
     pub grace_period_s: f64,
-    /// Allowance at a loss.
+    /// Additional latency allowed at a loss, in ms.
     pub loss_slack_ms: u64,
-    /// How soon a configuration is in force everywhere.
+    /// Time until a configuration is applied everywhere, in ms.
     pub config_apply_ms: u64,
-    /// Allowance before an older configuration counts as brought back.
+    /// Allowance before an older configuration counts as a rollback, in ms.
     pub rollback_slack_ms: u64,
-    /// The longest stretch without progress.
+    /// Maximum time without progress, in ms.
     pub max_stretch_ms: u64,
-    /// Time to recover after a final fault.
+    /// Time to recover after the last fault, in seconds.
     pub recovery_s: f64,
-    /// How soon an event is passed on.
+    /// Time until a stream's event is forwarded, in ms.
     pub pass_ms: u64,
-    /// The figure `again_s`.
+    /// The operators' bound `again_s`, in seconds.
     pub again_s: f64,
-    /// How long programs may go on after traffic has ended.
+    /// Time for which programs may continue after traffic has ended, in seconds.
     pub finish_s: f64,
-    /// How long accounts may take to settle.
+    /// Time until accounts are settled, in ms.
     pub settle_ms: u64,
-    /// Figures under other names.
+    /// Bounds with unknown names.
     pub others: BTreeMap<String, BoundValue>,
 }
 
@@ -175,105 +209,117 @@
     }
 }
 
-/// A figure of the rules.
+/// Value of a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum BoundValue {
-    /// True or false.
+    /// A Boolean.
     Flag(bool),
-    /// A whole number.
+    /// An integer.
     Integer(i64),
-    /// A fraction.
+    /// A float.
     Float(f64),
 }
 
-/// The platform's list of endpoints.
+/// The platform's API that lists endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CloudApi {
-    /// Its address.
+    /// Address of the API.
     pub address: SocketAddrV4,
     /// Calls per second that it accepts from all processes together.
     pub rate_per_s: f64,
-    /// What else the platform leaves to the system.
+    /// Singleton roles that the platform leaves to the system, such as replacing endpoints; `duties` in the file.
     pub singleton_roles: Vec<String>,
-    /// How far the list runs behind at most.
+    /// Maximum lag of its list, in ms.
     pub max_lag_ms: f64,
 }
 
-/// Something wrong in a settings file.
+/// A problem in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The field, such as `limits.memory_mb`; empty for the file as a whole.
+    /// Path of the field, such as `limits.memory_mb`; empty for the file itself.
     pub field: String,
-    /// What.
-    pub what: String,
+    /// Description of the problem.
+    pub problem: String,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let gap = if self.field.is_empty() { "" } else { " " };
-        write!(formatter, "{}{gap}{}", self.field, self.what)
+        let separator = if self.field.is_empty() { "" } else { " " };
+        write!(formatter, "{}{separator}{}", self.field, self.problem)
     }
 }
 
-/// Settings that cannot be used, with everything that is wrong with them.
+/// Invalid settings, with all findings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{}: {}", self.place(), self.told())]
+#[error("{}: {}", self.source_name(), self.joined_findings())]
 pub struct SettingsError {
-    /// The file, if they come from one.
+    /// The file, if they were read from one.
     pub path: Option<PathBuf>,
-    /// What is wrong, at least one.
+    /// The findings, at least one.
     pub findings: Vec<Finding>,
 }
 
 impl SettingsError {
-    fn place(&self) -> String {
+    fn source_name(&self) -> String {
         self.path.as_ref().map_or("settings".to_owned(), |path| path.display().to_string())
     }
 
-    fn told(&self) -> String {
+    fn joined_findings(&self) -> String {
         self.findings.iter().map(Finding::to_string).collect::<Vec<_>>().join("; ")
     }
 }
 
 impl Settings {
     /// Reads a settings file.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be read, or with every finding in it.
     pub fn read(path: impl AsRef<Path>) -> Result<Self, SettingsError> {
         let path = path.as_ref();
         let text = std::fs::read_to_string(path).map_err(|error| {
-            vec![Finding { field: String::new(), what: format!("cannot be read: {error}") }]
+            vec![Finding { field: String::new(), problem: format!("cannot be read: {error}") }]
         });
         let settings = text.and_then(|text| read::read(&text));
         settings.map_err(|findings| SettingsError { path: Some(path.to_owned()), findings })
     }
 
-    /// Reads the text of a settings file, in YAML. Fields that are not known are passed over.
+    /// Parses the text of a settings file, in YAML. Unknown fields are ignored.
+    ///
+    /// # Errors
+    ///
+    /// With every finding in the text.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         read::read(text).map_err(|findings| SettingsError { path: None, findings })
     }
 
-    /// The port for calls between processes: the first of the range.
+    /// Port for calls between processes: the first of the range.
     pub fn peer_port(&self) -> u16 {
-        self.internal_port_range.0
+        self.internal_port_range.first
     }
 
-    /// The port for feeds: the second of the range.
+    /// Port for subscriptions: the second of the range.
     pub fn feed_port(&self) -> u16 {
-        self.internal_port_range.0 + 1
+        self.internal_port_range.first + 1
     }
 
-    /// The port for probes: the third of the range.
+    /// Port for membership probes: the third of the range.
     pub fn probe_port(&self) -> u16 {
-        self.internal_port_range.0 + 2
+        self.internal_port_range.first + 2
     }
 
-    /// The port for staff: the fourth of the range.
+    /// Port of the admin endpoint: the fourth of the range.
     pub fn admin_port(&self) -> u16 {
-        self.internal_port_range.0 + 3
+        self.internal_port_range.first + 3
     }
 
-    /// The zones of a region, in order.
+    /// Names of the zones of a region, in order.
     pub fn zones_of_region(&self, region: &str) -> Vec<&str> {
-        self.zones.iter().filter(|(_, of)| *of == region).map(|(zone, _)| zone.as_str()).collect()
+        self.zones
+            .iter()
+            .filter(|(_, zone_region)| *zone_region == region)
+            .map(|(zone, _)| zone.as_str())
+            .collect()
     }
 }
--- a/system/node-settings/tests/settings.rs
+++ b/system/node-settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file of a process.
 
 use googletest::prelude::*;
-use node_settings::{BoundValue, Settings};
+use node_settings::{BoundValue, PortRange, Settings};
 use std::path::PathBuf;
 
 const EDGE: &str = include_str!("edge.yaml");
@@ -12,7 +12,7 @@
 }
 
 #[gtest]
-fn given_the_settings_of_an_edge_machine_when_read_then_every_field_is_told() {
+fn every_field_of_an_edge_machines_settings_is_read() {
     let settings = Settings::parse(EDGE).unwrap();
     expect_eq!(settings.node_name, "edge-midrand-a-1");
     expect_eq!(settings.role, "my-edge");
@@ -25,7 +25,7 @@
     expect_eq!(settings.listen_addresses.front.unwrap().to_string(), "10.1.0.30:8149");
     expect_eq!(settings.listen_addresses.readiness.unwrap().to_string(), "10.1.0.30:8141");
     expect_eq!(settings.listen_addresses.control_plane, None);
-    expect_eq!(settings.internal_port_range, (7380, 7395));
+    expect_eq!(settings.internal_port_range, PortRange { first: 7380, last: 7395 });
     let seeds: Vec<String> = settings.seed_nodes.iter().map(ToString::to_string).collect();
     expect_eq!(seeds, ["10.1.0.33:8144", "10.2.0.37:8144", "10.3.0.36:8144"]);
     expect_true!(settings.first_start);
@@ -55,7 +55,7 @@
 }
 
 #[gtest]
-fn given_the_settings_of_a_core_machine_when_read_then_its_disk_and_address_are_told() {
+fn the_disk_and_address_of_a_core_machine_are_read() {
     let settings = Settings::parse(CORE).unwrap();
     expect_eq!(settings.data_directory, Some(PathBuf::from("/data/my-core")));
     expect_eq!(settings.listen_addresses.control_plane.unwrap().to_string(), "10.1.0.33:8144");
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn given_settings_when_ports_and_zones_are_asked_then_they_follow_from_the_fields() {
+fn ports_and_zones_are_derived_from_the_fields() {
     let settings = Settings::parse(&EDGE.replace("centurion: \"gauteng\"", "centurion: \"karoo\"")).unwrap();
     let ports = [settings.peer_port(), settings.feed_port(), settings.probe_port(), settings.admin_port()];
     expect_eq!(ports, [7380, 7381, 7382, 7383]);
@@ -74,7 +74,7 @@
 }
 
 #[gtest]
-fn given_fields_of_a_later_release_when_read_then_they_are_passed_over() {
+fn fields_of_a_later_release_are_ignored() {
     let later = EDGE
         .replace("limits:", "tides: {high: [1, 2], low: null}\nlimits:\n  gpu_share: lots")
         .replace("bounds:", "bounds:\n  later: [1]\n  later_s: 2.5\n  later_ms: 7\n  later_on: true");
@@ -94,7 +94,7 @@
 }
 
 #[gtest]
-fn given_bounds_of_any_kind_of_figure_when_read_then_they_are_numbers() {
+fn bounds_of_every_value_type_are_read_as_numbers() {
     let text = EDGE
         .replace("ack_ms: 4000", "ack_ms: 4000.2")
         .replace("seed_lag_s: 3", "seed_lag_s: 0.5")
@@ -108,7 +108,7 @@
 }
 
 #[gtest]
-fn given_only_what_is_required_when_read_then_the_rest_has_defaults() {
+fn optional_fields_have_defaults() {
     let text =
         "node_name: n\nip_address: 10.0.0.1\nzone: z\nzones: {z: r}\ninternal_port_range: [7000, 7003]\n";
     let settings = Settings::parse(text).unwrap();
@@ -121,7 +121,7 @@
 }
 
 #[gtest]
-fn given_several_wrong_fields_when_read_then_they_are_told_together() {
+fn all_invalid_fields_are_reported_together() {
     let text = EDGE
         .replace("\"10.1.0.30\"", "\"10.1.0.300\"")
         .replace("memory_mb: 260", "memory_mb: plenty")
@@ -150,7 +150,7 @@
 }
 
 #[gtest]
-fn given_a_port_range_that_is_too_small_or_reversed_when_read_then_it_is_told() {
+fn a_port_range_that_is_too_small_or_reversed_is_reported() {
     for last in ["7382", "7379", "0"] {
         let error = Settings::parse(&EDGE.replace("- 7395", &format!("- {last}"))).unwrap_err();
         expect_eq!(fields(&error), ["internal_port_range"]);
@@ -158,7 +158,7 @@
 }
 
 #[gtest]
-fn given_texts_that_are_no_settings_when_read_then_one_finding_tells_so() {
+fn a_text_that_is_not_a_settings_document_has_one_finding() {
     for text in ["just words", "- a\n- b", "node_name: [", "a: *b"] {
         let error = Settings::parse(text).unwrap_err();
         expect_eq!(fields(&error), [""]);
@@ -166,7 +166,7 @@
 }
 
 #[gtest]
-fn given_an_empty_file_when_read_then_all_that_is_required_is_missing() {
+fn an_empty_file_lacks_every_required_field() {
     let error = Settings::parse("").unwrap_err();
     expect_that!(
         fields(&error),
@@ -175,7 +175,7 @@
 }
 
 #[gtest]
-fn given_no_file_when_read_then_the_error_names_it() {
+fn the_error_for_a_missing_file_names_it() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("node.yaml");
     let error = Settings::read(&path).unwrap_err();
@@ -184,7 +184,7 @@
 }
 
 #[gtest]
-fn given_a_file_that_changes_when_read_again_then_it_gives_whole_settings_or_none() {
+fn reading_a_changed_file_returns_complete_settings_or_none() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("node.yaml");
     std::fs::write(&path, EDGE).unwrap();
