--- a/system/config-fields/src/findings.rs
+++ b/system/config-fields/src/findings.rs
@@ -1,30 +1,30 @@
-//! Taking values out of fields, and noting what is wrong with them.
+//! Extraction of values from fields, with a finding for each field that is missing or invalid.
 
 use crate::Field;
 
-/// A place within `base`; `base` is empty for the document as a whole.
+/// Path of a field within `base`, such as `limits.memory_mb`; `base` is empty for the document itself.
 pub fn field_path(base: &str, name: &str) -> String {
     if base.is_empty() { name.to_owned() } else { format!("{base}.{name}") }
 }
 
-/// A list of what is wrong with a document.
+/// Collector of the problems found in a document.
 pub trait CollectFindings {
-    /// Adds a finding.
-    fn add(&mut self, place: String, what: impl Into<String>);
+    /// Adds a finding: the path of a field, and the problem with it.
+    fn add(&mut self, path: String, problem: impl Into<String>);
 
-    /// The field's value, or `None` if it is absent or wrong, the latter with a finding.
+    /// The value of an optional field; `None` if it is absent or invalid, the latter with a finding.
     fn optional<T>(&mut self, base: &str, name: &str, field: Field<T>) -> Option<T> {
         match field {
-            Field::Read(value) => Some(value),
+            Field::Present(value) => Some(value),
             Field::Absent => None,
-            Field::Wrong(what) => {
-                self.add(field_path(base, name), what);
+            Field::Invalid(problem) => {
+                self.add(field_path(base, name), problem);
                 None
             }
         }
     }
 
-    /// The field's value, or `None` with a finding.
+    /// The value of a required field; `None`, with a finding, if it is absent or invalid.
     fn required<T>(&mut self, base: &str, name: &str, field: Field<T>) -> Option<T> {
         if matches!(field, Field::Absent) {
             self.add(field_path(base, name), "is missing");
@@ -32,7 +32,7 @@
         self.optional(base, name, field)
     }
 
-    /// The values of a list, without those that are missing or wrong; empty if the list is absent.
+    /// The valid items of an optional list, with a finding for each missing or invalid one; empty if the list is absent.
     fn list<T>(&mut self, base: &str, name: &str, field: Field<Vec<Field<T>>>) -> Vec<T> {
         let items = self.optional(base, name, field).unwrap_or_default();
         let items = items.into_iter().enumerate();
--- a/system/config-fields/src/lib.rs
+++ b/system/config-fields/src/lib.rs
@@ -1,8 +1,27 @@
-//! Fields of a document that are read one by one, so that what is wrong with several of them is told together rather
-//! than one at a time.
+//! Lenient fields of configuration documents, so that all problems of a document are reported together rather than one
+//! at a time.
 //!
-//! A form is a struct of [`Field`]s; deserializing it does not fail for a field of a wrong form. The fields' values are
-//! then taken out through [`CollectFindings`], which notes the place of each one that is missing or wrong.
+//! A form is a struct of [`Field`]s that derives `Deserialize` with `#[serde(default)]`; deserializing it does not fail for
+//! a field of the wrong type. The values are then extracted through [`CollectFindings`], which records the path and the
+//! problem of each missing or invalid field. Which fields are required, and what their values must satisfy, is left to the
+//! crates with the forms.
+//!
+//! ```
+//! use config_fields::{CollectFindings, Field};
+//!
+//! struct Findings(Vec<String>);
+//!
+//! impl CollectFindings for Findings {
+//!     fn add(&mut self, path: String, problem: impl Into<String>) {
+//!         self.0.push(format!("{path} {}", problem.into()));
+//!     }
+//! }
+//!
+//! let mut findings = Findings(Vec::new());
+//! let zone: Option<String> = findings.required("node", "zone", Field::Absent);
+//! assert_eq!(zone, None);
+//! assert_eq!(findings.0, ["node.zone is missing"]);
+//! ```
 
 mod findings;
 mod number;
@@ -12,25 +31,25 @@
 
 use serde::de::{Deserialize, Deserializer};
 
-/// A field of a document.
+/// A field of a document, deserialized without failing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Field<T> {
-    /// It is not there, or null.
+    /// The field is missing or null.
     #[default]
     Absent,
-    /// It has a wrong form, for this reason.
-    Wrong(String),
-    /// It was read.
-    Read(T),
+    /// The field has a value of the wrong type, with the deserializer's message.
+    Invalid(String),
+    /// The field has this value.
+    Present(T),
 }
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for Field<T> {
     // Only sound for deserializers of values that are already in memory: a failure leaves their position intact.
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         Ok(match Option::<T>::deserialize(deserializer) {
-            Ok(Some(value)) => Self::Read(value),
+            Ok(Some(value)) => Self::Present(value),
             Ok(None) => Self::Absent,
-            Err(error) => Self::Wrong(error.to_string()),
+            Err(error) => Self::Invalid(error.to_string()),
         })
     }
 }
--- a/system/config-fields/src/number.rs
+++ b/system/config-fields/src/number.rs
@@ -1,19 +1,19 @@
-//! Numbers that may be written as a whole number or as a fraction.
+//! Non-negative numbers that may be written as an integer or with a fraction.
 
 use serde::de::{Deserialize, Deserializer, Error, Unexpected, Visitor};
 use std::fmt;
 
-/// A number that is not negative; a fraction such as 60.0 is a number like any other.
+/// A non-negative number. Documents may write an integer as a float, such as 60.0.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Number {
-    /// Written without a fraction.
+    /// Written as an integer.
     Integer(u64),
-    /// Written with one.
+    /// Written as a float.
     Float(f64),
 }
 
 impl Number {
-    /// As a whole number: fractions are rounded up, what is too large becomes the largest.
+    /// The number as an integer: fractions are rounded up, values that are too large saturate.
     pub fn rounded_up(self) -> u64 {
         match self {
             Self::Integer(number) => number,
@@ -21,12 +21,12 @@
         }
     }
 
-    /// The same as a whole number of 32 bits.
+    /// Like [`Number::rounded_up`], with 32 bits.
     pub fn rounded_up_u32(self) -> u32 {
         u32::try_from(self.rounded_up()).unwrap_or(u32::MAX)
     }
 
-    /// As a whole number, if it is exactly one.
+    /// The number as an integer, if it is exactly one.
     pub fn exact(self) -> Option<u64> {
         match self {
             Self::Integer(number) => Some(number),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// As a fraction.
+    /// The number as a float; integers above 2^53 lose precision.
     pub fn as_f64(self) -> f64 {
         match self {
             Self::Integer(number) => number as f64,
--- a/system/config-fields/tests/fields.rs
+++ b/system/config-fields/tests/fields.rs
@@ -1,4 +1,4 @@
-//! Lenient fields: what they take, and what is noted about those that are missing or wrong.
+//! Lenient fields: accepted values, and findings for missing or invalid ones.
 
 use config_fields::{CollectFindings, Field, Number, field_path};
 use googletest::prelude::*;
@@ -9,14 +9,14 @@
 struct Findings(Vec<(String, String)>);
 
 impl CollectFindings for Findings {
-    fn add(&mut self, place: String, what: impl Into<String>) {
-        self.0.push((place, what.into()));
+    fn add(&mut self, path: String, problem: impl Into<String>) {
+        self.0.push((path, problem.into()));
     }
 }
 
 impl Findings {
-    fn places(&self) -> Vec<&str> {
-        self.0.iter().map(|(place, _)| place.as_str()).collect()
+    fn paths(&self) -> Vec<&str> {
+        self.0.iter().map(|(path, _)| path.as_str()).collect()
     }
 }
 
@@ -37,7 +37,7 @@
 }
 
 #[gtest]
-fn given_a_whole_document_when_its_fields_are_taken_then_nothing_is_found() {
+fn a_valid_document_has_no_findings() {
     let form = form(json!({ "name": "a", "time_ms": 5, "zones": ["x", "y"] }));
     let mut findings = Findings::default();
 
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn given_several_wrong_fields_when_they_are_taken_then_each_is_found_at_its_place() {
+fn every_invalid_field_is_reported_with_its_path() {
     let form = form(json!({ "name": 7, "time_ms": -1, "zones": ["x", 3, null] }));
     let mut findings = Findings::default();
 
@@ -56,14 +56,14 @@
     expect_that!(findings.optional("base", "time_ms", form.time_ms), none());
     expect_that!(findings.list("base", "zones", form.zones), elements_are![eq("x")]);
 
-    let places = ["base.name", "base.time_ms", "base.zones[1]", "base.zones[2]"];
-    expect_that!(findings.places(), container_eq(places));
+    let paths = ["base.name", "base.time_ms", "base.zones[1]", "base.zones[2]"];
+    expect_that!(findings.paths(), container_eq(paths));
     expect_that!(findings.0[1].1, contains_substring("a number of at least 0"));
     expect_that!(findings.0[3].1, eq("is missing"));
 }
 
 #[gtest]
-fn given_absent_and_null_fields_when_they_are_taken_then_only_required_ones_are_found() {
+fn absent_and_null_fields_are_reported_only_if_required() {
     for document in [json!({}), json!({ "name": null, "time_ms": null, "zones": null })] {
         let form = form(document);
         let mut findings = Findings::default();
@@ -76,14 +76,14 @@
 }
 
 #[gtest]
-fn given_numbers_when_read_then_whole_ones_stay_exact_and_fractions_are_rounded_up() {
+fn integers_stay_exact_and_fractions_are_rounded_up() {
     let largest = number(json!(u64::MAX)).expect("a number");
     expect_that!(largest.exact(), some(eq(u64::MAX)));
     expect_that!(largest.rounded_up_u32(), eq(u32::MAX));
 
-    let whole = number(json!(60.0)).expect("a number");
-    expect_that!(whole.exact(), some(eq(60)));
-    expect_that!(whole.as_f64(), eq(60.0));
+    let integral_float = number(json!(60.0)).expect("a number");
+    expect_that!(integral_float.exact(), some(eq(60)));
+    expect_that!(integral_float.as_f64(), eq(60.0));
 
     let fraction = number(json!(0.25)).expect("a number");
     expect_that!(fraction.exact(), none());
@@ -95,14 +95,14 @@
 }
 
 #[gtest]
-fn given_what_is_no_number_of_at_least_zero_when_read_then_it_is_refused() {
+fn values_that_are_not_non_negative_numbers_are_rejected() {
     for value in [json!(-1), json!(-0.5), json!("1"), json!(true), json!([1])] {
         expect_that!(number(value.clone()), none(), "{value}");
     }
 }
 
 #[gtest]
-fn a_place_names_its_base_unless_that_is_the_document() {
+fn a_field_path_starts_with_its_base_unless_that_is_the_document() {
     expect_that!(field_path("", "name"), eq("name"));
     expect_that!(field_path("limits", "name"), eq("limits.name"));
 }
--- a/system/operator-config/src/difference.rs
+++ b/system/operator-config/src/difference.rs
@@ -1,22 +1,23 @@
-//! What one configuration changes in another, for staff.
+//! Summary of the changes between two configurations, for operators.
 
 use crate::{OperatorConfig, Route, WeightedService};
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// Short lines on what `after` changes in `before`: its version, routes, services and limits. Routes are compared by
-/// host and prefix.
+/// Lines that describe the changes from `before` to `after` in version, routes, services and limits. Routes are matched
+/// by host and path prefix.
 pub fn difference(before: &OperatorConfig, after: &OperatorConfig) -> Vec<String> {
     let mut lines = Vec::new();
     if before.version != after.version {
         lines.push(format!("version: {} -> {}", before.version, after.version));
     }
-    let place = |route: &Route| format!("route {}{}", route.hostname.to_ascii_lowercase(), route.path_prefix);
-    let routes = |config: &OperatorConfig| -> BTreeMap<String, Vec<(&'static str, String)>> {
-        config.routes.iter().map(|route| (place(route), route_fields(route))).collect()
+    let route_key =
+        |route: &Route| format!("route {}{}", route.hostname.to_ascii_lowercase(), route.path_prefix);
+    let routes = |config: &OperatorConfig| -> BTreeMap<String, Fields> {
+        config.routes.iter().map(|route| (route_key(route), route_fields(route))).collect()
     };
     compare(&routes(before), &routes(after), &mut lines);
-    let services = |config: &OperatorConfig| -> BTreeMap<String, Vec<(&'static str, String)>> {
+    let services = |config: &OperatorConfig| -> BTreeMap<String, Fields> {
         let fields = config.services.iter().map(|service| {
             let engine = service.engine.map_or("none".to_owned(), |engine| {
                 format!(
@@ -72,23 +73,24 @@
 }
 
 fn route_fields(route: &Route) -> Fields {
-    fn shown(value: impl Debug) -> String {
+    fn debug_text(value: impl Debug) -> String {
         format!("{value:?}")
     }
-    let share = |share: &WeightedService| format!("{} {}", share.service, share.weight);
-    let gap_aim_ms = route.max_event_gap_ms.map_or("none".to_owned(), |gap_aim_ms| gap_aim_ms.to_string());
+    let weighted_text = |weighted: &WeightedService| format!("{} {}", weighted.service, weighted.weight);
+    let max_event_gap_ms =
+        route.max_event_gap_ms.map_or("none".to_owned(), |max_event_gap_ms| max_event_gap_ms.to_string());
     vec![
         ("name", route.name.clone()),
-        ("route_type", shown(route.kind)),
-        ("timeout_ms", shown(route.timeout_ms)),
-        ("target_latency_ms", shown(route.target_latency_ms)),
-        ("priority", shown(route.priority)),
-        ("split", format!("[{}]", route.split.iter().map(share).collect::<Vec<_>>().join(", "))),
-        ("max_attempts", shown(route.max_attempts)),
-        ("retained", shown(route.retained)),
-        ("retention_ms", shown(route.retention_ms)),
-        ("session_affinity", shown(route.session_affinity)),
-        ("resumable", shown(route.resumable)),
-        ("gap_aim_ms", gap_aim_ms),
+        ("route_type", debug_text(route.kind)),
+        ("timeout_ms", debug_text(route.timeout_ms)),
+        ("target_latency_ms", debug_text(route.target_latency_ms)),
+        ("priority", debug_text(route.priority)),
+        ("split", format!("[{}]", route.split.iter().map(weighted_text).collect::<Vec<_>>().join(", "))),
+        ("max_attempts", debug_text(route.max_attempts)),
+        ("retained", debug_text(route.retained)),
+        ("retention_ms", debug_text(route.retention_ms)),
+        ("session_affinity", debug_text(route.session_affinity)),
+        ("resumable", debug_text(route.resumable)),
+        ("gap_aim_ms", max_event_gap_ms),
     ]
 }
--- a/system/operator-config/src/form.rs
+++ b/system/operator-config/src/form.rs
@@ -1,4 +1,4 @@
-//! The documents as they are sent, before any check. Fields that are not named here are passed over.
+//! The configuration document as sent, before validation. Fields that are not named here are ignored.
 
 use config_fields::{Field, Number};
 use serde::Deserialize;
@@ -23,18 +23,19 @@
     pub(crate) target_latency_ms: Field<Number>,
     pub(crate) priority: Field<Number>,
     pub(crate) service: Field<String>,
-    pub(crate) traffic_split: Field<Vec<Field<ShareForm>>>,
+    pub(crate) traffic_split: Field<Vec<Field<WeightedServiceForm>>>,
     pub(crate) max_attempts: Field<Number>,
     pub(crate) retained: Field<bool>,
     pub(crate) retention_s: Field<Number>,
     pub(crate) session_affinity: Field<bool>,
     pub(crate) resumable: Field<bool>,
-    pub(crate) gap_aim_ms: Field<Number>,
+    #[serde(rename = "gap_aim_ms")]
+    pub(crate) max_event_gap_ms: Field<Number>,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-pub(crate) struct ShareForm {
+pub(crate) struct WeightedServiceForm {
     pub(crate) service: Field<String>,
     pub(crate) weight: Field<Number>,
 }
--- a/system/operator-config/src/lib.rs
+++ b/system/operator-config/src/lib.rs
@@ -1,5 +1,24 @@
-//! The operator's configuration: it is read, checked with all findings told together, and turned into a table of
-//! routes. Whether its version may follow the current one is for the caller to judge.
+//! The operator's configuration: routes, services and limits, as a JSON document.
+//!
+//! [`OperatorConfig::read`] parses and validates a document, reports all findings together, and builds the routing table.
+//! Unknown fields are ignored, for compatibility with later releases. Whether a version may follow the current one, and
+//! when a configuration is applied, is left to the caller.
+//!
+//! ```
+//! use operator_config::OperatorConfig;
+//!
+//! let document = br#"{
+//!     "version": 1,
+//!     "services": [{ "name": "chat" }],
+//!     "routes": [
+//!         { "hostname": "api.example", "path_prefix": "/", "timeout_ms": 1000, "service": "chat" }
+//!     ]
+//! }"#;
+//! let config = OperatorConfig::read(document)?;
+//! let route = config.route("API.example:443", "/v1/messages?stream=1").unwrap();
+//! assert_eq!(route.pick_service(7), "chat");
+//! # Ok::<(), operator_config::Findings>(())
+//! ```
 
 mod difference;
 mod form;
@@ -13,107 +32,107 @@
 use std::fmt;
 use table::RouteTable;
 
-/// A configuration without fault.
+/// A valid configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperatorConfig {
-    /// Its number, above 0; 0 in the empty default, before any was taken.
+    /// Version, above 0; 0 only in the empty default, before any configuration was applied.
     pub version: u64,
-    /// The routes. [`OperatorConfig::route`] goes by what they were when the configuration was read.
+    /// The routes. Later changes of them do not affect [`OperatorConfig::route`], which uses a table built on reading.
     pub routes: Vec<Route>,
     /// The services.
     pub services: Vec<Service>,
-    /// What clients may send, and how long they may take.
+    /// Limits on the requests of clients.
     pub limits: Limits,
     table: RouteTable,
 }
 
-/// What may be done with a request of a route.
+/// Whether requests of a route may be retried, and the form of their answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// A request may be executed more than once.
     Idempotent,
-    /// It runs at most once for each try of a client. So it is where the type is not given.
+    /// A request is executed at most once for each attempt of a client. The default.
     NonIdempotent,
-    /// Like `NonIdempotent`; the answer is a series of events.
+    /// Like `NonIdempotent`; the answer is a stream of events.
     Streaming,
 }
 
-/// A route.
+/// A route: the requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name; empty if it has none.
+    /// Name; empty if it has none.
     pub name: String,
-    /// The host of its requests, as given.
+    /// Host of its requests, as written in the document.
     pub hostname: String,
-    /// What the paths of its requests begin with; starts and ends with a slash.
+    /// Prefix of the paths of its requests; starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be done with its requests.
+    /// Kind of its requests.
     pub kind: RouteKind,
-    /// The longest time that a request may be held, above 0.
+    /// Time-out of a request, in ms, above 0.
     pub timeout_ms: u64,
-    /// The time within which an answer earns its full worth; `timeout_ms` if not given.
+    /// Latency target: the time within which an answer has its full value, in ms; by default `timeout_ms`.
     pub target_latency_ms: u64,
-    /// Its rank, 0 being highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Its services by weight; their sum is above 0.
+    /// Its services with their weights, whose sum is above 0.
     pub split: Vec<WeightedService>,
-    /// The largest number of endpoints to which one try may be sent, at least 1.
+    /// Maximum number of endpoints to which one attempt of a client is sent, at least 1.
     pub max_attempts: u32,
-    /// Whether its turns are kept.
+    /// Whether its turns are stored.
     pub retained: bool,
-    /// How long they are kept.
+    /// Time for which turns are stored, in ms.
     pub retention_ms: u64,
-    /// Whether its requests name the parts of their prompt.
+    /// Whether its requests name the blocks of their prompt, for affinity to endpoints with a cached prefix.
     pub session_affinity: bool,
     /// Whether its streams can be resumed.
     pub resumable: bool,
-    /// The longest pause between events for which an answer remains in time.
+    /// Target for the maximum time between two events of a stream, in ms; `gap_aim_ms` in the document.
     pub max_event_gap_ms: Option<u64>,
 }
 
-/// A service's share of a route.
+/// A service of a route, with its weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its weight against the route's others.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// A service.
+/// A service: a set of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Path of its endpoints' health checks.
+    /// HTTP path of its endpoints' health checks.
     pub health_check_path: String,
-    /// How many connections one endpoint accepts from all callers together.
+    /// Maximum number of connections that one endpoint accepts from all callers together.
     pub max_connections: u32,
-    /// How its endpoints generate, if they do.
+    /// Inference engine of its endpoints, if they generate tokens.
     pub engine: Option<Engine>,
 }
 
-/// How the endpoints of a service generate.
+/// Parameters of the inference engine of a service's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// How many requests run in a batch.
+    /// Maximum number of requests in a batch.
     pub capacity_slots: u32,
-    /// Tokens that running requests and cached parts share.
+    /// Capacity of the KV cache in tokens, shared by running requests and cached prefixes.
     pub kv_cache_tokens: u64,
-    /// Tokens in each event of a stream.
+    /// Number of tokens in each event of a stream.
     pub tokens_per_event: u32,
 }
 
-/// What clients may send, and how long they may take.
+/// Limits on the requests of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Size of a request's head.
+    /// Maximum size of a request's headers, in bytes.
     pub max_header_bytes: u64,
-    /// Size of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// Time for a request's head to arrive.
+    /// Time-out for receiving a request's headers, in ms.
     pub header_timeout_ms: u64,
-    /// How long a connection may be idle.
+    /// Idle time after which a connection is closed, in ms.
     pub idle_timeout_ms: u64,
 }
 
@@ -128,16 +147,18 @@
     }
 }
 
-/// Something wrong in a configuration.
+/// A problem in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct Finding {
-    /// Where, such as `routes[3].timeout_ms`; `document` for the whole.
-    pub place: String,
-    /// What.
-    pub what: String,
+    /// Path of the field, such as `routes[3].timeout_ms`; `document` for the document itself.
+    #[serde(rename = "place")]
+    pub path: String,
+    /// Description of the problem.
+    #[serde(rename = "what")]
+    pub problem: String,
 }
 
-/// All that is wrong in a configuration; it shows as one line each.
+/// All problems in a configuration; displayed as one line each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
 pub struct Findings(pub Vec<Finding>);
 
@@ -145,61 +166,65 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, finding) in self.0.iter().enumerate() {
             let line_end = if index == 0 { "" } else { "\n" };
-            write!(formatter, "{line_end}{}: {}", finding.place, finding.what)?;
+            write!(formatter, "{line_end}{}: {}", finding.path, finding.problem)?;
         }
         Ok(())
     }
 }
 
 impl Findings {
-    /// As a JSON object with a list `findings` of `place` and `what`.
+    /// The findings as a JSON object with a list `findings` of objects with `place` and `what`.
     pub fn to_json(&self) -> String {
         serde_json::json!({ "findings": self.0 }).to_string()
     }
 }
 
 impl CollectFindings for Findings {
-    fn add(&mut self, place: String, what: impl Into<String>) {
-        self.0.push(Finding { place, what: what.into() });
+    fn add(&mut self, path: String, problem: impl Into<String>) {
+        self.0.push(Finding { path, problem: problem.into() });
     }
 }
 
 impl OperatorConfig {
-    /// Reads and checks a configuration as sent, in JSON. Fields that are not known are passed over.
+    /// Parses and validates a configuration in JSON. Unknown fields are ignored.
+    ///
+    /// # Errors
+    ///
+    /// With all findings, if the configuration is invalid.
     pub fn read(bytes: &[u8]) -> Result<Self, Findings> {
         read::read(bytes)
     }
 
-    /// The route of a request: of those of the host, the one with the longest prefix that begins the path. A port in
-    /// the host, its case, and a query in the path have no effect.
+    /// The route of a request: the one of its host with the longest prefix of the path. The port and case of the host and
+    /// a query in the path are ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes.get(self.table.find(host, path)?)
     }
 
-    /// The service of this name.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 }
 
 impl Route {
-    /// The service for a request, by weight: `draw` is spread evenly by the caller, and the same one gives the same
-    /// service. Services of weight 0 are never picked. Empty if the route has no weight, which no route that was read has.
-    pub fn pick_service(&self, draw: u64) -> &str {
+    /// Picks a service by weight. `random` must be uniformly distributed; equal values pick the same service. Services
+    /// of weight 0 are never picked. Returns an empty name only if the weights sum to 0, which validation rules out.
+    pub fn pick_service(&self, random: u64) -> &str {
         let total: u64 = self.split.iter().map(|share| u64::from(share.weight)).sum();
-        let mut left = draw.checked_rem(total).unwrap_or(0);
+        let mut remaining = random.checked_rem(total).unwrap_or(0);
         for share in &self.split {
             let weight = u64::from(share.weight);
-            if left < weight {
+            if remaining < weight {
                 return &share.service;
             }
-            left -= weight;
+            remaining -= weight;
         }
         ""
     }
 }
 
-/// SHA-256 of a configuration's bytes as sent.
+/// SHA-256 digest of a configuration's bytes as sent.
 pub fn digest(bytes: &[u8]) -> [u8; 32] {
     Sha256::digest(bytes).into()
 }
--- a/system/operator-config/src/table.rs
+++ b/system/operator-config/src/table.rs
@@ -1,10 +1,11 @@
-//! Which route a request takes.
+//! Routing table: the route of a request by host and longest path prefix.
 
 use crate::Route;
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-/// Routes by host and prefix. Prefixes end with a slash, so only the slashes of a path have to be tried.
+/// Indexes of routes by host and path prefix. Prefixes end with a slash, so that only the prefixes of a path that end at
+/// a slash are looked up.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RouteTable {
     hosts: HashMap<String, HostTable>,
@@ -12,7 +13,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct HostTable {
-    longest: usize,
+    max_prefix_len: usize,
     prefixes: HashMap<String, usize>,
 }
 
@@ -21,7 +22,7 @@
         let mut table = Self::default();
         for (index, route) in routes.iter().enumerate() {
             let host = table.hosts.entry(normal_host(&route.hostname).into_owned()).or_default();
-            host.longest = host.longest.max(route.path_prefix.len());
+            host.max_prefix_len = host.max_prefix_len.max(route.path_prefix.len());
             host.prefixes.insert(route.path_prefix.clone(), index);
         }
         table
@@ -31,15 +32,16 @@
         let host = self.hosts.get(normal_host(host).as_ref())?;
         let path = path.as_bytes();
         let path = &path[..path.iter().position(|byte| *byte == b'?').unwrap_or(path.len())];
-        let tried = &path[..path.len().min(host.longest)];
-        let ends = (0..tried.len()).rev().filter(|index| tried[*index] == b'/');
-        ends.map(|index| &tried[..=index])
+        let candidate = &path[..path.len().min(host.max_prefix_len)];
+        let slashes = (0..candidate.len()).rev().filter(|index| candidate[*index] == b'/');
+        slashes
+            .map(|index| &candidate[..=index])
             .find_map(|prefix| host.prefixes.get(std::str::from_utf8(prefix).ok()?))
             .copied()
     }
 }
 
-/// The host without its port and in lower case, as hosts are compared.
+/// Normalizes a host for comparison: without port and trailing dot, in lower case.
 pub(crate) fn normal_host(host: &str) -> Cow<'_, str> {
     let name_end = if host.starts_with('[') {
         host.find(']').map_or(host.len(), |end| end + 1)
--- a/system/operator-config/tests/config/properties.rs
+++ b/system/operator-config/tests/config/properties.rs
@@ -35,12 +35,12 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(400) })]
 
     #[test]
-    fn given_any_bytes_when_read_then_they_are_whole_or_told(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_valid_or_reported(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         read_and_check(&bytes);
     }
 
     #[test]
-    fn given_a_valid_document_with_byte_mutation_when_read_then_it_is_whole_or_told(
+    fn a_valid_document_with_mutated_bytes_is_valid_or_reported(
         changes in prop::collection::vec((0..VALID.len(), prop::sample::select(&b"0179-.,:\"{}[]/ aetruflns"[..])), 1..4),
     ) {
         let mut bytes = VALID.as_bytes().to_vec();
@@ -51,14 +51,14 @@
     }
 
     #[test]
-    fn given_a_valid_document_that_is_cut_repeated_and_spliced_when_read_then_it_is_whole_or_told(
+    fn a_truncated_repeated_or_spliced_document_is_valid_or_reported(
         bytes in mutated(vec![VALID.as_bytes().to_vec(), br#"{"version":1,"routes":[],"services":[]}"#.to_vec()]),
     ) {
         read_and_check(&bytes);
     }
 
     #[test]
-    fn given_a_valid_document_with_a_value_replaced_when_read_then_it_is_whole_or_told(
+    fn a_document_with_a_replaced_value_is_valid_or_reported(
         pick in any::<prop::sample::Index>(),
         value in prop::sample::select(&["null", "0", "-1", "1e300", "0.5", "true", "\"\"", "\"huvo11a\"", "[]", "{}", "[{}]", "[null]"][..]),
     ) {
@@ -71,7 +71,7 @@
     }
 
     #[test]
-    fn given_routes_when_a_request_comes_then_the_table_agrees_with_a_search_of_all(
+    fn the_routing_table_agrees_with_a_linear_search(
         routes in prop::collection::btree_set(("[ab]", "/([ab]{1,2}/){0,3}"), 0..12),
         requests in prop::collection::vec(("[abAc]", "/([ab]{0,2}/){0,4}[ab]{0,2}"), 1..30),
     ) {
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn given_documents_that_nest_without_end_when_read_then_they_are_told() {
+fn deeply_nested_documents_are_reported() {
     for text in ["[".repeat(100_000), "{\"routes\":".repeat(100_000), "{\"limits\":[".repeat(50_000)] {
         assert!(OperatorConfig::read(text.as_bytes()).is_err());
     }
--- a/system/operator-config/tests/config/reading.rs
+++ b/system/operator-config/tests/config/reading.rs
@@ -8,8 +8,8 @@
     OperatorConfig::read(text.as_bytes())
 }
 
-fn places(text: &str) -> Vec<String> {
-    read(text).expect_err("a finding").0.into_iter().map(|finding| finding.place).collect()
+fn finding_paths(text: &str) -> Vec<String> {
+    read(text).expect_err("a finding").0.into_iter().map(|finding| finding.path).collect()
 }
 
 fn share(service: &str, weight: u32) -> WeightedService {
@@ -17,7 +17,7 @@
 }
 
 #[gtest]
-fn given_a_valid_configuration_when_read_then_every_field_is_told() {
+fn every_field_of_a_valid_configuration_is_read() {
     let config = read(VALID).unwrap();
     expect_eq!(config.version, 7);
     let [streaming, idempotent, plain] = &config.routes[..] else { panic!("three routes") };
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn given_unknown_fields_and_nulls_when_read_then_they_change_nothing() {
+fn unknown_fields_and_nulls_are_ignored() {
     let plain = read(VALID).unwrap();
     let text = with(
         r#""priority":0,"#,
@@ -76,7 +76,7 @@
 }
 
 #[gtest]
-fn given_fractions_when_read_then_they_count_as_numbers() {
+fn fractions_are_accepted_as_numbers() {
     let text = with(r#""version":7"#, r#""version":7.0"#)
         .replace(r#""retention_s":60.0"#, r#""retention_s":0.2505"#)
         .replace(r#""timeout_ms":1500.0"#, r#""timeout_ms":0.4"#)
@@ -89,7 +89,7 @@
 }
 
 #[gtest]
-fn given_no_limits_when_read_then_they_have_defaults() {
+fn missing_limits_have_defaults() {
     let text = r#"{"version":18446744073709551615,"routes":[],"services":[]}"#;
     let config = read(text).unwrap();
     expect_eq!(config.limits, Limits::default());
@@ -97,88 +97,88 @@
 }
 
 #[gtest]
-fn given_an_empty_split_beside_a_service_when_read_then_the_service_takes_all() {
+fn a_service_beside_an_empty_split_gets_all_traffic() {
     let config =
         read(&with(r#""service":"wuno96b"}]"#, r#""traffic_split":[],"service":"wuno96b"}]"#)).unwrap();
     expect_eq!(config.routes[2].pick_service(5), "wuno96b");
 }
 
 #[gtest]
-fn given_a_configuration_cut_short_anywhere_when_read_then_it_is_invalid_as_a_whole() {
+fn a_truncated_configuration_is_rejected_as_a_document() {
     for end in 0..VALID.len() {
-        expect_that!(places(&VALID[..end]), elements_are![eq("document")]);
+        expect_that!(finding_paths(&VALID[..end]), elements_are![eq("document")]);
     }
 }
 
 #[gtest]
-fn given_what_is_no_configuration_when_read_then_it_is_invalid() {
+fn a_document_that_is_not_a_configuration_is_rejected() {
     for text in ["null", "[]", "7", "\"x\"", "{} {}", "{\"version\":7,}"] {
-        expect_that!(places(text), elements_are![eq("document")], "for {text}");
+        expect_that!(finding_paths(text), elements_are![eq("document")], "for {text}");
     }
     let not_utf8 = OperatorConfig::read(b"{\"version\":\xff}").unwrap_err();
-    expect_eq!(not_utf8.0[0].place, "document");
-    expect_that!(places("{}"), unordered_elements_are![eq("version"), eq("routes"), eq("services")]);
+    expect_eq!(not_utf8.0[0].path, "document");
+    expect_that!(finding_paths("{}"), unordered_elements_are![eq("version"), eq("routes"), eq("services")]);
 }
 
 #[gtest]
-fn given_an_unknown_service_when_read_then_its_place_is_told() {
+fn an_unknown_service_is_reported_with_its_path() {
     let in_split = with(r#"{"service":"wuno96b","weight":10}"#, r#"{"service":"gone","weight":10}"#);
-    expect_that!(places(&in_split), elements_are![eq("routes[0].traffic_split[1].service")]);
+    expect_that!(finding_paths(&in_split), elements_are![eq("routes[0].traffic_split[1].service")]);
     let alone = with(r#""priority":0,"service":"huvo11a""#, r#""priority":0,"service":"gone""#);
-    expect_that!(places(&alone), elements_are![eq("routes[1].service")]);
+    expect_that!(finding_paths(&alone), elements_are![eq("routes[1].service")]);
     let without_weight = with(r#"{"service":"wuno96b","weight":10}"#, r#"{"service":"gone","weight":0}"#);
-    expect_that!(places(&without_weight), elements_are![eq("routes[0].traffic_split[1].service")]);
+    expect_that!(finding_paths(&without_weight), elements_are![eq("routes[0].traffic_split[1].service")]);
 }
 
 #[gtest]
-fn given_two_routes_of_one_host_and_prefix_when_read_then_the_second_is_told() {
+fn a_duplicate_route_is_reported() {
     let same = with("/lohu930/deep/", "/lohu930/");
-    expect_that!(places(&same), elements_are![eq("routes[1].path_prefix")]);
+    expect_that!(finding_paths(&same), elements_are![eq("routes[1].path_prefix")]);
     let other_case =
         with(r#""Other.example","path_prefix":"/""#, r#""FICU95.example","path_prefix":"/lohu930/""#);
-    expect_that!(places(&other_case), elements_are![eq("routes[2].path_prefix")]);
+    expect_that!(finding_paths(&other_case), elements_are![eq("routes[2].path_prefix")]);
     let other_host = with(r#""path_prefix":"/""#, r#""path_prefix":"/lohu930/""#);
     expect_true!(read(&other_host).is_ok());
 }
 
 #[gtest]
-fn given_a_route_without_weight_when_read_then_it_is_invalid() {
+fn a_route_without_weight_is_rejected() {
     let zeros = with(r#""weight":90"#, r#""weight":0"#).replace(r#""weight":10"#, r#""weight":0.0"#);
-    expect_that!(places(&zeros), elements_are![eq("routes[0].traffic_split")]);
+    expect_that!(finding_paths(&zeros), elements_are![eq("routes[0].traffic_split")]);
     let absent = with(r#","weight":90"#, "").replace(r#","weight":10"#, "");
-    expect_that!(places(&absent), elements_are![eq("routes[0].traffic_split")]);
+    expect_that!(finding_paths(&absent), elements_are![eq("routes[0].traffic_split")]);
     let empty = with(r#""priority":0,"service":"huvo11a""#, r#""traffic_split":[]"#);
-    expect_that!(places(&empty), elements_are![eq("routes[1]")]);
+    expect_that!(finding_paths(&empty), elements_are![eq("routes[1]")]);
     let neither = with(r#""priority":0,"service":"huvo11a","#, "");
-    expect_that!(places(&neither), elements_are![eq("routes[1]")]);
+    expect_that!(finding_paths(&neither), elements_are![eq("routes[1]")]);
     let one_left = with(r#""weight":90"#, r#""weight":0"#);
     expect_true!(read(&one_left).is_ok());
 }
 
 #[gtest]
-fn given_a_route_without_time_when_read_then_it_is_invalid() {
+fn a_route_without_timeout_is_rejected() {
     for time in
         [r#""timeout_ms":0"#, r#""timeout_ms":0.0"#, r#""timeout_ms":null"#, r#""timeout_ms":-1"#, r#""t":1"#]
     {
         expect_that!(
-            places(&with(r#""timeout_ms":1500.0"#, time)),
+            finding_paths(&with(r#""timeout_ms":1500.0"#, time)),
             elements_are![eq("routes[2].timeout_ms")]
         );
     }
 }
 
 #[gtest]
-fn given_a_version_that_is_no_number_above_0_when_read_then_it_is_invalid() {
+fn a_version_that_is_not_a_positive_integer_is_rejected() {
     for version in ["0", "-7", "7.5", "\"7\"", "null", "1e30", "true"] {
         expect_that!(
-            places(&with(r#""version":7"#, &format!(r#""version":{version}"#))),
+            finding_paths(&with(r#""version":7"#, &format!(r#""version":{version}"#))),
             elements_are![eq("version")]
         );
     }
 }
 
 #[gtest]
-fn given_other_faults_when_read_then_each_is_told_at_its_place() {
+fn each_other_problem_is_reported_with_its_path() {
     let cases = [
         (r#""path_prefix":"/""#, r#""path_prefix":"/x""#, "routes[2].path_prefix"),
         (r#""path_prefix":"/""#, r#""path_prefix":"x/""#, "routes[2].path_prefix"),
@@ -193,21 +193,21 @@
         (r#""capacity_slots":96"#, r#""capacity_slots":[]"#, "services[0].engine.capacity_slots"),
         (r#""idle_timeout_ms":9000"#, r#""idle_timeout_ms":-9000"#, "limits.idle_timeout_ms"),
     ];
-    for (old, new, place) in cases {
-        expect_that!(places(&with(old, new)), contains(eq(place)), "for {new}");
+    for (old, new, path) in cases {
+        expect_that!(finding_paths(&with(old, new)), contains(eq(path)), "for {new}");
     }
 }
 
 #[gtest]
-fn given_several_faults_when_read_then_they_are_told_together() {
+fn all_problems_are_reported_together() {
     let text = with(r#""version":7"#, r#""version":0"#)
         .replace(r#""timeout_ms":1500.0"#, r#""timeout_ms":0"#)
         .replace(r#""priority":0,"service":"huvo11a""#, r#""priority":{},"service":"gone""#)
         .replace(r#""idle_timeout_ms":9000"#, r#""idle_timeout_ms":"long""#);
     let findings = read(&text).unwrap_err();
-    let places: Vec<&str> = findings.0.iter().map(|finding| finding.place.as_str()).collect();
+    let finding_paths: Vec<&str> = findings.0.iter().map(|finding| finding.path.as_str()).collect();
     expect_that!(
-        places,
+        finding_paths,
         unordered_elements_are![
             &"version",
             &"routes[1].priority",
@@ -221,19 +221,19 @@
     let json: serde_json::Value = serde_json::from_str(&findings.to_json()).unwrap();
     expect_eq!(json["findings"].as_array().unwrap().len(), 5);
     expect_eq!(json["findings"][0]["place"], "version");
-    expect_eq!(json["findings"][0]["what"], findings.0[0].what.as_str());
+    expect_eq!(json["findings"][0]["what"], findings.0[0].problem.as_str());
 }
 
 #[gtest]
-fn given_bytes_when_digested_then_it_is_their_sha_256() {
-    let told: String = digest(b"abc").iter().map(|byte| format!("{byte:02x}")).collect();
-    expect_eq!(told, "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
+fn the_digest_is_sha_256() {
+    let hex_digest: String = digest(b"abc").iter().map(|byte| format!("{byte:02x}")).collect();
+    expect_eq!(hex_digest, "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
 #[gtest]
-fn given_a_prefix_in_which_a_query_begins_when_read_then_the_finding_tells_why() {
+fn a_path_prefix_with_a_query_is_rejected_with_the_reason() {
     let text = with(r#""path_prefix":"/""#, r#""path_prefix":"/?ohu930/""#);
     let findings = read(&text).expect_err("a finding").0;
     expect_that!(findings.len(), eq(1));
-    expect_that!(findings[0].what, contains_substring("contains '?'"));
+    expect_that!(findings[0].problem, contains_substring("contains '?'"));
 }
--- a/system/operator-config/tests/config/routing.rs
+++ b/system/operator-config/tests/config/routing.rs
@@ -10,7 +10,7 @@
 }
 
 #[gtest]
-fn given_routes_when_a_request_comes_then_the_longest_prefix_of_its_host_has_it() {
+fn the_longest_prefix_of_the_host_is_matched() {
     let config = read(VALID);
     let name = |host, path| config.route(host, path).map_or("", |route: &Route| route.name.as_str());
     expect_eq!(name("ficu95.example", "/lohu930/2f"), "r-1");
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn given_a_host_with_a_port_or_in_another_case_when_a_request_comes_then_it_is_the_same_host() {
+fn port_and_case_of_the_host_are_ignored() {
     let config = read(VALID);
     for host in ["ficu95.example:8080", "FICU95.Example", "Ficu95.EXAMPLE:1"] {
         expect_eq!(config.route(host, "/lohu930/2f").unwrap().name, "r-1");
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn given_a_split_when_draws_are_spread_evenly_then_services_get_their_weights() {
+fn uniform_random_values_split_traffic_by_weight() {
     let text = with(
         r#"{"service":"wuno96b","weight":10}"#,
         r#"{"service":"wuno96b","weight":10},{"service":"none","weight":0}"#,
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn given_weights_that_are_fractions_or_huge_when_read_then_their_ratio_stays() {
+fn fractional_and_huge_weights_keep_their_ratio() {
     for (one, other) in [("0.75", "0.25"), ("3e15", "1e15"), ("7.5", "2.5")] {
         let text = with(r#""weight":90"#, &format!(r#""weight":{one}"#))
             .replace(r#""weight":10"#, &format!(r#""weight":{other}"#));
@@ -69,7 +69,7 @@
 }
 
 #[gtest]
-fn given_two_configurations_when_compared_then_what_changed_is_told() {
+fn the_difference_lists_all_changes() {
     let before = read(VALID);
     expect_that!(difference(&before, &before), is_empty());
     let text = with(r#""version":7"#, r#""version":9"#)
--- a/system/operator-config/tests/config/samples.rs
+++ b/system/operator-config/tests/config/samples.rs
@@ -1,7 +1,7 @@
 //! Configurations for the tests.
 
 /// A valid configuration as an operator sends it.
-pub const VALID: &str = r#"{"version":7,
+pub(crate) const VALID: &str = r#"{"version":7,
 "routes":[
 {"name":"r-1","hostname":"ficu95.example","path_prefix":"/lohu930/","route_type":"streaming","timeout_ms":6000,
  "target_latency_ms":250,"priority":1,
@@ -19,7 +19,7 @@
 "limits":{"max_header_bytes":8192,"max_body_bytes":1048576,"header_timeout_ms":2000,"idle_timeout_ms":9000}}"#;
 
 /// The valid configuration with one text replaced by another.
-pub fn with(old: &str, new: &str) -> String {
+pub(crate) fn with(old: &str, new: &str) -> String {
     assert!(VALID.contains(old), "the configuration has no {old}");
     VALID.replace(old, new)
 }
--- a/system/programs/src/admin/commands/config.rs
+++ b/system/programs/src/admin/commands/config.rs
@@ -69,7 +69,7 @@
 }
 
 fn unreadable_file(file: &Path, error: &std::io::Error) -> Report {
-    let finding = Finding { place: "document".to_owned(), what: error.to_string() };
+    let finding = Finding { path: "document".to_owned(), problem: error.to_string() };
     let text = format!("{}: {error}\n", file.display());
     Report::new(Verdict::Wrong, text, FindingsReport { findings: &[finding] })
 }
