--- a/system/controllers/tests/config_commit/model.rs
+++ b/system/controllers/tests/config_commit/model.rs
@@ -1,7 +1,9 @@
 //! Model of operators' requests over the register, for the model checker and for random schedules.
 
 use bytes::Bytes;
-use config_register::{Acceptor, BallotSource, Change, Proposer, ProposerStep, founding_record};
+use config_register::{
+    Acceptor, BallotSource, Change, Outbox, OutgoingRequest, Proposer, ProposerStep, founding_record,
+};
 use controllers::{ConfigVerdict, put_config};
 use fleet_model::{
     AcceptedValue, Ballot, CommittedVersion, ControlState, RegisterReply, RegisterRequest, RegisterValue,
@@ -205,14 +207,17 @@
                 run.is_reading = false;
                 let ballot = run.proposal.ballot();
                 let reached = (0..MACHINES.len()).filter(|machine| reach >> machine & 1 == 1);
-                let prepares = reached.map(|to| (MACHINES[to], RegisterRequest::Prepare(ballot)));
+                let prepares = reached.map(|to| OutgoingRequest {
+                    to: MACHINES[to],
+                    request: RegisterRequest::Prepare(ballot),
+                });
                 self.deliver(&mut state, *call, prepares.collect());
             }
             Event::Accept { in_flight, answer_is_lost } => {
                 let at = state.in_flight.iter().position(|(other, _)| other == in_flight).unwrap();
                 let (in_flight, value) = state.in_flight.remove(at);
                 let is_awaited = state.is_awaited(&in_flight);
-                let (reply, _) = state.acceptors[in_flight.to].handle(&RegisterRequest::Accept(value));
+                let reply = state.acceptors[in_flight.to].handle(&RegisterRequest::Accept(value)).reply;
                 if is_awaited && !answer_is_lost {
                     self.on_reply(&mut state, in_flight.call, MACHINES[in_flight.to], &reply);
                 }
@@ -222,16 +227,16 @@
         state
     }
 
-    fn deliver(&self, state: &mut ModelState, call: usize, mut requests: Vec<(Ipv4Addr, RegisterRequest)>) {
+    fn deliver(&self, state: &mut ModelState, call: usize, mut requests: Outbox) {
         while !requests.is_empty() && state.calls[call].run.is_some() {
-            let (to, request) = requests.remove(0);
+            let OutgoingRequest { to, request } = requests.remove(0);
             match request {
                 RegisterRequest::Accept(value) => {
                     let in_flight = InFlight { call, to: machine_index(to), ballot: value.ballot };
                     state.in_flight.push((in_flight, value));
                 }
                 prepare => {
-                    let (reply, _) = state.acceptors[machine_index(to)].handle(&prepare);
+                    let reply = state.acceptors[machine_index(to)].handle(&prepare).reply;
                     requests.extend(self.on_reply(state, call, to, &reply));
                 }
             }
@@ -245,7 +250,7 @@
         number: usize,
         from: Ipv4Addr,
         reply: &RegisterReply,
-    ) -> Vec<(Ipv4Addr, RegisterRequest)> {
+    ) -> Outbox {
         let call = &mut state.calls[number];
         let Some(run) = &mut call.run else { return vec![] };
         let (verdict, wanted) = (&mut run.verdict, &mut run.wanted);
@@ -285,7 +290,7 @@
         call.attempts -= 1;
         call.ballots.observe(promised.unwrap_or_default());
         let ballot = call.ballots.next_ballot();
-        let proposal = Proposer::start(Ipv4Addr::from(ballot.proposer), ballot, &initial_value());
+        let proposal = Proposer::start(ballot, &initial_value());
         call.run = Some(Run { proposal, is_reading: true, verdict: None, wanted: None });
     }
 
