--- a/system/state-feed/tests/dissemination/cluster/faults.rs
+++ b/system/state-feed/tests/dissemination/cluster/faults.rs
@@ -1,35 +1,35 @@
 //! Faults of nodes and links, and new values and lists.
 
-use super::{Fact, Happening, Kind, Message, Side, World};
+use super::{Action, Cluster, HistoryEvent, Kind, Message, Side};
 use fleet_model::{Endpoint, EndpointState};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-impl World {
+impl Cluster {
     pub(crate) fn freeze(&mut self, node: usize, millis: u64) {
         if self.nodes[node].alive {
             self.nodes[node].frozen_until = self.now + millis;
-            let life = self.nodes[node].life;
-            self.after(millis, Happening::Thaw(node, life));
+            let incarnation = self.nodes[node].incarnation;
+            self.schedule_after(millis, Action::Thaw(node, incarnation));
         }
     }
 
-    /// `dark`: nobody is told.
-    pub(crate) fn kill(&mut self, node: usize, dark: bool, back_after: Option<u64>) {
+    /// Stops a node. With `powered_off` its connections are not closed.
+    pub(crate) fn kill(&mut self, node: usize, powered_off: bool, back_after: Option<u64>) {
         if !self.nodes[node].alive {
             return;
         }
-        let me = (node, self.nodes[node].life);
-        (self.nodes[node].alive, self.nodes[node].dark) = (false, dark);
+        let me = (node, self.nodes[node].incarnation);
+        (self.nodes[node].alive, self.nodes[node].powered_off) = (false, powered_off);
         self.nodes[node].inbox.clear();
-        if !dark {
-            self.end_links_of(me);
+        if !powered_off {
+            self.close_links_of(me);
         }
         if let Some(millis) = back_after {
-            self.after(millis, Happening::Restart(node));
+            self.schedule_after(millis, Action::Restart(node));
         }
     }
 
-    pub(super) fn end_links_of(&mut self, me: (usize, u64)) {
+    pub(super) fn close_links_of(&mut self, me: (usize, u64)) {
         let mut links: Vec<(u64, Side)> = self
             .links
             .iter()
@@ -42,51 +42,57 @@
         }
     }
 
-    /// What `from` sends to `to` does not arrive for so long.
-    pub(crate) fn cut(&mut self, from: usize, to: usize, millis: u64) {
+    /// Drops all messages from `from` to `to` for `millis` milliseconds.
+    pub(crate) fn partition(&mut self, from: usize, to: usize, millis: u64) {
         if from == to {
             return;
         }
         let until = self.now + millis;
-        let standing = self.cuts.entry((from, to)).or_default();
-        *standing = until.max(*standing);
-        self.at(until, Happening::Heal(from, to));
+        let current = self.partitions.entry((from, to)).or_default();
+        *current = until.max(*current);
+        self.schedule(until, Action::Heal(from, to));
     }
 
-    /// It lives and feeds, but hears nothing new from the other keepers.
-    pub(crate) fn mislead(&mut self, keeper: usize, millis: u64) {
-        self.misled.insert(keeper, self.now + millis);
+    /// Isolates a control node from the other ones; it keeps serving its subscribers.
+    pub(crate) fn isolate_from_majority(&mut self, control_node: usize, millis: u64) {
+        self.without_majority.insert(control_node, self.now + millis);
     }
 
-    pub(crate) fn choose(&mut self) {
+    pub(crate) fn commit_value(&mut self) {
         if self.round > 0
-            && !self.all(|kind| kind == Kind::Keeper).into_iter().any(|keeper| self.is_fresh(keeper))
+            && !self
+                .nodes_of_kind(|kind| kind == Kind::ControlNode)
+                .into_iter()
+                .any(|control_node| self.is_fresh(control_node))
         {
             return;
         }
         self.round += 1;
-        self.tell_chosen();
-        // Whoever proposed knows at once.
-        let fresh: Vec<usize> =
-            self.all(|kind| kind == Kind::Keeper).into_iter().filter(|k| self.is_fresh(*k)).collect();
+        self.record_newest();
+        // The proposer knows the value at once.
+        let fresh: Vec<usize> = self
+            .nodes_of_kind(|kind| kind == Kind::ControlNode)
+            .into_iter()
+            .filter(|k| self.is_fresh(*k))
+            .collect();
         if !fresh.is_empty() {
-            let proposer = fresh[self.chance.below(fresh.len() as u64) as usize];
-            self.learn_newest(proposer);
+            let proposer = fresh[self.random.below(fresh.len() as u64) as usize];
+            self.update_from_register(proposer);
         }
     }
 
-    pub(crate) fn choose_after(&mut self, millis: u64) {
-        self.after(millis, Happening::Choose);
+    pub(crate) fn commit_value_after(&mut self, millis: u64) {
+        self.schedule_after(millis, Action::CommitValue);
     }
 
-    pub(crate) fn list_after(&mut self, millis: u64) {
-        self.after(millis, Happening::List);
+    pub(crate) fn poll_list_after(&mut self, millis: u64) {
+        self.schedule_after(millis, Action::PollList);
     }
 
-    pub(super) fn read_list(&mut self) {
+    pub(super) fn poll_list(&mut self) {
         let mut next = self.lists.last().expect("the first one").clone();
         let number = self.lists.len() as u64;
-        for instance in 0..self.chance.between(1, 3) {
+        for instance in 0..self.random.between(1, 3) {
             next.insert(Endpoint {
                 instance_id: format!("i{number}-{instance}"),
                 service: "s".to_owned(),
@@ -103,10 +109,14 @@
             next.insert(changed);
         }
         self.lists.push(next);
-        self.tell_chosen();
+        self.record_newest();
     }
 
-    pub(super) fn tell_chosen(&mut self) {
-        self.facts.push(Fact::Chosen { at: self.now, round: self.round, list: self.lists.len() as u64 - 1 });
+    pub(super) fn record_newest(&mut self) {
+        self.history.push(HistoryEvent::Chosen {
+            at: self.now,
+            round: self.round,
+            list: self.lists.len() as u64 - 1,
+        });
     }
 }
--- a/system/state-feed/tests/dissemination/cluster/mod.rs
+++ b/system/state-feed/tests/dissemination/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in memory, in simulated time: keepers that learn from an oracle of what is chosen, agents, their proxies,
-//! storage machines; links with delays that break, or hold back what is sent.
+//! An in-memory cluster in simulated time: control nodes that learn chosen values from an oracle, agents with their proxies,
+//! and storage nodes, over links with delays that break or retain messages.
 
 mod faults;
 mod network;
@@ -12,16 +12,16 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Simulated time begins far from zero, since ages are taken off it.
-const START: u64 = 1_000_000_000;
-/// The kernel breaks a connection whose bytes are not acknowledged for so long.
-const USER_TIMEOUT: u64 = 2_000;
+/// Start of the simulated time in milliseconds; far from zero, since ages are subtracted from it.
+const START_MS: u64 = 1_000_000_000;
+/// Time in milliseconds without acknowledgement after which the kernel closes a connection.
+const USER_TIMEOUT_MS: u64 = 2_000;
 const PORT: u16 = 7_000;
 
-/// Numbers by chance from a seed.
-pub(crate) struct Chance(u64);
+/// A deterministic pseudo-random generator.
+pub(crate) struct Random(u64);
 
-impl Chance {
+impl Random {
     pub(crate) fn new(seed: u64) -> Self {
         Self(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5851_f42d_4c95_7f2d)
     }
@@ -49,25 +49,25 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
-    Keeper,
+    ControlNode,
     Agent,
-    /// Of the agent with this number.
+    /// The proxy of the agent with this index.
     Proxy(usize),
     Storage,
 }
 
-/// What is written down for the checker.
+/// An event that the checks evaluate.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Fact {
-    /// A value was chosen; a list was read.
+pub(crate) enum HistoryEvent {
+    /// A value was chosen, or a list was polled.
     Chosen { at: u64, round: u64, list: u64 },
-    /// What a node knows from then on.
-    Knows { at: u64, node: usize, life: u64, round: u64, list: ListVersion, true_list: bool },
-    /// Since when the node can reach, without a break, one keeper that knows what is chosen; none if it cannot.
-    InTouch { at: u64, node: usize, since: Option<u64> },
-    /// Links that a keeper feeds, and calls to subscribe that it got since it was last counted.
-    Load { at: u64, keeper: usize, links: usize, calls: usize },
-    /// Values that were pushed on one link more than once.
+    /// What a node knows from this time on.
+    Knows { at: u64, node: usize, incarnation: u64, round: u64, list: ListVersion, true_list: bool },
+    /// Since when the node has been able to reach one up-to-date control node without interruption.
+    Reachable { at: u64, node: usize, since: Option<u64> },
+    /// Links that a control node serves, and subscription calls since the last sample.
+    Load { at: u64, control_node: usize, links: usize, calls: usize },
+    /// A value was pushed more than once on one link.
     Repeated { at: u64, link: u64, round: u64 },
 }
 
@@ -90,27 +90,27 @@
     client: (usize, u64),
     server: (usize, u64),
     number: u64,
-    /// By direction, to the server first: what waits for a cut to end, and since when.
-    held: [VecDeque<Message>; 2],
-    held_since: [Option<u64>; 2],
+    /// By direction, to the server first: messages that wait for a partition to heal, and since when.
+    pending: [VecDeque<Message>; 2],
+    pending_since: [Option<u64>; 2],
     last: [u64; 2],
     broken: bool,
     pushed: BTreeSet<u64>,
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
+enum Action {
     Deliver(u64, Side, Message),
     Wake(usize, u64),
     Poll(usize, u64),
     Polled(usize, u64, u64),
-    BreakIfHeld(u64, usize, u64),
-    BreakIfUnheard(u64, Side, u64),
+    BreakIfPending(u64, usize, u64),
+    BreakIfSilent(u64, Side, u64),
     Thaw(usize, u64),
     Restart(usize),
     Heal(usize, usize),
-    Choose,
-    List,
+    CommitValue,
+    PollList,
     Sample,
 }
 
@@ -121,91 +121,91 @@
     pub feed: FeedState,
     pub follower: Option<Follower>,
     pub alive: bool,
-    /// Without power: its kernel tells nobody that it is gone.
-    dark: bool,
-    pub life: u64,
+    /// Without power, so that its kernel closes no connections.
+    powered_off: bool,
+    pub incarnation: u64,
     frozen_until: u64,
-    inbox: Vec<Happening>,
+    inbox: Vec<Action>,
     links: HashMap<u64, u64>,
     next_wake: u64,
     calls: usize,
-    told: Option<(u64, ListVersion)>,
+    last_recorded: Option<(u64, ListVersion)>,
 }
 
-/// How large a fleet is, and how slow.
+/// Size of a cluster, and delays of its processes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Shape {
-    pub keepers: usize,
+pub(crate) struct ClusterSize {
+    pub control_nodes: usize,
     pub agents: usize,
     pub zones: usize,
     pub storages: usize,
     pub proxies: bool,
-    /// How late a process may do things, most often, in milliseconds.
-    pub lag: u64,
+    /// Usual maximum delay of a process's actions in milliseconds.
+    pub max_lag: u64,
 }
 
-pub(crate) struct World {
+pub(crate) struct Cluster {
     pub now: u64,
-    pub chance: Chance,
+    pub random: Random,
     pub nodes: Vec<Node>,
-    pub facts: Vec<Fact>,
-    pub shape: Shape,
+    pub history: Vec<HistoryEvent>,
+    pub size: ClusterSize,
     pub pushes: u64,
     links: HashMap<u64, Link>,
     last_link: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    happenings: HashMap<u64, Happening>,
+    actions: HashMap<u64, Action>,
     sequence: u64,
-    /// By direction; until when.
-    cuts: BTreeMap<(usize, usize), u64>,
-    /// Keepers without a majority behind them, though they live: until when.
-    misled: BTreeMap<usize, u64>,
+    /// End of each partition, by direction.
+    partitions: BTreeMap<(usize, usize), u64>,
+    /// Live control nodes that are isolated from a majority, and until when.
+    without_majority: BTreeMap<usize, u64>,
     round: u64,
     lists: Vec<BTreeSet<Endpoint>>,
-    reach: HashMap<(usize, usize), u64>,
+    reachable_since: HashMap<(usize, usize), u64>,
 }
 
-impl World {
-    pub(crate) fn new(seed: u64, shape: Shape) -> Self {
-        let mut world = Self {
-            now: START,
-            chance: Chance::new(seed),
+impl Cluster {
+    pub(crate) fn new(seed: u64, size: ClusterSize) -> Self {
+        let mut cluster = Self {
+            now: START_MS,
+            random: Random::new(seed),
             nodes: Vec::new(),
-            facts: Vec::new(),
-            shape,
+            history: Vec::new(),
+            size,
             pushes: 0,
             links: HashMap::new(),
             last_link: 0,
             queue: BinaryHeap::new(),
-            happenings: HashMap::new(),
+            actions: HashMap::new(),
             sequence: 0,
-            cuts: BTreeMap::new(),
-            misled: BTreeMap::new(),
+            partitions: BTreeMap::new(),
+            without_majority: BTreeMap::new(),
             round: 0,
             lists: vec![BTreeSet::new()],
-            reach: HashMap::new(),
+            reachable_since: HashMap::new(),
         };
-        for place in 0..shape.keepers {
-            world.add(Kind::Keeper, Ipv4Addr::new(10, 0, 0, place as u8 + 1), place % shape.zones);
+        for index in 0..size.control_nodes {
+            cluster.add(Kind::ControlNode, Ipv4Addr::new(10, 0, 0, index as u8 + 1), index % size.zones);
         }
-        for place in 0..shape.storages {
-            world.add(Kind::Storage, Ipv4Addr::new(10, 0, 2, place as u8 + 1), place % shape.zones);
+        for index in 0..size.storages {
+            cluster.add(Kind::Storage, Ipv4Addr::new(10, 0, 2, index as u8 + 1), index % size.zones);
         }
-        for place in 0..shape.agents {
-            let ip = Ipv4Addr::new(10, 0, 1, place as u8 + 1);
-            world.add(Kind::Agent, ip, place % shape.zones);
-            if shape.proxies {
-                world.add(Kind::Proxy(world.nodes.len() - 1), ip, place % shape.zones);
+        for index in 0..size.agents {
+            let ip = Ipv4Addr::new(10, 0, 1, index as u8 + 1);
+            cluster.add(Kind::Agent, ip, index % size.zones);
+            if size.proxies {
+                cluster.add(Kind::Proxy(cluster.nodes.len() - 1), ip, index % size.zones);
             }
         }
-        world.choose();
-        world.read_list();
-        for node in 0..world.nodes.len() {
-            let later = world.chance.between(1, 300);
-            world.after(later, Happening::Restart(node));
+        cluster.commit_value();
+        cluster.poll_list();
+        for node in 0..cluster.nodes.len() {
+            let later = cluster.random.between(1, 300);
+            cluster.schedule_after(later, Action::Restart(node));
         }
-        world.after(1, Happening::Sample);
-        world
+        cluster.schedule_after(1, Action::Sample);
+        cluster
     }
 
     fn add(&mut self, kind: Kind, ip: Ipv4Addr, zone: usize) {
@@ -216,22 +216,22 @@
             feed: FeedState::default(),
             follower: None,
             alive: false,
-            dark: false,
-            life: 0,
+            powered_off: false,
+            incarnation: 0,
             frozen_until: 0,
             inbox: Vec::new(),
             links: HashMap::new(),
             next_wake: 0,
             calls: 0,
-            told: None,
+            last_recorded: None,
         });
     }
 
     pub(crate) fn elapsed(&self) -> u64 {
-        self.now - START
+        self.now - START_MS
     }
 
-    pub(crate) fn all(&self, wanted: impl Fn(Kind) -> bool) -> Vec<usize> {
+    pub(crate) fn nodes_of_kind(&self, wanted: impl Fn(Kind) -> bool) -> Vec<usize> {
         (0..self.nodes.len()).filter(|node| wanted(self.nodes[*node].kind)).collect()
     }
 
@@ -239,17 +239,17 @@
         Duration::from_millis(self.now)
     }
 
-    fn at(&mut self, at: u64, happening: Happening) {
+    fn schedule(&mut self, at: u64, action: Action) {
         self.sequence += 1;
         self.queue.push(Reverse((at, self.sequence)));
-        self.happenings.insert(self.sequence, happening);
+        self.actions.insert(self.sequence, action);
     }
 
-    fn after(&mut self, later: u64, happening: Happening) {
-        self.at(self.now + later, happening);
+    fn schedule_after(&mut self, later: u64, action: Action) {
+        self.schedule(self.now + later, action);
     }
 
-    /// Runs for so many milliseconds.
+    /// Runs for `millis` milliseconds.
     pub(crate) fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while let Some(Reverse((at, sequence))) = self.queue.peek().copied() {
@@ -258,8 +258,8 @@
             }
             self.queue.pop();
             self.now = self.now.max(at);
-            let happening = self.happenings.remove(&sequence).expect("planned once");
-            self.happen(happening);
+            let action = self.actions.remove(&sequence).expect("planned once");
+            self.perform(action);
         }
         self.now = end;
     }
--- a/system/state-feed/tests/dissemination/cluster/network.rs
+++ b/system/state-feed/tests/dissemination/cluster/network.rs
@@ -1,13 +1,13 @@
 //! Links between nodes: reachability, delays, retransmission and time-outs of connections.
 
-use super::{Happening, Kind, Message, Side, USER_TIMEOUT, World};
+use super::{Action, Cluster, Kind, Message, Side, USER_TIMEOUT_MS};
 
-impl World {
-    pub(super) fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cuts.get(&(self.machine(from), self.machine(to))).is_some_and(|until| self.now < *until)
+impl Cluster {
+    pub(super) fn is_partitioned(&self, from: usize, to: usize) -> bool {
+        self.partitions.get(&(self.machine(from), self.machine(to))).is_some_and(|until| self.now < *until)
     }
 
-    /// A proxy lives on its agent's machine.
+    /// The machine of a node; a proxy runs on its agent's machine.
     pub(super) fn machine(&self, node: usize) -> usize {
         match self.nodes[node].kind {
             Kind::Proxy(agent) => agent,
@@ -15,29 +15,36 @@
         }
     }
 
-    pub(super) fn works(&self, node: usize) -> bool {
+    pub(super) fn is_running(&self, node: usize) -> bool {
         self.nodes[node].alive && self.nodes[node].frozen_until <= self.now
     }
 
-    pub(super) fn is_fresh(&self, keeper: usize) -> bool {
-        let misled = |keeper: usize| self.misled.get(&keeper).is_some_and(|until| self.now < *until);
-        let keepers = self.all(|kind| kind == Kind::Keeper);
-        let others = keepers.iter().filter(|other| {
-            self.works(**other)
-                && !misled(**other)
-                && !self.is_cut(keeper, **other)
-                && !self.is_cut(**other, keeper)
+    pub(super) fn is_fresh(&self, control_node: usize) -> bool {
+        let without_majority = |control_node: usize| {
+            self.without_majority.get(&control_node).is_some_and(|until| self.now < *until)
+        };
+        let control_nodes = self.nodes_of_kind(|kind| kind == Kind::ControlNode);
+        let others = control_nodes.iter().filter(|other| {
+            self.is_running(**other)
+                && !without_majority(**other)
+                && !self.is_partitioned(control_node, **other)
+                && !self.is_partitioned(**other, control_node)
         });
-        self.works(keeper) && !misled(keeper) && others.count() > keepers.len() / 2
+        self.is_running(control_node)
+            && !without_majority(control_node)
+            && others.count() > control_nodes.len() / 2
     }
 
-    pub(super) fn in_touch(&self, node: usize, keeper: usize) -> bool {
-        self.works(node) && !self.is_cut(node, keeper) && !self.is_cut(keeper, node) && self.is_fresh(keeper)
+    pub(super) fn is_reachable(&self, node: usize, control_node: usize) -> bool {
+        self.is_running(node)
+            && !self.is_partitioned(node, control_node)
+            && !self.is_partitioned(control_node, node)
+            && self.is_fresh(control_node)
     }
 
-    pub(super) fn lag(&mut self) -> u64 {
-        let lag = self.shape.lag;
-        if self.chance.one_in(60) { self.chance.below(lag * 4) } else { self.chance.below(lag) }
+    pub(super) fn random_lag(&mut self) -> u64 {
+        let max_lag = self.size.max_lag;
+        if self.random.one_in(60) { self.random.below(max_lag * 4) } else { self.random.below(max_lag) }
     }
 
     pub(super) fn send(&mut self, id: u64, to: Side, message: Message) {
@@ -49,52 +56,52 @@
             Side::Server => (link.client.0, link.server.0),
             Side::Client => (link.server.0, link.client.0),
         };
-        let way = usize::from(to == Side::Client);
+        let direction = usize::from(to == Side::Client);
         if matches!(message, Message::Push(_)) {
             self.pushes += 1;
         }
-        let (away, back) = (self.is_cut(from, target), self.is_cut(target, from));
-        let dark = self.nodes[target].dark;
-        if away || dark || !self.links[&id].held[way].is_empty() {
+        let (away, back) = (self.is_partitioned(from, target), self.is_partitioned(target, from));
+        let powered_off = self.nodes[target].powered_off;
+        if away || powered_off || !self.links[&id].pending[direction].is_empty() {
             let now = self.now;
             let link = self.links.get_mut(&id).expect("looked up");
-            link.held[way].push_back(message);
-            let since = *link.held_since[way].get_or_insert(now);
-            self.after(USER_TIMEOUT, Happening::BreakIfHeld(id, way, since));
+            link.pending[direction].push_back(message);
+            let since = *link.pending_since[direction].get_or_insert(now);
+            self.schedule_after(USER_TIMEOUT_MS, Action::BreakIfPending(id, direction, since));
             return;
         }
         if back {
-            let of = if to == Side::Client { Side::Server } else { Side::Client };
-            self.after(USER_TIMEOUT, Happening::BreakIfUnheard(id, of, self.now));
+            let silent_side = if to == Side::Client { Side::Server } else { Side::Client };
+            self.schedule_after(USER_TIMEOUT_MS, Action::BreakIfSilent(id, silent_side, self.now));
         }
-        self.carry(id, to, message);
+        self.schedule_delivery(id, to, message);
     }
 
-    pub(super) fn carry(&mut self, id: u64, to: Side, message: Message) {
-        let delay = 1 + self.chance.below(4) + self.lag();
+    pub(super) fn schedule_delivery(&mut self, id: u64, to: Side, message: Message) {
+        let delay = 1 + self.random.below(4) + self.random_lag();
         let link = self.links.get_mut(&id).expect("a link");
         let last = &mut link.last[usize::from(to == Side::Client)];
         *last = (*last).max(self.now + delay);
         let at = *last;
-        self.at(at, Happening::Deliver(id, to, message));
+        self.schedule(at, Action::Deliver(id, to, message));
     }
 
     pub(super) fn flush(&mut self, id: u64) {
-        for (way, to) in [(0, Side::Server), (1, Side::Client)] {
+        for (direction, to) in [(0, Side::Server), (1, Side::Client)] {
             let Some(link) = self.links.get(&id) else { return };
             let (from, target) =
-                if way == 0 { (link.client, link.server) } else { (link.server, link.client) };
-            if self.is_cut(from.0, target.0) || self.nodes[target.0].dark {
+                if direction == 0 { (link.client, link.server) } else { (link.server, link.client) };
+            if self.is_partitioned(from.0, target.0) || self.nodes[target.0].powered_off {
                 continue;
             }
-            // What is sent again comes up to a pause of retransmission later.
-            let later = self.chance.below(300);
+            // Retransmitted messages arrive up to one retransmission delay later.
+            let later = self.random.below(300);
             let link = self.links.get_mut(&id).expect("looked up");
-            link.held_since[way] = None;
-            let held = std::mem::take(&mut link.held[way]);
-            link.last[way] = link.last[way].max(self.now + later);
-            for message in held {
-                self.carry(id, to, message);
+            link.pending_since[direction] = None;
+            let pending = std::mem::take(&mut link.pending[direction]);
+            link.last[direction] = link.last[direction].max(self.now + later);
+            for message in pending {
+                self.schedule_delivery(id, to, message);
             }
         }
     }
@@ -107,13 +114,13 @@
         }
     }
 
-    /// The kernel of one side gives the connection up.
-    pub(super) fn give_up(&mut self, id: u64, side: Side) {
+    /// The kernel of one side closes the connection.
+    pub(super) fn break_connection(&mut self, id: u64, side: Side) {
         let Some(link) = self.links.get_mut(&id) else { return };
         link.broken = true;
-        self.at(self.now, Happening::Deliver(id, side, Message::Close));
+        self.schedule(self.now, Action::Deliver(id, side, Message::Close));
         let other = if side == Side::Client { Side::Server } else { Side::Client };
-        let way = usize::from(other == Side::Client);
-        self.links.get_mut(&id).expect("looked up").held[way].clear();
+        let direction = usize::from(other == Side::Client);
+        self.links.get_mut(&id).expect("looked up").pending[direction].clear();
     }
 }
--- a/system/state-feed/tests/dissemination/cluster/processes.rs
+++ b/system/state-feed/tests/dissemination/cluster/processes.rs
@@ -1,6 +1,6 @@
 //! What the processes do: polling, subscribing, pushing and following.
 
-use super::{Fact, Happening, Kind, Link, Message, PORT, Side, USER_TIMEOUT, World};
+use super::{Action, Cluster, HistoryEvent, Kind, Link, Message, PORT, Side, USER_TIMEOUT_MS};
 use bytes::Bytes;
 use fleet_model::{Answer, Ballot, Call, ChosenValue, Endpoint, EndpointList, ListVersion, Push};
 use state_feed::{Command, Event, FeedState, Follower, Role, Sources};
@@ -8,112 +8,125 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-impl World {
-    pub(super) fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Deliver(id, side, message) => self.deliver(id, side, message),
-            Happening::Wake(node, at) => {
+impl Cluster {
+    pub(super) fn perform(&mut self, action: Action) {
+        match action {
+            Action::Deliver(id, side, message) => self.deliver(id, side, message),
+            Action::Wake(node, at) => {
                 if self.nodes[node].next_wake != at || !self.nodes[node].alive {
                     return;
                 }
-                if !self.works(node) {
-                    self.nodes[node].inbox.push(Happening::Wake(node, at));
+                if !self.is_running(node) {
+                    self.nodes[node].inbox.push(Action::Wake(node, at));
                     return;
                 }
-                self.woken(node);
+                self.on_wake(node);
             }
-            Happening::Poll(keeper, life) => {
-                if !self.nodes[keeper].alive || self.nodes[keeper].life != life {
-                    return;
-                }
-                if !self.works(keeper) {
-                    self.nodes[keeper].inbox.push(Happening::Poll(keeper, life));
-                    return;
-                }
-                if self.is_fresh(keeper) {
-                    let later = self.chance.between(3, 30);
-                    self.after(later, Happening::Polled(keeper, life, self.now));
-                }
-                let next = self.chance.between(250, 290);
-                self.after(next, Happening::Poll(keeper, life));
+            Action::Poll(control_node, incarnation) => {
+                self.start_poll(control_node, incarnation);
             }
-            Happening::Polled(keeper, life, began) => {
-                if !self.nodes[keeper].alive || self.nodes[keeper].life != life {
-                    return;
-                }
-                if !self.works(keeper) {
-                    self.nodes[keeper].inbox.push(Happening::Polled(keeper, life, began));
-                    return;
-                }
-                self.learn_newest(keeper);
-                self.nodes[keeper].feed.confirm(Duration::from_millis(began));
+            Action::Polled(control_node, incarnation, started) => {
+                self.complete_poll(control_node, incarnation, started);
             }
-            Happening::BreakIfHeld(id, way, since) => {
-                if self.links.get(&id).is_some_and(|link| link.held_since[way] == Some(since)) {
-                    self.give_up(id, if way == 0 { Side::Client } else { Side::Server });
+            Action::BreakIfPending(id, direction, since) => {
+                if self.links.get(&id).is_some_and(|link| link.pending_since[direction] == Some(since)) {
+                    self.break_connection(id, if direction == 0 { Side::Client } else { Side::Server });
                 }
             }
-            Happening::BreakIfUnheard(id, side, since) => {
+            Action::BreakIfSilent(id, side, since) => {
                 let Some(link) = self.links.get(&id) else { return };
                 let (me, other) = match side {
                     Side::Client => (link.client.0, link.server.0),
                     Side::Server => (link.server.0, link.client.0),
                 };
-                // A cut that began before, or with, that send, and stands.
-                if self.is_cut(other, me) && self.now >= since + USER_TIMEOUT {
-                    self.give_up(id, side);
+                // The partition started no later than the send, and persists.
+                if self.is_partitioned(other, me) && self.now >= since + USER_TIMEOUT_MS {
+                    self.break_connection(id, side);
                 }
             }
-            Happening::Thaw(node, life) => {
-                let thawed = &mut self.nodes[node];
-                if thawed.life == life && thawed.alive && thawed.frozen_until <= self.now {
-                    for happening in std::mem::take(&mut thawed.inbox) {
-                        self.happen(happening);
+            Action::Thaw(node, incarnation) => {
+                let node_state = &mut self.nodes[node];
+                if node_state.incarnation == incarnation
+                    && node_state.alive
+                    && node_state.frozen_until <= self.now
+                {
+                    for action in std::mem::take(&mut node_state.inbox) {
+                        self.perform(action);
                     }
-                    self.plan(node);
+                    self.schedule_wake(node);
                 }
             }
-            Happening::Restart(node) => self.restart(node),
-            Happening::Heal(from, to) => {
-                if !self.is_cut(from, to) {
+            Action::Restart(node) => self.restart(node),
+            Action::Heal(from, to) => {
+                if !self.is_partitioned(from, to) {
                     self.heal();
                 }
             }
-            Happening::Choose => self.choose(),
-            Happening::List => self.read_list(),
-            Happening::Sample => self.sample(),
+            Action::CommitValue => self.commit_value(),
+            Action::PollList => self.poll_list(),
+            Action::Sample => self.sample(),
+        }
+    }
+
+    /// Polls the register, if a majority can be reached, and schedules the next poll.
+    fn start_poll(&mut self, control_node: usize, incarnation: u64) {
+        if !self.nodes[control_node].alive || self.nodes[control_node].incarnation != incarnation {
+            return;
+        }
+        if !self.is_running(control_node) {
+            self.nodes[control_node].inbox.push(Action::Poll(control_node, incarnation));
+            return;
+        }
+        if self.is_fresh(control_node) {
+            let later = self.random.between(3, 30);
+            self.schedule_after(later, Action::Polled(control_node, incarnation, self.now));
+        }
+        let next = self.random.between(250, 290);
+        self.schedule_after(next, Action::Poll(control_node, incarnation));
+    }
+
+    /// Applies the result of a poll that started at `started`.
+    fn complete_poll(&mut self, control_node: usize, incarnation: u64, started: u64) {
+        if !self.nodes[control_node].alive || self.nodes[control_node].incarnation != incarnation {
+            return;
+        }
+        if !self.is_running(control_node) {
+            self.nodes[control_node].inbox.push(Action::Polled(control_node, incarnation, started));
+            return;
         }
+        self.update_from_register(control_node);
+        self.nodes[control_node].feed.confirm(Duration::from_millis(started));
     }
 
     pub(super) fn restart(&mut self, node: usize) {
         if self.nodes[node].alive {
             return;
         }
-        let former = (node, self.nodes[node].life);
-        let seed = self.chance.next();
+        let former = (node, self.nodes[node].incarnation);
+        let seed = self.random.next();
         let (kind, ip) = (self.nodes[node].kind, self.nodes[node].ip);
         let sources = match kind {
-            Kind::Keeper => None,
+            Kind::ControlNode => None,
             Kind::Agent => Some(Sources::Tree { urgent: false }),
             Kind::Storage => Some(Sources::Tree { urgent: true }),
             Kind::Proxy(_) => Some(Sources::One),
         };
         let started = &mut self.nodes[node];
-        (started.alive, started.dark, started.frozen_until) = (true, false, 0);
-        started.life += 1;
+        (started.alive, started.powered_off, started.frozen_until) = (true, false, 0);
+        started.incarnation += 1;
         started.feed = FeedState::default();
         started.follower = sources.map(|sources| Follower::new(ip, sources, seed));
         started.links.clear();
-        started.told = None;
-        let life = started.life;
-        // What its former life had open is answered by a reset.
-        self.end_links_of(former);
+        started.last_recorded = None;
+        let incarnation = started.incarnation;
+        // Connections of the former incarnation are reset.
+        self.close_links_of(former);
         self.heal();
-        if kind == Kind::Keeper {
-            let first = self.chance.between(10, 100);
-            self.after(first, Happening::Poll(node, life));
+        if kind == Kind::ControlNode {
+            let first = self.random.between(10, 100);
+            self.schedule_after(first, Action::Poll(node, incarnation));
         }
-        self.plan(node);
+        self.schedule_wake(node);
     }
 
     pub(super) fn newest_list(&self) -> EndpointList {
@@ -124,26 +137,26 @@
         }
     }
 
-    /// What a poll tells that has ended now.
-    pub(super) fn learn_newest(&mut self, keeper: usize) {
+    /// Applies the newest value and list, as a poll that has just completed returns them.
+    pub(super) fn update_from_register(&mut self, control_node: usize) {
         let value = ChosenValue {
             ballot: Ballot { round: self.round, proposer: 1, incarnation: 1 },
             voters: Vec::new(),
             payload: Bytes::new(),
         };
-        let learned = self.nodes[keeper].feed.update_value(value).expect("an empty one can be read");
-        self.spread(learned.broadcasts);
+        let update = self.nodes[control_node].feed.update_value(value).expect("an empty one can be read");
+        self.send_broadcasts(update.broadcasts);
         let list = self.newest_list();
-        let learned = self.nodes[keeper].feed.update_list(list);
-        self.spread(learned.broadcasts);
-        self.note(keeper);
-        self.plan(keeper);
+        let update = self.nodes[control_node].feed.update_list(list);
+        self.send_broadcasts(update.broadcasts);
+        self.record_known(control_node);
+        self.schedule_wake(control_node);
     }
 
-    pub(super) fn spread(&mut self, broadcasts: Vec<state_feed::Broadcast>) {
-        for spread in broadcasts {
-            for id in spread.to {
-                self.push(id, spread.push.clone());
+    pub(super) fn send_broadcasts(&mut self, broadcasts: Vec<state_feed::Broadcast>) {
+        for broadcast in broadcasts {
+            for id in broadcast.to {
+                self.push(id, broadcast.push.clone());
             }
         }
     }
@@ -153,44 +166,44 @@
             && let Some(link) = self.links.get_mut(&id)
             && !link.pushed.insert(value.ballot.round)
         {
-            self.facts.push(Fact::Repeated { at: self.now, link: id, round: value.ballot.round });
+            self.history.push(HistoryEvent::Repeated { at: self.now, link: id, round: value.ballot.round });
         }
         self.send(id, Side::Client, Message::Push(push));
     }
 
-    pub(super) fn note(&mut self, node: usize) {
+    pub(super) fn record_known(&mut self, node: usize) {
         let (round, list) =
             (self.nodes[node].feed.value().ballot.round, self.nodes[node].feed.list().clone());
-        if self.nodes[node].told == Some((round, list.version)) {
+        if self.nodes[node].last_recorded == Some((round, list.version)) {
             return;
         }
-        self.nodes[node].told = Some((round, list.version));
+        self.nodes[node].last_recorded = Some((round, list.version));
         let known: BTreeSet<Endpoint> = list.endpoints.iter().cloned().collect();
-        self.facts.push(Fact::Knows {
+        self.history.push(HistoryEvent::Knows {
             at: self.now,
             node,
-            life: self.nodes[node].life,
+            incarnation: self.nodes[node].incarnation,
             round,
             list: list.version,
             true_list: self.lists[list.version.poll as usize] == known,
         });
     }
 
-    pub(super) fn keepers_of(&self, node: usize) -> Vec<SocketAddrV4> {
+    pub(super) fn upstream_candidates(&self, node: usize) -> Vec<SocketAddrV4> {
         match self.nodes[node].kind {
             Kind::Proxy(_) => vec![SocketAddrV4::new(Ipv4Addr::LOCALHOST, PORT)],
             _ => self
-                .all(|kind| kind == Kind::Keeper)
+                .nodes_of_kind(|kind| kind == Kind::ControlNode)
                 .into_iter()
-                .map(|keeper| SocketAddrV4::new(self.nodes[keeper].ip, PORT))
+                .map(|control_node| SocketAddrV4::new(self.nodes[control_node].ip, PORT))
                 .collect(),
         }
     }
 
     pub(super) fn follow(&mut self, node: usize, event: Event) {
-        let (now, keepers) = (self.time(), self.keepers_of(node));
+        let (now, control_nodes) = (self.time(), self.upstream_candidates(node));
         let Some(follower) = &mut self.nodes[node].follower else { return };
-        for command in follower.handle(now, &keepers, event) {
+        for command in follower.handle(now, &control_nodes, event) {
             match command {
                 Command::Subscribe { link, upstream, urgent } => self.open(node, link, upstream, urgent),
                 Command::Close(link) => {
@@ -200,7 +213,7 @@
                 }
             }
         }
-        self.plan(node);
+        self.schedule_wake(node);
     }
 
     pub(super) fn open(&mut self, node: usize, number: u64, parent: SocketAddrV4, urgent: bool) {
@@ -217,18 +230,21 @@
         self.last_link += 1;
         let id = self.last_link;
         let link = Link {
-            client: (node, self.nodes[node].life),
-            server: (target, self.nodes[target].life),
+            client: (node, self.nodes[node].incarnation),
+            server: (target, self.nodes[target].incarnation),
             number,
-            held: Default::default(),
-            held_since: [None; 2],
+            pending: Default::default(),
+            pending_since: [None; 2],
             last: [self.now; 2],
             broken: false,
             pushed: BTreeSet::new(),
         };
         self.links.insert(id, link);
         self.nodes[node].links.insert(number, id);
-        if self.is_cut(node, target) || self.is_cut(target, node) || self.nodes[target].dark {
+        if self.is_partitioned(node, target)
+            || self.is_partitioned(target, node)
+            || self.nodes[target].powered_off
+        {
             return;
         }
         if !self.nodes[target].alive {
@@ -247,42 +263,42 @@
 
     pub(super) fn deliver(&mut self, id: u64, side: Side, message: Message) {
         let Some(link) = self.links.get(&id) else { return };
-        let ((node, life), number) = match side {
+        let ((node, incarnation), number) = match side {
             Side::Client => (link.client, link.number),
             Side::Server => (link.server, link.number),
         };
-        if !self.nodes[node].alive || self.nodes[node].life != life {
+        if !self.nodes[node].alive || self.nodes[node].incarnation != incarnation {
             return;
         }
-        if !self.works(node) {
-            self.nodes[node].inbox.push(Happening::Deliver(id, side, message));
+        if !self.is_running(node) {
+            self.nodes[node].inbox.push(Action::Deliver(id, side, message));
             return;
         }
         if side == Side::Server {
             match message {
-                Message::Subscribe(call) => self.subscribed(node, id, &call),
+                Message::Subscribe(call) => self.on_subscribe(node, id, &call),
                 _ => self.nodes[node].feed.remove(id),
             }
             return;
         }
-        // What was closed here counts no more.
+        // The follower has closed this link.
         if self.nodes[node].links.get(&number) != Some(&id) {
             return;
         }
         match message {
             Message::Answer(answer) => self.follow(node, Event::Answered(number, answer)),
             Message::Push(push) => {
-                let beat = match &push {
+                let heartbeat_age = match &push {
                     Push::Heartbeat { age_ms, .. } => Some(Duration::from_millis((*age_ms).into())),
                     _ => None,
                 };
                 let now = self.time();
-                let learned = self.nodes[node].feed.apply_push(now, push, true).expect("values can be read");
-                self.spread(learned.broadcasts);
-                self.note(node);
-                if learned.out_of_sync {
+                let update = self.nodes[node].feed.apply_push(now, push, true).expect("values can be read");
+                self.send_broadcasts(update.broadcasts);
+                self.record_known(node);
+                if update.out_of_sync {
                     self.follow(node, Event::OutOfSync(number));
-                } else if let Some(age) = beat {
+                } else if let Some(age) = heartbeat_age {
                     self.follow(node, Event::Heartbeat(number, age));
                 }
             }
@@ -294,9 +310,9 @@
         }
     }
 
-    pub(super) fn subscribed(&mut self, node: usize, id: u64, call: &Call) {
+    pub(super) fn on_subscribe(&mut self, node: usize, id: u64, call: &Call) {
         self.nodes[node].calls += 1;
-        let role = if self.nodes[node].kind == Kind::Keeper { Role::ControlNode } else { Role::Relay };
+        let role = if self.nodes[node].kind == Kind::ControlNode { Role::ControlNode } else { Role::Relay };
         let now = self.time();
         let subscription = match self.nodes[node].kind {
             Kind::Storage | Kind::Proxy(_) => {
@@ -311,17 +327,17 @@
         }
     }
 
-    pub(super) fn woken(&mut self, node: usize) {
+    pub(super) fn on_wake(&mut self, node: usize) {
         let now = self.time();
         if self.nodes[node].feed.heartbeat_due() <= now {
             let broadcasts = self.nodes[node].feed.heartbeat(now);
-            self.spread(broadcasts);
+            self.send_broadcasts(broadcasts);
         }
         self.follow(node, Event::Tick);
-        self.plan(node);
+        self.schedule_wake(node);
     }
 
-    pub(super) fn plan(&mut self, node: usize) {
+    pub(super) fn schedule_wake(&mut self, node: usize) {
         if !self.nodes[node].alive {
             return;
         }
@@ -331,35 +347,38 @@
         let wake = u64::try_from(wake.as_millis()).unwrap_or(u64::MAX).max(self.now + 1);
         if planned.next_wake != wake || planned.next_wake <= self.now {
             self.nodes[node].next_wake = wake;
-            self.at(wake, Happening::Wake(node, wake));
+            self.schedule(wake, Action::Wake(node, wake));
         }
     }
 
     pub(super) fn sample(&mut self) {
-        self.after(25, Happening::Sample);
-        let keepers = self.all(|kind| kind == Kind::Keeper);
+        self.schedule_after(25, Action::Sample);
+        let control_nodes = self.nodes_of_kind(|kind| kind == Kind::ControlNode);
         for node in 0..self.nodes.len() {
             let agent = match self.nodes[node].kind {
-                Kind::Keeper => continue,
+                Kind::ControlNode => continue,
                 Kind::Proxy(agent) => agent,
                 _ => node,
             };
             let mut since: Option<u64> = None;
-            for keeper in &keepers {
-                if self.in_touch(agent, *keeper) && self.works(node) {
-                    let from = *self.reach.entry((node, *keeper)).or_insert(self.now);
+            for control_node in &control_nodes {
+                if self.is_reachable(agent, *control_node) && self.is_running(node) {
+                    let from = *self.reachable_since.entry((node, *control_node)).or_insert(self.now);
                     since = Some(since.map_or(from, |since| since.min(from)));
                 } else {
-                    self.reach.remove(&(node, *keeper));
+                    self.reachable_since.remove(&(node, *control_node));
                 }
             }
-            self.facts.push(Fact::InTouch { at: self.now, node, since });
+            self.history.push(HistoryEvent::Reachable { at: self.now, node, since });
         }
-        for keeper in keepers {
-            let calls = std::mem::take(&mut self.nodes[keeper].calls);
-            let links =
-                if self.works(keeper) { self.nodes[keeper].feed.subscriber_addresses().len() } else { 0 };
-            self.facts.push(Fact::Load { at: self.now, keeper, links, calls });
+        for control_node in control_nodes {
+            let calls = std::mem::take(&mut self.nodes[control_node].calls);
+            let links = if self.is_running(control_node) {
+                self.nodes[control_node].feed.subscriber_addresses().len()
+            } else {
+                0
+            };
+            self.history.push(HistoryEvent::Load { at: self.now, control_node, links, calls });
         }
     }
 }
--- a/system/state-feed/tests/feed_state.rs
+++ b/system/state-feed/tests/feed_state.rs
@@ -1,4 +1,4 @@
-//! What a process knows, whom it takes on, and what it pushes to whom.
+//! What a process knows, which subscribers it accepts, and what it pushes to them.
 
 use bytes::Bytes;
 use fleet_model::{
@@ -52,8 +52,8 @@
     }
 }
 
-/// One that knows value 3 and list 1, as of now.
-fn informed() -> FeedState {
+/// A process that knows value 3 and list 1, confirmed now.
+fn up_to_date() -> FeedState {
     let mut feed = FeedState::default();
     feed.update_value(value(3)).expect("readable");
     feed.update_list(list(1, &["a", "b"]));
@@ -66,10 +66,10 @@
 }
 
 #[googletest::test]
-fn values_and_lists_only_rise() {
+fn older_values_lists_and_confirmations_are_ignored() {
     // Given a process that knows value 3 and list 1.
-    let mut feed = informed();
-    // When it is told others, older and equal.
+    let mut feed = up_to_date();
+    // When it receives older and equal ones.
     for round in [1, 2, 3] {
         expect_false!(feed.update_value(value(round)).expect("readable").changed);
     }
@@ -77,27 +77,27 @@
     expect_false!(
         feed.update_list(EndpointList { version: ListVersion::new(0, 9), endpoints: Vec::new() }).changed
     );
-    // Then it keeps what it had.
+    // Then they are ignored.
     expect_that!(feed.value().ballot.round, eq(3));
     expect_that!(feed.list().endpoints.len(), eq(2));
-    // And its age rises too.
+    // And an earlier confirmation does not increase the age.
     expect_false!(feed.confirm(NOW - MAX_STATE_AGE));
     expect_that!(feed.age(NOW), some(eq(Duration::ZERO)));
 }
 
 #[googletest::test]
-fn a_value_that_cannot_be_read_leaves_all_as_it_was() {
-    let mut feed = informed();
-    let odd = ChosenValue { payload: Bytes::from_static(&[0xff; 3]), ..value(4) };
-    expect_that!(feed.update_value(odd), err(anything()));
+fn an_unreadable_value_changes_nothing() {
+    let mut feed = up_to_date();
+    let unreadable = ChosenValue { payload: Bytes::from_static(&[0xff; 3]), ..value(4) };
+    expect_that!(feed.update_value(unreadable), err(anything()));
     expect_that!(feed.value().ballot.round, eq(3));
     expect_true!(feed.update_value(value(5)).expect("readable").changed);
 }
 
 #[googletest::test]
-fn a_subscriber_first_gets_what_it_lacks_and_the_age() {
-    // Given subscribers that know nothing, and all.
-    let mut feed = informed();
+fn a_subscriber_first_receives_what_it_lacks_and_the_age() {
+    // Given one subscriber that knows nothing, and one that knows everything.
+    let mut feed = up_to_date();
     let none = call(1, "z", false);
     let all = Call::Subscribe {
         ip: ip(2),
@@ -106,23 +106,23 @@
         value: Ballot { round: 3, proposer: 1, incarnation: 1 },
         list: ListVersion::new(1, 1),
     };
-    // When they are taken on 0.3 s later.
+    // When they subscribe 0.3 s later.
     let later = NOW + Duration::from_millis(300);
-    let beat = Push::Heartbeat { age_ms: 300, proxies: 0 };
+    let heartbeat = Push::Heartbeat { age_ms: 300, proxies: 0 };
     let first = feed.subscribe(later, Role::ControlNode, PORT, &none, 1);
     let second = feed.subscribe(later, Role::ControlNode, PORT, &all, 2);
-    // Then one gets value and list, and both how old that is.
+    // Then one receives value and list, and both receive the age.
     expect_that!(first.answer, eq(&Answer::Done));
     expect_that!(
         first.pushes,
-        eq(&vec![Push::Value(value(3)), Push::List(list(1, &["a", "b"])), beat.clone()])
+        eq(&vec![Push::Value(value(3)), Push::List(list(1, &["a", "b"])), heartbeat.clone()])
     );
-    expect_that!(second.pushes, eq(&vec![beat]));
+    expect_that!(second.pushes, eq(&vec![heartbeat]));
 }
 
 #[googletest::test]
-fn a_list_goes_as_its_changes_to_who_has_the_former_one_and_whole_to_others() {
-    // Given one subscriber with the list, and one that came before there was any.
+fn a_list_is_sent_as_a_delta_to_subscribers_with_the_previous_one() {
+    // Given one subscriber with the list, and one that is ahead of it.
     let mut feed = FeedState::default();
     feed.update_value(value(1)).expect("readable");
     feed.confirm(NOW);
@@ -143,112 +143,112 @@
     // When the next one drains b, loses c and has d.
     let mut next = list(2, &["a", "b", "d"]);
     next.endpoints[1].state = EndpointState::Draining;
-    let learned = feed.update_list(next.clone());
-    // Then changes go to the first, and nothing to the second, which has it.
+    let update = feed.update_list(next.clone());
+    // Then the first receives the delta, and the second, which has the list, nothing.
     let change = Push::ListDelta {
         base: ListVersion::new(1, 1),
         version: ListVersion::new(1, 2),
         upserted: vec![endpoint("b", EndpointState::Draining), endpoint("d", EndpointState::Ready)],
         removed: vec!["c".to_owned()],
     };
-    expect_that!(learned.broadcasts, eq(&vec![Broadcast { push: change.clone(), to: vec![1] }]));
-    // And who takes the changes in has the same list.
-    let mut child = FeedState::default();
-    child.update_list(list(1, &["a", "b", "c"]));
-    let taken = child.apply_push(NOW, change.clone(), true).expect("readable");
-    expect_true!(taken.changed);
-    expect_that!(child.list().endpoints, eq(&next.endpoints));
-    // But on top of another list they are refused, until it is whole again.
+    expect_that!(update.broadcasts, eq(&vec![Broadcast { push: change.clone(), to: vec![1] }]));
+    // And the delta results in the same list.
+    let mut subscriber = FeedState::default();
+    subscriber.update_list(list(1, &["a", "b", "c"]));
+    let update = subscriber.apply_push(NOW, change.clone(), true).expect("readable");
+    expect_true!(update.changed);
+    expect_that!(subscriber.list().endpoints, eq(&next.endpoints));
+    // But it is rejected relative to another list.
     let mut other = FeedState::default();
     other.update_list(list(0, &[]));
-    let taken = other.apply_push(NOW, change.clone(), true).expect("readable");
-    expect_true!(taken.out_of_sync);
-    expect_false!(taken.changed);
-    // And known changes do no harm.
+    let update = other.apply_push(NOW, change.clone(), true).expect("readable");
+    expect_true!(update.out_of_sync);
+    expect_false!(update.changed);
+    // And a repeated delta has no effect.
     expect_that!(
-        child.apply_push(NOW, change, true).expect("readable"),
+        subscriber.apply_push(NOW, change, true).expect("readable"),
         eq(&state_feed::FeedUpdate::default())
     );
 }
 
 #[googletest::test]
-fn a_keeper_names_two_heads_to_the_others_of_their_zone() {
-    // Given a keeper with two agents of a zone.
-    let mut feed = informed();
+fn a_control_node_redirects_a_zone_to_its_two_relays() {
+    // Given a control node with two agents of a zone.
+    let mut feed = up_to_date();
     expect_that!(subscribe(&mut feed, Role::ControlNode, &call(1, "z", false), 1), eq(&Answer::Done));
     expect_that!(subscribe(&mut feed, Role::ControlNode, &call(2, "z", false), 2), eq(&Answer::Done));
-    // When others come.
+    // When others subscribe.
     let third = subscribe(&mut feed, Role::ControlNode, &call(3, "z", false), 3);
-    // Then they are sent to these, unless they press, or are of another zone.
-    let heads = vec![SocketAddrV4::new(ip(1), PORT), SocketAddrV4::new(ip(2), PORT)];
-    expect_that!(third, eq(&Answer::Redirect(heads.clone())));
+    // Then they are redirected to these, unless they are urgent or of another zone.
+    let relays = vec![SocketAddrV4::new(ip(1), PORT), SocketAddrV4::new(ip(2), PORT)];
+    expect_that!(third, eq(&Answer::Redirect(relays.clone())));
     expect_that!(subscribe(&mut feed, Role::ControlNode, &call(3, "z", true), 3), eq(&Answer::Done));
     expect_that!(subscribe(&mut feed, Role::ControlNode, &call(4, "y", false), 4), eq(&Answer::Done));
-    // And a head that asks again is not sent to itself.
+    // And a relay that subscribes again is not redirected to itself.
     expect_that!(subscribe(&mut feed, Role::ControlNode, &call(1, "z", false), 5), eq(&Answer::Done));
-    // And when a head has gone, the next becomes one.
+    // And once a relay has been removed, the next subscriber becomes one.
     feed.remove(1);
     feed.remove(5);
     expect_that!(subscribe(&mut feed, Role::ControlNode, &call(6, "z", false), 6), eq(&Answer::Done));
 }
 
 #[googletest::test]
-fn who_pressed_is_named_to_nobody() {
-    // Given a keeper that feeds three storage machines of a zone, which feed no one.
-    let mut feed = informed();
+fn subscribers_are_not_redirected_to_urgent_ones() {
+    // Given a control node that serves three storage nodes of a zone, which have no subscribers.
+    let mut feed = up_to_date();
     for number in 1..=3 {
         subscribe(&mut feed, Role::ControlNode, &call(number, "z", true), number.into());
     }
-    // When agents of that zone come.
+    // When agents of that zone subscribe.
     let (first, second) = (
         subscribe(&mut feed, Role::ControlNode, &call(4, "z", false), 4),
         subscribe(&mut feed, Role::ControlNode, &call(5, "z", false), 5),
     );
-    // Then they are its heads.
+    // Then they are its relays.
     expect_that!((first, second), eq(&(Answer::Done, Answer::Done)));
-    let heads = vec![SocketAddrV4::new(ip(4), PORT), SocketAddrV4::new(ip(5), PORT)];
+    let relays = vec![SocketAddrV4::new(ip(4), PORT), SocketAddrV4::new(ip(5), PORT)];
     expect_that!(
         subscribe(&mut feed, Role::ControlNode, &call(6, "z", false), 6),
-        eq(&Answer::Redirect(heads))
+        eq(&Answer::Redirect(relays))
     );
 }
 
 #[googletest::test]
-fn a_subscriber_that_is_sent_elsewhere_keeps_the_link_that_it_has() {
-    // Given one that pressed, beside two heads.
-    let mut feed = informed();
+fn a_redirected_subscriber_keeps_its_present_link() {
+    // Given an urgent subscriber beside two relays.
+    let mut feed = up_to_date();
     for (number, urgent) in [(1, false), (2, false), (3, true)] {
         subscribe(&mut feed, Role::ControlNode, &call(number, "z", urgent), number.into());
     }
-    // When it asks for its place in the tree.
+    // When it subscribes without urgency.
     expect_that!(
         subscribe(&mut feed, Role::ControlNode, &call(3, "z", false), 4),
         matches_pattern!(Answer::Redirect(_))
     );
-    // Then it is fed as before, until it says otherwise.
-    let learned = feed.update_value(value(4)).expect("readable");
-    expect_that!(learned.broadcasts, eq(&vec![Broadcast { push: Push::Value(value(4)), to: vec![1, 2, 3] }]));
+    // Then its first link is served as before, until it closes it.
+    let update = feed.update_value(value(4)).expect("readable");
+    expect_that!(update.broadcasts, eq(&vec![Broadcast { push: Push::Value(value(4)), to: vec![1, 2, 3] }]));
 }
 
 #[googletest::test]
-fn nothing_is_fed_by_who_knows_nothing_or_is_stale() {
+fn a_process_without_fresh_state_serves_no_subscriber() {
     let later = NOW + MAX_STATE_AGE + Duration::from_millis(1);
-    let ask = |feed: &mut FeedState, at, role, urgent| {
+    let answer = |feed: &mut FeedState, at, role, urgent| {
         feed.subscribe(at, role, PORT, &call(1, "z", urgent), 1).answer
     };
-    // A relay or keeper without a value feeds nobody.
-    expect_that!(ask(&mut FeedState::default(), NOW, Role::ControlNode, true), eq(&Answer::NotReady));
-    // A stale relay feeds nobody, be it pressed.
-    expect_that!(ask(&mut informed(), later, Role::Relay, true), eq(&Answer::NotReady));
-    expect_that!(ask(&mut informed(), NOW + MAX_STATE_AGE, Role::Relay, true), eq(&Answer::Done));
-    // A stale keeper feeds only who presses: others may find a better one.
-    expect_that!(ask(&mut informed(), later, Role::ControlNode, false), eq(&Answer::NotReady));
-    expect_that!(ask(&mut informed(), later, Role::ControlNode, true), eq(&Answer::Done));
+    // A control node without a value serves no subscriber.
+    expect_that!(answer(&mut FeedState::default(), NOW, Role::ControlNode, true), eq(&Answer::NotReady));
+    // A stale relay serves no subscriber, not even an urgent one.
+    expect_that!(answer(&mut up_to_date(), later, Role::Relay, true), eq(&Answer::NotReady));
+    expect_that!(answer(&mut up_to_date(), NOW + MAX_STATE_AGE, Role::Relay, true), eq(&Answer::Done));
+    // A stale control node serves only urgent subscribers: others may find a better one.
+    expect_that!(answer(&mut up_to_date(), later, Role::ControlNode, false), eq(&Answer::NotReady));
+    expect_that!(answer(&mut up_to_date(), later, Role::ControlNode, true), eq(&Answer::Done));
 }
 
 #[googletest::test]
-fn a_full_relay_refuses_further_machines_but_not_its_own() {
-    let mut feed = informed();
+fn a_full_relay_rejects_further_machines_but_not_its_own() {
+    let mut feed = up_to_date();
     for number in 1..=MAX_RELAY_SUBSCRIBERS as u8 {
         expect_that!(
             subscribe(&mut feed, Role::Relay, &call(number, "z", false), number.into()),
@@ -264,31 +264,34 @@
 }
 
 #[googletest::test]
-fn a_relay_passes_ages_on_as_they_come_and_grow() {
-    // Given a relay with a child.
-    let mut feed = informed();
+fn a_relay_forwards_heartbeats_and_sends_its_own() {
+    // Given a relay with a subscriber.
+    let mut feed = up_to_date();
     subscribe(&mut feed, Role::Relay, &call(1, "z", false), 1);
     let ms = Duration::from_millis;
-    let beat = |age_ms| Push::Heartbeat { age_ms, proxies: 7 };
-    // When its parent tells of 0.1 s.
+    let heartbeat = |age_ms| Push::Heartbeat { age_ms, proxies: 7 };
+    // When its upstream reports an age of 0.1 s.
     let at = NOW + ms(600);
-    let told = feed.apply_push(at, beat(100), true).expect("readable");
-    // Then it passes that on at once.
-    expect_that!(told.broadcasts, eq(&vec![Broadcast { push: beat(100), to: vec![1] }]));
-    // But not what is no news, nor too much of it.
-    expect_that!(feed.apply_push(at + ms(300), beat(500), true).expect("readable").broadcasts, is_empty());
+    let update = feed.apply_push(at, heartbeat(100), true).expect("readable");
+    // Then it forwards that at once.
+    expect_that!(update.broadcasts, eq(&vec![Broadcast { push: heartbeat(100), to: vec![1] }]));
+    // But neither an older confirmation nor heartbeats that follow too soon.
     expect_that!(
-        feed.apply_push(at + MIN_HEARTBEAT_GAP / 2, beat(0), true).expect("readable").broadcasts,
+        feed.apply_push(at + ms(300), heartbeat(500), true).expect("readable").broadcasts,
         is_empty()
     );
-    // And where nothing comes it says by itself that it is there, and how old it all is.
+    expect_that!(
+        feed.apply_push(at + MIN_HEARTBEAT_GAP / 2, heartbeat(0), true).expect("readable").broadcasts,
+        is_empty()
+    );
+    // And without heartbeats from its upstream it sends one of its own with the present age.
     expect_that!(feed.heartbeat_due(), gt(at + HEARTBEAT_INTERVAL));
     let due = feed.heartbeat_due();
-    let grown = u32::try_from((due - at - MIN_HEARTBEAT_GAP / 2).as_millis()).expect("small");
-    expect_that!(feed.heartbeat(due), eq(&vec![Broadcast { push: beat(grown), to: vec![1] }]));
-    // And links that do not count confirm nothing.
+    let age_ms = u32::try_from((due - at - MIN_HEARTBEAT_GAP / 2).as_millis()).expect("small");
+    expect_that!(feed.heartbeat(due), eq(&vec![Broadcast { push: heartbeat(age_ms), to: vec![1] }]));
+    // And a link without confirmation does not confirm the state.
     let before = feed.confirmed_at();
-    feed.apply_push(due, beat(0), false).expect("readable");
+    feed.apply_push(due, heartbeat(0), false).expect("readable");
     expect_that!(feed.confirmed_at(), eq(before));
 }
 
@@ -301,32 +304,32 @@
 }
 
 #[googletest::test]
-fn a_value_with_the_configuration_that_is_known_goes_round_without_it() {
-    // Given a process that feeds another, both with version 5.
+fn a_value_with_a_known_configuration_is_sent_without_it() {
+    // Given a process with a subscriber, both with version 5.
     let mut feed = FeedState::default();
     feed.update_value(configured(3, 5, 1)).expect("readable");
     feed.confirm(NOW);
     let subscription = feed.subscribe(NOW, Role::ControlNode, PORT, &call(1, "z", false), 1);
-    let mut fed = FeedState::default();
+    let mut subscriber = FeedState::default();
     for push in subscription.pushes {
-        fed.apply_push(NOW, push, true).expect("readable");
+        subscriber.apply_push(NOW, push, true).expect("readable");
     }
     // When the roster changes and the configuration does not.
     let broadcasts = feed.update_value(configured(4, 5, 2)).expect("readable").broadcasts;
     let [Broadcast { push, .. }] = broadcasts.as_slice() else { panic!("one push") };
-    let Push::Value(slim) = push else { panic!("a value") };
-    expect_that!(slim.payload.len(), lt(200));
-    fed.apply_push(NOW, push.clone(), true).expect("readable");
-    // Then the fed one has all of it, and can feed others with the whole.
-    expect_that!(fed.state().roster.epoch, eq(2));
-    expect_that!(fed.state().config.len(), eq(9_000));
-    expect_that!(fed.value().payload, eq(&feed.value().payload));
-    // And who knows another version cannot use it: it leaves, and gets the whole when it asks again.
+    let Push::Value(without_config) = push else { panic!("a value") };
+    expect_that!(without_config.payload.len(), lt(200));
+    subscriber.apply_push(NOW, push.clone(), true).expect("readable");
+    // Then the subscriber has the complete value, and can serve it to others.
+    expect_that!(subscriber.state().roster.epoch, eq(2));
+    expect_that!(subscriber.state().config.len(), eq(9_000));
+    expect_that!(subscriber.value().payload, eq(&feed.value().payload));
+    // And a process with another version cannot apply it: it is out of sync, and has to subscribe again.
     let mut other = FeedState::default();
     other.update_value(configured(2, 4, 1)).expect("readable");
     expect_true!(other.apply_push(NOW, push.clone(), true).expect("readable").out_of_sync);
     expect_that!(other.state().version(), eq(4));
-    // And a new configuration goes round whole.
+    // And a new configuration is sent completely.
     let broadcasts = feed.update_value(configured(5, 6, 2)).expect("readable").broadcasts;
     expect_that!(
         broadcasts,
--- a/system/state-feed/tests/upstream_selection.rs
+++ b/system/state-feed/tests/upstream_selection.rs
@@ -1,4 +1,4 @@
-//! By whom a process is fed, step by step.
+//! Selection of the upstream, step by step.
 
 use fleet_model::Answer;
 use googletest::prelude::*;
@@ -15,7 +15,7 @@
     Duration::from_millis(millis)
 }
 
-fn keepers() -> Vec<SocketAddrV4> {
+fn control_nodes() -> Vec<SocketAddrV4> {
     (1..=3).map(|number| SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7_000)).collect()
 }
 
@@ -23,154 +23,164 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, number), 7_000)
 }
 
-/// A follower and its clock.
-struct Story {
+/// A follower with its clock.
+struct SimulatedFollower {
     follower: Follower,
     now: Duration,
 }
 
-impl Story {
-    fn of(sources: Sources) -> Self {
+impl SimulatedFollower {
+    fn new(sources: Sources) -> Self {
         Self { follower: Follower::new(ME, sources, 5), now: START }
     }
 
     fn agent() -> Self {
-        Self::of(Sources::Tree { urgent: false })
+        Self::new(Sources::Tree { urgent: false })
     }
 
-    fn on(&mut self, event: Event) -> Vec<Command> {
-        self.follower.handle(self.now, &keepers(), event)
+    fn handle(&mut self, event: Event) -> Vec<Command> {
+        self.follower.handle(self.now, &control_nodes(), event)
     }
 
-    /// Lets time pass up to `end`; tells what is commanded, and when.
-    fn until(&mut self, end: Duration) -> Vec<(Duration, Command)> {
+    /// Advances the time to `end`; returns the commands and their times.
+    fn run_until(&mut self, end: Duration) -> Vec<(Duration, Command)> {
         let mut commands = Vec::new();
         let mut wakes = 0;
         while self.follower.wake_at() <= end {
             wakes += 1;
-            assert_that!(wakes, lt(10_000), "it is woken again and again for nothing");
+            assert_that!(wakes, lt(10_000), "the follower wakes repeatedly without effect");
             self.now = self.now.max(self.follower.wake_at());
             let now = self.now;
-            commands.extend(self.on(Event::Tick).into_iter().map(|command| (now, command)));
+            commands.extend(self.handle(Event::Tick).into_iter().map(|command| (now, command)));
         }
         self.now = end;
         commands
     }
 
-    /// Asked as the only one.
-    fn asked(commands: &[Command]) -> (LinkId, SocketAddrV4, bool) {
-        let asked: Vec<_> = commands
+    /// The only subscription among the commands.
+    fn only_subscription(commands: &[Command]) -> (LinkId, SocketAddrV4, bool) {
+        let subscriptions: Vec<_> = commands
             .iter()
             .filter_map(|command| match command {
                 Command::Subscribe { link, upstream, urgent } => Some((*link, *upstream, *urgent)),
                 Command::Close(_) => None,
             })
             .collect();
-        assert_that!(asked.len(), eq(1));
-        asked[0]
+        assert_that!(subscriptions.len(), eq(1));
+        subscriptions[0]
     }
 
-    fn fed_by_keeper(&mut self) -> (LinkId, SocketAddrV4) {
-        let (link, keeper, _) = Self::asked(&self.on(Event::Tick));
-        assert_that!(self.on(Event::Answered(link, Answer::Done)), is_empty());
-        assert_that!(self.on(Event::Heartbeat(link, ms(100))), is_empty());
-        (link, keeper)
+    fn subscribed_to_control_node(&mut self) -> (LinkId, SocketAddrV4) {
+        let (link, control_node, _) = Self::only_subscription(&self.handle(Event::Tick));
+        assert_that!(self.handle(Event::Answered(link, Answer::Done)), is_empty());
+        assert_that!(self.handle(Event::Heartbeat(link, ms(100))), is_empty());
+        (link, control_node)
     }
 
-    /// By way of a redirect, so below a relay.
-    fn fed_by_relay(&mut self, number: u8) -> LinkId {
-        let (link, _, _) = Self::asked(&self.on(Event::Tick));
-        let commands = self.on(Event::Answered(link, Answer::Redirect(vec![relay(number)])));
-        let (link, upstream, urgent) = Self::asked(&commands);
+    /// Subscribes to a relay through a redirect.
+    fn subscribed_to_relay(&mut self, number: u8) -> LinkId {
+        let (link, _, _) = Self::only_subscription(&self.handle(Event::Tick));
+        let commands = self.handle(Event::Answered(link, Answer::Redirect(vec![relay(number)])));
+        let (link, upstream, urgent) = Self::only_subscription(&commands);
         assert_that!((upstream, urgent), eq((relay(number), false)));
-        self.on(Event::Answered(link, Answer::Done));
-        self.on(Event::Heartbeat(link, ms(100)));
+        self.handle(Event::Answered(link, Answer::Done));
+        self.handle(Event::Heartbeat(link, ms(100)));
         link
     }
 }
 
 #[googletest::test]
-fn an_agent_asks_a_keeper_then_whom_it_names_then_presses() {
+fn an_agent_follows_redirects_and_then_subscribes_urgently() {
     // Given an agent at its start.
-    let mut story = Story::agent();
-    let (first, keeper, urgent) = Story::asked(&story.on(Event::Tick));
-    expect_that!(keepers(), contains(eq(&keeper)));
+    let mut simulation = SimulatedFollower::agent();
+    let (first, control_node, urgent) = SimulatedFollower::only_subscription(&simulation.handle(Event::Tick));
+    expect_that!(control_nodes(), contains(eq(&control_node)));
     expect_false!(urgent);
-    // When the keeper names two relays, and itself.
+    // When the control node redirects it to two relays and to itself.
     let named = Answer::Redirect(vec![relay(2), SocketAddrV4::new(ME, 7_000), relay(3)]);
-    let commands = story.on(Event::Answered(first, named));
-    // Then it asks one of them, and the other when the first refuses.
+    let commands = simulation.handle(Event::Answered(first, named));
+    // Then it subscribes to one of them, and to the other when the first rejects it.
     expect_that!(commands, contains(eq(&Command::Close(first))));
-    let (second, one, urgent) = Story::asked(&commands);
+    let (second, one, urgent) = SimulatedFollower::only_subscription(&commands);
     expect_false!(urgent);
-    let commands = story.on(Event::Answered(second, Answer::Redirect(Vec::new())));
-    let (third, other, _) = Story::asked(&commands);
+    let commands = simulation.handle(Event::Answered(second, Answer::Redirect(Vec::new())));
+    let (third, other, _) = SimulatedFollower::only_subscription(&commands);
     expect_that!([one.min(other), one.max(other)], eq([relay(2), relay(3)]));
-    // And when both refuse, it presses the keeper that named them.
-    let commands = story.on(Event::Closed(third));
-    expect_that!((Story::asked(&commands).1, Story::asked(&commands).2), eq((keeper, true)));
+    // And when both reject it, it subscribes urgently to the control node that redirected it.
+    let commands = simulation.handle(Event::Closed(third));
+    expect_that!(
+        (
+            SimulatedFollower::only_subscription(&commands).1,
+            SimulatedFollower::only_subscription(&commands).2
+        ),
+        eq((control_node, true))
+    );
 }
 
 #[googletest::test]
-fn while_one_does_not_answer_the_next_is_asked_too() {
-    let mut story = Story::agent();
-    let (first, keeper, _) = Story::asked(&story.on(Event::Tick));
-    // When nothing comes for 0.2 s.
-    let commands = story.until(START + ms(200));
-    // Then another keeper has been asked, and the first is still waited for.
+fn a_hedged_subscription_starts_while_the_first_is_unanswered() {
+    let mut simulation = SimulatedFollower::agent();
+    let (first, control_node, _) = SimulatedFollower::only_subscription(&simulation.handle(Event::Tick));
+    // When there is no answer for 0.2 s.
+    let commands = simulation.run_until(START + ms(200));
+    // Then a hedged request has gone to another control node, and the first attempt is still open.
     let commands: Vec<Command> = commands.into_iter().map(|(_, command)| command).collect();
-    let (second, other, _) = Story::asked(&commands);
-    expect_that!(other, not(eq(keeper)));
+    let (second, other, _) = SimulatedFollower::only_subscription(&commands);
+    expect_that!(other, not(eq(control_node)));
     expect_that!(commands, not(contains(eq(&Command::Close(first)))));
-    // And whoever feeds first is taken, and the other let go.
-    story.on(Event::Answered(first, Answer::Done));
-    expect_that!(story.on(Event::Heartbeat(first, ms(20))), eq(&vec![Command::Close(second)]));
-    expect_that!(story.follower.upstream_address(), some(eq(keeper)));
+    // And the first to deliver becomes the upstream, and the other link is closed.
+    simulation.handle(Event::Answered(first, Answer::Done));
+    expect_that!(simulation.handle(Event::Heartbeat(first, ms(20))), eq(&vec![Command::Close(second)]));
+    expect_that!(simulation.follower.upstream_address(), some(eq(control_node)));
 }
 
 #[googletest::test]
-fn a_silent_parent_is_kept_until_another_feeds() {
-    // Given an agent below a keeper.
-    let mut story = Story::agent();
-    let (link, keeper) = story.fed_by_keeper();
-    // When nothing comes any more.
-    let commands = story.until(START + UPSTREAM_TIMEOUT + ms(70));
-    // Then after a second another keeper is asked, and the old link stays.
+fn an_unresponsive_upstream_is_kept_until_another_delivers() {
+    // Given an agent subscribed to a control node.
+    let mut simulation = SimulatedFollower::agent();
+    let (link, control_node) = simulation.subscribed_to_control_node();
+    // When it receives nothing any more.
+    let commands = simulation.run_until(START + UPSTREAM_TIMEOUT + ms(70));
+    // Then after a second it subscribes to another control node, and the old link remains.
     let (at, command) = commands[0];
     expect_that!(at, ge(START + MAX_STATE_AGE - ms(100)));
-    let (next, other, _) = Story::asked(&[command]);
-    expect_that!(other, not(eq(keeper)));
+    let (next, other, _) = SimulatedFollower::only_subscription(&[command]);
+    expect_that!(other, not(eq(control_node)));
     expect_that!(
         commands.iter().map(|(_, command)| *command).collect::<Vec<_>>(),
         not(contains(eq(&Command::Close(link))))
     );
-    // And with the first fresh beat it changes over.
-    story.on(Event::Answered(next, Answer::Done));
-    expect_that!(story.on(Event::Heartbeat(next, ms(50))), contains(eq(&Command::Close(link))));
-    expect_that!(story.follower.upstream_address(), some(eq(other)));
+    // And with the first fresh heartbeat it switches.
+    simulation.handle(Event::Answered(next, Answer::Done));
+    expect_that!(simulation.handle(Event::Heartbeat(next, ms(50))), contains(eq(&Command::Close(link))));
+    expect_that!(simulation.follower.upstream_address(), some(eq(other)));
 }
 
 #[googletest::test]
-fn a_parent_that_comes_back_meanwhile_stays() {
-    let mut story = Story::agent();
-    let (link, keeper) = story.fed_by_keeper();
-    let commands = story.until(START + UPSTREAM_TIMEOUT + ms(70));
-    let (next, _, _) = Story::asked(&[commands[0].1]);
-    // When the parent beats again before the other has.
-    let commands = story.on(Event::Heartbeat(link, ms(30)));
-    // Then the other is let go.
+fn an_upstream_that_recovers_meanwhile_is_kept() {
+    let mut simulation = SimulatedFollower::agent();
+    let (link, control_node) = simulation.subscribed_to_control_node();
+    let commands = simulation.run_until(START + UPSTREAM_TIMEOUT + ms(70));
+    let (next, _, _) = SimulatedFollower::only_subscription(&[commands[0].1]);
+    // When the upstream sends a heartbeat before the other one does.
+    let commands = simulation.handle(Event::Heartbeat(link, ms(30)));
+    // Then the other link is closed.
     expect_that!(commands, contains(eq(&Command::Close(next))));
-    expect_that!(story.follower.upstream_address(), some(eq(keeper)));
-    expect_that!(story.follower.wake_at(), ge(story.now + MAX_STATE_AGE / 2));
+    expect_that!(simulation.follower.upstream_address(), some(eq(control_node)));
+    expect_that!(simulation.follower.wake_at(), ge(simulation.now + MAX_STATE_AGE / 2));
 }
 
-/// Beats on and on that what it tells is as of the start; tells when the follower asks others, and whom first.
-fn stale_since_start(story: &mut Story, link: LinkId) -> (Duration, SocketAddrV4) {
+/// Sends heartbeats that confirm nothing since the start; returns when and where the follower first subscribes next.
+fn first_subscription_while_stale(
+    simulation: &mut SimulatedFollower,
+    link: LinkId,
+) -> (Duration, SocketAddrV4) {
     for step in 1..=20 {
         let at = START + ms(100 * step);
-        let mut commands = story.until(at);
-        commands
-            .extend(story.on(Event::Heartbeat(link, at - START)).into_iter().map(|command| (at, command)));
+        let mut commands = simulation.run_until(at);
+        commands.extend(
+            simulation.handle(Event::Heartbeat(link, at - START)).into_iter().map(|command| (at, command)),
+        );
         if let Some((at, Command::Subscribe { upstream, .. })) = commands.first() {
             return (*at, *upstream);
         }
@@ -179,94 +189,97 @@
 }
 
 #[googletest::test]
-fn a_stale_keeper_is_left_before_those_below_a_relay_leave_it() {
-    // Given one agent below a keeper, and one below a relay.
-    let (mut above, mut below) = (Story::agent(), Story::agent());
-    let ((upper, keeper), lower) = (above.fed_by_keeper(), below.fed_by_relay(2));
-    // When both are told on and on that nothing was confirmed since the start.
-    let (first, asked) = stale_since_start(&mut above, upper);
-    let (second, _) = stale_since_start(&mut below, lower);
-    // Then the first leaves after a second, and the other only where that has not helped.
+fn a_relay_leaves_a_stale_control_node_before_its_subscribers_leave_the_relay() {
+    // Given one agent subscribed to a control node, and one to a relay.
+    let (mut above, mut below) = (SimulatedFollower::agent(), SimulatedFollower::agent());
+    let ((upper, control_node), lower) = (above.subscribed_to_control_node(), below.subscribed_to_relay(2));
+    // When the heartbeats of both confirm nothing since the start.
+    let (first, subscriptions) = first_subscription_while_stale(&mut above, upper);
+    let (second, _) = first_subscription_while_stale(&mut below, lower);
+    // Then the first searches after a second, and the other one only later.
     expect_that!(first, all![ge(START + MAX_STATE_AGE), lt(START + MAX_STATE_AGE + ms(70))]);
     expect_that!(second, all![ge(START + MAX_RELAY_STATE_AGE), lt(START + MAX_RELAY_STATE_AGE + ms(70))]);
-    // And it does not ask the one that it hears.
-    expect_that!(asked, not(eq(keeper)));
+    // And it does not subscribe again to its responsive upstream.
+    expect_that!(subscriptions, not(eq(control_node)));
 }
 
 #[googletest::test]
-fn a_stale_candidate_is_taken_only_where_there_is_no_better_one() {
-    // Given an agent without a parent that was answered by a stale keeper.
-    let mut story = Story::agent();
-    let (link, keeper, _) = Story::asked(&story.on(Event::Tick));
-    story.on(Event::Answered(link, Answer::Done));
-    story.on(Event::Heartbeat(link, ms(5_000)));
-    // Then that one feeds it, but it looks further.
-    expect_that!(story.follower.upstream_address(), some(eq(keeper)));
+fn a_stale_candidate_is_accepted_only_without_a_better_one() {
+    // Given an agent without an upstream that was accepted by a stale control node.
+    let mut simulation = SimulatedFollower::agent();
+    let (link, control_node, _) = SimulatedFollower::only_subscription(&simulation.handle(Event::Tick));
+    simulation.handle(Event::Answered(link, Answer::Done));
+    simulation.handle(Event::Heartbeat(link, ms(5_000)));
+    // Then that one becomes its upstream, but the search continues.
+    expect_that!(simulation.follower.upstream_address(), some(eq(control_node)));
     let commands: Vec<Command> =
-        story.until(START + ms(130)).into_iter().map(|(_, command)| command).collect();
-    let (next, _, _) = Story::asked(&commands);
-    // And another one as stale is let go.
-    story.on(Event::Answered(next, Answer::Done));
-    expect_that!(story.on(Event::Heartbeat(next, ms(5_130))), contains(eq(&Command::Close(next))));
-    expect_that!(story.follower.upstream_address(), some(eq(keeper)));
+        simulation.run_until(START + ms(130)).into_iter().map(|(_, command)| command).collect();
+    let (next, _, _) = SimulatedFollower::only_subscription(&commands);
+    // And another equally stale one is rejected.
+    simulation.handle(Event::Answered(next, Answer::Done));
+    expect_that!(simulation.handle(Event::Heartbeat(next, ms(5_130))), contains(eq(&Command::Close(next))));
+    expect_that!(simulation.follower.upstream_address(), some(eq(control_node)));
 }
 
 #[googletest::test]
-fn who_pressed_a_keeper_returns_to_the_tree_in_time() {
-    // Given an agent that had to press, since the named relay did not feed it.
-    let mut story = Story::agent();
-    let (first, keeper, _) = Story::asked(&story.on(Event::Tick));
-    let commands = story.on(Event::Answered(first, Answer::Redirect(vec![relay(2)])));
-    let (second, _, _) = Story::asked(&commands);
-    let (third, pressed, urgent) = Story::asked(&story.on(Event::Closed(second)));
-    expect_that!((pressed, urgent), eq((keeper, true)));
-    story.on(Event::Answered(third, Answer::Done));
-    story.on(Event::Heartbeat(third, ms(0)));
-    // When it is fed for some seconds.
-    let mut asked = Vec::new();
-    while asked.is_empty() && story.now < START + ms(9_000) {
-        let next = story.now + ms(400);
-        asked = story.until(next);
-        asked.extend(story.on(Event::Heartbeat(third, ms(0))).into_iter().map(|command| (next, command)));
+fn an_urgent_subscriber_returns_to_the_tree_in_time() {
+    // Given an agent that subscribed urgently because the relay failed.
+    let mut simulation = SimulatedFollower::agent();
+    let (first, control_node, _) = SimulatedFollower::only_subscription(&simulation.handle(Event::Tick));
+    let commands = simulation.handle(Event::Answered(first, Answer::Redirect(vec![relay(2)])));
+    let (second, _, _) = SimulatedFollower::only_subscription(&commands);
+    let (third, urgent_target, urgent) =
+        SimulatedFollower::only_subscription(&simulation.handle(Event::Closed(second)));
+    expect_that!((urgent_target, urgent), eq((control_node, true)));
+    simulation.handle(Event::Answered(third, Answer::Done));
+    simulation.handle(Event::Heartbeat(third, ms(0)));
+    // When it is served for some seconds.
+    let mut subscriptions = Vec::new();
+    while subscriptions.is_empty() && simulation.now < START + ms(9_000) {
+        let next = simulation.now + ms(400);
+        subscriptions = simulation.run_until(next);
+        subscriptions.extend(
+            simulation.handle(Event::Heartbeat(third, ms(0))).into_iter().map(|command| (next, command)),
+        );
     }
-    // Then it asks for its place again, without pressing, and keeps its link.
-    expect_that!(asked[0].0, ge(START + ms(4_000)));
-    let (fourth, upstream, urgent) = Story::asked(&[asked[0].1]);
-    expect_that!((upstream, urgent), eq((keeper, false)));
-    // And changes over only when the relay feeds it.
-    let commands = story.on(Event::Answered(fourth, Answer::Redirect(vec![relay(2)])));
+    // Then it subscribes again without urgency, and keeps its link.
+    expect_that!(subscriptions[0].0, ge(START + ms(4_000)));
+    let (fourth, upstream, urgent) = SimulatedFollower::only_subscription(&[subscriptions[0].1]);
+    expect_that!((upstream, urgent), eq((control_node, false)));
+    // And it switches only when the relay delivers.
+    let commands = simulation.handle(Event::Answered(fourth, Answer::Redirect(vec![relay(2)])));
     expect_that!(commands, contains(eq(&Command::Close(fourth))));
-    let (fifth, upstream, urgent) = Story::asked(&commands);
+    let (fifth, upstream, urgent) = SimulatedFollower::only_subscription(&commands);
     expect_that!((upstream, urgent), eq((relay(2), false)));
-    story.on(Event::Answered(fifth, Answer::Done));
-    expect_that!(story.on(Event::Heartbeat(fifth, ms(200))), eq(&vec![Command::Close(third)]));
-    expect_that!(story.follower.upstream_address(), some(eq(relay(2))));
+    simulation.handle(Event::Answered(fifth, Answer::Done));
+    expect_that!(simulation.handle(Event::Heartbeat(fifth, ms(200))), eq(&vec![Command::Close(third)]));
+    expect_that!(simulation.follower.upstream_address(), some(eq(relay(2))));
 }
 
 #[googletest::test]
-fn a_link_that_is_out_of_step_is_asked_for_the_whole_list() {
-    let mut story = Story::agent();
-    let link = story.fed_by_relay(2);
-    // When changes came on top of a list that is not known.
-    let commands = story.on(Event::OutOfSync(link));
-    // Then the same parent is asked again at once.
+fn an_out_of_sync_link_is_resubscribed() {
+    let mut simulation = SimulatedFollower::agent();
+    let link = simulation.subscribed_to_relay(2);
+    // When a delta arrived relative to a list that is not known.
+    let commands = simulation.handle(Event::OutOfSync(link));
+    // Then it subscribes again to the same upstream at once.
     expect_that!(commands, contains(eq(&Command::Close(link))));
-    expect_that!(Story::asked(&commands).1, eq(relay(2)));
+    expect_that!(SimulatedFollower::only_subscription(&commands).1, eq(relay(2)));
 }
 
 #[googletest::test]
-fn after_rounds_without_success_the_pauses_grow_but_stay_short() {
-    // Given an agent that nobody answers.
-    let mut story = Story::agent();
-    let commands = story.until(START + ms(20_000));
-    let asks: Vec<Duration> = commands
+fn the_backoff_between_failed_rounds_grows_within_its_bound() {
+    // Given an agent without any answer.
+    let mut simulation = SimulatedFollower::agent();
+    let commands = simulation.run_until(START + ms(20_000));
+    let subscriptions: Vec<Duration> = commands
         .iter()
         .filter(|(_, command)| matches!(command, Command::Subscribe { .. }))
         .map(|(at, _)| *at)
         .collect();
-    // Then it asks on, some times a second at most, with no gap of a second.
-    let gaps: Vec<Duration> = asks.windows(2).map(|pair| pair[1] - pair[0]).collect();
-    expect_that!(asks.len(), all![ge(30), le(110)]);
+    // Then it continues to subscribe, a few times a second at most, without long gaps.
+    let gaps: Vec<Duration> = subscriptions.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    expect_that!(subscriptions.len(), all![ge(30), le(110)]);
     expect_that!(gaps.iter().max(), some(le(&ms(1_200))));
     // And never more than two at once.
     let mut open = 0_i32;
@@ -277,39 +290,42 @@
 }
 
 #[googletest::test]
-fn a_storage_machine_presses_keepers_alone_and_never_returns() {
-    let mut story = Story::of(Sources::Tree { urgent: true });
-    let (link, _, urgent) = Story::asked(&story.on(Event::Tick));
+fn a_storage_node_subscribes_urgently_to_control_nodes_only() {
+    let mut simulation = SimulatedFollower::new(Sources::Tree { urgent: true });
+    let (link, _, urgent) = SimulatedFollower::only_subscription(&simulation.handle(Event::Tick));
     expect_true!(urgent);
-    story.on(Event::Answered(link, Answer::Done));
+    simulation.handle(Event::Answered(link, Answer::Done));
     for _ in 0..100 {
-        expect_that!(story.on(Event::Heartbeat(link, ms(100))), is_empty());
-        let next = story.now + ms(400);
-        expect_that!(story.until(next), is_empty());
+        expect_that!(simulation.handle(Event::Heartbeat(link, ms(100))), is_empty());
+        let next = simulation.now + ms(400);
+        expect_that!(simulation.run_until(next), is_empty());
     }
 }
 
 #[googletest::test]
-fn a_proxy_stays_with_a_stale_agent_and_asks_a_silent_one_again() {
-    // Given a proxy below its agent.
-    let mut story = Story::of(Sources::One);
-    let (link, agent, _) = Story::asked(&story.on(Event::Tick));
-    story.on(Event::Answered(link, Answer::Done));
-    story.on(Event::Heartbeat(link, ms(100)));
-    // When what the agent tells is stale, but it tells.
+fn a_proxy_keeps_a_stale_agent_and_resubscribes_to_an_unresponsive_one() {
+    // Given a proxy subscribed to its agent.
+    let mut simulation = SimulatedFollower::new(Sources::One);
+    let (link, agent, _) = SimulatedFollower::only_subscription(&simulation.handle(Event::Tick));
+    simulation.handle(Event::Answered(link, Answer::Done));
+    simulation.handle(Event::Heartbeat(link, ms(100)));
+    // When the agent is stale but sends heartbeats.
     for age in 1..20 {
-        let next = story.now + ms(500);
-        expect_that!(story.until(next), is_empty());
-        expect_that!(story.on(Event::Heartbeat(link, ms(500 * age))), is_empty());
+        let next = simulation.now + ms(500);
+        expect_that!(simulation.run_until(next), is_empty());
+        expect_that!(simulation.handle(Event::Heartbeat(link, ms(500 * age))), is_empty());
     }
-    // Then it stays; it asks anew once the agent is silent, or gone.
-    let silent = story.now;
-    let commands: Vec<Command> =
-        story.until(silent + UPSTREAM_TIMEOUT + ms(70)).into_iter().map(|(_, command)| command).collect();
-    let (again, parent, _) = Story::asked(&commands);
-    expect_that!(parent, eq(agent));
-    story.on(Event::Closed(link));
-    story.on(Event::Closed(again));
-    let next = story.now + ms(300);
-    expect_that!(story.until(next), not(is_empty()));
+    // Then it stays; it subscribes again once the agent is unresponsive or has closed the link.
+    let silent = simulation.now;
+    let commands: Vec<Command> = simulation
+        .run_until(silent + UPSTREAM_TIMEOUT + ms(70))
+        .into_iter()
+        .map(|(_, command)| command)
+        .collect();
+    let (again, upstream, _) = SimulatedFollower::only_subscription(&commands);
+    expect_that!(upstream, eq(agent));
+    simulation.handle(Event::Closed(link));
+    simulation.handle(Event::Closed(again));
+    let next = simulation.now + ms(300);
+    expect_that!(simulation.run_until(next), not(is_empty()));
 }
