--- a/sender-membership/src/disk.rs
+++ b/sender-membership/src/disk.rs
@@ -1,6 +1,6 @@
 //! What a sender keeps of its fleet on disk: records that add up to a state. Whoever drives the machines writes each record
 //! before it carries out what comes after it.
-use crate::roster::{Change, MemberList};
+use crate::member_list::{Change, MemberList};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::StopSign;
 use serde::{Deserialize, Serialize};
--- a/sender-membership/src/disk/tests.rs
+++ b/sender-membership/src/disk/tests.rs
@@ -1,6 +1,6 @@
 //! Records that earlier versions wrote are read as they meant them, and written again by the same bytes.
 use super::*;
-use crate::roster::{Departure, Info};
+use crate::member_list::{Departure, Info};
 use omnipaxos::ClusterConfig;
 
 /// Recorded records, a line each: a word on it, and its bytes in hexadecimal digits.
--- a/sender-membership/src/lib.rs
+++ b/sender-membership/src/lib.rs
@@ -5,18 +5,18 @@
 #![forbid(unsafe_code)]
 
 mod disk;
-mod keeper;
+mod failure_view;
+mod member_list;
 mod node;
-mod roster;
 mod settings;
-mod view;
+mod voter;
 mod wire;
 
 pub use disk::{Record, State, VoterRecord, VoterState};
+pub use failure_view::{Health, MemberState, Row, View, ViewDigest};
+pub use member_list::{Change, DepartedMember, Departure, Info, Member, MemberList};
 pub use node::{Command, CommandError, Counts, Effect, Halt, Node, Notification};
-pub use roster::{Change, DepartedMember, Departure, Info, Member, MemberList};
 pub use settings::{InjectedFaults, Settings, SettingsError};
-pub use view::{Health, MemberState, Row, View, ViewDigest};
 pub use wire::{Identity, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, WireError};
 
 /// Milliseconds of a clock that never steps, from any beginning.
--- a/sender-membership/src/settings.rs
+++ b/sender-membership/src/settings.rs
@@ -1,6 +1,6 @@
 //! How a sender takes part in its fleet.
 use crate::Millis;
-use crate::roster::Info;
+use crate::member_list::Info;
 use std::net::SocketAddr;
 
 /// The longest name of a fleet, a sender, a zone or a machine, in bytes.
--- a/sender-membership/src/keeper.rs
+++ b/sender-membership/src/voter.rs
@@ -3,7 +3,7 @@
 //! which the member list names their folders. A group ends with a stop sign, which names the next one; that is also how the log
 //! stays short.
 use crate::disk::{VoterRecord, VoterState};
-use crate::roster::Change;
+use crate::member_list::Change;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
 use omnipaxos::messages::sequence_paxos::PaxosMsg;
--- a/sender-membership/src/wire.rs
+++ b/sender-membership/src/wire.rs
@@ -1,5 +1,5 @@
 //! What peers tell each other: a version, the fleet's name and a checksum round one packet, in postcard.
-use crate::roster::{Change, Info, MemberList};
+use crate::member_list::{Change, Info, MemberList};
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
