--- a/system/programs/src/admin.rs
+++ b/system/programs/src/admin.rs
@@ -1,5 +1,5 @@
-//! What staff ask of running processes, and what these answer: each from its own memory, also when it has lost the
-//! majority, with the age of what it says.
+//! Administration: the queries of `fleetctl` ([`query`], [`commands`]) and the endpoint of each process that answers them
+//! ([`views`]). A process answers from its own memory, also without a majority, with the age of its data.
 
 pub mod commands;
 pub mod metrics;
--- a/system/programs/src/admin/commands.rs
+++ b/system/programs/src/admin/commands.rs
@@ -1,5 +1,4 @@
-//! The commands of staff. Each module holds one group: what it asks of the fleet, how it judges the answers, and the
-//! report that it makes of them.
+//! The commands of `fleetctl`. Each module implements one group: its queries, the verdict on the responses, and the report.
 
 mod account;
 mod config;
@@ -147,7 +146,7 @@
     }
 }
 
-/// Carries a command out.
+/// Executes a command against the fleet.
 pub async fn execute(fleet: &Fleet, command: &Command) -> Report {
     match command {
         Command::Members => members::members(fleet).await,
--- a/system/programs/src/admin/metrics.rs
+++ b/system/programs/src/admin/metrics.rs
@@ -1,11 +1,11 @@
-//! Counters and gauges, in the text exposition format.
+//! Counters and gauges in the Prometheus text exposition format.
 
 use super::{Origin, View};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// What a figure is.
+/// The kind of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MetricKind {
@@ -15,7 +15,7 @@
     Gauge,
 }
 
-/// A figure of a process.
+/// A metric of a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Metric {
     /// Its name.
@@ -26,10 +26,10 @@
     pub value: f64,
 }
 
-/// All figures of a process.
+/// All metrics of a process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Metrics {
-    /// Each figure once.
+    /// Each metric once.
     #[serde(rename = "figures")]
     pub metrics: Vec<Metric>,
 }
--- a/system/programs/src/admin/query.rs
+++ b/system/programs/src/admin/query.rs
@@ -1,4 +1,4 @@
-//! The asking side: whom to ask, and reading what they say.
+//! The client side: addresses of processes, concurrent queries, and merged views.
 
 use super::View;
 use fleet_model::{Answer, Call};
@@ -11,12 +11,12 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// How long a process has to answer.
+/// Timeout of one query.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Processes that are asked at once.
+/// Maximum number of concurrent queries.
 const MAX_CONCURRENT_QUERIES: usize = 32;
 
-/// The fleet, as staff reach it.
+/// The fleet, as an operator reaches it.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     /// Its number.
--- a/system/programs/src/admin/views.rs
+++ b/system/programs/src/admin/views.rs
@@ -1,4 +1,4 @@
-//! The asked process's side.
+//! The server side: JSON views of a process's state.
 
 use super::metrics::Metrics;
 use super::{Origin, Topic};
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use std::rc::Rc;
 
-/// Answers for a program.
+/// The admin endpoint of a program.
 pub struct AdminEndpoint {
     process: Rc<Process>,
     feed: Rc<Feed>,
--- a/system/programs/src/agent.rs
+++ b/system/programs/src/agent.rs
@@ -1,4 +1,5 @@
-//! The agent beside each proxy: it follows the feed, feeds the proxy over loopback, and other agents below it in the tree.
+//! The proxy agent, one beside each proxy: it follows the state feed and forwards it to the proxy over loopback and to the
+//! agents below it in the distribution tree.
 
 use crate::admin::AdminEndpoint;
 use crate::feed::{Feed, SubscriberLink, follow, new_feed, run_heartbeats};
@@ -30,6 +31,10 @@
 }
 
 /// Runs until the process is to end, and for a while more: the proxy's last answers need it.
+///
+/// # Errors
+///
+/// [`StartError`] if a socket cannot be bound or the membership cannot be joined.
 pub async fn run(process: Rc<Process>) -> Result<(), StartError> {
     let settings = process.settings();
     let feed = new_feed(&process);
--- a/system/programs/src/bin/fleetctl.rs
+++ b/system/programs/src/bin/fleetctl.rs
@@ -14,6 +14,7 @@
 /// Exit codes: 0 nothing wrong, 1 something is, 2 not understood, 3 nobody answered.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
+#[allow(clippy::doc_markdown, reason = "the comments are the help text")]
 struct Options {
     /// Ask this process to begin with, at its port for peers; may be given several times
     #[bpaf(argument("IP:PORT"))]
--- a/system/programs/src/control.rs
+++ b/system/programs/src/control.rs
@@ -1,5 +1,5 @@
-//! The program of a control node: `control-node` decides and acts; here it gets its sockets, its disk, the platform and the
-//! log, and operators and staff are served.
+//! The control node: hosts the `control-node` crate with sockets, a disk, the platform's endpoint list and the log, and
+//! serves the operator API (`operator_requests`) and the admin endpoint.
 
 mod backend;
 mod operator_requests;
@@ -26,16 +26,16 @@
 
 type Node = ControlNode<ProcessRuntime, Backend>;
 
-/// A keeper: a control node with its desk for staff.
+/// A control node with its admin endpoint.
 pub struct ControlServer {
     me: Ipv4Addr,
     node: Rc<Node>,
     admin: AdminEndpoint,
-    /// Damages on disk that the start has found.
+    /// Number of damaged records found at the start.
     damages: u64,
 }
 
-/// Takes part in the membership, which tells the node of core machines.
+/// Joins the membership, which notifies the node of core machines.
 fn take_part(process: &Rc<Process>, node: &Rc<Node>) -> Result<Rc<Members>, StartError> {
     let weak = Rc::downgrade(node);
     let on_change = move |change: &MemberEvent| {
@@ -49,7 +49,7 @@
 }
 
 impl ControlServer {
-    /// Answers staff, also without a majority.
+    /// Answers an operator's query, also without a majority.
     fn inspect(&self, topic: &str) -> Answer {
         let node = &self.node;
         self.admin.answer(topic, |metrics| {
@@ -84,6 +84,10 @@
 }
 
 /// Runs until the process is to end.
+///
+/// # Errors
+///
+/// [`StartError`] if a setting is missing, the record on disk cannot be used, or a socket cannot be bound.
 pub async fn run(process: Rc<Process>) -> Result<(), StartError> {
     let settings = process.settings();
     let control = settings
@@ -98,7 +102,7 @@
         () = shutdown_requested(&process) => return Ok(()),
     };
     if initial_state == control_node::InitialState::Recovering {
-        log::warn!("no record on the disk: no vote before the others have told what they hold");
+        log::warn!("no acceptor record on disk, no vote before recovery from a majority");
     }
     let feed = new_feed(&process);
     let backend = Backend::new(process.clone(), durable);
--- a/system/programs/src/control/backend.rs
+++ b/system/programs/src/control/backend.rs
@@ -1,4 +1,4 @@
-//! What the control node has of its machine: the disk, the platform's list and the log.
+//! The control node's backend: its disk, the platform's endpoint list and the log.
 
 use crate::disk::Durable;
 use crate::platform::Platform;
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use tokio::sync::Mutex;
 
-/// See the module.
-pub struct Backend {
+/// Implements [`ControlBackend`] with the process's disk and platform.
+pub(super) struct Backend {
     process: Rc<Process>,
     disk: Durable,
     /// None where the settings name no platform.
@@ -19,7 +19,7 @@
 
 impl Backend {
     /// Over the disk of the acceptor's record.
-    pub fn new(process: Rc<Process>, disk: Durable) -> Self {
+    pub(super) fn new(process: Rc<Process>, disk: Durable) -> Self {
         let cloud = process.settings().cloud_api.clone();
         let platform = cloud.map(|cloud| Mutex::new(Platform::new(cloud.address)));
         Self { process, disk, platform }
--- a/system/programs/src/control/operator_requests.rs
+++ b/system/programs/src/control/operator_requests.rs
@@ -1,4 +1,4 @@
-//! What becomes of operators' orders, as HTTP.
+//! The operator API of a control node: outcomes of operators' requests as HTTP replies.
 
 use super::ControlServer;
 use crate::operator_api::{Operations, Reply};
--- a/system/programs/src/control/record.rs
+++ b/system/programs/src/control/record.rs
@@ -1,4 +1,4 @@
-//! The acceptor's record on disk, and what a keeper starts with.
+//! The acceptor's record on disk, and the initial state that a control node derives from it.
 
 use crate::disk::{Durable, decode_record};
 use crate::start::StartError;
@@ -13,11 +13,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Between two tries to open a folder that the disk refuses.
+/// Delay between two attempts to open a folder that the disk refuses.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The disk of an acceptor.
-pub struct Opened {
+pub(super) struct Opened {
     /// Where its record is kept.
     pub durable: Durable,
     /// What it starts with.
@@ -41,7 +41,7 @@
 }
 
 /// Opens the folder, and tries again for as long as the disk refuses that.
-pub async fn open_with_retry(
+pub(super) async fn open_with_retry(
     folder: &Path,
     first_start: bool,
     me: Ipv4Addr,
@@ -52,7 +52,7 @@
         match RecordLog::open(folder) {
             Err(refused @ DiskError::Folder { .. }) => {
                 if !is_logged {
-                    log::error!("the disk refuses the acceptor's record, tried again: {refused}");
+                    log::error!("acceptor record cannot be opened, retrying: error={refused}");
                 }
                 is_logged = true;
                 sleep(OPEN_RETRY_INTERVAL).await;
@@ -71,7 +71,7 @@
     seeds: &[Ipv4Addr],
 ) -> Result<Opened, StartError> {
     for damage in &opened.damages {
-        log::error!("set aside: {damage}");
+        log::error!("damaged record set aside: {damage}");
     }
     let initial_state = match opened.found {
         RecoveredRecord::Stored(record) => InitialState::Existing(read_record(folder, &record)?),
--- a/system/programs/src/disk.rs
+++ b/system/programs/src/disk.rs
@@ -1,4 +1,4 @@
-//! Records on disk, written by a thread of their own and awaited from the program's one loop.
+//! Durable writes: a writer thread writes and syncs records, the program's single-threaded loop awaits the results.
 
 #[cfg(test)]
 mod tests;
@@ -12,8 +12,8 @@
 use tokio::sync::oneshot;
 use turn_store::{RecordLog, Write, WriteFailed, Writer};
 
-/// How many writes are submitted and have no result yet. The writer's thread counts down when it has one, also if who
-/// asked has given up waiting.
+/// Number of submitted writes without a result. The writer thread decrements it with each result, also when the caller
+/// has dropped its future.
 #[derive(Clone, Default)]
 struct Pending(Arc<AtomicUsize>);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// One of them, until it is dropped.
+/// One pending write; counted until it is dropped.
 struct PendingWrite(Pending);
 
 impl Drop for PendingWrite {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Writes to a disk, to be awaited.
+/// Handle of the writer thread: submits writes whose completion can be awaited.
 pub struct Durable {
     writer: Writer,
     pending: Pending,
@@ -49,7 +49,11 @@
     }
 }
 
-/// Reads a record. One that is whole and cannot be read was written by another program.
+/// Decodes a record. A complete record that cannot be decoded was written by another program.
+///
+/// # Errors
+///
+/// [`StartError::Disk`] if the bytes are no complete record of this type.
 pub fn decode_record<T: DeserializeOwned>(path: &Path, bytes: &[u8]) -> Result<T, StartError> {
     match postcard::take_from_bytes(bytes) {
         Ok((record, [])) => Ok(record),
@@ -63,13 +67,21 @@
 }
 
 impl Durable {
-    /// Over a writer that was started.
+    /// Creates a handle of a started writer.
+    ///
+    /// # Errors
+    ///
+    /// [`StartError::System`] if the writer thread could not be started.
     pub fn with_writer(writer: std::io::Result<Writer>) -> Result<Self, StartError> {
         let failed = |source| StartError::System { what: "the writer's thread".to_owned(), source };
         Ok(Self { writer: writer.map_err(failed)?, pending: Pending::default() })
     }
 
-    /// Over the log of a record.
+    /// Starts a writer over the log of a single record.
+    ///
+    /// # Errors
+    ///
+    /// [`StartError::System`] if the writer thread could not be started.
     pub fn with_log(log: RecordLog) -> Result<Self, StartError> {
         Self::with_writer(Writer::start_log(log))
     }
@@ -77,7 +89,11 @@
     /// Puts the record of a log; it is synced, with all earlier writes, when this returns `Ok`.
     ///
     /// After an error the record may be on disk or not. It is written again with the next `put` or [`Durable::flush`],
-    /// whichever comes first, and nothing is told synced before it is.
+    /// whichever comes first, and nothing is reported as synced before it is.
+    ///
+    /// # Errors
+    ///
+    /// [`WriteFailed`] if the record could not be encoded, written or synced.
     pub async fn put<T: Serialize>(&self, record: &T) -> Result<(), WriteFailed> {
         let bytes = postcard::to_allocvec(record).map_err(|e| WriteFailed(e.to_string()))?;
         self.write(vec![Write::put("record", Vec::new(), bytes)]).await
@@ -85,19 +101,27 @@
 
     /// Writes these; they are synced, with all earlier writes, when the future is ready with `Ok`. They are submitted at
     /// once, and written also if nobody waits.
+    ///
+    /// # Errors
+    ///
+    /// The future is ready with [`WriteFailed`] if a write or sync failed.
     pub fn write(&self, writes: Vec<Write>) -> impl Future<Output = Result<(), WriteFailed>> + use<> {
         let (done, waiting) = oneshot::channel();
         let pending = self.pending.track();
         let completion = move |result| {
             drop(pending);
-            // Who asked may have given up waiting.
+            // The caller may have dropped its future.
             let _ = done.send(result);
         };
         self.writer.submit(writes, Box::new(completion));
         async { waiting.await.unwrap_or_else(|_| Err(WriteFailed("the writer has ended".to_owned()))) }
     }
 
-    /// Waits until all earlier writes are synced. The log of a record tries again what failed.
+    /// Waits until all earlier writes are synced. A record log retries what failed.
+    ///
+    /// # Errors
+    ///
+    /// [`WriteFailed`] if an earlier write is not on disk.
     pub async fn flush(&self) -> Result<(), WriteFailed> {
         if self.pending.count() == 0 && !self.writer.is_failing() {
             return Ok(());
@@ -110,7 +134,7 @@
         self.writer.is_failing()
     }
 
-    /// Writes these with the next batch, or soon.
+    /// Submits writes that are synced with the next batch; no completion is reported.
     pub fn write_lazily(&self, writes: Vec<Write>) {
         self.writer.submit_lazy(writes);
     }
--- a/system/programs/src/feed.rs
+++ b/system/programs/src/feed.rs
@@ -1,4 +1,4 @@
-//! The state feed in this process: `node-runtime` carries it, here it meets sockets, tokio's timers and the log.
+//! Adapter of the state feed: `node-runtime` implements the feed, this module gives it sockets, tokio timers and the log.
 
 use crate::process::Process;
 use crate::random::random_u64;
@@ -14,19 +14,19 @@
 
 pub use node_runtime::{MAX_STATE_AGE, follow, follow_lists, follow_one, run_heartbeats};
 
-/// What a process knows through the feed, and passes on.
+/// The state that a process receives through the feed and forwards to its subscribers.
 pub type Feed = node_runtime::Feed<ProcessRuntime>;
 
-/// This process as its node sees it.
+/// The process as the runtime of its node.
 #[derive(Clone)]
 pub struct ProcessRuntime {
     process: Rc<Process>,
-    /// Connections to peers, kept.
+    /// Open connections to peers.
     peers: Rc<RefCell<HashMap<Ipv4Addr, Rc<PeerClient>>>>,
 }
 
 impl ProcessRuntime {
-    /// Of a process that has just started.
+    /// Creates the runtime of a process that has just started.
     pub fn new(process: Rc<Process>) -> Self {
         Self { process, peers: Rc::default() }
     }
@@ -38,7 +38,7 @@
     }
 }
 
-/// A feed that knows nothing yet.
+/// Creates an empty feed.
 pub fn new_feed(process: &Rc<Process>) -> Rc<Feed> {
     Feed::new(ProcessRuntime::new(process.clone()))
 }
@@ -98,14 +98,16 @@
     fn on_feed(&self, event: FeedEvent<'_>) {
         match event {
             FeedEvent::Changed { .. } => {}
-            FeedEvent::Unreadable(e) => log::error!("passed over: {e}"),
-            FeedEvent::UpstreamChanged(Some(upstream)) => log::info!("fed by {upstream}"),
-            FeedEvent::UpstreamChanged(None) => log::info!("fed by nobody"),
+            FeedEvent::Unreadable(e) => log::error!("unreadable update ignored: error={e}"),
+            FeedEvent::UpstreamChanged(Some(upstream)) => {
+                log::info!("upstream of the state feed changed: peer={upstream}")
+            }
+            FeedEvent::UpstreamChanged(None) => log::info!("no upstream for the state feed"),
         }
     }
 }
 
-/// A task of this process.
+/// A task on the process's local set.
 pub struct LocalTask(AbortHandle);
 
 impl Task for LocalTask {
@@ -123,14 +125,14 @@
     }
 }
 
-/// The feeding process's end of a link.
+/// The upstream process's end of a link.
 pub struct SubscriberLink(pub Pusher);
 
 impl Subscriber for SubscriberLink {
     type Prepared = PreparedPush;
 
     fn prepare(push: &Push) -> Option<PreparedPush> {
-        PreparedPush::new(push).inspect_err(|e| log::error!("a push cannot be sent: {e}")).ok()
+        PreparedPush::new(push).inspect_err(|e| log::error!("update cannot be encoded: error={e}")).ok()
     }
 
     fn send(&self, push: &PreparedPush) -> bool {
--- a/system/programs/src/lib.rs
+++ b/system/programs/src/lib.rs
@@ -1,5 +1,8 @@
-//! What the programs of the system share: their start, the feed, and each program's own work. Decisions stand in the
-//! crates without I/O; here they meet sockets, disks and clocks.
+//! The programs of the serving tier: `request-proxy`, `proxy-agent`, `control-node`, `storage-node` and `fleetctl`.
+//!
+//! Decisions (voting, routing, replication, membership) live in crates without I/O. This crate is their host: it connects
+//! them to sockets, disks, clocks and signals, and serves operators ([`operator_api`], [`admin`]). Each program has one
+//! module with a `run` function ([`agent`], [`control`], [`proxy`], [`storage`]) that [`start::run`] calls on one thread.
 
 pub mod admin;
 pub mod agent;
--- a/system/programs/src/members.rs
+++ b/system/programs/src/members.rs
@@ -1,5 +1,5 @@
-//! Which machines of the fleet live: joins `fleet-membership` to a socket and a clock. One process of each machine takes
-//! part. How many proxies there are follows from it.
+//! Membership of the fleet: connects `fleet-membership` to a UDP socket and a clock. One process of each machine
+//! participates. The number of proxies is derived from it ([`ProxyCount`]).
 
 mod proxy_count;
 
@@ -62,6 +62,10 @@
 
 impl Members {
     /// Takes part from now on, until the process is to end. Each change is logged, and told to `on_change`.
+    ///
+    /// # Errors
+    ///
+    /// [`StartError::System`] if the membership protocol refuses its configuration.
     pub fn start(
         process: Rc<Process>,
         feed: Rc<Feed>,
@@ -129,7 +133,7 @@
         };
         // Sends do not wait: the socket has to be known as writable before the first one.
         if let Err(e) = socket.writable().await {
-            log::warn!("the socket of the membership: {e}");
+            log::warn!("membership socket not writable: error={e}");
         }
         let mut buffer = [0; 2048];
         let effects = self.membership.borrow_mut().join(self.process.now_ms(), &self.seeds());
@@ -150,7 +154,7 @@
                         self.received(&socket, port, from, bytes);
                     }
                     Err(e) => {
-                        log::debug!("no datagram: {e}");
+                        log::debug!("membership receive failed: error={e}");
                         sleep(BIND_RETRY_INTERVAL).await;
                     }
                 },
@@ -197,7 +201,7 @@
                 Effect::Send { to, bytes } => {
                     // A datagram that is lost here is as good as one lost on the way.
                     if let Err(e) = socket.try_send_to(&bytes, SocketAddrV4::new(to, port).into()) {
-                        log::debug!("no datagram to {to}: {e}");
+                        log::debug!("membership send failed: peer={to} error={e}");
                     }
                 }
                 Effect::Event(change) => changes.push(change),
@@ -229,7 +233,7 @@
     loop {
         match UdpSocket::bind(address).await {
             Ok(socket) => return socket,
-            Err(e) if !failed => log::warn!("no part in the membership yet: {address}: {e}"),
+            Err(e) if !failed => log::warn!("membership socket not bound yet: address={address} error={e}"),
             Err(_) => {}
         }
         failed = true;
--- a/system/programs/src/members/proxy_count.rs
+++ b/system/programs/src/members/proxy_count.rs
@@ -1,10 +1,10 @@
-//! The number of proxies.
+//! The number of proxies, as it is announced to the feed.
 
 use std::collections::VecDeque;
 
-/// For so long a count that has fallen is not believed: connections are shared out by it.
+/// How long a larger count is retained after a fall: connections are divided by it.
 const COUNT_RETENTION_MS: u64 = 10_000;
-/// So long after the first other member was met the count is told; before that, few are known.
+/// Time from the first contact to the first announcement; before that, few members are known.
 const WARM_UP_MS: u64 = 2_000;
 
 /// How many proxies there are, as it may be told: the largest number that was seen lately, and none before enough is
--- a/system/programs/src/operator_api.rs
+++ b/system/programs/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operator's calls, declared in one table, and the server that takes them.
+//! The HTTP API for operators: a route table and its server.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -11,10 +11,10 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Largest body of a call.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// What a call is answered.
+/// The reply to a request.
 pub struct Reply {
     /// The status.
     pub status: StatusCode,
@@ -34,8 +34,8 @@
     }
 }
 
-/// What a keeper does for an operator. All runs on one thread: no future need be sent to another.
-#[allow(async_fn_in_trait)]
+/// The operations that a control node offers to operators. All runs on one thread: no future need be sent to another.
+#[allow(async_fn_in_trait, reason = "all futures run on one thread")]
 pub trait Operations {
     /// Takes a configuration on top of the version `expected`.
     async fn put_config(&self, expected: Option<u64>, body: Bytes) -> Reply;
@@ -101,13 +101,13 @@
     }
 }
 
-/// Takes calls for good.
+/// Accepts connections until it is dropped.
 pub async fn serve<O: Operations + 'static>(listener: TcpListener, operations: Rc<O>) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!("a caller was lost: {e}");
+                log::warn!("accept failed: error={e}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             }
--- a/system/programs/src/platform.rs
+++ b/system/programs/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of endpoints, page by page.
+//! Client of the platform's endpoint list, which is read page by page.
 
 use bytes::Bytes;
 use fleet_model::{Endpoint, EndpointState};
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Longest time for one page.
+/// Timeout of one page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Most pages of one reading.
+/// Maximum number of pages of one read.
 const MAX_PAGES: usize = 400;
-/// Largest page.
+/// Maximum size of a page, in bytes.
 const MAX_PAGE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why the list could not be read.
@@ -64,12 +64,16 @@
 }
 
 /// Reads a page's text.
+///
+/// # Errors
+///
+/// [`ListError::Unreadable`] if the text is no page of the list.
 pub fn read_page(text: &[u8]) -> Result<(Vec<Endpoint>, Option<String>), ListError> {
     let page: Page = serde_json::from_slice(text).map_err(|e| ListError::Unreadable(e.to_string()))?;
     Ok((page.instances.into_iter().map(Endpoint::from).collect(), page.next_page_token))
 }
 
-/// The reader of the list: one connection, kept.
+/// Client of the list, with one persistent connection.
 pub struct Platform {
     address: SocketAddrV4,
     connection: Option<Connection>,
@@ -82,6 +86,10 @@
     }
 
     /// The whole list, sorted; endpoints that moved between pages while they were read stand once.
+    ///
+    /// # Errors
+    ///
+    /// [`ListError`] if any page could not be read in time; a partial list is never returned.
     pub async fn read(&mut self) -> Result<Vec<Endpoint>, ListError> {
         let mut all: Vec<Endpoint> = Vec::new();
         let mut token = None;
--- a/system/programs/src/process.rs
+++ b/system/programs/src/process.rs
@@ -1,4 +1,4 @@
-//! What a program knows of its own process.
+//! The running process: its settings, clock, shutdown signal and addresses.
 
 use node_settings::Settings;
 use request_routing::RoutingPolicy;
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// A process's time begins so long before it, since ages are taken off it.
+/// Offset of the process clock at its start, so that ages can be subtracted from it.
 const CLOCK_OFFSET: Duration = Duration::from_secs(100 * 24 * 3_600);
 
-/// What a running program knows of its own process.
+/// The running process, shared by all its parts.
 pub struct Process {
     /// The settings, as last read whole.
     settings: RefCell<Rc<Settings>>,
@@ -51,12 +51,12 @@
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Time that only rises, and begins long before the process.
+    /// Monotonic time; it starts long before the process.
     pub fn now(&self) -> Duration {
         CLOCK_OFFSET + self.started.elapsed()
     }
 
-    /// The fleet's number: processes of other deployments are strangers.
+    /// The fleet's number: datagrams and calls of other deployments are rejected.
     pub fn fleet(&self) -> u16 {
         fleet_number(&self.settings())
     }
@@ -75,7 +75,7 @@
     pub fn reload(&self) {
         match Settings::read(&self.path) {
             Ok(settings) => *self.settings.borrow_mut() = Rc::new(settings),
-            Err(e) => log::error!("settings kept as they were: {e}"),
+            Err(e) => log::error!("settings not reloaded: error={e}"),
         }
     }
 }
@@ -87,7 +87,7 @@
     u16::try_from(fleet_model::rendezvous_rank(&bytes, 0) & 0xffff).unwrap_or_default()
 }
 
-/// Waits for SIGTERM.
+/// Waits until a shutdown is requested (SIGTERM or SIGINT).
 pub async fn shutdown_requested(process: &Process) {
     let mut ending = process.ending.clone();
     // The sender lives as long as the process.
--- a/system/programs/src/proxy.rs
+++ b/system/programs/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy: it carries requests, with what its agent told it.
+//! The request proxy: forwards requests with the configuration and endpoint list received from its agent.
 
 use crate::admin::{AdminEndpoint, Topic, views};
 use crate::feed::{Feed, follow_one, new_feed, run_heartbeats};
@@ -17,10 +17,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Proxies that are assumed until the feed tells their number: connections to endpoints are shared out by it.
+/// Number of proxies assumed until the feed announces it: connections to endpoints are divided by it.
 const DEFAULT_PROXY_COUNT: u32 = 16;
 
-/// Hands what the feed tells to the forwarder.
+/// Passes each update of the feed to the forwarder.
 async fn follow_configuration(feed: Rc<Feed>, forwarder: Rc<Forwarder<Turns>>, ready: Rc<Cell<bool>>) {
     let mut changes = feed.changes();
     let last: RefCell<(u64, Option<Rc<OperatorConfig>>)> = RefCell::new((0, None));
@@ -30,7 +30,7 @@
         if version > last.borrow().0 {
             match OperatorConfig::read(&state.config) {
                 Ok(config) => *last.borrow_mut() = (version, Some(Rc::new(config))),
-                Err(e) => log::error!("configuration {version} cannot be read: {e}"),
+                Err(e) => log::error!("configuration unreadable: version={version} error={e}"),
             }
         }
         let list = feed.list();
@@ -42,14 +42,14 @@
         forwarder.update(SystemState { config, list, proxies });
         // What is there was confirmed since this process began: nothing is kept from an earlier life.
         if complete && feed.confirmed_at().is_some() && !ready.replace(true) {
-            log::info!("ready with configuration {version}");
+            log::info!("ready: version={version}");
         }
         // Beats change neither value nor list: the first one is looked for now and then.
         let _ = timeout(Duration::from_millis(if ready.get() { 5_000 } else { 50 }), changes.changed()).await;
     }
 }
 
-/// Answers staff.
+/// The proxy's admin endpoint.
 struct ProxyAdmin {
     admin: AdminEndpoint,
     forwarder: Rc<Forwarder<Turns>>,
@@ -84,16 +84,20 @@
     text.lines().filter_map(line).collect()
 }
 
-/// Answers staff for good; without its port the proxy goes on.
+/// Serves the admin endpoint; the proxy continues without it if its port cannot be bound.
 async fn serve_admin(process: Rc<Process>, admin: ProxyAdmin) {
     let settings = process.settings();
     match listen(SocketAddrV4::new(settings.ip_address, settings.admin_port())).await {
         Ok(listener) => PeerServer::new(process.fleet(), Rc::new(admin)).serve(listener).await,
-        Err(e) => log::warn!("staff are not answered: {e}"),
+        Err(e) => log::warn!("admin endpoint not available: error={e}"),
     }
 }
 
 /// Runs until the process has ended its clients' requests.
+///
+/// # Errors
+///
+/// [`StartError`] if a setting is missing or a socket cannot be bound.
 pub async fn run(process: Rc<Process>) -> Result<(), StartError> {
     let settings = process.settings();
     let front =
@@ -131,7 +135,7 @@
     spawn_local(follow_configuration(feed, forwarder.clone(), ready));
     let serving = spawn_local(forwarder.clone().serve(clients, stages));
     shutdown_requested(&process).await;
-    log::info!("ending");
+    log::info!("graceful shutdown started");
     stage_sender.send_replace(ShutdownPhase::Draining);
     // The platform goes on sending new connections until it has missed two answers of readiness.
     let grace = Duration::from_secs_f64(settings.bounds.grace_period_s.max(1.0));
--- a/system/programs/src/random.rs
+++ b/system/programs/src/random.rs
@@ -2,7 +2,7 @@
 
 use crate::start::StartError;
 
-/// A number drawn by chance, for what must differ between processes.
+/// A random number, for values that have to differ between processes.
 pub fn random_u64() -> u64 {
     let mut bytes = [0; 8];
     match getrandom::fill(&mut bytes) {
@@ -11,7 +11,11 @@
     }
 }
 
-/// The nonce of this life of the process: 64 random bits. Without a source of them there is none, and nothing in place of it.
+/// The nonce of this incarnation of the process: 64 random bits. There is no fallback without a source of random bits.
+///
+/// # Errors
+///
+/// [`StartError::System`] if the operating system has no source of random bits.
 pub fn incarnation_nonce() -> Result<u64, StartError> {
     let failed = |e: getrandom::Error| StartError::System {
         what: "random bits for this life's nonce".to_owned(),
--- a/system/programs/src/routing_policy.rs
+++ b/system/programs/src/routing_policy.rs
@@ -56,6 +56,10 @@
 }
 
 /// The policy of the named file, or else of the one that [`VARIABLE`] names, or else what is in service.
+///
+/// # Errors
+///
+/// [`PolicyError`] if the file cannot be read or [`parse`] rejects it.
 pub fn load(file: Option<&Path>) -> Result<RoutingPolicy, PolicyError> {
     let named = file.map(Path::to_owned).or_else(|| std::env::var_os(VARIABLE).map(PathBuf::from));
     let Some(path) = named else { return Ok(RoutingPolicy::default()) };
@@ -64,6 +68,10 @@
 }
 
 /// The policy that a file's text describes; what it does not name is as in service.
+///
+/// # Errors
+///
+/// [`PolicyError::NoObject`] if the text is no JSON object, [`PolicyError::Findings`] with all that is wrong in it.
 pub fn parse(text: &str) -> Result<RoutingPolicy, PolicyError> {
     let switches: serde_json::Map<String, Value> =
         serde_json::from_str(text).map_err(|e| PolicyError::NoObject(e.to_string()))?;
--- a/system/programs/src/start.rs
+++ b/system/programs/src/start.rs
@@ -1,4 +1,4 @@
-//! How each program starts: command line, settings, log, one thread, signals.
+//! Startup common to all programs: command line, settings, log, the single-threaded runtime and signals.
 
 use crate::process::Process;
 use bpaf::Bpaf;
@@ -17,6 +17,7 @@
 /// The command line of every program.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
+#[allow(clippy::doc_markdown, reason = "the comments are the help text")]
 struct Options {
     /// The settings file; otherwise what SEDGEWOOD_BOOT names
     #[bpaf(argument("FILE"), optional)]
@@ -31,7 +32,12 @@
     check: bool,
 }
 
-/// What ends a process early.
+/// Retries of binding an address that is in use.
+const MAX_BIND_RETRIES: usize = 40;
+/// Delay between two of them.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Why a process could not start or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The settings cannot be used.
@@ -53,7 +59,7 @@
     Disk(String),
 }
 
-/// Ends the command line's and the settings' part of a start, then runs `run` until it returns.
+/// Reads the command line and the settings, starts the log and the runtime, then runs `run` until it returns.
 pub fn run<F: Future<Output = Result<(), StartError>>>(run: impl FnOnce(Rc<Process>) -> F) -> ExitCode {
     let options = options().run();
     let path = options
@@ -93,7 +99,7 @@
     match run_to_completion(settings, path, routing_policy, run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            log::error!("ended: {e}");
+            log::error!("process failed: error={e}");
             ExitCode::FAILURE
         }
     }
@@ -134,7 +140,11 @@
     })
 }
 
-/// Listens at `address`, trying again for a while: the former process of this place may still be ending.
+/// Listens at `address`, with retries: the previous process at this address may still be shutting down.
+///
+/// # Errors
+///
+/// [`StartError::System`] if the address cannot be bound after all attempts.
 pub async fn listen(address: SocketAddrV4) -> Result<TcpListener, StartError> {
     let bind = || {
         let socket = TcpSocket::new_v4()?;
@@ -146,11 +156,11 @@
     loop {
         match bind() {
             Ok(listener) => return Ok(listener),
-            Err(source) if attempts >= 40 => {
+            Err(source) if attempts >= MAX_BIND_RETRIES => {
                 return Err(StartError::System { what: format!("listening at {address}"), source });
             }
             Err(_) => attempts += 1,
         }
-        sleep(Duration::from_millis(50)).await;
+        sleep(BIND_RETRY_INTERVAL).await;
     }
 }
--- a/system/programs/src/storage.rs
+++ b/system/programs/src/storage.rs
@@ -1,5 +1,5 @@
-//! A storage machine: it keeps turns and accounts, tells the core that it is there, and catches up from others with what it
-//! should hold.
+//! The storage node: it stores turns and accounts, registers itself in the roster (`placement`), and backfills missing
+//! records from its peers (`backfill`).
 
 mod backfill;
 mod inspection;
@@ -26,9 +26,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Between two looks for what has expired.
+/// Interval of the removal of expired records.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(30);
-/// How long the end of the process waits for the last sync.
+/// How long a shutdown waits for the final sync.
 const FINAL_SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
 struct StorageServer {
@@ -61,6 +61,10 @@
 }
 
 /// Runs until the process is to end.
+///
+/// # Errors
+///
+/// [`StartError`] if a setting is missing, the data directory cannot be used, or a socket cannot be bound.
 pub async fn run(process: Rc<Process>) -> Result<(), StartError> {
     let settings = process.settings();
     let folder = settings.data_directory.clone().ok_or(StartError::MissingSetting("data_directory"))?;
@@ -102,7 +106,7 @@
         timeout(FINAL_SYNC_TIMEOUT, replica.write(replica.generation(), Vec::new())).await,
         Ok(Ok(()))
     ) {
-        log::warn!("ended without the last sync");
+        log::warn!("shutdown without the final sync");
     }
     Ok(())
 }
--- a/system/programs/src/storage/backfill.rs
+++ b/system/programs/src/storage/backfill.rs
@@ -1,4 +1,4 @@
-//! Catch-up: a storage machine gets from others what it should hold, and tells the core when it is in sync.
+//! Backfill: a storage node reads the records that it should store from its peers until it is in sync.
 
 use super::StorageServer;
 use fleet_model::{Answer, Call, StorageNode};
@@ -9,21 +9,21 @@
 use tokio::time::sleep;
 use turn_store::{Backfill, RecordCounts, WriteFailed};
 
-/// Longest time for one call to another storage machine.
+/// Timeout of one call to another storage node.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// A source that does not answer for so long is given up.
+/// Time without an answer after which a source is given up.
 const SOURCE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Before a catch-up that failed begins again.
+/// Delay before a failed backfill is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(60);
-/// Before a source that was not ready is asked again.
+/// Delay before a source that was not ready is called again.
 const NOT_READY_RETRY_INTERVAL: Duration = Duration::from_millis(30);
 
-/// A catch-up under way: for one epoch, into the replica of one generation.
+/// A backfill in progress: for one epoch, into the replica of one generation.
 struct BackfillRun {
     epoch: u64,
     generation: u64,
     backfill: RefCell<Backfill>,
-    /// Told once enough sources are drained: the others need not be waited for.
+    /// Notified once enough sources are drained: the others need not be awaited.
     enough: Notify,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl StorageServer {
-    /// One catch-up, as long as the roster stays as it is and the replica is the same.
+    /// Runs one backfill; it is abandoned when the roster or the replica changes.
     pub(super) async fn run_backfill(&self, backfill: Backfill) {
         let generation = self.replica.generation();
         let run = BackfillRun {
@@ -56,23 +56,23 @@
                 let RecordCounts { turns, accounts, turn_bytes } =
                     self.replica.with(|replica| replica.state.counts()).unwrap_or_default();
                 log::info!(
-                    "full for epoch {} after {} ms: {turns} turns, {accounts} accounts, {turn_bytes} bytes",
+                    "backfill complete: epoch={} elapsed_ms={} turns={turns} accounts={accounts} bytes={turn_bytes}",
                     run.epoch,
                     began.elapsed().as_millis()
                 );
             }
             Ok(false) => {}
-            Err(error) => log::warn!("the catch-up for epoch {} failed: {error}", run.epoch),
+            Err(error) => log::warn!("backfill failed: epoch={} error={error}", run.epoch),
         }
     }
 
-    /// Whether the roster and the replica are those that the catch-up began with.
+    /// Whether the roster and the replica are those with which the backfill started.
     fn is_current(&self, run: &BackfillRun) -> bool {
         let epoch = self.replica.with_generation(run.generation, |replica| replica.state.epoch());
         epoch == Some(run.epoch)
     }
 
-    /// Enough sources are drained: once it is synced they are told, and it is kept that this replica is in sync.
+    /// Completes a backfill with enough drained sources: syncs, notifies the sources, and records that this replica is in sync.
     async fn finish(&self, run: &BackfillRun) -> Result<bool, WriteFailed> {
         self.replica.write(run.generation, Vec::new()).await?;
         let drained: Vec<StorageNode> = run.backfill.borrow().drained().cloned().collect();
@@ -81,7 +81,7 @@
         };
         let told = drained.iter().map(|source| async {
             let call = Call::BackfillDone { epoch: run.epoch, disk };
-            // Who does not hear of it offers the same again: no harm.
+            // A source that misses it offers the same records again, which is harmless.
             let _ = self.peer(source.ip).call(call, CALL_TIMEOUT).await;
         });
         join_all(told).await;
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Asks one source for page after page, until it is drained or gone, or enough others are. A page counts when it is synced.
+    /// Reads all pages of one source, until it is drained or unresponsive, or enough others are drained. A page counts once
+    /// it is synced.
     async fn drain_source(&self, source: &StorageNode, run: &BackfillRun) {
         let mut answered = Instant::now();
         loop {
@@ -107,7 +108,7 @@
                 return run.give_up(source);
             }
             let peer = self.peer(source.ip);
-            // Only the asking is left off: what has been absorbed is written in any case.
+            // Only the call is cancelled: applied pages are written in any case.
             let answer = tokio::select! {
                 answer = peer.call(call, CALL_TIMEOUT) => answer,
                 () = run.enough.notified() => return,
--- a/system/programs/src/storage/inspection.rs
+++ b/system/programs/src/storage/inspection.rs
@@ -8,7 +8,7 @@
 use turn_store::{DiskCapacity, Payload, Payloads, RecordCounts};
 
 impl StorageServer {
-    /// Answers staff, also while the data directory cannot be opened.
+    /// Answers an operator's query, also while the data directory cannot be opened.
     pub(super) fn inspect(&self, topic: &str) -> Answer {
         let topic_query = Topic::read(topic);
         let own = self.replica.with(|replica| self.inspect_replica(replica, topic_query));
@@ -19,7 +19,7 @@
         }
     }
 
-    /// What staff ask of the replica itself.
+    /// Answers a query of the replica itself; `None` for any other topic.
     fn inspect_replica(&self, replica: &mut Replica, topic_query: Topic<'_>) -> Option<Answer> {
         let in_sync = replica.state.is_in_sync();
         let disk = replica.me.disk;
--- a/system/programs/src/storage/placement.rs
+++ b/system/programs/src/storage/placement.rs
@@ -1,4 +1,4 @@
-//! The place of a storage machine in the roster.
+//! Registration of a storage node in the roster: it joins, follows changes, and reports when it is in sync.
 
 use super::StorageServer;
 use super::replica::Replica;
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 use turn_store::{Disk, DiskCapacity};
 
-/// Longest time for one call to the core.
+/// Timeout of one call to a control node.
 const CORE_CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Between two looks at the place in the roster, without news, while there is something to be told to the core or to catch up
 /// with.
@@ -57,7 +57,7 @@
 }
 
 impl StorageServer {
-    /// Takes note of how much room the disk has. What was set aside as a whole goes first.
+    /// Updates the replica's disk capacity. When it becomes scarce, quarantined folders are removed first.
     fn update_disk_capacity(&self) {
         let settings = self.process.settings();
         let limit = (settings.limits.disk_mb * 1e6) as u64;
@@ -66,22 +66,22 @@
             replica.state.set_capacity(capacity).then_some(capacity)
         });
         let Some(capacity) = changed_capacity.flatten() else { return };
-        log::warn!("the disk's room: {capacity:?}");
+        log::warn!("disk capacity changed: capacity={capacity:?}");
         if let (true, Some(folder)) = (capacity != DiskCapacity::Ample, &settings.data_directory)
             && let Err(e) = Disk::remove_aside(folder)
         {
-            log::error!("what was set aside stays: {e}");
+            log::error!("quarantined records not removed: error={e}");
         }
     }
 
-    /// Asks the keepers in turn until one has done it.
+    /// Calls the control nodes one after the other until one has carried the call out.
     async fn call_core(&self, call: Call) -> bool {
         let mut ips = self.feed.value().voters.clone();
         ips.extend(self.process.seeds());
         ips.sort();
         ips.dedup();
         let seed = random_u64();
-        // One keeper changes the roster for all, so that proposers do not get into each other's way.
+        // Lease holders come first: with one proposer of roster changes there are no duelling proposals.
         let holders: Vec<Ipv4Addr> =
             self.feed.state().leases.values().filter_map(|fence| fence.holder).collect();
         ips.sort_by_key(|ip| (!holders.contains(ip), fleet_model::rendezvous_rank(&ip.octets(), seed)));
@@ -93,7 +93,7 @@
         false
     }
 
-    /// Sees to it that the roster has this machine with this disk, and that it is in sync.
+    /// Keeps this node with this disk in the roster, and in sync.
     pub(super) async fn maintain_placement(self: Rc<Self>) {
         let mut changes = self.feed.changes();
         loop {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// One look at the place; tells how long to wait for the next. While the disk refuses the place stays as it is.
+    /// One pass; returns the time to the next one in milliseconds. While the disk refuses writes nothing is changed.
     async fn reconcile_placement(&self) -> u64 {
         self.update_disk_capacity();
         self.update_roster();
--- a/system/programs/src/storage/recovery.rs
+++ b/system/programs/src/storage/recovery.rs
@@ -1,4 +1,4 @@
-//! A replica that outlives what its disk refuses.
+//! A replica that recovers from disk failures.
 //!
 //! After the first failed write or sync the replica refuses what would have to be synced and serves what needs no write.
 //! The disk is probed until it takes a write. Then the engine is dropped and opened again, and the state is built anew from
@@ -50,10 +50,10 @@
 }
 
 /// Milliseconds of the process's own clock.
-pub type Clock = Box<dyn Fn() -> u64>;
+pub(super) type Clock = Box<dyn Fn() -> u64>;
 
 /// The replica of a storage machine, whatever its disk does.
-pub struct RecoveringReplica {
+pub(super) struct RecoveringReplica {
     directory: Arc<dyn DataDirectory>,
     machine: Machine,
     now_ms: Clock,
@@ -68,11 +68,15 @@
 }
 
 /// Tells of failures of the replica's engine.
-pub type Failures = mpsc::UnboundedReceiver<WriteFailed>;
+pub(super) type Failures = mpsc::UnboundedReceiver<WriteFailed>;
 
 impl RecoveringReplica {
     /// One that has not opened its directory.
-    pub fn new(directory: Arc<dyn DataDirectory>, machine: Machine, now_ms: Clock) -> (Rc<Self>, Failures) {
+    pub(super) fn new(
+        directory: Arc<dyn DataDirectory>,
+        machine: Machine,
+        now_ms: Clock,
+    ) -> (Rc<Self>, Failures) {
         let (failures, told) = mpsc::unbounded_channel();
         let replica = Self {
             directory,
@@ -89,7 +93,7 @@
     }
 
     /// Opens the directory for the first time. An error that may pass is left to [`RecoveringReplica::supervise`].
-    pub async fn start(&self) -> Result<(), StartError> {
+    pub(super) async fn start(&self) -> Result<(), StartError> {
         match self.reopen().await {
             Ok(()) => Ok(()),
             Err(OpenError::Disk(error)) if error.may_pass() => {
@@ -101,7 +105,7 @@
     }
 
     /// Opens the directory again whenever its engine has failed, once the disk takes writes.
-    pub async fn supervise(self: Rc<Self>, failures: Failures) {
+    pub(super) async fn supervise(self: Rc<Self>, failures: Failures) {
         self.supervise_with(failures, MIN_PROBE_BACKOFF).await;
     }
 
@@ -124,7 +128,7 @@
                     // The same reason is told once, however often it is met.
                     let reason = Some(error.to_string());
                     if told != reason {
-                        log::warn!("the disk still refuses: {error}");
+                        log::warn!("disk still refuses writes: error={error}");
                     }
                     told = reason;
                 }
@@ -136,13 +140,13 @@
         let directory = self.directory.clone();
         blocking(move || directory.probe()).await?;
         self.reopen().await?;
-        log::warn!("the disk takes writes again; what it holds was read anew");
+        log::warn!("disk accepts writes again, replica reloaded");
         self.refusing.set(false);
         Ok(())
     }
 
     fn mark_refusing(&self, why: &str) {
-        log::error!("the disk refuses, and so does this machine what would have to be synced: {why}");
+        log::error!("disk refuses writes, durable requests are rejected: error={why}");
         self.refusing.set(true);
         self.refusals.set(self.refusals.get() + 1);
     }
@@ -167,7 +171,7 @@
     }
 
     /// Answers a call. What has to be synced for that is synced when the answer is there.
-    pub async fn answer(&self, call: &Call) -> Answer {
+    pub(super) async fn answer(&self, call: &Call) -> Answer {
         let now_ms = (self.now_ms)();
         let Some(progress) = self.with(|replica| replica.handle(now_ms, call)) else {
             return Answer::NotReady;
@@ -182,7 +186,7 @@
     }
 
     /// Goes by a newer roster.
-    pub fn set_roster(&self, roster: &Roster) {
+    pub(super) fn set_roster(&self, roster: &Roster) {
         if roster.epoch > self.roster.borrow().epoch {
             roster.clone_into(&mut self.roster.borrow_mut());
         }
@@ -190,40 +194,44 @@
     }
 
     /// Drops what has expired.
-    pub fn expire(&self) {
+    pub(super) fn expire(&self) {
         let now_ms = (self.now_ms)();
         self.with(|replica| replica.expire(now_ms));
     }
 
     /// Writes these to the replica of this generation, and waits until they and all earlier writes are synced.
-    pub async fn write(&self, generation: u64, writes: Vec<Write>) -> Result<(), WriteFailed> {
+    pub(super) async fn write(&self, generation: u64, writes: Vec<Write>) -> Result<(), WriteFailed> {
         let replaced = || WriteFailed("the disk was opened anew meanwhile".to_owned());
         let synced = self.with_generation(generation, |replica| replica.write(writes));
         synced.ok_or_else(replaced)?.await
     }
 
     /// Lets `act` do with the replica; `None` if the directory is not open.
-    pub fn with<T>(&self, act: impl FnOnce(&mut Replica) -> T) -> Option<T> {
+    pub(super) fn with<T>(&self, act: impl FnOnce(&mut Replica) -> T) -> Option<T> {
         self.current.borrow_mut().as_mut().map(act)
     }
 
     /// As [`RecoveringReplica::with`]; `None` also if the replica was built anew since.
-    pub fn with_generation<T>(&self, generation: u64, act: impl FnOnce(&mut Replica) -> T) -> Option<T> {
+    pub(super) fn with_generation<T>(
+        &self,
+        generation: u64,
+        act: impl FnOnce(&mut Replica) -> T,
+    ) -> Option<T> {
         if self.generation.get() == generation { self.with(act) } else { None }
     }
 
     /// Number of the replica that was built last.
-    pub fn generation(&self) -> u64 {
+    pub(super) fn generation(&self) -> u64 {
         self.generation.get()
     }
 
     /// Whether what would have to be synced is refused.
-    pub fn is_refusing(&self) -> bool {
+    pub(super) fn is_refusing(&self) -> bool {
         self.refusing.get() || self.with(|replica| replica.has_failed()).unwrap_or(true)
     }
 
     /// How often the disk began to refuse.
-    pub fn refusals(&self) -> u64 {
+    pub(super) fn refusals(&self) -> u64 {
         self.refusals.get()
     }
 }
@@ -235,7 +243,7 @@
     Disk(#[from] DiskError),
     #[error("{0}")]
     Start(#[from] StartError),
-    #[error("the thread that was to open it broke off")]
+    #[error("the thread that was to open it panicked")]
     ThreadPanicked,
 }
 
--- a/system/programs/src/storage/replica.rs
+++ b/system/programs/src/storage/replica.rs
@@ -1,4 +1,4 @@
-//! A storage replica: the engine with what it keeps, and the state in memory that was built from it.
+//! A storage replica: the storage engine and the in-memory state that is built from it.
 
 use crate::disk::Durable;
 use crate::random::random_u64;
@@ -14,10 +14,10 @@
 };
 
 /// Called once, on the writer's thread, when the first write or sync has failed.
-pub type OnFailure = Box<dyn FnOnce(WriteFailed) + Send>;
+pub(super) type OnFailure = Box<dyn FnOnce(WriteFailed) + Send>;
 
 /// A data directory that was opened and read.
-pub struct OpenedDirectory {
+pub(super) struct OpenedDirectory {
     /// The engine.
     pub disk: Arc<Disk>,
     /// Writes to it.
@@ -29,7 +29,7 @@
 }
 
 /// The data directory of a storage machine. Its functions block; they run on threads of their own.
-pub trait DataDirectory: Send + Sync {
+pub(super) trait DataDirectory: Send + Sync {
     /// See whether the disk takes writes.
     fn probe(&self) -> Result<(), DiskError>;
     /// Open and read all of it. No two may be open at once.
@@ -37,7 +37,7 @@
 }
 
 /// The directory of this path.
-pub struct DirectoryAt(pub PathBuf);
+pub(super) struct DirectoryAt(pub PathBuf);
 
 impl DataDirectory for DirectoryAt {
     fn probe(&self) -> Result<(), DiskError> {
@@ -48,7 +48,7 @@
         let Replaced { disk, read: (kept, damages), lost } =
             Disk::open_or_replace(&self.0, SPACES, random_u64, load)?;
         if !damages.is_empty() {
-            log::error!("{} damaged records set aside: this machine fills again", damages.len());
+            log::error!("damaged records set aside, backfill needed: records={}", damages.len());
         }
         let disk = Arc::new(disk);
         let writer = Writer::start(disk.clone(), on_failure);
@@ -58,7 +58,7 @@
 
 /// What stays the same of a machine whatever its disk.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub(super) struct Machine {
     /// Its name.
     pub name: String,
     /// Its address.
@@ -70,7 +70,7 @@
 }
 
 /// A replica over an open engine. When the engine fails it is dropped as a whole, and another one is built from the disk.
-pub struct Replica {
+pub(super) struct Replica {
     /// The state in memory.
     pub state: ReplicaState,
     /// The engine, to read from.
@@ -83,7 +83,7 @@
 }
 
 /// What a call has come to.
-pub enum Progress<F> {
+pub(super) enum Progress<F> {
     /// The answer can go.
     Done(Answer),
     /// The answer can go when the future is ready with `Ok`.
@@ -92,7 +92,7 @@
 
 impl Replica {
     /// One with what was found on the disk.
-    pub fn new(now_ms: u64, machine: &Machine, opened: OpenedDirectory) -> Result<Self, StartError> {
+    pub(super) fn new(now_ms: u64, machine: &Machine, opened: OpenedDirectory) -> Result<Self, StartError> {
         let OpenedDirectory { disk, writer, kept, damages } = opened;
         let number = disk.number();
         let me = StorageNode {
@@ -103,17 +103,17 @@
         };
         let state = ReplicaState::new(now_ms, number, machine.losses, kept);
         let RecordCounts { turns, accounts, turn_bytes } = state.counts();
-        log::info!("disk {number} with {turns} turns, {accounts} accounts, {turn_bytes} bytes");
+        log::info!("replica loaded: disk={number} turns={turns} accounts={accounts} bytes={turn_bytes}");
         Ok(Self { state, disk, damages, me, durable: Durable::with_writer(writer)? })
     }
 
     /// Whether a write or sync has failed: memory may have what the disk lacks, and nothing more is synced.
-    pub fn has_failed(&self) -> bool {
+    pub(super) fn has_failed(&self) -> bool {
         self.durable.is_failing()
     }
 
-    /// Answers a call. While the disk refuses, a call that changes anything is `Unready` and changes nothing in memory.
-    pub fn handle(
+    /// Answers a call. While the disk refuses, a call that changes anything is answered `NotReady` and changes nothing in memory.
+    pub(super) fn handle(
         &mut self,
         now_ms: u64,
         call: &Call,
@@ -132,14 +132,14 @@
         }
     }
 
-    /// Goes by a newer roster.
-    pub fn set_roster(&mut self, roster: &Roster) {
+    /// Applies a newer roster.
+    pub(super) fn set_roster(&mut self, roster: &Roster) {
         let writes = self.state.set_roster(roster);
         self.durable.write_lazily(writes);
     }
 
     /// Drops what has expired.
-    pub fn expire(&mut self, now_ms: u64) {
+    pub(super) fn expire(&mut self, now_ms: u64) {
         if !self.has_failed() {
             let writes = self.state.expire(now_ms);
             self.durable.write_lazily(writes);
@@ -147,7 +147,7 @@
     }
 
     /// Writes these; they are synced, with all earlier writes, when the future is ready with `Ok`.
-    pub fn write(&self, writes: Vec<Write>) -> impl Future<Output = Result<(), WriteFailed>> + use<> {
+    pub(super) fn write(&self, writes: Vec<Write>) -> impl Future<Output = Result<(), WriteFailed>> + use<> {
         self.durable.write(writes)
     }
 }
--- a/system/programs/src/turns.rs
+++ b/system/programs/src/turns.rs
@@ -1,5 +1,5 @@
-//! A proxy's way to the storage machines: accounts written at a quorum of their holders, turns at as many machines as
-//! the loss of all but one is to be borne.
+//! Client of the storage nodes, used by a proxy: accounts are written at a quorum of their replicas (`quorum`), turns at
+//! `fault_tolerance.machines` + 1 nodes (`store`), chains are read with hedged requests (`hedged_read`).
 
 mod chain_cache;
 mod hedged_read;
@@ -20,29 +20,29 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Longest time for one call.
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a machine that did not answer comes last.
+/// How long a node that did not answer is ordered last.
 const UNRESPONSIVE_PENALTY: Duration = Duration::from_millis(1_500);
-/// Without an answer for so long, another machine is asked as well.
+/// Time without an answer after which a hedged request is sent to another node.
 const HEDGE_DELAY: Duration = Duration::from_millis(70);
-/// How long a reservation, a chain or a turn is tried.
+/// Total time for the attempts of a reservation or of a chain read.
 const RESERVE_DEADLINE: Duration = Duration::from_millis(1_500);
-/// How long a turn whose stream has ended is tried: its client waits for the end.
+/// Total time for the attempts to store a completed turn, while its client waits for the end of the stream.
 const STORE_DEADLINE: Duration = Duration::from_millis(3_500);
-/// Pause before a round is tried again: about the time in which a change of the roster gets round.
+/// Delay between two attempts: about the time in which a roster change reaches all processes.
 const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Counts of what was asked of the storage machines.
+/// Counters of requests to the storage nodes.
 #[derive(Default)]
 pub struct TurnMetrics {
-    /// Reservations granted at once by all holders.
+    /// Reservations for which all replicas answered the write.
     pub granted_in_one_round: Cell<u64>,
-    /// Reservations that took a second round.
+    /// Reservations that needed a read after the write.
     pub granted_after_read: Cell<u64>,
-    /// Turns kept.
+    /// Turns stored.
     pub stored: Cell<u64>,
-    /// Turns that could not be kept in time.
+    /// Turns that could not be stored in time.
     pub failed_stores: Cell<u64>,
     /// Chains found in memory.
     pub cached_chains: Cell<u64>,
@@ -54,20 +54,20 @@
     count.set(count.get() + 1);
 }
 
-/// The storage machines, as a proxy reaches them.
+/// Client of the storage nodes, with open connections and the chain cache.
 pub struct TurnClient {
     process: Rc<Process>,
     feed: Rc<Feed>,
     peers: RefCell<HashMap<Ipv4Addr, Rc<PeerClient>>>,
     unresponsive_since: RefCell<HashMap<u64, Instant>>,
     cache: RefCell<ChainCache>,
-    /// What was counted.
+    /// Counters of its requests.
     pub metrics: TurnMetrics,
 }
 
 enum Round<T> {
     Done(T),
-    /// The roster is changing, or too few answered: again.
+    /// The roster is changing, or too few nodes answered.
     Retry,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl TurnClient {
-    /// Over what `feed` tells of the roster.
+    /// Creates a client that follows the roster of `feed`.
     pub fn new(process: Rc<Process>, feed: Rc<Feed>) -> Rc<Self> {
         Rc::new(Self {
             process,
@@ -122,7 +122,7 @@
             .is_some_and(|at| at.elapsed() < UNRESPONSIVE_PENALTY)
     }
 
-    /// Tries rounds until one is done or the time is over.
+    /// Repeats an attempt until it completes or the deadline has passed.
     async fn retry_until<T>(&self, time: Duration, mut round: impl AsyncFnMut() -> Round<T>) -> Option<T> {
         let began = Instant::now();
         loop {
@@ -141,7 +141,7 @@
     Reservation { attempt: rendezvous_rank(attempt.as_bytes(), 0), tokens }
 }
 
-/// What a proxy's forwarder holds of the storage machines.
+/// The [`TurnStorage`] of a proxy's forwarder.
 pub struct Turns(pub Rc<TurnClient>);
 
 impl TurnStorage for Turns {
@@ -150,7 +150,7 @@
         let reserved =
             self.0.retry_until(RESERVE_DEADLINE, round).await.unwrap_or(ReserveOutcome::Unavailable);
         if matches!(reserved, ReserveOutcome::BudgetExhausted) {
-            // Whatever was written of it stands for nothing; the forwarder says so of the other ends itself.
+            // The reservation may be written at some replicas: it is settled with zero tokens. Other ends are settled by the forwarder.
             self.settle(program, attempt, 0);
         }
         reserved
--- a/system/programs/src/turns/chain_cache.rs
+++ b/system/programs/src/turns/chain_cache.rs
@@ -1,12 +1,12 @@
-//! Chains kept in memory.
+//! Bounded cache of chain texts.
 
 use bytes::Bytes;
 use std::collections::{HashMap, VecDeque};
 
-/// Bytes of chains kept in memory.
+/// Maximum size of all cached texts, in bytes.
 const MAX_CACHE_BYTES: usize = 3 * 1024 * 1024;
 
-/// Chains lately read or written, whole, by the turn that ends them; those unused longest give way.
+/// Complete texts of recently read or written chains, by their last turn. The oldest entries are evicted first.
 #[derive(Default)]
 pub(super) struct ChainCache {
     texts: HashMap<String, Bytes>,
--- a/system/programs/src/turns/hedged_read.rs
+++ b/system/programs/src/turns/hedged_read.rs
@@ -1,4 +1,4 @@
-//! Chains, read near first and then everywhere.
+//! Chain reads: nodes of the own zone first, then all others.
 
 use super::{CALL_TIMEOUT, ChainRead, HEDGE_DELAY, Round, TurnClient};
 use fleet_model::{Answer, Call, StorageNode};
--- a/system/programs/src/turns/quorum.rs
+++ b/system/programs/src/turns/quorum.rs
@@ -1,4 +1,4 @@
-//! Accounts, written and read at quorums.
+//! Quorum writes and reads of accounts at their replicas.
 
 use super::{CALL_TIMEOUT, Round, TurnClient, increment};
 use fleet_model::{Answer, Call, Reservation, StorageNode};
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout};
 use turn_store::{AccountReplicas, merge_reservations};
 
-/// How long the last of an account's holders are waited for, once a quorum has written.
+/// How long the remaining replicas are awaited once a quorum has answered.
 const STRAGGLER_GRACE: Duration = Duration::from_millis(6);
 
 impl TurnClient {
@@ -34,7 +34,7 @@
                 increment(&self.metrics.granted_in_one_round);
                 written
             }
-            // Someone may have written between: who reads after its own write sees all that were written before it.
+            // A concurrent write is possible: a read after the own write sees all writes that were completed before it.
             false => {
                 increment(&self.metrics.granted_after_read);
                 let read =
@@ -58,8 +58,8 @@
         })
     }
 
-    /// Calls all holders and waits for a quorum of the current ones and of the next ones; what the current ones know
-    /// of the account, and whether all of them answered.
+    /// Calls all replicas and waits for a quorum of the current set and of the next one. Returns the merged account of the
+    /// current replicas, and whether all of them answered.
     async fn call_quorum(
         &self,
         replicas: &AccountReplicas<'_>,
@@ -96,7 +96,7 @@
     }
 
     pub(super) async fn settle_at_replicas(&self, program: &str, reservation: Reservation) {
-        // A count that gets lost leaves the try at its most: the account holds all the same. Twice is enough.
+        // A lost settlement leaves the reservation at its maximum, which is safe: two attempts are enough.
         for _ in 0..2 {
             let state = self.feed.state();
             let Some(replicas) = AccountReplicas::for_program(&state.roster, program, self.losses()) else {
--- a/system/programs/src/turns/store.rs
+++ b/system/programs/src/turns/store.rs
@@ -1,4 +1,4 @@
-//! Turns, written at as many machines as needed.
+//! Replicated writes of turns, with hedged requests to further nodes.
 
 use super::{CALL_TIMEOUT, HEDGE_DELAY, Round, TurnClient};
 use fleet_model::{Answer, Call, StorageNode, Turn, rendezvous_rank};
@@ -28,7 +28,7 @@
             input: turn.input.clone(),
             output: turn.output.clone(),
             retention_ms: turn.retention_ms,
-            replicas: replicas,
+            replicas,
         };
         let keep = async |store: &StorageNode, replicas: Vec<u64>| {
             let call = Call::StoreTurn { epoch: roster.epoch, turn: record(replicas) };
@@ -53,7 +53,7 @@
         if first.iter().all(|disk| stored.contains(disk)) {
             return Round::Done(());
         }
-        // Each copy has to name the machines that do hold it: by that the others know what to hand over.
+        // Each replica has to name the nodes that really store the turn: backfill relies on it.
         let renamed: FuturesUnordered<_> = stores
             .iter()
             .filter(|store| stored.contains(&store.disk))
--- a/system/programs/tests/loopback/machines.rs
+++ b/system/programs/tests/loopback/machines.rs
@@ -22,13 +22,13 @@
 const CONFIRM: Duration = Duration::from_millis(50);
 
 /// Runs a story on one thread.
-pub fn run(story: impl Future<Output = ()>) {
+pub(crate) fn run(story: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async { timeout(LIMIT, story).await.unwrap() });
 }
 
 /// An address that no other machine of these tests has.
-pub fn own_address() -> Ipv4Addr {
+pub(crate) fn own_address() -> Ipv4Addr {
     static LAST: AtomicU16 = AtomicU16::new(0);
     let [high, low] = (std::process::id() as u16).to_be_bytes();
     let number = LAST.fetch_add(1, Ordering::Relaxed);
@@ -36,7 +36,7 @@
 }
 
 /// A machine with the settings of its process.
-pub struct Machine {
+pub(crate) struct Machine {
     /// The settings file's text.
     pub settings: String,
     pub process: Rc<Process>,
@@ -44,7 +44,7 @@
 
 impl Machine {
     /// One in this zone whose peers listen at `peer_port`. Loss of one machine is to be borne.
-    pub fn new(ip: Ipv4Addr, zone: &str, peer_port: u16) -> Self {
+    pub(crate) fn new(ip: Ipv4Addr, zone: &str, peer_port: u16) -> Self {
         let last = peer_port + 3;
         let (front, readiness) = (peer_port + 10, peer_port + 11);
         let text = format!(
@@ -59,29 +59,29 @@
         Self { settings: text, process }
     }
 
-    pub fn front(&self) -> SocketAddr {
+    pub(crate) fn front(&self) -> SocketAddr {
         self.process.settings().listen_addresses.front.unwrap().into()
     }
 
-    pub fn readiness(&self) -> SocketAddr {
+    pub(crate) fn readiness(&self) -> SocketAddr {
         self.process.settings().listen_addresses.readiness.unwrap().into()
     }
 }
 
 /// A state that was chosen in this round.
-pub fn chosen(round: u64, state: &ControlState) -> ChosenValue {
+pub(crate) fn chosen(round: u64, state: &ControlState) -> ChosenValue {
     let ballot = Ballot { round, ..Ballot::default() };
     ChosenValue { ballot, voters: vec![Ipv4Addr::LOCALHOST], payload: state.to_payload().unwrap() }
 }
 
 /// A state with this configuration in force.
-pub fn state_with(config: &str) -> ControlState {
+pub(crate) fn state_with(config: &str) -> ControlState {
     let taken = vec![CommittedVersion { version: 7, digest: [0; 32] }];
     ControlState { config: Bytes::from(config.to_owned()), committed: taken, ..ControlState::default() }
 }
 
 /// Tells a proxy what its agent would, always confirmed.
-pub struct Source {
+pub(crate) struct Source {
     feed: Rc<Feed>,
 }
 
@@ -96,7 +96,7 @@
 
 impl Source {
     /// Begins to tell at `listener`.
-    pub fn start(process: &Rc<Process>, listener: TcpListener) -> Rc<Feed> {
+    pub(crate) fn start(process: &Rc<Process>, listener: TcpListener) -> Rc<Feed> {
         let feed = new_feed(process);
         let server = PeerServer::new(process.fleet(), Rc::new(Self { feed: feed.clone() }));
         spawn_local(async move { server.serve(listener).await });
--- a/system/programs/tests/loopback/storage_cluster.rs
+++ b/system/programs/tests/loopback/storage_cluster.rs
@@ -57,7 +57,7 @@
 }
 
 /// Storage machines in several zones, full of what they are to hold.
-pub struct Storage {
+pub(crate) struct Storage {
     machines: Vec<StorageMachine>,
     pub roster: Roster,
     peer_port: u16,
@@ -66,7 +66,7 @@
 
 impl Storage {
     /// One machine in each of these zones, all at the same port of their own addresses.
-    pub async fn start(zones: &[&str], peer_port: u16, fleet: u16) -> Self {
+    pub(crate) async fn start(zones: &[&str], peer_port: u16, fleet: u16) -> Self {
         let store = |(number, zone): (usize, &&str)| StorageNode {
             name: format!("s{number}"),
             ip: own_address(),
@@ -101,7 +101,7 @@
     }
 
     /// Ends all processes at once, and starts them again from their disks.
-    pub async fn restart_all(&mut self) {
+    pub(crate) async fn restart_all(&mut self) {
         for machine in &self.machines {
             drop(machine.answers.0.take());
         }
@@ -109,7 +109,7 @@
     }
 
     /// The machines in a zone answer nothing any more.
-    pub fn lose_zone(&mut self, zone: &str) {
+    pub(crate) fn lose_zone(&mut self, zone: &str) {
         for machine in self.machines.iter().filter(|machine| machine.store.zone == zone) {
             drop(machine.answers.0.take());
         }
