--- a/src/policy/idempotency.rs
+++ b/src/policy/idempotency.rs
@@ -1,24 +1,25 @@
 //! Whether a message that may have executed can be sent again, when and where.
 
 use super::Sender;
-use super::state::{Endpoint, Held};
+use super::state::{Endpoint, PendingMessage};
 use crate::interface::{Group, Repeat, Time};
 
 impl Sender {
-    /// Rule 2: what may have run is repeated as its kind permits, in the window of the first such try.
-    pub(super) fn rule_effect(&self, held: &Held, at: &Endpoint) -> bool {
-        let repeat = held.message.class.repeat;
-        let here = matches!(repeat, Repeat::Keyed { group: Group::Zone, .. });
-        self.repeatable(held, self.now) && held.ran.is_none_or(|ran| !here || at.zone == ran.zone)
+    /// Rule 2: what may have executed is retried only as its class permits, within the deduplication window.
+    pub(super) fn rule_idempotency(&self, pending: &PendingMessage, target: &Endpoint) -> bool {
+        let repeat = pending.message.class.repeat;
+        let same_zone = matches!(repeat, Repeat::Keyed { group: Group::Zone, .. });
+        self.is_retryable(pending, self.now)
+            && pending.executed.is_none_or(|first| !same_zone || target.zone == first.zone)
     }
 
-    /// Whether some endpoint could still be sent the message at `at` by the effect rule.
-    pub(super) fn repeatable(&self, held: &Held, at: Time) -> bool {
-        let Some(ran) = held.ran else { return true };
-        match held.message.class.repeat {
+    /// Whether some endpoint could still be sent the message at `at` by the idempotency rule.
+    pub(super) fn is_retryable(&self, pending: &PendingMessage, at: Time) -> bool {
+        let Some(first) = pending.executed else { return true };
+        match pending.message.class.repeat {
             Repeat::Safe => true,
             Repeat::Unsafe => false,
-            Repeat::Keyed { window, .. } => at.since(ran.sent) + self.settings.period.0 < window.0,
+            Repeat::Keyed { window, .. } => at.since(first.sent) + self.settings.period.0 < window.0,
         }
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,9 +1,12 @@
-//! Every decision of a sender. The types it speaks, events in and actions out, are in `src/interface.rs`.
+//! The sending policy of a sender; its events, actions and settings are in `src/interface.rs`.
 //!
-//! Operation-aware retries: a message is one operation, repeated only after a transient failure and as its
-//! kind permits, after a doubling wait or a told one. Fair turns: a free slot goes to the waiting destination
-//! with the fewest calls out. A `Line` is what is learned of one route, or of one destination whose endpoints
-//! share a limit; a send must be let through by every line on its way.
+//! A message is one operation: it is retried only after a transient failure and as its idempotency permits,
+//! after an exponential backoff or the reported `Retry-After`. Scheduling is fair: a free slot goes to the
+//! waiting destination with the fewest calls in flight. A [`Route`] holds what is learned of one endpoint, or
+//! of one destination whose endpoints share a limit; a send must be permitted by each route that it uses.
+//!
+//! The policy is deterministic: time comes with each step, and randomness from a seeded generator. I/O,
+//! clocks and storage are left to the host.
 
 mod connections;
 mod draining;
@@ -13,6 +16,7 @@
 mod load_shedding;
 mod message_lifecycle;
 mod outage;
+mod outcomes;
 mod rate_limit;
 mod retry;
 mod sending_rules;
@@ -23,152 +27,158 @@
     Action, DestinationId, Discovery, EndpointId, Event, Listing, MessageId, OrderKey, Settings,
     SettingsError, Time,
 };
-use connections::MOST_KEPT;
+use connections::MAX_IDLE_KEEP;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use serde::{Deserialize, Serialize};
 use slab::Slab;
-use state::{Call, Destination, Endpoint, Held, Key, Line};
+use state::{Call, Destination, Endpoint, KeyState, PendingMessage, Route};
 use std::collections::BTreeMap;
 
-/// Time over which a line's own rate is averaged, in seconds: longer than a burst, shorter than an outage.
-const RATE_S: f64 = 4.0;
-/// Steps between wake-ups at the least.
-const HEARTBEAT: u64 = 4;
+/// Time over which a route's call rate is averaged, in seconds: longer than a burst, shorter than an outage.
+const RATE_WINDOW_S: f64 = 4.0;
+/// Minimum time between timers, in step periods.
+const MIN_TIMER_PERIODS: u64 = 4;
 
-/// A sender's decisions. Its serialized form is all that it knows, see [`Sender::taken_over`].
+/// A sender's decisions. Its serialized form is its complete state, see [`Sender::taken_over`].
 #[derive(Serialize, Deserialize)]
 pub struct Sender {
     settings: Settings,
     #[serde(skip, default = "unseeded")]
     random: ChaCha8Rng,
     now: Time,
-    held: BTreeMap<MessageId, Held>,
+    pending: BTreeMap<MessageId, PendingMessage>,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     destinations: BTreeMap<DestinationId, Destination>,
-    lines: Slab<Line>,
-    /// Endpoints that the list has named at once, at the most.
-    most_listed: usize,
+    routes: Slab<Route>,
+    /// Maximum number of endpoints listed at once so far.
+    max_listed: usize,
     calls: BTreeMap<u64, Call>,
     next_call: u64,
-    keys: BTreeMap<OrderKey, Key>,
-    /// Ended, with the notice still open: until then the key is not free.
-    unnoticed: BTreeMap<MessageId, OrderKey>,
-    /// When the process ends, once it winds down.
-    ends_at: Option<Time>,
-    woken_at: Option<Time>,
-    ask_list_at: Option<Time>,
+    keys: BTreeMap<OrderKey, KeyState>,
+    /// Complete, but not yet acknowledged by the client: until then the key is not free.
+    unacknowledged: BTreeMap<MessageId, OrderKey>,
+    /// When the process stops, during shutdown.
+    shutdown_at: Option<Time>,
+    timer_at: Option<Time>,
+    list_request_at: Option<Time>,
     list_failures: u32,
-    /// By kind: for how long an idle connection is worth its place in a table of them, in `fall`s.
-    kept: Vec<f64>,
-    /// Learned share of all calls that got no answer.
-    lost: f64,
-    /// When it was last seen that an answer got lost for certain.
-    lost_at: Option<Time>,
+    /// By kind: for how long an idle connection is worth keeping, in overload tolerances.
+    idle_keep: Vec<f64>,
+    /// Learned share of all calls without an answer.
+    lost_share: f64,
+    /// When an answer was last seen to be lost for certain.
+    lost_seen_at: Option<Time>,
     /// Seconds for which an idle connection is trusted to be alive.
-    trusted_idle: f64,
+    trusted_idle_s: f64,
     #[serde(skip)]
     log: Vec<String>,
 }
 
 impl Sender {
-    /// A sender with no messages and no list; an error names a setting that cannot be acted on.
+    /// A sender with no messages and no endpoint list.
+    ///
+    /// # Errors
+    /// The first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Sender {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: Time(0),
-            held: BTreeMap::new(),
+            pending: BTreeMap::new(),
             endpoints: BTreeMap::new(),
             destinations: BTreeMap::new(),
-            lines: Slab::new(),
-            most_listed: 0,
+            routes: Slab::new(),
+            max_listed: 0,
             calls: BTreeMap::new(),
             next_call: 0,
             keys: BTreeMap::new(),
-            unnoticed: BTreeMap::new(),
-            ends_at: None,
-            woken_at: None,
-            ask_list_at: (settings.discovery == Discovery::OnRequest).then_some(Time(0)),
+            unacknowledged: BTreeMap::new(),
+            shutdown_at: None,
+            timer_at: None,
+            list_request_at: (settings.discovery == Discovery::OnRequest).then_some(Time(0)),
             list_failures: 0,
-            kept: vec![MOST_KEPT; settings.kinds.len()],
-            lost: 0.0,
-            lost_at: None,
-            trusted_idle: f64::INFINITY,
+            idle_keep: vec![MAX_IDLE_KEEP; settings.kinds.len()],
+            lost_share: 0.0,
+            lost_seen_at: None,
+            trusted_idle_s: f64::INFINITY,
             log: Vec::new(),
             settings,
         })
     }
 
-    /// The same sender in another process, under the settings that hold there.
+    /// The same sender in another process, under the settings there.
+    ///
+    /// # Errors
+    /// The first invalid setting.
     pub fn taken_over(mut self, settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         self.random = ChaCha8Rng::seed_from_u64(seed);
-        self.woken_at = None;
-        self.retune(settings);
+        self.timer_at = None;
+        self.apply_settings(settings);
         Ok(self)
     }
 
-    /// Takes in all events of a round, then decides once; what the host is to do is added to `actions`.
+    /// Handles all events of a round, then decides once; the actions for the host are added to `actions`.
     pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
-        self.trusted_idle *= (seconds(now.since(self.now)) / RATE_S).exp();
+        self.trusted_idle_s *= (seconds(now.since(self.now)) / RATE_WINDOW_S).exp();
         self.now = now;
         for event in events {
-            self.take_in(event, actions);
+            self.handle(event, actions);
         }
-        self.forget_gone(actions);
-        self.end_in_time(actions);
-        self.shed(actions);
-        self.give_turns(actions);
-        self.give_up_lost(actions);
-        if self.ask_list_at.take_if(|at| *at <= now).is_some() {
+        self.evict_removed(actions);
+        self.end_expired(actions);
+        self.shed_load(actions);
+        self.schedule(actions);
+        self.cancel_lost(actions);
+        if self.list_request_at.take_if(|at| *at <= now).is_some() {
             actions.push(Action::Subscribe);
         }
-        self.set_alarm(actions);
+        self.set_timer(actions);
         actions.extend(self.log.drain(..).map(Action::Log));
     }
 
-    fn take_in(&mut self, event: &Event, actions: &mut Vec<Action>) {
+    fn handle(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Message(message) => self.message(*message),
-            Event::Resumed(resumed) => self.resumed(resumed),
-            Event::RetryAfterReported { endpoint, wait } => self.told(*endpoint, *wait),
+            Event::Message(message) => self.accept(*message),
+            Event::Resumed(resumed) => self.resume(resumed),
+            Event::RetryAfterReported { endpoint, wait } => self.record_retry_after(*endpoint, *wait),
             Event::OutcomeAcknowledged(id) => {
-                if let Some(key) = self.unnoticed.remove(id) {
-                    self.leave_key(*id, key);
+                if let Some(key) = self.unacknowledged.remove(id) {
+                    self.release_key(*id, key);
                 }
             }
-            Event::ShutdownScheduled(end) => self.ends_at = Some(*end),
-            Event::AttemptCompleted { .. } => self.ended(event, actions),
-            Event::ClientCancelled(id) => self.withdrawn(*id),
+            Event::ShutdownScheduled(end) => self.shutdown_at = Some(*end),
+            Event::AttemptCompleted { .. } => self.attempt_completed(event, actions),
+            Event::ClientCancelled(id) => self.cancel(*id),
             Event::FullList(entries) => {
                 for endpoint in self.endpoints.values_mut() {
                     endpoint.listing = Listing::Removed;
                 }
-                self.list(entries);
+                self.update_endpoints(entries);
             }
-            Event::ListChanges(entries) => self.list(entries),
+            Event::ListChanges(entries) => self.update_endpoints(entries),
             Event::Excluded(endpoint) => self.exclude(*endpoint, actions),
             Event::Included(endpoint) => self.include(*endpoint, actions),
-            Event::SettingsChanged(settings) => self.retune((**settings).clone()),
+            Event::SettingsChanged(settings) => self.apply_settings((**settings).clone()),
             Event::ListFailed => {
-                // The list's keeper is short of room itself: ask again ever more slowly, by chance apart.
+                // The list's server is overloaded itself: retry with exponential backoff and jitter.
                 self.list_failures = (self.list_failures + 1).min(4);
                 let most = self.settings.rules.must_ask_in.0 as f64 / 2.0;
                 let wait = self.settings.connect_timeout.0 as f64 * f64::from(1 << self.list_failures) / 4.0;
-                self.ask_list_at = Some(self.now.after(wait.min(most) * (0.5 + self.chance())));
+                self.list_request_at = Some(self.now.after(wait.min(most) * (0.5 + self.random())));
             }
             Event::HealthCheckCompleted { .. } => {}
-            Event::TimerFired => self.woken_at = None,
+            Event::TimerFired => self.timer_at = None,
         }
     }
 
-    fn retune(&mut self, settings: Settings) {
-        self.kept.resize(settings.kinds.len(), MOST_KEPT);
+    fn apply_settings(&mut self, settings: Settings) {
+        self.idle_keep.resize(settings.kinds.len(), MAX_IDLE_KEEP);
         self.settings = settings;
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / 4_294_967_296.0
     }
 }
--- a/src/policy/sending_rules.rs
+++ b/src/policy/sending_rules.rs
@@ -1,73 +1,73 @@
 //! The guards of the six sending rules. Every send passes [`Sender::may_send`], which consults them all.
 
 use super::Sender;
-use super::state::{Endpoint, Health, Held, Line, Stage};
+use super::state::{Endpoint, Health, PendingMessage, Progress, Route};
 use crate::interface::{EndpointId, MessageId, Time};
 
 impl Sender {
-    /// Every forward passes here. `joins`: it shares a call that was already let through in this step.
+    /// Every send passes here. `joins`: it shares a call that was already permitted in this step.
     pub(super) fn may_send(&self, id: MessageId, endpoint: EndpointId, joins: bool) -> bool {
-        let (Some(held), Some(at)) = (self.held.get(&id), self.endpoints.get(&endpoint)) else {
+        let (Some(pending), Some(target)) = (self.pending.get(&id), self.endpoints.get(&endpoint)) else {
             return false;
         };
-        let shared = self.destinations.get(&at.destination).and_then(|d| d.shared);
-        let lines = [Some(&self.lines[at.line]), shared.map(|line| &self.lines[line])];
-        at.destination == held.message.destination
-            && held.attempts < self.settings.max_attempts
-            && (joins || self.slots_left(at.destination))
-            && self.ends_before_process(&self.lines[at.line])
-            && self.rule_lost(held)
-            && self.rule_effect(held, at)
-            && self.rule_drain(at)
-            && self.rule_order(held)
-            && lines
-                .iter()
-                .flatten()
-                .all(|line| self.rule_wait(line) && (joins || (self.rule_return(line) && self.paced(line))))
+        let shared = self.destinations.get(&target.destination).and_then(|d| d.shared_route);
+        let routes = [Some(&self.routes[target.route]), shared.map(|route| &self.routes[route])];
+        target.destination == pending.message.destination
+            && pending.attempts < self.settings.max_attempts
+            && (joins || self.has_slot(target.destination))
+            && self.ends_before_shutdown(&self.routes[target.route])
+            && self.rule_deadline(pending)
+            && self.rule_idempotency(pending, target)
+            && self.rule_draining(target)
+            && self.rule_ordering(pending)
+            && routes.iter().flatten().all(|route| {
+                self.rule_retry_after(route)
+                    && (joins || (self.rule_slow_start(route) && self.within_limits(route)))
+            })
     }
 
-    /// Whether a call that connecting has held up may still go out: meanwhile a wait may have been told, the
-    /// endpoint may drain, or the window of a repeat may be over.
+    /// Whether a call delayed by connecting may still be sent: meanwhile a `Retry-After` may have been
+    /// reported, the endpoint may drain, or the deduplication window may be over.
     pub fn may_begin(&self, now: Time, id: MessageId, endpoint: EndpointId) -> bool {
-        let (Some(held), Some(at)) = (self.held.get(&id), self.endpoints.get(&endpoint)) else {
+        let (Some(pending), Some(target)) = (self.pending.get(&id), self.endpoints.get(&endpoint)) else {
             return false;
         };
-        let shared = self.destinations.get(&at.destination).and_then(|d| d.shared);
-        self.rule_drain(at)
-            && self.repeatable(held, now)
-            && now >= self.lines[shared.unwrap_or(at.line)].told_until
+        let shared = self.destinations.get(&target.destination).and_then(|d| d.shared_route);
+        self.rule_draining(target)
+            && self.is_retryable(pending, now)
+            && now >= self.routes[shared.unwrap_or(target.route)].retry_after_until
     }
 
-    /// Rule 1: only a message that has not ended and has time left.
-    fn rule_lost(&self, held: &Held) -> bool {
-        matches!(held.stage, Stage::Waiting(_)) && self.now < self.last_moment(held)
+    /// Rule 1: only a message that is not complete and has time left.
+    fn rule_deadline(&self, pending: &PendingMessage) -> bool {
+        matches!(pending.progress, Progress::Waiting(_)) && self.now < self.latest_end(pending)
     }
 
-    /// Rule 3: nothing new to what drains, is gone or excluded, once that is known: stricter than the grace.
-    pub(super) fn rule_drain(&self, at: &Endpoint) -> bool {
-        at.in_service()
+    /// Rule 3: nothing new to draining, removed or excluded endpoints, at once: stricter than the grace time.
+    pub(super) fn rule_draining(&self, target: &Endpoint) -> bool {
+        target.in_service()
     }
 
-    /// Rule 4: one call at a time into an outage; afterwards the ramp, by tokens.
-    fn rule_return(&self, line: &Line) -> bool {
-        match line.health {
+    /// Rule 4: one call at a time in an outage; then slow start, by tokens.
+    fn rule_slow_start(&self, route: &Route) -> bool {
+        match route.health {
             Health::Up => true,
-            Health::Down(next) => self.now >= next && line.out.is_empty(),
-            Health::Returning(_) => line.tokens >= 1.0,
+            Health::Down(next) => self.now >= next && route.out.is_empty(),
+            Health::Recovering(_) => route.tokens >= 1.0,
         }
     }
 
-    /// Rule 5: a told wait is kept.
-    fn rule_wait(&self, line: &Line) -> bool {
-        self.now >= line.told_until
+    /// Rule 5: a reported `Retry-After` is observed.
+    fn rule_retry_after(&self, route: &Route) -> bool {
+        self.now >= route.retry_after_until
     }
 
-    /// Rule 6: only the first of its key, and after the rest that the one before left behind.
-    pub(super) fn rule_order(&self, held: &Held) -> bool {
-        let Some(key) = held.message.key.and_then(|k| self.keys.get(&k)) else { return true };
+    /// Rule 6: only the first message of its key, and after the settle time of the one before.
+    pub(super) fn rule_ordering(&self, pending: &PendingMessage) -> bool {
+        let Some(key) = pending.message.key.and_then(|k| self.keys.get(&k)) else { return true };
         match key.queue.first() {
-            Some(first) if *first == held.message.id => held.attempts > 0 || self.now >= key.rest_until,
-            _ => !held.message.class.ordered,
+            Some(first) if *first == pending.message.id => pending.attempts > 0 || self.now >= key.settles_at,
+            _ => !pending.message.class.ordered,
         }
     }
 }
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -4,39 +4,39 @@
 use crate::interface::{DestinationId, EndpointId, KindId, Listing, Message, MessageId, Time, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Copy, Serialize, Deserialize)]
-pub(super) struct Try {
+pub(super) struct Attempt {
     pub(super) endpoint: EndpointId,
     pub(super) call: u64,
 }
 
-/// Where a message stands.
+/// The progress of a message.
 #[derive(Clone, Copy, Serialize, Deserialize)]
-pub(super) enum Stage {
+pub(super) enum Progress {
     /// For its turn, not before this.
     Waiting(Time),
     /// For the outcome of an attempt.
-    Out(Try),
-    /// Ended, with an attempt still out: kept for the slot and for the order of its key.
-    Over(Try),
+    InFlight(Attempt),
+    /// Complete, with an attempt still in flight: retained for the slot and the order of its key.
+    Abandoned(Attempt),
 }
 
-/// The first attempt that may have run.
+/// The first attempt that may have executed.
 #[derive(Clone, Copy, Serialize, Deserialize)]
-pub(super) struct Ran {
+pub(super) struct FirstExecution {
     pub(super) sent: Time,
     pub(super) zone: ZoneId,
 }
 
 #[derive(Serialize, Deserialize)]
-pub(super) struct Held {
+pub(super) struct PendingMessage {
     pub(super) message: Message,
     pub(super) deadline: Time,
     pub(super) attempts: u32,
-    pub(super) stage: Stage,
-    pub(super) ran: Option<Ran>,
-    /// Taken on by an earlier process and not tried yet: it is not ended for newcomers' sake.
+    pub(super) progress: Progress,
+    pub(super) executed: Option<FirstExecution>,
+    /// Accepted by an earlier process and not attempted yet: it is not shed.
     pub(super) untried: bool,
 }
 
@@ -44,54 +44,54 @@
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct Call {
     pub(super) sent: Time,
-    pub(super) left: usize,
+    pub(super) unfinished: usize,
     /// How long its endpoint had been without an answer when it was sent, in seconds.
-    pub(super) idle: f64,
-    /// Calls out at its endpoint with it.
-    pub(super) rank: usize,
-    pub(super) lines: [Option<usize>; 2],
-    /// Calls that its endpoint got later and has answered.
-    pub(super) overtaken: u32,
-    pub(super) given_up: bool,
-    pub(super) reported: bool,
+    pub(super) idle_s: f64,
+    /// Calls in flight at its endpoint, including it.
+    pub(super) concurrency: usize,
+    pub(super) routes: [Option<usize>; 2],
+    /// Later calls that its endpoint has answered.
+    pub(super) overtaken_by: u32,
+    pub(super) cancelled: bool,
+    pub(super) recorded: bool,
 }
 
-/// State of a line. Only sends that `rule_return` lets through reach one that is not `Up`.
+/// Health of a route. Only sends that `rule_slow_start` permits reach one that is not `Up`.
 #[derive(Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub(super) enum Health {
     #[default]
     Up,
-    /// In an outage: one call at a time, not before this.
+    /// In an outage: one probe at a time, not before this.
     Down(Time),
-    /// Answering again since: paced by the recovery rule's ramp.
-    Returning(Time),
+    /// Responding again since: limited by slow start.
+    Recovering(Time),
 }
 
 #[derive(Default, Serialize, Deserialize)]
-pub(super) struct Line {
+pub(super) struct Route {
     pub(super) destination: DestinationId,
     pub(super) endpoint: Option<EndpointId>,
-    pub(super) told_until: Time,
-    pub(super) hold_until: Time,
+    pub(super) retry_after_until: Time,
+    pub(super) backoff_until: Time,
     pub(super) health: Health,
-    pub(super) failing: f64,
-    pub(super) streak: u32,
-    pub(super) fulls: u32,
-    /// When a refusal was last booked: those of calls already out then are the same news.
-    pub(super) full_at: Time,
+    pub(super) failure_rate: f64,
+    pub(super) consecutive_failures: u32,
+    pub(super) rejections: u32,
+    /// When a rejection was last recorded: those of calls already in flight then are the same sign.
+    pub(super) rejected_at: Time,
     pub(super) latency: f64,
     pub(super) deviation: f64,
     pub(super) out: Vec<(u64, Time)>,
-    /// Calls that its endpoint's table of connections was seen to hold at once, and since when; 0: unknown.
-    pub(super) room: usize,
-    pub(super) room_at: Time,
+    /// Concurrent calls that its endpoint was seen to accept, and since when; 0: unknown.
+    pub(super) connection_limit: usize,
+    pub(super) limit_seen_at: Time,
     pub(super) last_answer: Time,
     pub(super) last_success: Time,
     pub(super) rate: f64,
-    pub(super) pace: f64,
+    pub(super) pace_limit: f64,
     pub(super) tokens: f64,
-    pub(super) tokens_at: Time,
-    pub(super) limit: f64,
+    pub(super) refilled_at: Time,
+    pub(super) known_limit: f64,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -100,9 +100,9 @@
     pub(super) zone: ZoneId,
     pub(super) kind: KindId,
     pub(super) listing: Listing,
-    /// Taken out of service by staff, apart from what the list says.
+    /// Taken out of service by operators, whatever the list says.
     pub(super) excluded: bool,
-    pub(super) line: usize,
+    pub(super) route: usize,
 }
 
 impl Endpoint {
@@ -113,24 +113,31 @@
 
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct Destination {
-    pub(super) shared: Option<usize>,
+    pub(super) shared_route: Option<usize>,
     pub(super) endpoints: Vec<EndpointId>,
     pub(super) calls: usize,
 }
 
 #[derive(Default, Serialize, Deserialize)]
-pub(super) struct Key {
+pub(super) struct KeyState {
     pub(super) queue: Vec<MessageId>,
-    pub(super) rest_until: Time,
+    pub(super) settles_at: Time,
 }
 
-impl Line {
+impl Route {
     pub(super) fn new(destination: DestinationId, endpoint: Option<EndpointId>, hint: f64) -> Self {
-        Line { destination, endpoint, pace: f64::INFINITY, tokens: 1.0, limit: hint, ..Line::default() }
+        Route {
+            destination,
+            endpoint,
+            pace_limit: f64::INFINITY,
+            tokens: 1.0,
+            known_limit: hint,
+            ..Route::default()
+        }
     }
 
     /// The slowest healthy answer to expect, in microseconds.
-    pub(super) fn slowest(&self, deviations: f64) -> f64 {
+    pub(super) fn latency_bound(&self, deviations: f64) -> f64 {
         self.latency + deviations * self.deviation
     }
 }
