--- a/src/main.rs
+++ b/src/main.rs
@@ -2,13 +2,13 @@
 use message_sender::config::{self, ConfigError};
 use message_sender::net;
 use net::Descriptors;
+use net::admin_endpoint::{self, ServiceState};
 use net::discovery;
 use net::fleet;
 use net::handover::{self, Inherited};
 use net::host::{Ended, Estate, Host, Links, Origin};
 use net::input::Input;
 use net::log;
-use net::mgmt::{self, Standing};
 use net::notices;
 use net::server::{self, Doors};
 use net::store::Store;
@@ -129,19 +129,19 @@
     let (file, config) = config::read(&path)?;
     let log = log::begin(&config.log.clone().unwrap_or_else(config::Log::bare), &name_of(&config))?;
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|_| StartError::Seed(config.seed))?;
-    let (standing, stands) = watch::channel(Standing::Starting);
-    let (to_host, mut orders) = mpsc::channel(mgmt::MOST_CALLERS);
+    let (standing, stands) = watch::channel(ServiceState::Starting);
+    let (to_host, mut orders) = mpsc::channel(admin_endpoint::MAX_CONNECTIONS);
     let shared = Arc::new(Shared::default());
     // Without a part `fleet` nothing of it is begun.
     let (to_fleet, at_fleet) = match &config.fleet {
-        Some(_) => Some(mpsc::channel(mgmt::MOST_CALLERS)).unzip(),
+        Some(_) => Some(mpsc::channel(admin_endpoint::MAX_CONNECTIONS)).unzip(),
         None => (None, None),
     };
     if let Some(address) = config.mgmt {
         let error = |source| StartError::Listen { address, source };
         let listener = std::net::TcpListener::bind(address).map_err(error)?;
         tracing::info!("second address: {}", listener.local_addr().map_err(error)?);
-        mgmt::spawn(listener, to_host, stands, to_fleet.clone()).map_err(error)?;
+        admin_endpoint::spawn(listener, to_host, stands, to_fleet.clone()).map_err(error)?;
     }
     let zone = config.settings.zone().to_owned();
     let tuning = Tuning::new(config.settings).map_err(StartError::Settings)?;
--- a/src/net/mgmt/tests.rs
+++ b/src/net/admin_endpoint/tests.rs
@@ -3,14 +3,14 @@
 /// Guards against taking a call for another: a word missing or too many must not change anything.
 #[test]
 fn calls_are_read_word_by_word() {
-    let exclude = |id: &str| Parsed::Order(Order::Exclude(id.to_owned()));
+    let exclude = |id: &str| Parsed::Command(Command::Exclude(id.to_owned()));
     assert_eq!(parse("readyz\r\n"), Ok(Parsed::Ready));
     assert_eq!(parse("telemetry\n"), Ok(Parsed::Figures));
     assert_eq!(parse("telemetry all\n"), Err(CallError::Extra("all".to_owned())));
     assert_eq!(parse("  exclude  s-1\n"), Ok(exclude("s-1")));
-    assert_eq!(parse("include s-1"), Ok(Parsed::Order(Order::Include("s-1".to_owned()))));
-    assert_eq!(parse("evacuate"), Ok(Parsed::Order(Order::Evacuate)));
-    assert_eq!(parse("activate"), Ok(Parsed::Order(Order::Activate)));
+    assert_eq!(parse("include s-1"), Ok(Parsed::Command(Command::Include("s-1".to_owned()))));
+    assert_eq!(parse("evacuate"), Ok(Parsed::Command(Command::Evacuate)));
+    assert_eq!(parse("activate"), Ok(Parsed::Command(Command::Activate)));
     assert_eq!(parse("fleet view"), Ok(Parsed::Look(Look::View)));
     assert_eq!(parse("fleet mark"), Ok(Parsed::Look(Look::Mark)));
     let remove = sender_membership::Order::Remove("n1".to_owned());
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -1,4 +1,4 @@
-use super::super::mgmt::Order;
+use super::super::admin_endpoint::Command;
 use super::super::relay::Answer;
 use super::super::store::Handed;
 use super::*;
@@ -228,10 +228,10 @@
         body: "body".into(),
     };
     let orders = [
-        Order::Exclude("endpoint-1".to_owned()),
-        Order::Include("endpoint-2".to_owned()),
-        Order::Evacuate,
-        Order::Activate,
+        Command::Exclude("endpoint-1".to_owned()),
+        Command::Include("endpoint-2".to_owned()),
+        Command::Evacuate,
+        Command::Activate,
     ];
     let mut to_new = vec![
         ToNew::Yours,
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -8,10 +8,10 @@
 mod round;
 mod staff;
 
+use super::admin_endpoint::{AdminRequest, ServiceState};
 use super::clock::Clock;
 use super::handover::{Known, Lock};
 use super::input::Input;
-use super::mgmt::{Asked, Standing};
 use super::notices::Notice;
 use super::relay::ToOld;
 use super::server::Doors;
@@ -65,7 +65,7 @@
     wake_at: Option<Instant>,
     winding_down: Option<WindDown>,
     doors: watch::Sender<Doors>,
-    standing: watch::Sender<Standing>,
+    standing: watch::Sender<ServiceState>,
     inputs: UnboundedSender<Input>,
     notices: UnboundedSender<Notice>,
 }
@@ -75,7 +75,7 @@
     pub inputs: UnboundedSender<Input>,
     pub notices: UnboundedSender<Notice>,
     pub doors: watch::Sender<Doors>,
-    pub standing: watch::Sender<Standing>,
+    pub standing: watch::Sender<ServiceState>,
     /// Room for connections from clients, and how much that is in all.
     pub room: Arc<Semaphore>,
     pub most_clients: usize,
@@ -162,8 +162,12 @@
     }
 
     /// Works until it has wound down, or another process has taken over.
-    pub async fn run(mut self, inputs: &mut UnboundedReceiver<Input>, orders: &mut Receiver<Asked>) -> Ended {
-        self.standing.send_replace(Standing::Serving);
+    pub async fn run(
+        mut self,
+        inputs: &mut UnboundedReceiver<Input>,
+        orders: &mut Receiver<AdminRequest>,
+    ) -> Ended {
+        self.standing.send_replace(ServiceState::Serving);
         loop {
             let due = self.due();
             tokio::select! {
--- a/src/net/host/recovery.rs
+++ b/src/net/host/recovery.rs
@@ -2,8 +2,8 @@
 use super::list::List;
 use super::remains::Remains;
 use super::{Host, log_failure};
+use crate::net::admin_endpoint::ServiceState;
 use crate::net::handover::{self, Given};
-use crate::net::mgmt::Standing;
 use crate::net::notices::Notice;
 use crate::net::relay::{ToNew, ToOld};
 use crate::net::server::Doors;
@@ -123,7 +123,7 @@
     /// What is left once the other process has it all: the journal's lock goes, then the other one is told.
     pub(super) async fn remains(self, mut stream: UnixStream) -> Remains {
         let draining = *self.doors.borrow() == Doors::Draining;
-        self.standing.send_replace(Standing::Ending);
+        self.standing.send_replace(ServiceState::Stopping);
         self.doors.send_replace(Doors::Leaving { ready: !draining });
         let (clock, doors) = (self.clock, self.doors);
         // Kept whole: a call ends with what may call it off.
--- a/src/net/host/remains.rs
+++ b/src/net/host/remains.rs
@@ -1,8 +1,8 @@
 //! What is left of a process that has handed over: it passes on what still reaches it.
 use super::calls::Out;
+use crate::net::admin_endpoint::AdminRequest;
 use crate::net::handover::link;
 use crate::net::input::Input;
-use crate::net::mgmt::Asked;
 use crate::net::relay::{Answer, ToNew, ToOld};
 use crate::net::server::Doors;
 use message_sender::Time;
@@ -36,7 +36,7 @@
     pub async fn pass_on(
         mut self,
         mut inputs: UnboundedReceiver<Input>,
-        mut orders: Receiver<Asked>,
+        mut orders: Receiver<AdminRequest>,
         mut server: JoinHandle<()>,
     ) {
         let (to_queue, mut from_new) = unbounded_channel();
@@ -55,12 +55,12 @@
                 }
                 () = sleep_until(end) => break,
                 Some(asked) = orders.recv() => match asked {
-                    Asked::Order { order, answer } => {
+                    AdminRequest::Command { command, answer } => {
                         ordered.insert(next, answer);
-                        let _ = to_new.send(ToNew::Order { id: next, order });
+                        let _ = to_new.send(ToNew::Order { id: next, order: command });
                     }
                     // What was held is the new one's, and the sums would be wrong without it.
-                    Asked::Figures(answer) => {
+                    AdminRequest::Figures(answer) => {
                         let _ = answer.send(Err("another process has taken over: ask that one".to_owned()));
                     }
                 },
--- a/src/net/host/staff.rs
+++ b/src/net/host/staff.rs
@@ -1,6 +1,6 @@
 //! What staff ask for: figures, bans, drains, new settings, the end.
 use super::Host;
-use crate::net::mgmt::{Asked, Order, Standing};
+use crate::net::admin_endpoint::{AdminRequest, Command, ServiceState};
 use crate::net::server::Doors;
 use crate::net::telemetry::{Present, Snapshot};
 use crate::net::tuning::Tuning;
@@ -22,12 +22,12 @@
 
 impl Host {
     /// Carries out what staff ask for. The answer goes out once it is in force, and journaled where it lasts.
-    pub(super) fn asked(&mut self, asked: Asked) {
+    pub(super) fn asked(&mut self, asked: AdminRequest) {
         match asked {
             // A caller that was told that nothing changed must be right.
-            Asked::Order { answer, .. } if answer.is_closed() => {}
-            Asked::Order { order, answer } => drop(answer.send(self.carry_out(&order))),
-            Asked::Figures(answer) => drop(answer.send(Ok(Box::new(self.snapshot())))),
+            AdminRequest::Command { answer, .. } if answer.is_closed() => {}
+            AdminRequest::Command { command, answer } => drop(answer.send(self.carry_out(&command))),
+            AdminRequest::Figures(answer) => drop(answer.send(Ok(Box::new(self.snapshot())))),
         }
     }
 
@@ -49,16 +49,16 @@
         Snapshot { figures: self.figures.clone(), present, beside: self.shared.read() }
     }
 
-    pub(super) fn carry_out(&mut self, order: &Order) -> Result<(), String> {
-        let done = match order {
-            Order::Exclude(id) => self.ban(id, true),
-            Order::Include(id) => self.ban(id, false),
-            Order::Evacuate => self.drain(true),
-            Order::Activate => self.drain(false),
+    pub(super) fn carry_out(&mut self, command: &Command) -> Result<(), String> {
+        let done = match command {
+            Command::Exclude(id) => self.ban(id, true),
+            Command::Include(id) => self.ban(id, false),
+            Command::Evacuate => self.drain(true),
+            Command::Activate => self.drain(false),
         };
         match &done {
-            Ok(()) => tracing::info!("staff: {order:?}"),
-            Err(why) => tracing::warn!("staff: {order:?}: {why}"),
+            Ok(()) => tracing::info!("staff: {command:?}"),
+            Err(why) => tracing::warn!("staff: {command:?}: {why}"),
         }
         done
     }
@@ -102,7 +102,7 @@
 
     pub(super) fn wind_down(&mut self) {
         if self.winding_down.is_none() {
-            self.standing.send_replace(Standing::Ending);
+            self.standing.send_replace(ServiceState::Stopping);
             let now = Instant::now();
             let wind_down = WindDown { shut: now + STILL_COMING, end: now + WIND_DOWN };
             self.winding_down = Some(wind_down);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
 //! The sender on real sockets: everything round the decision module that does I/O or reads a clock.
+pub mod admin_endpoint;
 pub mod clock;
 pub mod connection;
 pub mod discovery;
@@ -8,7 +9,6 @@
 pub mod idle_trust;
 pub mod input;
 pub mod log;
-pub mod mgmt;
 pub mod notices;
 pub mod pool;
 pub mod relay;
@@ -20,7 +20,7 @@
 
 /// Descriptors besides those of clients and endpoints: standard streams, the loops' and the signals' own, the
 /// listeners, the journal's two files, discovery, notices, the configuration at a reload, staff's callers.
-const OWN: usize = 32 + mgmt::MOST_CALLERS;
+const OWN: usize = 32 + admin_endpoint::MAX_CONNECTIONS;
 
 /// How the descriptors that the process may hold are shared out.
 #[derive(Clone, Copy, Debug)]
--- a/src/net/relay.rs
+++ b/src/net/relay.rs
@@ -1,5 +1,5 @@
 //! What two processes of one sender tell each other while one takes over from the other.
-use super::mgmt::Order;
+use super::admin_endpoint::Command;
 use super::store::Handed;
 use message_sender::{EndpointId, Outcome, Report, Span, Time};
 use serde::{Deserialize, Serialize};
@@ -34,7 +34,7 @@
     /// A call by staff at the old second address.
     Order {
         id: u64,
-        order: Order,
+        order: Command,
     },
 }
 
