--- a/benches/parts.rs
+++ b/benches/parts.rs
@@ -2,9 +2,9 @@
 //! shared machines; blocks and bytes are not. What the figures mean stands in `docs/cost.md`.
 use divan::{AllocProfiler, Bencher};
 use message_sender::net::input::Input;
+use message_sender::net::journal::{Attempt, Journal, OutstandingMessage, SubmittedMessage};
 use message_sender::net::relay::Answer;
 use message_sender::net::server::{self, Doors};
-use message_sender::net::store::{Attempt, Handed, Owed, Store};
 use message_sender::wire::Targets;
 use message_sender::*;
 use std::hint::black_box;
@@ -184,8 +184,8 @@
     bencher.bench(|| serde_json::from_slice::<Targets>(black_box(text.as_bytes())).expect("a list"));
 }
 
-fn owed(id: usize, body: usize) -> Owed {
-    let message = Handed {
+fn owed(id: usize, body: usize) -> OutstandingMessage {
+    let message = SubmittedMessage {
         id: format!("{id:016}"),
         class: "repeat-order".to_owned(),
         tenant: None,
@@ -194,47 +194,47 @@
         destination: 7,
         body: vec![b'x'; body].into(),
     };
-    Owed::new(message, 100 * SECOND, class())
+    OutstandingMessage::new(message, 100 * SECOND, class())
 }
 
-fn store() -> (TempDir, Store) {
+fn journal() -> (TempDir, Journal) {
     let folder = tempfile::tempdir().expect("a folder");
-    let (store, _) = Store::open(folder.path(), DISK).expect("a journal");
-    (folder, store)
+    let (journal, _) = Journal::open(folder.path(), DISK).expect("a journal");
+    (folder, journal)
 }
 
 /// All records of a message that is delivered at the first attempt, compactions counted.
 #[divan::bench(args = [BODY, 64 * 1024])]
 fn journal_of_a_message(bencher: Bencher, body: usize) {
-    let (_folder, mut store) = store();
+    let (_folder, mut journal) = journal();
     let mut id = 0;
     bencher.bench_local(|| {
         id += 1;
-        let number = store.take_on(owed(id, body)).expect("room");
-        store.begin(number, Attempt { at: 1, zone: "a".to_owned() }).expect("a record");
-        store.over(number).expect("a record");
+        let number = journal.accept(owed(id, body)).expect("room");
+        journal.start_attempt(number, Attempt { at: 1, zone: "a".to_owned() }).expect("a record");
+        journal.complete(number).expect("a record");
     });
 }
 
 /// Writing the journal anew, with so many messages owed.
 #[divan::bench(args = [10, 100, 900])]
 fn compaction(bencher: Bencher, messages: usize) {
-    let (_folder, mut store) = store();
+    let (_folder, mut journal) = journal();
     for id in 0..messages {
-        store.take_on(owed(id, BODY)).expect("room");
+        journal.accept(owed(id, BODY)).expect("room");
     }
-    bencher.bench_local(|| store.compact());
+    bencher.bench_local(|| journal.compact());
 }
 
 /// Taking up a journal with so many messages owed.
 #[divan::bench(args = [0, 100, 900])]
 fn opening(bencher: Bencher, messages: usize) {
-    let (folder, mut store) = store();
+    let (folder, mut journal) = journal();
     for id in 0..messages {
-        store.take_on(owed(id, BODY)).expect("room");
+        journal.accept(owed(id, BODY)).expect("room");
     }
-    drop(store);
-    bencher.bench_local(|| Store::open(folder.path(), DISK).expect("a journal"));
+    drop(journal);
+    bencher.bench_local(|| Journal::open(folder.path(), DISK).expect("a journal"));
 }
 
 /// A request read, taken on by a host that does nothing else, and answered; the client's part is in the time.
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,10 +8,10 @@
 use net::handover::{self, Inherited};
 use net::host::{Ended, Estate, Host, Links, Origin};
 use net::input::Input;
+use net::journal::Journal;
 use net::log;
 use net::notices;
 use net::server::{self, Doors};
-use net::store::Store;
 use net::telemetry::Shared;
 use net::tuning::Tuning;
 use serde_json::{Map, Value};
@@ -55,7 +55,7 @@
     #[error(transparent)]
     Handover(#[from] handover::HandoverError),
     #[error(transparent)]
-    Store(#[from] net::store::StoreError),
+    Journal(#[from] net::journal::JournalError),
     #[error(transparent)]
     Log(#[from] log::LogError),
     #[error(transparent)]
@@ -170,8 +170,8 @@
     // What is owed is in memory too, and the journal is read whole at the next start.
     let of_fleet = if config.fleet.is_some() { fleet::DISK as f64 } else { 0.0 };
     let disk = (config.limits.disk_mb * 1e6 - of_fleet).min(memory.unwrap_or(f64::INFINITY)).max(0.0);
-    let (store, damage) = Store::open(&folder, disk as u64)?;
-    if damage != net::store::Damage::default() {
+    let (journal, damage) = Journal::open(&folder, disk as u64)?;
+    if damage != net::journal::Damage::default() {
         tracing::warn!("journal: {} bytes cut off at the end, {} passed over", damage.torn, damage.skipped);
     }
     let (stop_fleet, fleet_stops) = watch::channel(false);
@@ -180,7 +180,7 @@
     }
     let room = Arc::new(Semaphore::new(descriptors.clients.saturating_sub(taken)));
     let listening = |source| StartError::Listen { address: config.listen, source };
-    let estate = Estate { lock, store, listener: listener.try_clone().map_err(listening)? };
+    let estate = Estate { lock, journal, listener: listener.try_clone().map_err(listening)? };
     let links = Links {
         inputs: inputs.clone(),
         notices,
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -1,6 +1,6 @@
 use super::super::admin_endpoint::Command;
+use super::super::journal::SubmittedMessage;
 use super::super::relay::Answer;
-use super::super::store::Handed;
 use super::*;
 use message_sender::*;
 
@@ -218,7 +218,7 @@
 /// Guards against the same in what the two processes say afterwards.
 #[tokio::test]
 async fn what_two_processes_say_is_told_and_understood_as_before() {
-    let handed = Handed {
+    let handed = SubmittedMessage {
         id: "id".to_owned(),
         class: "charge".to_owned(),
         tenant: Some("tenant".to_owned()),
--- a/src/net/host/calls.rs
+++ b/src/net/host/calls.rs
@@ -2,8 +2,8 @@
 use super::{Host, log_failure};
 use crate::net::connection::Connection;
 use crate::net::input::{Called, Input};
+use crate::net::journal::Attempt;
 use crate::net::pool::{Call, Parcel, Pool};
-use crate::net::store::Attempt;
 use crate::net::telemetry;
 use message_sender::{EndpointId, Event, MessageId, Outcome, Report, Span, Time};
 use std::collections::{BTreeSet, HashMap};
@@ -113,7 +113,7 @@
         report: Option<Report>,
     ) {
         for (number, outcome, last) in ends {
-            let attempts = self.store.get(number).map_or(1, |owed| owed.attempts);
+            let attempts = self.journal.get(number).map_or(1, |owed| owed.attempts);
             self.figures.attempt_ended(outcome);
             if last {
                 let delivered = outcome == Outcome::Success;
@@ -123,7 +123,7 @@
                 );
                 self.over(number);
             } else {
-                log_failure(self.store.outcome(number, outcome.may_have_executed()));
+                log_failure(self.journal.complete_attempt(number, outcome.may_have_executed()));
             }
             let event = Event::AttemptCompleted {
                 message: MessageId(number),
@@ -150,13 +150,13 @@
         let mut unsent = Vec::new();
         for MessageId(number) in messages {
             self.figures.attempts += 1;
-            if let Some(owed) = self.store.get(number).filter(|owed| owed.attempts == 0)
+            if let Some(owed) = self.journal.get(number).filter(|owed| owed.attempts == 0)
                 && let Some(taken) = self.held.get(&owed.message.id)
             {
                 self.figures.queue.observe(taken.elapsed());
             }
-            let begun = self.store.begin(number, Attempt { at: now.0, zone: zone.clone() });
-            let Some(owed) = self.store.get(number) else { continue };
+            let begun = self.journal.start_attempt(number, Attempt { at: now.0, zone: zone.clone() });
+            let Some(owed) = self.journal.get(number) else { continue };
             if let Err(e) = begun {
                 // An attempt that a restart would not know of must not go out.
                 tracing::warn!("not sent: {e}");
--- a/src/net/host/intake.rs
+++ b/src/net/host/intake.rs
@@ -1,8 +1,8 @@
 //! Messages: taken on from clients, and brought to their final answer.
 use super::{Host, log_failure};
+use crate::net::journal::{FinalOutcome, OutstandingMessage, SubmittedMessage};
 use crate::net::notices::Notice;
 use crate::net::relay::Answer;
-use crate::net::store::{End, Handed, Owed};
 use crate::net::telemetry;
 use message_sender::profile::look;
 use message_sender::{Class, DestinationId, Event, Message, MessageId, OrderKey, Repeat, Span, TenantId};
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 impl Host {
-    pub(super) fn hand_in(&mut self, message: Handed, deadline: Instant) -> Answer {
+    pub(super) fn hand_in(&mut self, message: SubmittedMessage, deadline: Instant) -> Answer {
         if self.held.contains_key(&message.id) {
             return Answer::TakenOn;
         }
@@ -19,7 +19,7 @@
             Ok(class) => class,
             Err(what) => return self.malformed(what),
         };
-        let owed = Owed::new(message, self.clock.at(deadline).0, class);
+        let owed = OutstandingMessage::new(message, self.clock.at(deadline).0, class);
         let mut known = match self.message(0, &owed, class) {
             Ok(known) => known,
             Err(what) => return self.malformed(what),
@@ -30,7 +30,7 @@
             return Answer::Refused;
         }
         let id = owed.message.id.clone();
-        match self.store.take_on(owed) {
+        match self.journal.accept(owed) {
             Ok(number) => {
                 known.id = MessageId(number);
                 self.held.insert(id, Instant::now());
@@ -56,7 +56,12 @@
     }
 
     /// A message in the module's terms; the error says what cannot be understood.
-    pub(super) fn message(&self, number: u32, owed: &Owed, class: Class) -> Result<Message, String> {
+    pub(super) fn message(
+        &self,
+        number: u32,
+        owed: &OutstandingMessage,
+        class: Class,
+    ) -> Result<Message, String> {
         if matches!(class.repeat, Repeat::Keyed { .. }) && owed.message.idempotency_key.is_none() {
             return Err(format!("class {:?} needs an idempotency key", owed.message.class));
         }
@@ -68,7 +73,7 @@
 
     /// One that an earlier process took on. It is tried whatever the settings name now: its class is the one of then,
     /// and where not even that is known, what it does is never repeated.
-    pub(super) fn taken_on_before(&self, number: u32, owed: &Owed) -> Message {
+    pub(super) fn taken_on_before(&self, number: u32, owed: &OutstandingMessage) -> Message {
         let class = match owed.class {
             Some(class) => Ok(class),
             // Taken on before journals held the class: as the settings have it now.
@@ -91,7 +96,13 @@
         })
     }
 
-    fn in_terms(&self, number: u32, owed: &Owed, class: Class, tenant: Option<TenantId>) -> Message {
+    fn in_terms(
+        &self,
+        number: u32,
+        owed: &OutstandingMessage,
+        class: Class,
+        tenant: Option<TenantId>,
+    ) -> Message {
         // Two keys of one hash would wait for each other: harmless.
         let key = owed.message.key.as_ref().filter(|_| class.ordered).map(|key| {
             let mut hasher = DefaultHasher::new();
@@ -105,29 +116,29 @@
 
     /// Counts a final answer, unless that was given before.
     pub(super) fn count_end(&mut self, number: u32, end: telemetry::End) {
-        let Some(owed) = self.store.get(number).filter(|owed| owed.end.is_none()) else { return };
+        let Some(owed) = self.journal.get(number).filter(|owed| owed.end.is_none()) else { return };
         let after = self.held.get(&owed.message.id).map_or(Duration::ZERO, Instant::elapsed);
         self.figures.ended(&owed.message.class, end, after);
     }
 
-    pub(super) fn end(&mut self, number: u32, end: End) {
+    pub(super) fn end(&mut self, number: u32, end: FinalOutcome) {
         self.count_end(
             number,
             match end {
-                End::Failed => telemetry::End::Failed,
-                End::Returned(_) => telemetry::End::Rejected,
+                FinalOutcome::Failed => telemetry::End::Failed,
+                FinalOutcome::Returned(_) => telemetry::End::Rejected,
             },
         );
-        let Some(owed) = self.store.get(number) else { return };
+        let Some(owed) = self.journal.get(number) else { return };
         let id = owed.message.id.clone();
-        log_failure(self.store.end(number, end));
+        log_failure(self.journal.end(number, end));
         let _ = self.notices.send(Notice { number, id, end });
     }
 
     /// Nothing more is owed.
     pub(super) fn over(&mut self, number: u32) {
-        let Some(owed) = self.store.get(number) else { return };
+        let Some(owed) = self.journal.get(number) else { return };
         self.held.remove(&owed.message.id);
-        log_failure(self.store.over(number));
+        log_failure(self.journal.complete(number));
     }
 }
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -12,10 +12,10 @@
 use super::clock::Clock;
 use super::handover::{Known, Lock};
 use super::input::Input;
+use super::journal::{Journal, JournalError};
 use super::notices::Notice;
 use super::relay::ToOld;
 use super::server::Doors;
-use super::store::{Store, StoreError};
 use super::telemetry::{self, Figures, Shared};
 use super::tuning::Tuning;
 use calls::Calls;
@@ -40,7 +40,7 @@
 pub struct Host {
     sender: Sender,
     tuning: Tuning,
-    store: Store,
+    journal: Journal,
     calls: Calls,
     list: List,
     clock: Clock,
@@ -85,7 +85,7 @@
 /// The folder that lasts, and the socket that clients come to: what one process at a time has.
 pub struct Estate {
     pub lock: Lock,
-    pub store: Store,
+    pub journal: Journal,
     pub listener: TcpListener,
 }
 
@@ -125,7 +125,7 @@
         };
         let mut host = Self {
             sender: sender.map_err(|e| e.to_string())?,
-            store: estate.store,
+            journal: estate.journal,
             calls: Calls::new(most_connections, tuning.idle()),
             list: List::default(),
             tuning,
@@ -199,7 +199,9 @@
             {
                 self.doors.send_replace(Doors::Shut);
                 self.listener = None;
-                if now >= wind_down.end || (self.calls.out.is_empty() && self.store.owed().next().is_none()) {
+                if now >= wind_down.end
+                    || (self.calls.out.is_empty() && self.journal.outstanding().next().is_none())
+                {
                     tracing::info!("{}", telemetry::summary(&self.snapshot()));
                     return Ended::WoundDown(wind_down.end);
                 }
@@ -210,7 +212,7 @@
     /// Takes in what discovery tells.
     fn targets(&mut self, targets: Targets) {
         let now = self.now();
-        let events = self.list.told(targets, &self.tuning, |id| self.store.is_excluded(id));
+        let events = self.list.told(targets, &self.tuning, |id| self.journal.is_excluded(id));
         self.pending.extend(events.into_iter().map(|event| (now, event)));
     }
 
@@ -268,7 +270,7 @@
 }
 
 /// A record that cannot be written is made good by the next compaction; the sender goes on.
-fn log_failure(written: Result<(), StoreError>) {
+fn log_failure(written: Result<(), JournalError>) {
     if let Err(e) = written {
         tracing::warn!("{e}");
     }
--- a/src/net/host/recovery.rs
+++ b/src/net/host/recovery.rs
@@ -4,10 +4,10 @@
 use super::{Host, log_failure};
 use crate::net::admin_endpoint::ServiceState;
 use crate::net::handover::{self, Given};
+use crate::net::journal::OutstandingMessage;
 use crate::net::notices::Notice;
 use crate::net::relay::{ToNew, ToOld};
 use crate::net::server::Doors;
-use crate::net::store::Owed;
 use message_sender::{Event, Outcome, Resumed, Time, ZoneId};
 use std::time::Duration;
 use tokio::net::UnixStream;
@@ -20,16 +20,17 @@
 impl Host {
     /// Takes up what an earlier process left.
     pub(super) fn resume(&mut self) {
-        let owed: Vec<(u32, Owed)> = self.store.owed().map(|(number, owed)| (number, owed.clone())).collect();
+        let owed: Vec<(u32, OutstandingMessage)> =
+            self.journal.outstanding().map(|(number, owed)| (number, owed.clone())).collect();
         for (number, owed) in owed {
             self.held.insert(owed.message.id.clone(), Instant::now());
             self.figures.resumed += u64::from(owed.end.is_none());
             let message = self.taken_on_before(number, &owed);
             if owed.out.is_some() {
                 // The process ended during the call: nobody knows how far that had come.
-                log_failure(self.store.outcome(number, true));
+                log_failure(self.journal.complete_attempt(number, true));
             }
-            let ran = owed.ran.as_ref().or(owed.out.as_ref()).map(|first| {
+            let ran = owed.first_execution.as_ref().or(owed.out.as_ref()).map(|first| {
                 let zone = self.tuning.names.zones.get(&first.zone).copied();
                 (Time(first.at), zone.unwrap_or(ZoneId(usize::MAX)))
             });
@@ -48,7 +49,7 @@
         self.pending = state.pending;
         self.withheld = state.clients;
         self.list = List::inherited(state.revision, state.next_endpoint, state.endpoints);
-        for (number, owed) in self.store.owed() {
+        for (number, owed) in self.journal.outstanding() {
             self.held.insert(owed.message.id.clone(), Instant::now());
             self.figures.resumed += u64::from(owed.end.is_none());
             if owed.out.is_some() {
@@ -128,7 +129,7 @@
         let (clock, doors) = (self.clock, self.doors);
         // Kept whole: a call ends with what may call it off.
         let calls = self.calls.out;
-        drop((self.store, self.lock));
+        drop((self.journal, self.lock));
         // One that cannot be told any more has ended, which shows soon.
         let _ = handover::write(&mut stream, &ToNew::Yours).await;
         tracing::info!("handed over to another process, {} calls are out", calls.len());
--- a/src/net/host/round.rs
+++ b/src/net/host/round.rs
@@ -1,6 +1,6 @@
 //! One round: the module takes in what has happened, and what it decides is carried out.
 use super::Host;
-use crate::net::store::End;
+use crate::net::journal::FinalOutcome;
 use message_sender::{Action, EndpointId, Event, MessageId, Outcome, Time};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -46,9 +46,9 @@
                     }
                 }
                 Action::Refuse { message, after } => {
-                    self.end(message.0, End::Returned(after.map(|span| span.0.div_ceil(1000))));
+                    self.end(message.0, FinalOutcome::Returned(after.map(|span| span.0.div_ceil(1000))));
                 }
-                Action::Fail(id) => self.end(id.0, End::Failed),
+                Action::Fail(id) => self.end(id.0, FinalOutcome::Failed),
                 Action::WakeIn(span) => {
                     let wake = at + Duration::from_micros(span.0);
                     self.wake_at = Some(self.wake_at.map_or(wake, |set| set.min(wake)));
--- a/src/net/host/staff.rs
+++ b/src/net/host/staff.rs
@@ -33,16 +33,16 @@
 
     /// All figures, as they are now. What is held is counted, not reckoned from what came and went.
     pub(super) fn snapshot(&self) -> Snapshot {
-        let held = || self.store.owed().filter(|(_, owed)| owed.end.is_none());
+        let held = || self.journal.outstanding().filter(|(_, owed)| owed.end.is_none());
         let (members, unavailable) = self.sender.members();
         let present = Present {
             pending: held().count(),
             pending_bytes: held().map(|(_, owed)| owed.message.body.len()).sum(),
-            notices: self.store.owed().filter(|(_, owed)| owed.end.is_some()).count(),
+            notices: self.journal.outstanding().filter(|(_, owed)| owed.end.is_some()).count(),
             members,
             unavailable,
             remembered: self.list.len(),
-            journal_bytes: self.store.length(),
+            journal_bytes: self.journal.length(),
             endpoints_idle: self.calls.pool.idle(),
             endpoints_busy: self.calls.out.len(),
         };
@@ -65,10 +65,10 @@
 
     pub(super) fn ban(&mut self, id: &str, excluded: bool) -> Result<(), String> {
         let endpoint = self.list.number(id);
-        if endpoint.is_none() && !self.store.is_excluded(id) {
+        if endpoint.is_none() && !self.journal.is_excluded(id) {
             return Err(format!("no endpoint {id:?} is known"));
         }
-        let journaled = if excluded { self.store.exclude(id) } else { self.store.include(id) };
+        let journaled = if excluded { self.journal.exclude(id) } else { self.journal.include(id) };
         journaled.map_err(|e| e.to_string())?;
         if let Some(endpoint) = endpoint {
             let event = if excluded { Event::Excluded(endpoint) } else { Event::Included(endpoint) };
--- a/src/net/input.rs
+++ b/src/net/input.rs
@@ -1,7 +1,7 @@
 //! What reaches the loop, from whoever it comes: all who send it stand above this, and the loop above all of them.
 use super::connection::Connection;
+use super::journal::SubmittedMessage;
 use super::relay::{Answer, ToNew};
-use super::store::Handed;
 use super::tuning::Tuning;
 use message_sender::wire::Targets;
 use message_sender::{EndpointId, Outcome, Report, Span};
@@ -14,7 +14,7 @@
 /// What reaches the loop.
 pub enum Input {
     HandIn {
-        message: Handed,
+        message: SubmittedMessage,
         /// By when it may still be delivered.
         deadline: Instant,
         answer: oneshot::Sender<Answer>,
--- a/src/net/notices.rs
+++ b/src/net/notices.rs
@@ -2,7 +2,7 @@
 use super::connection::{CallError, Connection, request};
 use super::discovery::Pauses;
 use super::input::Input;
-use super::store::End;
+use super::journal::FinalOutcome;
 use super::telemetry::Shared;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -30,7 +30,7 @@
 pub struct Notice {
     pub number: u32,
     pub id: String,
-    pub end: End,
+    pub end: FinalOutcome,
 }
 
 #[derive(Debug, thiserror::Error)]
@@ -112,8 +112,8 @@
     let mut body = Vec::new();
     for notice in batch {
         let (state, after_ms) = match notice.end {
-            End::Failed => (NoticeState::Failed, None),
-            End::Returned(after) => (NoticeState::Returned, after),
+            FinalOutcome::Failed => (NoticeState::Failed, None),
+            FinalOutcome::Returned(after) => (NoticeState::Returned, after),
         };
         // Strings and numbers always have a JSON form.
         body.extend(serde_json::to_vec(&NoticeLine { id: &notice.id, state, after_ms }).unwrap_or_default());
--- a/src/net/notices/tests.rs
+++ b/src/net/notices/tests.rs
@@ -11,7 +11,7 @@
     let (_move, address) = watch::channel(listener.local_addr().unwrap());
     let (to_run, queue) = unbounded_channel();
     let (host, mut heard) = unbounded_channel();
-    let notice = Notice { number: 3, id: "m3".to_owned(), end: End::Failed };
+    let notice = Notice { number: 3, id: "m3".to_owned(), end: FinalOutcome::Failed };
     assert!(to_run.send(notice).is_ok());
     tokio::spawn(run(address, queue, 1, host, Arc::default()));
     let began = std::time::Instant::now();
--- a/src/net/relay.rs
+++ b/src/net/relay.rs
@@ -1,6 +1,6 @@
 //! What two processes of one sender tell each other while one takes over from the other.
 use super::admin_endpoint::Command;
-use super::store::Handed;
+use super::journal::SubmittedMessage;
 use message_sender::{EndpointId, Outcome, Report, Span, Time};
 use serde::{Deserialize, Serialize};
 
@@ -28,7 +28,7 @@
     /// A message that came on an old connection; its deadline is the module's time.
     HandIn {
         id: u64,
-        message: Handed,
+        message: SubmittedMessage,
         deadline: Time,
     },
     /// A call by staff at the old second address.
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,7 +1,7 @@
 //! The side that clients see: messages are handed in, and answered once the journal holds them.
 use super::input::Input;
+use super::journal::SubmittedMessage;
 use super::relay::Answer;
-use super::store::Handed;
 use super::telemetry::Shared;
 use bytes::Bytes;
 use futures_util::FutureExt;
@@ -344,7 +344,7 @@
 }
 
 /// A message and how long it may still be delivered.
-fn read(headers: &HeaderMap, body: Bytes) -> Result<(Handed, Duration), String> {
+fn read(headers: &HeaderMap, body: Bytes) -> Result<(SubmittedMessage, Duration), String> {
     let optional = |name: &str| -> Result<Option<String>, String> {
         if headers.get_all(name).iter().nth(1).is_some() {
             return Err(format!("{name} comes more than once"));
@@ -364,7 +364,7 @@
     let envelope = needed(ENVELOPE)?;
     let destination = envelope.split([',', ';', ' ']).find_map(|field| field.trim().strip_prefix("dest="));
     let destination = destination.and_then(|number| number.parse().ok());
-    let message = Handed {
+    let message = SubmittedMessage {
         id: needed(TXN)?,
         class: needed(LANE)?,
         tenant: optional("X-Org")?,
