--- a/system/programs/src/storage/placement.rs
+++ b/system/programs/src/storage/placement.rs
@@ -68,7 +68,7 @@
         let Some(capacity) = changed_capacity.flatten() else { return };
         log::warn!("the disk's room: {capacity:?}");
         if let (true, Some(folder)) = (capacity != DiskCapacity::Ample, &settings.data_directory)
-            && let Err(e) = Disk::remove_aside(folder)
+            && let Err(e) = Disk::remove_quarantined(folder)
         {
             log::error!("what was set aside stays: {e}");
         }
--- a/system/programs/src/storage/replica.rs
+++ b/system/programs/src/storage/replica.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 use turn_store::{
-    Disk, DiskError, Durability, Outcome, RecordCounts, Replaced, ReplicaState, SPACES, Stored, Write,
+    Disk, DiskError, Durability, KEYSPACES, OpenedDisk, Outcome, RecordCounts, ReplicaState, Stored, Write,
     WriteFailed, Writer, load,
 };
 
@@ -45,8 +45,8 @@
     }
 
     fn open(&self, on_failure: OnFailure) -> Result<OpenedDirectory, DiskError> {
-        let Replaced { disk, read: (kept, damages), lost } =
-            Disk::open_or_replace(&self.0, SPACES, random_u64, load)?;
+        let OpenedDisk { disk, read: (kept, damages), lost } =
+            Disk::open_or_replace(&self.0, KEYSPACES, random_u64, load)?;
         if !damages.is_empty() {
             log::error!("{} damaged records set aside: this machine fills again", damages.len());
         }
