--- a/system/turn-store/src/record_log/tests.rs
+++ b/system/turn-store/src/record_log/tests.rs
@@ -1,3 +1,4 @@
+use super::encoding::{HEAD_BYTES, MIN_GAP_BYTES};
 use super::*;
 use googletest::prelude::*;
 
