--- a/system/turn-store/src/disk/tests.rs
+++ b/system/turn-store/src/disk/tests.rs
@@ -76,7 +76,7 @@
     changed
 }
 
-/// A folder with two batches in its journal, which is as long as what is written.
+/// A directory with two batches in its journal, which is as long as what is written.
 fn two_batches() -> (tempfile::TempDir, PathBuf, Vec<u8>, usize) {
     let dir = tempfile::tempdir().unwrap();
     let disk = open(dir.path());
@@ -102,7 +102,7 @@
     loaded.read.0.turns.iter().map(|turn| turn.attempt.as_str()).collect()
 }
 
-/// A copy of a folder.
+/// A copy of a directory.
 fn copied(from: &Path) -> tempfile::TempDir {
     fn copy(from: &Path, to: &Path) {
         fs::create_dir_all(to).unwrap();
--- a/system/turn-store/src/disk/tests/damaged_records.rs
+++ b/system/turn-store/src/disk/tests/damaged_records.rs
@@ -20,7 +20,7 @@
     // When it is loaded.
     expect_that!(Payloads::get(&disk, "flipped"), eq(&Payload::Lost));
     let (stored, damaged) = load(&disk).unwrap();
-    // Then the good one is there, the others are told.
+    // Then the good one is there, the others are reported.
     let reported: Vec<_> =
         damaged.iter().map(|damage| (&damage.key[..], damage.reason.to_string())).collect();
     expect_that!(
@@ -106,7 +106,7 @@
     drop(disk);
     let changed = change_value(&dir.path().join("records/keyspaces"), b"\x01b");
     expect_that!(changed, eq(1));
-    // Then the first is gone, the second is told, and the third is whole.
+    // Then the first is gone, the second is reported, and the third is whole.
     let disk = open(dir.path());
     let (_, damaged) = load(&disk).unwrap();
     expect_that!(damaged.iter().map(|damage| damage.keyspace).collect::<Vec<_>>(), eq(&vec![TURNS]));
@@ -153,7 +153,7 @@
             let copy = copied(dir.path());
             fs::write(copy.path().join(&file), changed).unwrap();
             let report_context = format!("{} at {position}", file.display());
-            // Then it is refused as another version, or what is damaged is told, or nothing was.
+            // Then it is refused as another version, or what is damaged is reported, or nothing was.
             let loaded = match open_or_replace(copy.path()) {
                 Ok(loaded) => loaded,
                 Err(error) => {
--- a/system/turn-store/src/disk/tests/data_directory.rs
+++ b/system/turn-store/src/disk/tests/data_directory.rs
@@ -24,7 +24,7 @@
 
 #[gtest]
 fn an_incomplete_directory_is_created_again() {
-    // Given what a loss of power left while a folder was made.
+    // Given what a loss of power left while a directory was made.
     let dir = tempfile::tempdir().unwrap();
     fs::create_dir_all(dir.path().join("records.new/keyspaces")).unwrap();
     fs::write(dir.path().join("records.new/0.jnl"), b"half").unwrap();
@@ -90,7 +90,7 @@
     bytes[begin - 20] ^= 1;
     fs::write(&path, &bytes).unwrap();
     fs::create_dir(dir.path().join(PROBE_FILE)).unwrap();
-    // When it is opened, then it is an error that may pass, and nothing is set aside.
+    // When it is opened, then it is an error that may pass, and nothing is quarantined.
     let error = open_or_replace(dir.path()).unwrap_err();
     expect_that!(error.is_transient(), eq(true), "{error}");
     expect_that!(fs::read(&path).unwrap(), eq(&bytes));
--- a/system/turn-store/src/disk/tests/journal_recovery.rs
+++ b/system/turn-store/src/disk/tests/journal_recovery.rs
@@ -76,7 +76,7 @@
         let copy = copied(dir.path());
         let loaded = open_or_replace(copy.path()).unwrap();
         match &loaded.lost {
-            // Then the folder is set aside, and the machine is one that lost its disk.
+            // Then the directory is quarantined, and the machine is one that lost its disk.
             Some(error) => {
                 lost += 1;
                 expect_that!(error.is_damage(), eq(true), "byte {position}");
--- a/system/turn-store/src/disk/tests/recorded.rs
+++ b/system/turn-store/src/disk/tests/recorded.rs
@@ -9,7 +9,7 @@
     fs::read_to_string(&path).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
 
-/// A folder as it was recorded: a line for each folder and each file in it, the file's bytes in hexadecimal digits.
+/// A directory as it was recorded: a line for each folder and each file in it, the file's bytes in hexadecimal digits.
 fn recorded(name: &str) -> tempfile::TempDir {
     let dir = tempfile::tempdir().unwrap();
     let byte = |pair: &[u8]| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap();
@@ -26,7 +26,7 @@
     dir
 }
 
-/// All records of a folder as they are kept, frames and all: keyspace, key and value a line, in hexadecimal digits.
+/// All records of a directory as they are kept, frames and all: keyspace, key and value a line, in hexadecimal digits.
 fn listing(disk: &Disk) -> String {
     let digits = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
     let line = |keyspace: &str, guard: fjall::Guard| {
@@ -87,7 +87,7 @@
 
 #[gtest]
 fn a_storage_folder_written_before_is_read_and_written_alike() {
-    // Given a folder with records of each kind, as it was written before.
+    // Given a directory with records of each kind, as it was written before.
     let dir = recorded("storage-folder.txt");
     let disk = open(dir.path());
     // When it is read, then all is there as it was meant, in the same bytes.
@@ -110,7 +110,7 @@
 fn a_storage_folder_written_before_takes_one_record_more() {
     // Given the recorded folder.
     let dir = recorded("storage-folder.txt");
-    // When one turn more is written with its holders, and the folder is opened again.
+    // When one turn more is written with its replicas, and the directory is opened again.
     let disk = open(dir.path());
     disk.write(&[put_turn("attempt-4"), replicas_write("attempt-4", &[9])]).unwrap();
     drop(disk);
@@ -134,7 +134,7 @@
 
 #[gtest]
 fn quarantined_records_are_found_and_further_ones_quarantined_alike() {
-    // Given a folder in which a damaged turn was set aside.
+    // Given a directory in which a damaged turn was quarantined.
     let dir = recorded("storage-folder-quarantined.txt");
     let disk = open(dir.path());
     let out_of_sync = BackfillRecord { in_sync: vec![], damaged: true };
@@ -146,7 +146,7 @@
         some(eq(&vec![1, 0xde, 0xad, 0xbe, 0xef, 1, 2, 3]))
     );
     expect_that!(listing(&disk), eq(&recorded_text("storage-records-quarantined.txt")));
-    // When the same turn is damaged in the other folder, then it is set aside in the same bytes.
+    // When the same turn is damaged in the other folder, then it is quarantined in the same bytes.
     let dir = recorded("storage-folder.txt");
     let disk = open(dir.path());
     spoil(&disk);
--- a/system/turn-store/src/record_log/faults.rs
+++ b/system/turn-store/src/record_log/faults.rs
@@ -8,14 +8,14 @@
 use power::{FaultyFiles, InFolder, OPERATIONS, Operation};
 use std::sync::mpsc;
 
-/// A log in a folder, what was put, and what was told synced.
+/// A log in a directory, what was put, and what was reported as synced.
 struct FaultRun {
     folder: tempfile::TempDir,
     files: FaultyFiles,
     log: Option<RecordLog>,
     /// Number of the last record that was put.
     put: usize,
-    /// Number of the last record that was told synced.
+    /// Number of the last record that was reported as synced.
     describe: usize,
 }
 
@@ -48,7 +48,7 @@
         let folder = self.folder.path().to_owned();
         let files = InFolder { files: self.files.clone(), folder: folder.clone() };
         let opened = RecordLog::open_with(&folder, Box::new(files))?;
-        // What is found is told from now on, as soon as the log says that it is synced.
+        // What is found is reported from now on, as soon as the log says that it is synced.
         let found = number(&opened.found);
         expect_that!(found, ge(self.describe));
         self.log = Some(opened.log);
@@ -72,7 +72,7 @@
         synced
     }
 
-    /// What was told synced is found after a loss of power now, or what was put later.
+    /// What was reported as synced is found after a loss of power now, or what was put later.
     fn check(&self, when: &str) {
         let left = self.files.after_power_loss();
         let files = InFolder { files: FaultyFiles::default(), folder: left.path().to_owned() };
@@ -103,7 +103,7 @@
                     let mut run = FaultRun::begin();
                     run.files.refuse(operation, let_through, times);
                     for step in 1..=6 {
-                        // When records are put, then each is synced when that was told.
+                        // When records are put, then each is synced when that was reported.
                         run.put();
                         run.check(&format!("{when}, step {step}"));
                         if restart_after == Some(step) && run.restart().is_ok() {
@@ -236,7 +236,7 @@
     let (log, completed) = mpsc::channel();
     writer.submit(vec![Write::put("record", Vec::new(), record(1))], note(&log, 1));
     begins.recv().unwrap();
-    // When another request comes that only waits, then neither is told.
+    // When another request comes that only waits, then neither is reported.
     writer.submit(vec![], note(&log, 2));
     expect_that!(completed.try_recv().is_err(), eq(true));
     // And both are once the disk goes on.
--- a/system/turn-store/src/record_log/faults/power.rs
+++ b/system/turn-store/src/record_log/faults/power.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 enum Named {
     Inode(u64),
-    /// The file was removed, and the folder not synced since.
+    /// The file was removed, and the directory not synced since.
     Removed(Vec<u8>),
 }
 
@@ -105,7 +105,7 @@
         content.synced = bytes;
     }
 
-    /// What the folder holds after a loss of power now.
+    /// What the directory holds after a loss of power now.
     pub(super) fn after_power_loss(&self) -> tempfile::TempDir {
         let left = tempfile::tempdir().unwrap();
         let disk = self.0.lock().unwrap();
@@ -125,7 +125,7 @@
     entries.into_iter().find(|entry| entry.metadata().unwrap().ino() == inode).unwrap().path()
 }
 
-/// Faulty files in a folder.
+/// Faulty files in a directory.
 #[derive(Debug)]
 pub(super) struct InFolder {
     pub files: FaultyFiles,
--- a/system/turn-store/src/record_log/tests.rs
+++ b/system/turn-store/src/record_log/tests.rs
@@ -14,7 +14,7 @@
     ))
 }
 
-/// A folder with records 1 to `count` put one after another, and where in its one file each ends.
+/// A directory with records 1 to `count` put one after another, and where in its one file each ends.
 fn persisted(count: usize) -> (tempfile::TempDir, PathBuf, Vec<usize>) {
     let folder = tempfile::tempdir().unwrap();
     let mut log = open(folder.path()).log;
@@ -60,7 +60,7 @@
             let mut bytes = is_complete[..cut].to_vec();
             bytes.resize(cut + zeros, 0);
             fs::write(&path, bytes).unwrap();
-            // Then the second one counts, and nothing is told: an append that was never synced was never told of.
+            // Then the second one counts, and nothing is reported: an append that was never synced was never told of.
             let mut opened = open(folder.path());
             expect_that!(
                 opened.found,
@@ -125,7 +125,7 @@
         expect_that!(opened.damages.len(), eq(1));
         expect_that!(opened.damages[0], contains_substring(path.display().to_string()));
         expect_that!(folder.path().join("damaged").exists(), eq(true));
-        // And it is told once.
+        // And it is reported once.
         let opened = open(folder.path());
         expect_that!(opened.found, eq(&RecoveredRecord::Stored(record(3))));
         expect_that!(opened.damages, is_empty());
--- a/system/turn-store/src/record_log/tests/recorded.rs
+++ b/system/turn-store/src/record_log/tests/recorded.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A recorded file of the folder of a log.
+/// A recorded file of the directory of a log.
 fn recorded(name: &str) -> Vec<u8> {
     fs::read(format!("{}/tests/recorded/record-log/{name}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
--- a/system/turn-store/src/writer/tests.rs
+++ b/system/turn-store/src/writer/tests.rs
@@ -43,7 +43,7 @@
     writer.submit(vec![put("c"), put("d")], note(&log, 4));
     expect_that!(completed.try_recv().is_err(), eq(true));
     go.send(Ok(())).unwrap();
-    // Then they are one batch, and nobody is told before it is synced.
+    // Then they are one batch, and nobody is reported before it is synced.
     expect_that!(reported.recv().unwrap(), eq(&keys(&["b", "lazy", "c", "d"])));
     expect_that!(completed.recv().unwrap(), eq((1, true)));
     expect_that!(completed.try_recv().is_err(), eq(true));
--- a/system/turn-store/tests/membership_changes/client_operations.rs
+++ b/system/turn-store/tests/membership_changes/client_operations.rs
@@ -1,6 +1,6 @@
 //! What proxies ask of the machines: each call goes out by itself, by the roster that the proxy knew when it began.
 
-use crate::cluster::{Fleet, Mutation};
+use crate::cluster::{Cluster, Mutation};
 use bytes::Bytes;
 use fleet_model::{Answer, Call, QuorumSizes, Reservation, Roster, StorageNode, Turn, rendezvous_rank};
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,7 +32,7 @@
     Ends,
 }
 
-impl Fleet {
+impl Cluster {
     fn copies(&self) -> usize {
         self.tolerance + 1 - usize::from(self.mutation == Mutation::CopiesOneShort)
     }
--- a/system/turn-store/tests/membership_changes/cluster.rs
+++ b/system/turn-store/tests/membership_changes/cluster.rs
@@ -1,4 +1,4 @@
-//! Storage machines in memory, one keeper with a clock, and what was promised to clients.
+//! Storage machines in memory, one control node with a clock, and what was promised to clients.
 
 use crate::client_operations::Operation;
 use controllers::{
@@ -12,7 +12,7 @@
 use std::net::Ipv4Addr;
 use turn_store::{Backfill, Payload, Payloads, ReplicaState, Stored, TURNS, Write};
 
-/// The keeper's clock goes on by so much a tick.
+/// The control node's clock goes on by so much a tick.
 const TICK_MS: u64 = 250;
 /// So long a fleet without further trouble may take until all is as it should be.
 const SETTLE_TIMEOUT_MS: u64 = 60_000;
@@ -86,7 +86,7 @@
     }
 }
 
-pub(crate) struct Fleet {
+pub(crate) struct Cluster {
     pub(crate) tolerance: usize,
     pub(crate) mutation: Mutation,
     pub(crate) now: u64,
@@ -118,10 +118,10 @@
     stores.iter().map(|store| store.disk).collect()
 }
 
-impl Fleet {
-    /// So many machines, founded and full.
+impl Cluster {
+    /// So many machines, in the roster and in sync.
     pub(crate) fn new(seed: u64, machines: usize, tolerance: usize, mutation: Mutation) -> Self {
-        let mut fleet = Self {
+        let mut cluster = Self {
             tolerance,
             mutation: Mutation::None,
             now: 0,
@@ -143,11 +143,11 @@
             random: ChaCha8Rng::seed_from_u64(seed),
         };
         for _ in 0..machines {
-            fleet.start_another();
+            cluster.start_another();
         }
-        fleet.settle();
-        fleet.mutation = mutation;
-        fleet
+        cluster.settle();
+        cluster.mutation = mutation;
+        cluster
     }
 
     pub(crate) fn random_below(&mut self, below: usize) -> usize {
@@ -305,7 +305,7 @@
         self.remove_retired();
     }
 
-    /// The keeper looks at the machines, and does what the duty asks for.
+    /// The control node looks at the machines, and does what the controller asks for.
     pub(crate) fn run_controller(&mut self) {
         self.now += TICK_MS;
         let (now, min_nodes) = (self.now, self.min_nodes());
--- a/system/turn-store/tests/membership_changes/invariants.rs
+++ b/system/turn-store/tests/membership_changes/invariants.rs
@@ -1,11 +1,11 @@
 //! When a cluster has converged, and what must hold for the records that clients were promised.
 
-use crate::cluster::{Fleet, Machine, Mutation, disks};
+use crate::cluster::{Cluster, Machine, Mutation, disks};
 use fleet_model::{Answer, Call, QuorumSizes, StorageNode, account_replicas};
 use std::collections::{BTreeMap, BTreeSet};
 use turn_store::is_surely_absent;
 
-impl Fleet {
+impl Cluster {
     /// Whether all machines that are up count and are full, and nothing is under way.
     pub(crate) fn is_settled(&self) -> bool {
         let roster = self.roster();
--- a/system/turn-store/tests/membership_changes/loss_at_each_step.rs
+++ b/system/turn-store/tests/membership_changes/loss_at_each_step.rs
@@ -1,7 +1,7 @@
 //! A loss at each step of each kind of change.
 
 use crate::client_operations::BOUND;
-use crate::cluster::{Fleet, Mutation};
+use crate::cluster::{Cluster, Mutation};
 use controllers::RetireVerdict;
 
 /// What the staff, or chance, begins.
@@ -46,33 +46,33 @@
 /// The most steps of a change at which a loss is tried.
 const MOST_STEPS: usize = 400;
 
-fn begin(fleet: &mut Fleet, begun: Begun) {
+fn begin(cluster: &mut Cluster, begun: Begun) {
     match begun {
-        Begun::Add => drop(fleet.start_another()),
-        Begun::Retire => drop(fleet.retire("s1")),
+        Begun::Add => drop(cluster.start_another()),
+        Begun::Retire => drop(cluster.retire("s1")),
         Begun::AddAndRetire => {
-            fleet.start_another();
-            fleet.retire("s1");
+            cluster.start_another();
+            cluster.retire("s1");
         }
-        Begun::Wipe => fleet.wipe("s1", false),
-        Begun::ReplaceByName => fleet.wipe("s1", true),
+        Begun::Wipe => cluster.wipe("s1", false),
+        Begun::ReplaceByName => cluster.wipe("s1", true),
         Begun::ReplaceByAnother => {
-            fleet.destroy("s1");
-            fleet.start_another();
+            cluster.destroy("s1");
+            cluster.start_another();
         }
         Begun::ReplaceTwice => {
-            fleet.wipe("s1", true);
-            fleet.advance(fleet.machines.len() - 1);
-            fleet.wipe("s1", true);
+            cluster.wipe("s1", true);
+            cluster.advance(cluster.machines.len() - 1);
+            cluster.wipe("s1", true);
         }
     }
 }
 
-fn inject_loss(fleet: &mut Fleet, name: &str, loss: Loss) {
+fn inject_loss(cluster: &mut Cluster, name: &str, loss: Loss) {
     match loss {
-        Loss::Wiped => fleet.wipe(name, false),
-        Loss::Destroyed => fleet.destroy(name),
-        Loss::StopsForAWhile => fleet.stop(name),
+        Loss::Wiped => cluster.wipe(name, false),
+        Loss::Destroyed => cluster.destroy(name),
+        Loss::StopsForAWhile => cluster.stop(name),
     }
 }
 
@@ -80,20 +80,20 @@
 const PHASES: [&str; 3] = ["before", "during", "after"];
 
 /// Turns and reservations; each phase has its own.
-fn write(fleet: &mut Fleet, phase: &str) {
+fn write(cluster: &mut Cluster, phase: &str) {
     let place = PHASES.iter().position(|other| *other == phase).expect("a phase of a run") as u64;
     for number in 0..4 {
-        fleet.begin_turn(format!("{phase}-{number}"));
-        fleet.begin_reservation(format!("p{number}"), 10 * place + number);
+        cluster.begin_turn(format!("{phase}-{number}"));
+        cluster.begin_reservation(format!("p{number}"), 10 * place + number);
     }
-    fleet.operate_all();
+    cluster.operate_all();
 }
 
 /// One small step of the whole fleet: the first machine that has something to do, else the time goes on.
-fn step(fleet: &mut Fleet) {
-    let moved = (0..fleet.machines.len()).any(|at| at < fleet.machines.len() && fleet.advance(at));
+fn step(cluster: &mut Cluster) {
+    let moved = (0..cluster.machines.len()).any(|at| at < cluster.machines.len() && cluster.advance(at));
     if !moved {
-        fleet.run_controller();
+        cluster.run_controller();
     }
 }
 
@@ -107,51 +107,51 @@
     loss: Loss,
     mutation: Mutation,
 ) -> Result<bool, String> {
-    let mut fleet = Fleet::new(after as u64, machines, tolerance, mutation);
-    write(&mut fleet, "before");
-    begin(&mut fleet, begun);
+    let mut cluster = Cluster::new(after as u64, machines, tolerance, mutation);
+    write(&mut cluster, "before");
+    begin(&mut cluster, begun);
     let mut is_complete = false;
     for _ in 0..after {
-        step(&mut fleet);
-        fleet.clear_faults_if_complete();
-        is_complete = fleet.is_at_rest();
+        step(&mut cluster);
+        cluster.clear_faults_if_complete();
+        is_complete = cluster.is_at_rest();
         if is_complete {
             break;
         }
     }
-    write(&mut fleet, "during");
+    write(&mut cluster, "during");
     let mut lost = Vec::new();
     for victim in victims {
-        let name = fleet.machines[victim % fleet.machines.len()].store.name.clone();
-        if fleet.remaining_loss_budget() > 0 && !fleet.impaired.contains(&name) {
-            inject_loss(&mut fleet, &name, loss);
+        let name = cluster.machines[victim % cluster.machines.len()].store.name.clone();
+        if cluster.remaining_loss_budget() > 0 && !cluster.impaired.contains(&name) {
+            inject_loss(&mut cluster, &name, loss);
             lost.push(name);
         }
-        fleet.check_turns();
+        cluster.check_turns();
     }
     for _ in 0..20 {
-        step(&mut fleet);
-        fleet.check_turns();
+        step(&mut cluster);
+        cluster.check_turns();
     }
     if loss == Loss::StopsForAWhile {
         // One that was being emptied may be out by now.
-        lost.retain(|name| fleet.at(name).is_some());
-        lost.iter().for_each(|name| fleet.restart(name));
+        lost.retain(|name| cluster.at(name).is_some());
+        lost.iter().for_each(|name| cluster.restart(name));
     }
-    let settled = fleet.settle();
-    write(&mut fleet, "after");
-    let served = fleet.turns.iter().filter(|turn| turn.starts_with("after")).count();
-    fleet.check_turns();
-    fleet.check_accounts(BOUND);
-    if settled && fleet.roster().retiring.contains(&"s1".to_owned()) && fleet.at("s1").is_some() {
-        fleet.broken.push("s1 is still there".to_owned());
+    let settled = cluster.settle();
+    write(&mut cluster, "after");
+    let served = cluster.turns.iter().filter(|turn| turn.starts_with("after")).count();
+    cluster.check_turns();
+    cluster.check_accounts(BOUND);
+    if settled && cluster.roster().retiring.contains(&"s1".to_owned()) && cluster.at("s1").is_some() {
+        cluster.broken.push("s1 is still there".to_owned());
     }
-    if !settled || served < 4 || !fleet.broken.is_empty() {
+    if !settled || served < 4 || !cluster.broken.is_empty() {
         return Err(format!(
             "{machines} machines, tolerance {tolerance}, {begun:?}, {loss:?} of {victims:?} after {after} steps: \
              settled {settled}, {served} of 4 served, broken {:#?}\n{}",
-            fleet.broken,
-            fleet.reported.join("\n"),
+            cluster.broken,
+            cluster.reported.join("\n"),
         ));
     }
     Ok(is_complete)
@@ -210,10 +210,10 @@
 
 #[test]
 fn a_retirement_below_the_minimum_is_refused() {
-    let mut fleet = Fleet::new(1, 3, 1, Mutation::None);
-    assert_eq!(fleet.retire("s1"), RetireVerdict::TooFew { remaining: 2 });
-    write(&mut fleet, "after");
-    assert_eq!(fleet.turns.len(), 4);
+    let mut cluster = Cluster::new(1, 3, 1, Mutation::None);
+    assert_eq!(cluster.retire("s1"), RetireVerdict::TooFew { remaining: 2 });
+    write(&mut cluster, "after");
+    assert_eq!(cluster.turns.len(), 4);
 }
 
 #[test]
--- a/system/turn-store/tests/membership_changes/random_faults.rs
+++ b/system/turn-store/tests/membership_changes/random_faults.rs
@@ -1,7 +1,7 @@
 //! Random orders of calls, changes and losses within the tolerance.
 
 use crate::client_operations::BOUND;
-use crate::cluster::{Fleet, Mutation};
+use crate::cluster::{Cluster, Mutation};
 
 const SEEDS: u64 = 300;
 const STEPS: usize = 250;
@@ -16,38 +16,38 @@
 }
 
 struct FaultInjector {
-    fleet: Fleet,
+    cluster: Cluster,
     stopped: Vec<String>,
     begun: u64,
 }
 
 impl FaultInjector {
     fn some_name(&mut self) -> Option<String> {
-        let drawn = self.fleet.random_below(self.fleet.machines.len());
-        self.fleet.machines.get(drawn).map(|machine| machine.store.name.clone())
+        let drawn = self.cluster.random_below(self.cluster.machines.len());
+        self.cluster.machines.get(drawn).map(|machine| machine.store.name.clone())
     }
 
     fn inject_fault(&mut self) {
         let Some(name) = self.some_name() else { return };
-        let may_be_hurt = self.fleet.remaining_loss_budget() > 0 && !self.fleet.impaired.contains(&name);
-        match self.fleet.random_below(12) {
-            0 | 1 if may_be_hurt => self.fleet.wipe(&name, false),
-            2 if may_be_hurt => self.fleet.wipe(&name, true),
+        let may_be_hurt = self.cluster.remaining_loss_budget() > 0 && !self.cluster.impaired.contains(&name);
+        match self.cluster.random_below(12) {
+            0 | 1 if may_be_hurt => self.cluster.wipe(&name, false),
+            2 if may_be_hurt => self.cluster.wipe(&name, true),
             3 if may_be_hurt => {
-                self.fleet.destroy(&name);
-                self.fleet.start_another();
+                self.cluster.destroy(&name);
+                self.cluster.start_another();
             }
             4..=6 if may_be_hurt => {
-                self.fleet.stop(&name);
+                self.cluster.stop(&name);
                 self.stopped.push(name);
             }
-            7 if self.fleet.machines.len() < 8 => drop(self.fleet.start_another()),
-            8 => drop(self.fleet.retire(&name)),
+            7 if self.cluster.machines.len() < 8 => drop(self.cluster.start_another()),
+            8 => drop(self.cluster.retire(&name)),
             9..=11 => {
                 if let Some(name) = self.stopped.pop()
-                    && self.fleet.at(&name).is_some()
+                    && self.cluster.at(&name).is_some()
                 {
-                    self.fleet.restart(&name);
+                    self.cluster.restart(&name);
                 }
             }
             _ => {}
@@ -55,67 +55,67 @@
     }
 
     fn step(&mut self) {
-        match self.fleet.random_below(20) {
+        match self.cluster.random_below(20) {
             0 => self.inject_fault(),
             1 => {
                 self.begun += 1;
-                self.fleet.begin_turn(format!("t{}", self.begun));
+                self.cluster.begin_turn(format!("t{}", self.begun));
             }
             2 | 3 => {
                 // Of three at once, two stay within the bound.
                 self.begun += 3;
                 for number in self.begun - 2..=self.begun {
-                    self.fleet.begin_reservation(format!("p{}", self.begun / 6), number);
+                    self.cluster.begin_reservation(format!("p{}", self.begun / 6), number);
                 }
             }
-            4..=9 if !self.fleet.operations.is_empty() => {
-                let at = self.fleet.random_below(self.fleet.operations.len());
-                self.fleet.operate(at);
+            4..=9 if !self.cluster.operations.is_empty() => {
+                let at = self.cluster.random_below(self.cluster.operations.len());
+                self.cluster.operate(at);
             }
-            10 => self.fleet.run_controller(),
+            10 => self.cluster.run_controller(),
             _ => {
-                let at = self.fleet.random_below(self.fleet.machines.len());
-                if at < self.fleet.machines.len() {
-                    self.fleet.advance(at);
+                let at = self.cluster.random_below(self.cluster.machines.len());
+                if at < self.cluster.machines.len() {
+                    self.cluster.advance(at);
                 }
             }
         }
-        self.fleet.check_turns();
-        self.fleet.clear_faults_if_complete();
+        self.cluster.check_turns();
+        self.cluster.clear_faults_if_complete();
     }
 }
 
 /// What a seed comes to: turns and grants, or what was broken.
 fn run_seed(seed: u64, mutation: Mutation) -> Result<(usize, usize), String> {
     let (machines, tolerance) = cluster_size(seed);
-    let fleet = Fleet::new(seed, machines, tolerance, mutation);
-    let mut inject_fault = FaultInjector { fleet, stopped: Vec::new(), begun: 0 };
+    let cluster = Cluster::new(seed, machines, tolerance, mutation);
+    let mut inject_fault = FaultInjector { cluster, stopped: Vec::new(), begun: 0 };
     for _ in 0..STEPS {
         inject_fault.step();
-        if !inject_fault.fleet.broken.is_empty() {
+        if !inject_fault.cluster.broken.is_empty() {
             break;
         }
     }
-    let FaultInjector { mut fleet, stopped, .. } = inject_fault;
-    fleet.check_accounts(BOUND);
-    for name in stopped.into_iter().filter(|name| fleet.at(name).is_some()).collect::<Vec<_>>() {
-        fleet.restart(&name);
+    let FaultInjector { mut cluster, stopped, .. } = inject_fault;
+    cluster.check_accounts(BOUND);
+    for name in stopped.into_iter().filter(|name| cluster.at(name).is_some()).collect::<Vec<_>>() {
+        cluster.restart(&name);
     }
-    fleet.operate_all();
-    let settled = fleet.broken.is_empty() && fleet.settle();
-    let (turns, granted) = (fleet.turns.len(), fleet.granted.len());
-    fleet.begin_turn("last".to_owned());
-    fleet.begin_reservation("last".to_owned(), u64::MAX);
-    fleet.operate_all();
-    fleet.check_turns();
-    fleet.check_accounts(BOUND);
-    let served = fleet.turns.len() > turns && fleet.granted.len() > granted;
-    match settled && served && fleet.broken.is_empty() {
+    cluster.operate_all();
+    let settled = cluster.broken.is_empty() && cluster.settle();
+    let (turns, granted) = (cluster.turns.len(), cluster.granted.len());
+    cluster.begin_turn("last".to_owned());
+    cluster.begin_reservation("last".to_owned(), u64::MAX);
+    cluster.operate_all();
+    cluster.check_turns();
+    cluster.check_accounts(BOUND);
+    let served = cluster.turns.len() > turns && cluster.granted.len() > granted;
+    match settled && served && cluster.broken.is_empty() {
         true => Ok((turns, granted)),
         false => Err(format!(
             "seed {seed}, {machines} machines, tolerance {tolerance}: settled {settled}, served {served}, broken {:#?}\n{}",
-            fleet.broken,
-            fleet.reported.join("\n")
+            cluster.broken,
+            cluster.reported.join("\n")
         )),
     }
 }
@@ -165,20 +165,22 @@
 /// Three reservations at once, again and again, on machines that are all well; two stay within the bound.
 fn reserve_at_once(seed: u64, mutation: Mutation) -> Result<usize, String> {
     let (machines, tolerance) = cluster_size(seed);
-    let mut fleet = Fleet::new(seed, machines, tolerance, mutation);
+    let mut cluster = Cluster::new(seed, machines, tolerance, mutation);
     for number in 0..60 {
         for one in 0..3 {
-            fleet.begin_reservation(format!("p{number}"), 3 * number + one);
+            cluster.begin_reservation(format!("p{number}"), 3 * number + one);
         }
-        while !fleet.operations.is_empty() {
-            let at = fleet.random_below(fleet.operations.len());
-            fleet.operate(at);
+        while !cluster.operations.is_empty() {
+            let at = cluster.random_below(cluster.operations.len());
+            cluster.operate(at);
         }
     }
-    fleet.check_accounts(BOUND);
-    match fleet.broken.is_empty() {
-        true => Ok(fleet.granted.len()),
-        false => Err(format!("seed {seed}, {machines} machines, tolerance {tolerance}: {:?}", fleet.broken)),
+    cluster.check_accounts(BOUND);
+    match cluster.broken.is_empty() {
+        true => Ok(cluster.granted.len()),
+        false => {
+            Err(format!("seed {seed}, {machines} machines, tolerance {tolerance}: {:?}", cluster.broken))
+        }
     }
 }
 
--- a/system/turn-store/tests/replica/accounts.rs
+++ b/system/turn-store/tests/replica/accounts.rs
@@ -1,6 +1,6 @@
 //! Token reservations and their settlement.
 
-use crate::cluster::{Fleet, MINUTE, reservation, sum};
+use crate::cluster::{Cluster, MINUTE, reservation, sum};
 use fleet_model::{Answer, Call, Reservation};
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, prop, prop_assert_eq, proptest};
@@ -9,22 +9,22 @@
 
 #[gtest]
 fn concurrent_reservations_see_each_other() {
-    // Given a founded fleet, and two reservations that reach the three holders in different orders.
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
+    // Given a founded fleet, and two reservations that reach the three replicas in different orders.
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
     let (one, two) = (reservation(1, 60), reservation(2, 70));
-    fleet.at(1).reserve("p", one);
-    fleet.at(2).reserve("p", two);
-    fleet.at(3).reserve("p", one);
+    cluster.at(1).reserve("p", one);
+    cluster.at(2).reserve("p", two);
+    cluster.at(3).reserve("p", one);
     // When the second of each arrives, then its answer tells both: at most one of two can miss the other.
-    expect_that!(sum(&fleet.at(1).reserve("p", two)), eq(130));
-    expect_that!(sum(&fleet.at(2).reserve("p", one)), eq(130));
-    expect_that!(sum(&fleet.at(3).reserve("p", two)), eq(130));
+    expect_that!(sum(&cluster.at(1).reserve("p", two)), eq(130));
+    expect_that!(sum(&cluster.at(2).reserve("p", one)), eq(130));
+    expect_that!(sum(&cluster.at(3).reserve("p", two)), eq(130));
 }
 
 #[gtest]
 fn a_reservation_counts_once_at_its_lowest() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    let machine = fleet.at(1);
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    let machine = cluster.at(1);
     expect_that!(sum(&machine.reserve("p", reservation(1, 60))), eq(60));
     expect_that!(sum(&machine.reserve("p", reservation(1, 60))), eq(60));
     // When the try settles with less, and its reservation comes late once more, and a higher settlement too.
@@ -40,24 +40,24 @@
 
 #[gtest]
 fn a_reservation_waits_for_the_sync_and_a_settlement_does_not() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
     let reserve = Call::Reserve { epoch: 1, program: "p".into(), reservation: reservation(1, 60) };
     let settle = Call::Settle { epoch: 1, program: "p".into(), reservation: reservation(1, 10) };
     // A repeated reservation is written again: the first may not be synced yet.
     for _ in 0..2 {
-        let outcome = fleet.at(1).outcome(0, &reserve);
+        let outcome = cluster.at(1).outcome(0, &reserve);
         expect_that!((outcome.durability, outcome.writes.len()), eq((Durability::Synced, 1)));
     }
-    let outcome = fleet.at(1).outcome(0, &settle);
+    let outcome = cluster.at(1).outcome(0, &settle);
     expect_that!((outcome.durability, outcome.writes.len()), eq((Durability::Deferred, 1)));
-    let outcome = fleet.at(1).outcome(0, &settle);
+    let outcome = cluster.at(1).outcome(0, &settle);
     expect_that!((outcome.durability, outcome.writes.len()), eq((Durability::NoWrites, 0)));
 }
 
 #[gtest]
 fn accounts_expire_ten_minutes_after_the_last_access() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    let machine = fleet.at(1);
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    let machine = cluster.at(1);
     machine.reserve("p", reservation(1, 5));
     machine.reserve("p", reservation(2, 5));
     machine.outcome(MINUTE, &Call::ReadAccount { epoch: 1, program: "p".into() });
@@ -67,11 +67,11 @@
 }
 
 fn account_of(parts: &[&Vec<Reservation>]) -> Vec<Reservation> {
-    let mut fleet = Fleet::founded(&[1], 0);
+    let mut cluster = Cluster::founded(&[1], 0);
     for part in parts {
-        fleet.at(1).state.apply_page(0, vec![], vec![("p".into(), (*part).clone())]);
+        cluster.at(1).state.apply_page(0, vec![], vec![("p".into(), (*part).clone())]);
     }
-    let Answer::Account(read_account) = fleet.at(1).read_account("p") else { panic!("no account") };
+    let Answer::Account(read_account) = cluster.at(1).read_account("p") else { panic!("no account") };
     read_account
 }
 
--- a/system/turn-store/tests/replica/capacity.rs
+++ b/system/turn-store/tests/replica/capacity.rs
@@ -1,6 +1,6 @@
 //! What a replica accepts when its disk has little capacity left.
 
-use crate::cluster::{Fleet, MINUTE, reservation, sum, turn};
+use crate::cluster::{Cluster, MINUTE, reservation, sum, turn};
 use fleet_model::Answer;
 use googletest::prelude::*;
 use turn_store::DiskCapacity;
@@ -8,13 +8,13 @@
 #[gtest]
 fn scarce_capacity_is_reserved_for_programs_with_an_account() {
     // Given a store with one program, whose disk has become scarce.
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    let machine = fleet.at(1);
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    let machine = cluster.at(1);
     machine.reserve("old", reservation(1, 60));
     machine.run_controller(turn("a", None, &[1, 2]));
     expect_that!(machine.state.set_capacity(DiskCapacity::Scarce), eq(true));
     expect_that!(machine.state.set_capacity(DiskCapacity::Scarce), eq(false));
-    // Then no other one may begin, and that one goes on; what is kept is told.
+    // Then no other one may begin, and that one goes on; what is kept is reported.
     expect_that!(machine.reserve("new", reservation(2, 60)), eq(&Answer::NotReady));
     expect_that!(machine.read_account("new"), eq(&Answer::Account(vec![])));
     expect_that!(sum(&machine.reserve("old", reservation(3, 10))), eq(70));
@@ -34,9 +34,9 @@
 
 #[gtest]
 fn a_majority_with_capacity_still_admits_a_program() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).state.set_capacity(DiskCapacity::Full);
-    let answers = [1, 2, 3].map(|disk| fleet.at(disk).reserve("new", reservation(2, 60)));
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    cluster.at(1).state.set_capacity(DiskCapacity::Full);
+    let answers = [1, 2, 3].map(|disk| cluster.at(disk).reserve("new", reservation(2, 60)));
     expect_that!(answers.iter().filter(|answer| matches!(answer, Answer::Account(_))).count(), eq(2));
 }
 
--- a/system/turn-store/tests/replica/cluster.rs
+++ b/system/turn-store/tests/replica/cluster.rs
@@ -114,7 +114,7 @@
 }
 
 /// Stores by disk, and those that are down.
-pub(crate) struct Fleet {
+pub(crate) struct Cluster {
     pub(crate) machines: BTreeMap<u64, Machine>,
     pub(crate) down: BTreeSet<u64>,
     pub(crate) roster: Roster,
@@ -122,7 +122,7 @@
     pub(crate) pages: usize,
 }
 
-impl Fleet {
+impl Cluster {
     /// A founded fleet, all full.
     pub(crate) fn founded(disks: &[u64], losses: usize) -> Self {
         let full = |disk: &u64| {
@@ -133,17 +133,17 @@
         };
         let machines = disks.iter().map(full).collect();
         let (down, roster_) = (BTreeSet::new(), roster(1, disks, None));
-        let mut fleet = Self { machines, down, roster: roster_, losses, pages: 0 };
-        fleet.spread();
-        fleet
+        let mut cluster = Self { machines, down, roster: roster_, losses, pages: 0 };
+        cluster.spread();
+        cluster
     }
 
     /// Empty machines that wait for the founding.
     pub(crate) fn gathering(disks: &[u64], losses: usize) -> Self {
-        let mut fleet = Self::founded(&[], losses);
-        disks.iter().for_each(|disk| fleet.add(*disk));
-        fleet.set_roster(roster(1, &[], Some(disks)));
-        fleet
+        let mut cluster = Self::founded(&[], losses);
+        disks.iter().for_each(|disk| cluster.add(*disk));
+        cluster.set_roster(roster(1, &[], Some(disks)));
+        cluster
     }
 
     pub(crate) fn add(&mut self, disk: u64) {
--- a/system/turn-store/tests/replica/membership.rs
+++ b/system/turn-store/tests/replica/membership.rs
@@ -1,6 +1,6 @@
 //! What a replica answers by its place in the roster.
 
-use crate::cluster::{Fleet, Machine, reservation, roster, sum, turn};
+use crate::cluster::{Cluster, Machine, reservation, roster, sum, turn};
 use bytes::Bytes;
 use fleet_model::{Answer, Call, QuorumSizes};
 use googletest::prelude::*;
@@ -8,7 +8,7 @@
 
 #[gtest]
 fn a_call_of_another_epoch_is_answered_with_the_replicas_epoch() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
     for epoch in [0, 2] {
         let calls = [
             Call::Reserve { epoch, program: "p".into(), reservation: reservation(1, 1) },
@@ -20,27 +20,27 @@
             Call::BackfillDone { epoch, disk: 2 },
         ];
         for call in calls {
-            expect_that!(fleet.at(1).ask(&call), eq(&Answer::WrongEpoch(1)));
+            expect_that!(cluster.at(1).ask(&call), eq(&Answer::WrongEpoch(1)));
         }
     }
-    expect_that!(fleet.at(1).state.counts(), eq(RecordCounts::default()));
+    expect_that!(cluster.at(1).state.counts(), eq(RecordCounts::default()));
 }
 
 #[gtest]
 fn an_older_roster_is_ignored() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.set_roster(roster(0, &[4, 5, 6], None));
-    expect_that!(fleet.at(1).state.epoch(), eq(1));
-    expect_that!(fleet.at(1).state.is_in_sync(), eq(true));
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    cluster.set_roster(roster(0, &[4, 5, 6], None));
+    expect_that!(cluster.at(1).state.epoch(), eq(1));
+    expect_that!(cluster.at(1).state.is_in_sync(), eq(true));
 }
 
 #[gtest]
 fn replicas_serve_nothing_before_the_first_set_is_current() {
     // Given stores that have gathered, and are full as far as there is anything.
-    let mut fleet = Fleet::gathering(&[1, 2, 3], 1);
-    fleet.fill_all();
+    let mut cluster = Cluster::gathering(&[1, 2, 3], 1);
+    cluster.fill_all();
     for disk in 1..=3 {
-        let machine = fleet.at(disk);
+        let machine = cluster.at(disk);
         expect_that!(machine.state.is_in_sync_for_next(), eq(true));
         expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
         expect_that!(machine.read_account("p"), eq(&Answer::NotReady));
@@ -48,9 +48,9 @@
         expect_that!(machine.read_chain("a"), eq(&Answer::Absent { complete: false }));
     }
     // When they are founded, then all of them take and tell.
-    fleet.set_roster(roster(2, &[1, 2, 3], None));
+    cluster.set_roster(roster(2, &[1, 2, 3], None));
     for disk in 1..=3 {
-        let machine = fleet.at(disk);
+        let machine = cluster.at(disk);
         expect_that!(sum(&machine.reserve("p", reservation(1, 1))), eq(1));
         expect_that!(machine.run_controller(turn("a", None, &[1, 2])), eq(&Answer::Done));
         expect_that!(machine.read_chain("b"), eq(&Answer::Absent { complete: true }));
@@ -61,29 +61,29 @@
 fn clusters_below_the_tolerated_losses_accept_writes_and_backfill() {
     for (losses, machines) in [(1, 1), (1, 2), (2, 1), (2, 2), (2, 3), (2, 4)] {
         let disks: Vec<u64> = (1..=machines).collect();
-        let mut fleet = Fleet::founded(&disks, losses);
+        let mut cluster = Cluster::founded(&disks, losses);
         for disk in &disks {
-            expect_that!(sum(&fleet.at(*disk).reserve("p", reservation(1, 5))), eq(5));
-            expect_that!(fleet.at(*disk).run_controller(turn("a", None, &disks)), eq(&Answer::Done));
+            expect_that!(sum(&cluster.at(*disk).reserve("p", reservation(1, 5))), eq(5));
+            expect_that!(cluster.at(*disk).run_controller(turn("a", None, &disks)), eq(&Answer::Done));
         }
         // When as many are lost as the copies allow, then one that takes their place has all.
         let survived = QuorumSizes::for_machines(disks.len(), losses).unwrap().losses_survived() as u64;
-        fleet.down.extend(1..=survived);
-        fleet.add(9);
+        cluster.down.extend(1..=survived);
+        cluster.add(9);
         let next: Vec<u64> = (survived + 1..=machines).chain([9]).collect();
-        fleet.change(&next);
-        expect_that!(sum(&fleet.at(9).read_account("p")), eq(5), "{machines} machines, {losses} losses");
-        expect_that!(matches!(fleet.at(9).read_chain("a"), Answer::Chain { .. }), eq(true));
+        cluster.change(&next);
+        expect_that!(sum(&cluster.at(9).read_account("p")), eq(5), "{machines} machines, {losses} losses");
+        expect_that!(matches!(cluster.at(9).read_chain("a"), Answer::Chain { .. }), eq(true));
     }
 }
 
 #[gtest]
 fn a_replica_outside_the_roster_serves_nothing() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).run_controller(turn("a", None, &[1, 2]));
-    fleet.add(4);
-    fleet.spread();
-    let machine = fleet.at(4);
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    cluster.at(1).run_controller(turn("a", None, &[1, 2]));
+    cluster.add(4);
+    cluster.spread();
+    let machine = cluster.at(4);
     expect_that!(machine.reserve("p", reservation(1, 1)), eq(&Answer::NotReady));
     expect_that!(machine.read_account("p"), eq(&Answer::NotReady));
     expect_that!(machine.run_controller(turn("b", None, &[4])), eq(&Answer::NotReady));
@@ -94,31 +94,31 @@
     );
     // And it is given nothing.
     expect_that!(
-        fleet.at(1).ask(&Call::Backfill { epoch: 1, disk: 4, cursor: Bytes::new() }),
+        cluster.at(1).ask(&Call::Backfill { epoch: 1, disk: 4, cursor: Bytes::new() }),
         eq(&Answer::NotReady)
     );
 }
 
 #[gtest]
 fn a_retired_replica_still_serves_a_turn_but_no_absence() {
-    let mut fleet = Fleet::founded(&[1, 2, 3, 4], 1);
-    fleet.at(4).run_controller(turn("a", None, &[4, 1]));
-    fleet.change(&[1, 2, 3]);
-    expect_that!(matches!(fleet.at(4).read_chain("a"), Answer::Chain { .. }), eq(true));
-    expect_that!(fleet.at(4).read_chain("b"), eq(&Answer::Absent { complete: false }));
-    expect_that!(fleet.at(1).read_chain("b"), eq(&Answer::Absent { complete: true }));
+    let mut cluster = Cluster::founded(&[1, 2, 3, 4], 1);
+    cluster.at(4).run_controller(turn("a", None, &[4, 1]));
+    cluster.change(&[1, 2, 3]);
+    expect_that!(matches!(cluster.at(4).read_chain("a"), Answer::Chain { .. }), eq(true));
+    expect_that!(cluster.at(4).read_chain("b"), eq(&Answer::Absent { complete: false }));
+    expect_that!(cluster.at(1).read_chain("b"), eq(&Answer::Absent { complete: true }));
 }
 
 #[gtest]
 fn a_replica_out_of_sync_never_reports_complete_absence() {
     // Given a store in `current` that has not filled, and one in `next`, before and after filling.
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).run_controller(turn("a", None, &[1, 2]));
-    fleet.add(4);
-    fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
-    expect_that!(fleet.at(4).read_chain("a"), eq(&Answer::Absent { complete: false }));
-    expect_that!(fleet.backfill(4), eq(true));
-    expect_that!(fleet.at(4).read_chain("x"), eq(&Answer::Absent { complete: false }));
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    cluster.at(1).run_controller(turn("a", None, &[1, 2]));
+    cluster.add(4);
+    cluster.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
+    expect_that!(cluster.at(4).read_chain("a"), eq(&Answer::Absent { complete: false }));
+    expect_that!(cluster.backfill(4), eq(true));
+    expect_that!(cluster.at(4).read_chain("x"), eq(&Answer::Absent { complete: false }));
     // A stranger to the change that finds itself in `current`.
     let mut machine = Machine::new(2, 1);
     machine.state.set_roster(&roster(3, &[1, 2, 4], None));
@@ -127,17 +127,17 @@
     expect_that!(machine.read_account("p"), eq(&Answer::NotReady));
     expect_that!(machine.run_controller(turn("b", None, &[2])), eq(&Answer::NotReady));
     // The one that had filled says it once it is in `current`.
-    fleet.set_roster(roster(3, &[1, 2, 4], None));
-    expect_that!(fleet.at(4).read_chain("x"), eq(&Answer::Absent { complete: true }));
+    cluster.set_roster(roster(3, &[1, 2, 4], None));
+    expect_that!(cluster.at(4).read_chain("x"), eq(&Answer::Absent { complete: true }));
 }
 
 #[gtest]
 fn a_member_of_the_next_set_accepts_writes_and_no_account_reads() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.add(4);
-    fleet.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
-    expect_that!(sum(&fleet.at(4).reserve("p", reservation(1, 5))), eq(5));
-    expect_that!(fleet.at(4).read_account("p"), eq(&Answer::NotReady));
-    expect_that!(fleet.at(4).run_controller(turn("a", None, &[4, 1])), eq(&Answer::Done));
-    expect_that!(matches!(fleet.at(4).read_chain("a"), Answer::Chain { .. }), eq(true));
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    cluster.add(4);
+    cluster.set_roster(roster(2, &[1, 2, 3], Some(&[1, 2, 4])));
+    expect_that!(sum(&cluster.at(4).reserve("p", reservation(1, 5))), eq(5));
+    expect_that!(cluster.at(4).read_account("p"), eq(&Answer::NotReady));
+    expect_that!(cluster.at(4).run_controller(turn("a", None, &[4, 1])), eq(&Answer::Done));
+    expect_that!(matches!(cluster.at(4).read_chain("a"), Answer::Chain { .. }), eq(true));
 }
--- a/system/turn-store/tests/replica/turns.rs
+++ b/system/turn-store/tests/replica/turns.rs
@@ -1,6 +1,6 @@
 //! Storing turns, reading chains of them, and their expiry.
 
-use crate::cluster::{Fleet, MINUTE, Machine, turn};
+use crate::cluster::{Cluster, MINUTE, Machine, turn};
 use bytes::Bytes;
 use fleet_model::{Answer, Call};
 use googletest::prelude::*;
@@ -8,8 +8,8 @@
 
 #[gtest]
 fn a_chain_is_read_oldest_first_back_to_the_first_missing_turn() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    let machine = fleet.at(1);
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    let machine = cluster.at(1);
     machine.run_controller(turn("b", Some("a"), &[1, 2]));
     machine.run_controller(turn("c", Some("b"), &[1, 2]));
     let text = Bytes::from_static(b"in-b;out-b;in-c;out-c;");
@@ -21,36 +21,36 @@
 
 #[gtest]
 fn a_cycle_of_turns_ends_a_chain() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).run_controller(turn("a", Some("b"), &[1, 2]));
-    fleet.at(1).run_controller(turn("b", Some("a"), &[1, 2]));
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    cluster.at(1).run_controller(turn("a", Some("b"), &[1, 2]));
+    cluster.at(1).run_controller(turn("b", Some("a"), &[1, 2]));
     let text = Bytes::from_static(b"in-b;out-b;in-a;out-a;");
-    expect_that!(fleet.at(1).read_chain("a"), eq(&Answer::Chain { text, missing: None }));
-    expect_that!(fleet.at(1).state.expire(0), is_empty());
+    expect_that!(cluster.at(1).read_chain("a"), eq(&Answer::Chain { text, missing: None }));
+    expect_that!(cluster.at(1).state.expire(0), is_empty());
 }
 
 #[gtest]
 fn a_turn_stored_twice_is_unchanged_and_waits_for_the_sync() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).run_controller(turn("a", None, &[1, 2]));
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    cluster.at(1).run_controller(turn("a", None, &[1, 2]));
     let mut again = turn("a", None, &[1, 2]);
     again.output = Bytes::from_static(b"other");
-    let outcome = fleet.at(1).outcome(0, &Call::StoreTurn { epoch: 1, turn: again });
+    let outcome = cluster.at(1).outcome(0, &Call::StoreTurn { epoch: 1, turn: again });
     expect_that!(outcome.answer, eq(&Answer::Done));
     expect_that!((outcome.durability, outcome.writes.len()), eq((Durability::Synced, 0)));
     let text = Bytes::from_static(b"in-a;out-a;");
-    expect_that!(fleet.at(1).read_chain("a"), eq(&Answer::Chain { text, missing: None }));
+    expect_that!(cluster.at(1).read_chain("a"), eq(&Answer::Chain { text, missing: None }));
 }
 
 #[gtest]
 fn a_turn_not_written_yet_is_not_reported_as_absent() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    fleet.at(1).run_controller(turn("a", None, &[1, 2]));
-    fleet.at(1).payloads.written.clear();
-    expect_that!(fleet.at(1).read_chain("a"), eq(&Answer::NotReady));
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    cluster.at(1).run_controller(turn("a", None, &[1, 2]));
+    cluster.at(1).payloads.written.clear();
+    expect_that!(cluster.at(1).read_chain("a"), eq(&Answer::NotReady));
     // Nor is it left out of a page.
     expect_that!(
-        fleet.at(1).ask(&Call::Backfill { epoch: 1, disk: 2, cursor: Bytes::new() }),
+        cluster.at(1).ask(&Call::Backfill { epoch: 1, disk: 2, cursor: Bytes::new() }),
         eq(&Answer::NotReady)
     );
 }
@@ -58,8 +58,8 @@
 #[gtest]
 fn turns_expire_after_their_descendants() {
     // Given a chain whose end was kept a minute later.
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    let machine = fleet.at(1);
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    let machine = cluster.at(1);
     let run_controller = |turn| Call::StoreTurn { epoch: 1, turn };
     machine.outcome(0, &run_controller(turn("a", None, &[1])));
     machine.outcome(0, &run_controller(turn("other", None, &[1])));
@@ -78,8 +78,8 @@
 
 #[gtest]
 fn reading_a_chain_renews_its_retention() {
-    let mut fleet = Fleet::founded(&[1, 2, 3], 1);
-    let machine = fleet.at(1);
+    let mut cluster = Cluster::founded(&[1, 2, 3], 1);
+    let machine = cluster.at(1);
     machine.run_controller(turn("a", None, &[1]));
     machine.outcome(MINUTE, &Call::ReadChain { epoch: 1, attempt: "a".into() });
     expect_that!(machine.state.expire(3 * MINUTE - 1), is_empty());
