--- a/system/control-node/src/durable_acceptor.rs
+++ b/system/control-node/src/durable_acceptor.rs
@@ -1,81 +1,83 @@
-//! An acceptor whose state counts only once it is on disk.
+//! An acceptor whose votes count only once they are on disk, as section 2.4 of *Paxos Made Simple* requires: stable storage is
+//! written before the reply is sent.
 //!
-//! Two states are kept: the newest one, which votes change, and the synced one, which the disk holds for sure. A vote's
-//! answer leaves once the write that holds it is synced. Reads are answered from the synced state: as if they had come before
-//! the votes that are still being written, whose answers have not left either. So no read waits for the disk.
+//! It has two states: the newest one, which votes change, and the synced one, which the disk is known to have. The reply to a
+//! vote may be sent once the write that contains it is synced. Reads are answered from the synced state, as if they had
+//! arrived before the votes whose writes are in flight, whose replies have not been sent either. So no read waits for the
+//! disk.
 //!
-//! When a write fails, and none that holds it is under way, the newest state goes back to the synced one: what was not
-//! answered was never promised. Each write holds the whole state, so that a later one makes good those before it; they are
-//! to be written one after another in their order, and one may be left out if a later one is written in its place.
+//! When a write fails and no later one is in flight, the newest state reverts to the synced one: a promise without a reply was
+//! never made. Each write contains the complete record, so a later one supersedes those before it. Writes are to be done one
+//! after another in their order, and one may be omitted if a later one is written instead.
 
 use config_register::{Acceptor, AcceptorRecord, AcceptorResponse};
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest};
 use std::collections::BTreeMap;
 
-/// Names a write. Those of one generation build on one another; the next begins after a return to the synced state.
+/// Identifies a write. Writes of one generation build on one another; a new generation begins after a reversion to the synced
+/// state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WriteNumber {
     generation: u64,
     number: u64,
 }
 
-/// How far a write is.
+/// The state of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// What it holds is on disk.
+    /// It is on disk.
     Synced,
-    /// It is under way.
+    /// It is in flight.
     Pending,
     /// It failed.
     Failed,
 }
 
-/// Whether the disk takes writes.
+/// Whether the disk accepts writes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskState {
-    /// The last write that came to an end has failed.
+    /// Whether the write that completed last has failed.
     pub is_refusing: bool,
-    /// Writes that have failed in this life.
+    /// Number of failed writes in this incarnation.
     pub refusals: u64,
 }
 
-/// A write that is to be begun.
+/// A write to begin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingWrite {
-    /// Its name.
+    /// Its identifier.
     pub number: WriteNumber,
-    /// What it holds.
+    /// The record to write.
     pub record: AcceptorRecord,
 }
 
-/// An answer, and when it may leave.
+/// A reply, and the write after which it may be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingReply {
-    /// The answer.
+    /// The reply.
     pub reply: RegisterReply,
-    /// It may leave once this is synced; at once if there is none.
+    /// The write that must be synced before the reply is sent; it may be sent at once if there is none.
     pub after: Option<WriteNumber>,
-    /// This is to be written, in any case.
+    /// A write to begin in any case.
     pub write: Option<PendingWrite>,
 }
 
-/// See the module.
+/// An acceptor that tracks which of its votes are on disk; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct DurableAcceptor {
     newest: Acceptor,
-    /// The write that holds the newest state.
+    /// The write that contains the newest state.
     newest_write: WriteNumber,
     synced: Acceptor,
-    /// The write that holds the synced state.
+    /// The write that contains the synced state.
     synced_write: WriteNumber,
     last_write: WriteNumber,
-    under_way: BTreeMap<WriteNumber, AcceptorRecord>,
+    in_flight: BTreeMap<WriteNumber, AcceptorRecord>,
     disk: DiskState,
 }
 
 impl DurableAcceptor {
-    /// One with what the disk holds; without a record it does not vote until one is written by
-    /// [`DurableAcceptor::recover`].
+    /// An acceptor with the record on disk. Without one it does not vote until [`DurableAcceptor::recover`] has written one.
     pub fn new(record: Option<AcceptorRecord>) -> Self {
         let acceptor = record.map_or_else(Acceptor::recovering, Acceptor::new);
         Self {
@@ -84,43 +86,43 @@
             synced: acceptor,
             synced_write: WriteNumber::default(),
             last_write: WriteNumber::default(),
-            under_way: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             disk: DiskState::default(),
         }
     }
 
-    /// Whether it has a state on disk to vote by.
+    /// Whether it has a record on disk, so that it may vote.
     pub fn has_record(&self) -> bool {
         self.synced.record().is_some()
     }
 
-    /// What it has accepted last, also if that is not on disk yet.
+    /// The value accepted last, even if it is not on disk yet.
     pub fn accepted(&self) -> Option<&AcceptedValue> {
         self.newest.record()?.accepted.as_ref()
     }
 
-    /// What the disk holds.
+    /// The record on disk.
     pub fn synced_record(&self) -> Option<&AcceptorRecord> {
         self.synced.record()
     }
 
-    /// The newest state; it equals the synced one when no write is under way.
+    /// The newest record; it equals the synced one when no write is in flight.
     pub fn newest_record(&self) -> Option<&AcceptorRecord> {
         self.newest.record()
     }
 
-    /// Whether the disk takes writes.
+    /// Whether the disk accepts writes.
     pub fn disk(&self) -> DiskState {
         self.disk
     }
 
-    /// A value is known to be chosen. That need not be synced.
+    /// Notes that a value is chosen. That need not be synced.
     pub fn learn_value(&mut self, chosen: &AcceptedValue) {
         self.newest.learn_value(chosen);
         self.synced.learn_value(chosen);
     }
 
-    /// Answers a request.
+    /// Handles a request.
     pub fn handle(&mut self, request: &RegisterRequest) -> PendingReply {
         match request {
             RegisterRequest::Prepare(_) | RegisterRequest::Accept(_) => self.vote(request),
@@ -135,12 +137,12 @@
     fn vote(&mut self, request: &RegisterRequest) -> PendingReply {
         let AcceptorResponse { reply, record_changed: changed } = self.newest.handle(request);
         let write = if changed { self.write_newest() } else { None };
-        // What an answer tells of promise or value is synced before it is told, whoever's write it was.
+        // The promise or value in a reply is synced before the reply is sent, whichever request caused the write.
         let after = (self.outcome(self.newest_write) != WriteOutcome::Synced).then_some(self.newest_write);
         PendingReply { reply, after, write }
     }
 
-    /// That a value was chosen is written some time, and the answer does not wait for it.
+    /// The fact that a value is chosen is written eventually; the reply does not wait for it.
     fn poll(&mut self, chosen: Ballot) -> PendingReply {
         let newest_changed = self.newest.learn_chosen(chosen);
         let AcceptorResponse { reply, record_changed: synced_changed } =
@@ -149,7 +151,7 @@
         PendingReply { reply, after: None, write }
     }
 
-    /// A write of the newest state, if there is one: to find out whether the disk takes it.
+    /// A write of the newest record, if there is one, to find out whether the disk accepts it.
     pub fn write_newest(&mut self) -> Option<PendingWrite> {
         let record = self.newest.record()?.clone();
         let write = self.begin(record);
@@ -157,7 +159,7 @@
         Some(write)
     }
 
-    /// A write of the state by which an acceptor without one may vote, once it is synced.
+    /// A write of a record for an acceptor without one, which may vote once it is synced.
     pub fn recover(&mut self, record: AcceptorRecord) -> PendingWrite {
         self.begin(record)
     }
@@ -165,29 +167,29 @@
     fn begin(&mut self, record: AcceptorRecord) -> PendingWrite {
         self.last_write.number += 1;
         let number = self.last_write;
-        self.under_way.insert(number, record.clone());
+        self.in_flight.insert(number, record.clone());
         PendingWrite { number, record }
     }
 
-    /// A write has come to its end, and with it those before it that it was written in place of; tells whether the disk's
-    /// state changed by it.
+    /// Notes that a write has completed, and with it the earlier ones that it supersedes. Returns whether the disk began or ceased
+    /// to refuse writes.
     pub fn on_write_completed(&mut self, number: WriteNumber, succeeded: bool) -> bool {
-        let Some(record) = self.under_way.remove(&number) else { return false };
-        self.under_way.retain(|other, _| *other > number);
+        let Some(record) = self.in_flight.remove(&number) else { return false };
+        self.in_flight.retain(|other, _| *other > number);
         let was_refusing = self.disk.is_refusing;
         self.disk.is_refusing = !succeeded;
         if succeeded {
-            self.synced_to(number, record);
+            self.on_synced(number, record);
         } else {
             self.disk.refusals += 1;
         }
-        if self.under_way.is_empty() && self.newest_write != self.synced_write {
-            self.return_to_synced();
+        if self.in_flight.is_empty() && self.newest_write != self.synced_write {
+            self.revert_to_synced();
         }
         self.disk.is_refusing != was_refusing
     }
 
-    fn synced_to(&mut self, number: WriteNumber, record: AcceptorRecord) {
+    fn on_synced(&mut self, number: WriteNumber, record: AcceptorRecord) {
         self.synced_write = number;
         if self.newest.record().is_none() {
             self.newest.restore(record.clone());
@@ -196,7 +198,7 @@
         self.synced.restore(record);
     }
 
-    fn return_to_synced(&mut self) {
+    fn revert_to_synced(&mut self) {
         if let Some(record) = self.synced.record() {
             self.newest.restore(record.clone());
         }
@@ -204,21 +206,21 @@
         self.last_write = WriteNumber { generation: self.last_write.generation + 1, number: 0 };
     }
 
-    /// How far a write is. Of one that was synced before a return to the synced state it may say that it failed.
+    /// The state of a write. One that was synced before a reversion to the synced state may be reported as failed.
     pub fn outcome(&self, number: WriteNumber) -> WriteOutcome {
         let is_synced =
             number.generation == self.synced_write.generation && number.number <= self.synced_write.number;
         if is_synced {
             WriteOutcome::Synced
-        } else if self.under_way.contains_key(&number) {
+        } else if self.in_flight.contains_key(&number) {
             WriteOutcome::Pending
         } else {
             WriteOutcome::Failed
         }
     }
 
-    /// Whether a write is under way.
+    /// Whether a write is in flight.
     pub fn is_writing(&self) -> bool {
-        !self.under_way.is_empty()
+        !self.in_flight.is_empty()
     }
 }
--- /dev/null
+++ b/system/control-node/src/endpoint_discovery.rs
@@ -0,0 +1,103 @@
+//! The singleton task of endpoint discovery: the holder of its lease reads the platform's endpoint list, all others follow the
+//! holder's list. Who may acquire the lease is decided in [`controllers::LeaseCandidate`].
+
+use crate::membership::CHANGE_TIMEOUT;
+use crate::{ControlBackend, ControlEvent, ControlNode, ENDPOINT_DISCOVERY_TASK};
+use controllers::{DiscoveryPolls, times};
+use fleet_model::{ControlState, Lease};
+use node_runtime::{Runtime, follow_lists, timeout};
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// How long after its start a node waits before it acquires a lease: before, it does not know which voters are alive.
+const LIVENESS_DISCOVERY_DELAY: Duration = Duration::from_millis(300);
+/// Interval between checks whether the state is fresh, if no poll completes before.
+const FRESHNESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between checks which node holds the lease, to follow its list.
+const FOLLOW_RETRY_INTERVAL: Duration = Duration::from_millis(150);
+
+impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
+    /// The node that holds the lease of the singleton task.
+    fn lease_holder(&self) -> Option<Ipv4Addr> {
+        self.feed.state().leases.get(ENDPOINT_DISCOVERY_TASK).and_then(|lease| lease.holder)
+    }
+
+    /// Acquires the lease if this node is the next candidate.
+    async fn acquire_lease(&self) {
+        let value = self.feed.value();
+        let previous: Option<Lease> = {
+            let core = self.voter_controller.borrow();
+            let now = self.runtime.now_ms();
+            self.candidate.borrow_mut().lease_to_acquire(now, &self.feed.state(), &value.voters, &core)
+        };
+        let Some(previous) = previous else { return };
+        let wanted =
+            |state: &ControlState| self.backend.acquire(&self.candidate.borrow(), state, &previous).into();
+        if self.change(CHANGE_TIMEOUT, wanted).await {
+            let token = self.candidate.borrow_mut().change_committed(&self.feed.state(), &previous);
+            if let Some(token) = token {
+                self.backend.on_event(&ControlEvent::LeaseAcquired { task: ENDPOINT_DISCOVERY_TASK, token });
+            }
+        }
+    }
+
+    /// Reads the endpoint list while this node holds the lease and a majority confirms its state; tries to acquire the lease
+    /// otherwise.
+    pub(crate) async fn run_endpoint_discovery(self: Rc<Self>) {
+        if !self.backend.discovers_endpoints() {
+            return;
+        }
+        let mut polls = DiscoveryPolls::default();
+        let started_at = self.runtime.now();
+        loop {
+            // It is not known at once which nodes are alive. A node that held the lease in its former incarnation need not know.
+            let knows_live_nodes = self.lease_holder() == Some(self.me)
+                || self.runtime.now() - started_at >= LIVENESS_DISCOVERY_DELAY;
+            if !self.is_fresh() || !knows_live_nodes {
+                let _ = timeout(&self.runtime, FRESHNESS_CHECK_INTERVAL, self.polled.notified()).await;
+                continue;
+            }
+            let Some(token) = self.discovery_token() else {
+                self.acquire_lease().await;
+                if self.discovery_token().is_none() {
+                    self.runtime.sleep(Duration::from_millis(200 + self.runtime.random_u64() % 50)).await;
+                }
+                continue;
+            };
+            let requested_at = self.runtime.now_ms();
+            self.poll_endpoints(&mut polls, requested_at, token).await;
+            let elapsed_ms = self.runtime.now_ms().saturating_sub(requested_at);
+            self.runtime
+                .sleep(Duration::from_millis(times::POLL_INTERVAL_MS.saturating_sub(elapsed_ms)))
+                .await;
+        }
+    }
+
+    async fn poll_endpoints(&self, polls: &mut DiscoveryPolls, requested_at: u64, token: u64) {
+        match self.backend.discover_endpoints().await {
+            // The lease may have passed to another node since: the list then carries an old token, and is superseded.
+            Ok(endpoints) => {
+                let now = self.runtime.now_ms();
+                if let Some(list) = polls.accept_poll(now, requested_at, token, &self.feed.list(), endpoints)
+                {
+                    self.feed.update_list(list);
+                }
+            }
+            Err(error) => self.backend.on_event(&ControlEvent::DiscoveryFailed(&error.to_string())),
+        }
+    }
+
+    /// Follows the endpoint list of the node that holds the lease.
+    pub(crate) async fn follow_endpoint_list(self: Rc<Self>) {
+        loop {
+            match self.lease_holder() {
+                Some(holder) if holder != self.me => {
+                    follow_lists(&self.feed, holder, || self.lease_holder() == Some(holder)).await;
+                }
+                _ => {}
+            }
+            self.runtime.sleep(FOLLOW_RETRY_INTERVAL).await;
+        }
+    }
+}
--- a/system/control-node/src/event.rs
+++ b/system/control-node/src/event.rs
@@ -1,4 +1,4 @@
-//! Changes of state that a control node tells of.
+//! Events that a control node reports to its host, and their log lines.
 
 use config_register::AcceptorRecord;
 use controllers::LossTolerance;
@@ -6,96 +6,96 @@
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// How many losses of storage nodes are to be borne, and how many are.
+/// How many losses of storage nodes are to be tolerated, and how many are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StorageLosses {
-    /// As the settings have it.
-    pub to_bear: usize,
-    /// As the current set allows.
-    pub borne: LossTolerance,
+    /// From the settings.
+    pub configured: usize,
+    /// With the current members.
+    pub tolerated: LossTolerance,
 }
 
-/// A change of a control node's state. Shown, it is a line for the log.
+/// A change of a control node's state. Its `Display` form is a log line.
 #[derive(Debug)]
 pub enum ControlEvent<'a> {
-    /// A value is known to be chosen, maybe not for the first time.
+    /// A value is known to be chosen; it may have been known before.
     Chosen(&'a AcceptedValue),
-    /// It goes by a newer value now.
+    /// The node has adopted a newer value.
     Adopted {
         /// The value.
         value: &'a ChosenValue,
-        /// The same, read.
+        /// The state decoded from it.
         state: &'a ControlState,
-        /// The one before.
+        /// The previous state.
         before: &'a ControlState,
-        /// Whether the configuration or the voters are others than before.
+        /// Whether the configuration or the voters differ from the previous ones.
         is_changed: bool,
     },
-    /// The register holds a value that cannot be read.
+    /// The register contains a value that cannot be decoded.
     Unreadable(&'a str),
-    /// This life of the node holds the lease of a singleton task.
+    /// This incarnation of the node has acquired the lease of a singleton task.
     LeaseAcquired {
         /// The task.
         task: &'static str,
         /// The lease's fencing token.
         token: u64,
     },
-    /// The platform's list could not be read.
+    /// The platform's endpoint list could not be read.
     DiscoveryFailed(&'a str),
-    /// A storage node is to be evicted.
-    Evicts {
-        /// Which.
-        store: &'a StorageNode,
-        /// For how long it has been silent, in milliseconds.
-        silent_ms: u64,
+    /// An unresponsive storage node is about to be removed from the members.
+    EvictingStorageNode {
+        /// The storage node.
+        node: &'a StorageNode,
+        /// How long it has been unresponsive, in milliseconds.
+        unresponsive_ms: u64,
     },
-    /// The storage nodes bear more or fewer losses than before.
+    /// The number of storage node losses that can be tolerated has changed.
     StorageLosses(StorageLosses),
-    /// A voter is to be removed.
-    RemovesVoter {
-        /// Which.
+    /// An unresponsive voter is about to be removed.
+    RemovingVoter {
+        /// The voter.
         voter: Ipv4Addr,
-        /// For how long it has been silent, in milliseconds.
-        silent_ms: u64,
+        /// How long it has been unresponsive, in milliseconds.
+        unresponsive_ms: u64,
     },
     /// A replica that had lost its state may vote again.
     Recovered(&'a AcceptorRecord),
-    /// The disk refuses writes from now on: the node does not vote.
+    /// The disk has begun to refuse writes: the node does not vote.
     DiskRefuses(&'a str),
-    /// The disk takes writes again: the node votes.
+    /// The disk accepts writes again: the node votes.
     DiskAccepts,
 }
 
 impl fmt::Display for ControlEvent<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Chosen(value) => write!(f, "chosen: ballot {:?}", value.ballot),
+            Self::Chosen(value) => write!(f, "value chosen: ballot {:?}", value.ballot),
             Self::Adopted { value, state, .. } => {
-                write!(f, "configuration {}, voters {:?}", state.version(), value.voters)
+                write!(f, "configuration {} adopted, voters {:?}", state.version(), value.voters)
             }
-            Self::Unreadable(why) => write!(f, "the register holds what cannot be read: {why}"),
-            Self::LeaseAcquired { task, token } => write!(f, "holds the duty {task} under fence {token}"),
-            Self::DiscoveryFailed(why) => write!(f, "the list: {why}"),
-            Self::Evicts { store, silent_ms } => {
-                write!(f, "{} is given up: silent for {silent_ms} ms", store.name)
+            Self::Unreadable(error) => write!(f, "undecodable value in the register: {error}"),
+            Self::LeaseAcquired { task, token } => write!(f, "lease acquired: task {task}, token {token}"),
+            Self::DiscoveryFailed(error) => write!(f, "endpoint discovery failed: {error}"),
+            Self::EvictingStorageNode { node, unresponsive_ms } => {
+                write!(f, "evicting storage node {}: unresponsive for {unresponsive_ms} ms", node.name)
             }
-            Self::StorageLosses(StorageLosses { to_bear, borne }) => write!(
+            Self::StorageLosses(StorageLosses { configured, tolerated }) => write!(
                 f,
-                "the storage machines now go on without {} and keep all through the loss of {}, of {to_bear} asked for",
-                borne.served, borne.survived
+                "storage loss tolerance changed: available without {}, no data lost without {}, configured {configured}",
+                tolerated.served, tolerated.survived
             ),
-            Self::RemovesVoter { voter, silent_ms } => {
-                write!(f, "voter {voter} is removed: silent for {silent_ms} ms")
+            Self::RemovingVoter { voter, unresponsive_ms } => {
+                write!(f, "removing voter {voter}: unresponsive for {unresponsive_ms} ms")
             }
             Self::Recovered(record) => {
                 write!(
                     f,
-                    "restored under round {}: voter_state {:?}",
+                    "replica recovered: round {}, state {:?}",
                     record.promised.round, record.voter_state
                 )
             }
-            Self::DiskRefuses(why) => write!(f, "the disk refuses the acceptor's record, no vote: {why}"),
-            Self::DiskAccepts => write!(f, "the disk takes the acceptor's record again"),
+            Self::DiskRefuses(error) => write!(f, "disk refuses the acceptor's record, not voting: {error}"),
+            Self::DiskAccepts => write!(f, "disk accepts the acceptor's record again"),
         }
     }
 }
--- a/system/control-node/src/lib.rs
+++ b/system/control-node/src/lib.rs
@@ -1,12 +1,15 @@
-//! A control node: it answers proposers of the register as an acceptor, proposes what operators and storage nodes ask for,
-//! confirms by quorum reads what it knows, feeds agents, and carries out the singleton tasks of whoever holds their lease.
+//! A control node: an acceptor, proposer and learner of the replicated register, with the services built on it. It answers other
+//! proposers, makes the changes that operators and storage nodes request, confirms by quorum reads that its state is current,
+//! feeds agents, and runs the singleton tasks while it holds their lease.
 //!
-//! What is decided stands in `config-register` and `controllers`; here it is carried out, over [`node_runtime::Runtime`] and
-//! [`ControlBackend`]: the program in service and the simulation run this very code. Nothing here does I/O, reads a clock or
-//! draws random numbers.
+//! The decisions are made in `config-register` and `controllers`; here they are carried out, over [`node_runtime::Runtime`] and
+//! [`ControlBackend`]. The program in service and the simulation run the same code. Nothing here does I/O, reads a clock or
+//! draws random numbers by itself. The page is `docs/control-safety.md`.
 
 mod durable_acceptor;
+mod endpoint_discovery;
 mod event;
+mod failure_detection;
 mod learner;
 mod membership;
 mod node;
@@ -14,7 +17,6 @@
 mod proposer;
 mod recovery;
 mod replica;
-mod singleton_tasks;
 
 pub use durable_acceptor::{
     DiskState, DurableAcceptor, PendingReply, PendingWrite, WriteNumber, WriteOutcome,
@@ -27,40 +29,49 @@
 use controllers::LeaseCandidate;
 use fleet_model::{ControlState, Endpoint, Lease};
 
-/// The name of the singleton task that reads the platform's list and looks after machines that are gone.
+/// The singleton task whose lease holder reads the platform's endpoint list and removes unresponsive nodes. The name is stored in
+/// the register.
 pub const ENDPOINT_DISCOVERY_TASK: &str = "list";
 
-/// The disk refused a write; what it holds of it is not known.
+/// The disk refused a write. Whether the disk has the record or not is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct PersistError(pub String);
 
-/// The platform's list could not be read.
+/// The platform's endpoint list could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct DiscoveryError(pub String);
 
-/// What a control node needs of its machine beside a [`node_runtime::Runtime`].
-#[allow(async_fn_in_trait)]
+/// What a control node needs from its host besides a [`node_runtime::Runtime`].
+#[allow(async_fn_in_trait, reason = "the futures run on one thread and need not be `Send`")]
 pub trait ControlBackend: 'static {
-    /// Machines that may be lost at once, as the settings have it.
+    /// The number of nodes whose simultaneous loss must be tolerated, from the settings.
     fn tolerance(&self) -> usize;
 
-    /// Writes the acceptor's whole state; it is synced when this returns. After an error it is called again some time: then it
-    /// is the later write that counts, also after a restart. It is called again only after it has returned.
+    /// Writes the acceptor's complete record; it is synced when this returns. Calls do not overlap. After an error it is called
+    /// again later; the later write then replaces the failed one, also after a restart.
+    ///
+    /// # Errors
+    ///
+    /// If the disk refused the write.
     async fn persist(&self, record: &AcceptorRecord) -> Result<(), PersistError>;
 
-    /// Whether the settings name a platform to read endpoints from.
+    /// Whether the settings name a platform from which to read endpoints.
     fn discovers_endpoints(&self) -> bool;
 
-    /// Reads the platform's list.
+    /// Reads the platform's endpoint list.
+    ///
+    /// # Errors
+    ///
+    /// If the list could not be read.
     async fn discover_endpoints(&self) -> Result<Vec<Endpoint>, DiscoveryError>;
 
-    /// Is told of changes of state.
+    /// Called on each change of state.
     fn on_event(&self, event: &ControlEvent<'_>);
 
-    /// The state in which a lease passes to this node, if it still stands as in `from`. Nothing else is to be done here in
-    /// service; a simulation that breaks the fencing on purpose does it here.
+    /// The state in which this node holds a lease, if the lease is still as in `from`. Overridden only by a simulation that
+    /// breaks the fencing on purpose.
     fn acquire(
         &self,
         candidate: &LeaseCandidate,
--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -1,6 +1,6 @@
-//! Changes of members that machines ask for: voters, storage machines, and what these have caught up with.
+//! Membership changes that nodes request: a control node joins the voters, a storage node joins or has completed its backfill.
 
-use crate::proposer::Wanted;
+use crate::proposer::ProposedChange;
 use crate::{ControlBackend, ControlNode};
 use controllers::complete_backfill;
 use fleet_model::{Answer, ControlState, StorageNode};
@@ -8,15 +8,15 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Longest time for a change.
-pub(crate) const CHANGE: Duration = Duration::from_millis(600);
+/// How long to try to make a change of the members.
+pub(crate) const CHANGE_TIMEOUT: Duration = Duration::from_millis(600);
 
-fn done(is_done: bool) -> Answer {
-    if is_done { Answer::Done } else { Answer::NotReady }
+fn answer(succeeded: bool) -> Answer {
+    if succeeded { Answer::Done } else { Answer::NotReady }
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// So many storage machines make a set.
+    /// The number of storage nodes that the tolerance requires.
     pub(crate) fn min_storage_nodes(&self) -> usize {
         controllers::min_storage_nodes(self.backend.tolerance())
     }
@@ -27,32 +27,38 @@
             return Answer::Done;
         }
         let wanted = |_: &ControlState, voters: &[Ipv4Addr]| match voters.contains(&ip) {
-            true => Wanted::Nothing,
-            false => Wanted::Voters(voters.iter().copied().chain([ip]).collect()),
+            true => ProposedChange::Keep,
+            false => ProposedChange::Voters(voters.iter().copied().chain([ip]).collect()),
         };
-        done(self.propose(CHANGE, wanted).await)
+        answer(self.propose(CHANGE_TIMEOUT, wanted).await)
     }
 
-    pub(crate) async fn join_storage(&self, store: StorageNode) -> Answer {
-        let least = self.min_storage_nodes();
+    pub(crate) async fn join_storage(&self, node: StorageNode) -> Answer {
+        let min_storage_nodes = self.min_storage_nodes();
         let known = self.feed.state();
         let admitted = {
-            let mut stores = self.stores.borrow_mut();
-            stores.observe(self.runtime.now_ms(), &known.roster, least);
-            stores.record_response(self.runtime.now_ms(), store.disk);
-            stores.admits(&known.roster, &store)
+            let mut storage_nodes = self.storage_nodes.borrow_mut();
+            storage_nodes.observe(self.runtime.now_ms(), &known.roster, min_storage_nodes);
+            storage_nodes.record_response(self.runtime.now_ms(), node.disk);
+            storage_nodes.admits(&known.roster, &node)
         };
-        if !admitted || controllers::join(&known, &store, least).is_none() {
+        if !admitted || controllers::join(&known, &node, min_storage_nodes).is_none() {
             return Answer::Done;
         }
-        done(self.change(CHANGE, |state| controllers::join(state, &store, least).into()).await)
+        answer(
+            self.change(CHANGE_TIMEOUT, |state| controllers::join(state, &node, min_storage_nodes).into())
+                .await,
+        )
     }
 
-    pub(crate) async fn filled(&self, disk: u64, epoch: u64) -> Answer {
-        self.stores.borrow_mut().record_response(self.runtime.now_ms(), disk);
-        let least = self.min_storage_nodes();
-        done(
-            self.change(CHANGE, |state| complete_backfill(state, Some(disk), epoch, &[], least).into()).await,
+    pub(crate) async fn complete_backfill_of(&self, disk: u64, epoch: u64) -> Answer {
+        self.storage_nodes.borrow_mut().record_response(self.runtime.now_ms(), disk);
+        let min_storage_nodes = self.min_storage_nodes();
+        answer(
+            self.change(CHANGE_TIMEOUT, |state| {
+                complete_backfill(state, Some(disk), epoch, &[], min_storage_nodes).into()
+            })
+            .await,
         )
     }
 }
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: what it knows, and how it answers its peers.
+//! The node: its state, and its answers to peers.
 
 use crate::replica::Replica;
 use crate::{ControlBackend, ControlEvent, DiskState, ENDPOINT_DISCOVERY_TASK, StorageLosses};
@@ -15,22 +15,22 @@
 use std::time::Duration;
 use tokio::sync::{Mutex, Notify};
 
-/// Between two looks at whether a quorum read has confirmed what is known.
-const CONFIRM_AGAIN: Duration = Duration::from_millis(10);
+/// Interval between checks whether a quorum read has confirmed the state.
+const CONFIRM_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a replica of the register starts with.
+/// The durable state with which a replica of the register starts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InitialState {
-    /// Its record.
+    /// The record on disk.
     Existing(AcceptorRecord),
-    /// It has never voted: this is to be kept before it does.
+    /// The node has never voted; this record is written before it does.
     New(AcceptorRecord),
-    /// It may have voted and does not know: it votes when it is restored from the others.
+    /// The record was lost, so the node may have voted: it does not vote before it has recovered from its peers.
     Recovering,
 }
 
 impl InitialState {
-    /// Of a machine that has never voted: a seed founds the register, any other knows nothing.
+    /// The state of a node that has never voted: a seed founds the register, any other node starts empty.
     pub fn never_voted(me: Ipv4Addr, seeds: &[Ipv4Addr]) -> Self {
         if seeds.contains(&me) {
             return Self::New(config_register::founding_record(seeds.to_vec()));
@@ -51,66 +51,66 @@
     }
 }
 
-/// How many rounds at the register this node has begun, and how many of them were lost to those of others.
+/// The number of ballots that this node has started, and of those that were lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoundCounts {
-    /// Begun.
+    /// Ballots started.
     pub begun: u64,
-    /// Lost.
+    /// Ballots lost to a higher one, or without a quorum.
     pub lost: u64,
 }
 
-/// A control node, in one life of its process.
+/// A control node, in one incarnation of its process.
 pub struct ControlNode<R: Runtime, B> {
     pub(crate) runtime: R,
     pub(crate) backend: Rc<B>,
     pub(crate) me: Ipv4Addr,
-    /// What it knows, and passes on.
+    /// The state that the node knows and feeds to its subscribers.
     pub feed: Rc<Feed<R>>,
     pub(crate) replica: Rc<Replica<R, B>>,
-    /// To be written before the first vote of a machine that never voted.
+    /// The record to write before the first vote of a new node.
     pub(crate) founding: RefCell<Option<AcceptorRecord>>,
-    /// How the core machines are.
-    pub(crate) core: RefCell<VoterController>,
-    /// Core machines that were heard of, voters or not.
-    pub(crate) heard: RefCell<BTreeSet<Ipv4Addr>>,
+    /// Observes the voters.
+    pub(crate) voter_controller: RefCell<VoterController>,
+    /// Known control nodes, voters or not.
+    pub(crate) known_core_nodes: RefCell<BTreeSet<Ipv4Addr>>,
     /// The newest value known to be chosen, with its voters' epoch.
     pub(crate) known: RefCell<Option<RegisterValue>>,
-    /// Makes the ballots of this life.
+    /// The ballots of this incarnation.
     pub(crate) ballots: RefCell<BallotSource>,
-    /// This life's candidacy for the lease of the singleton task.
+    /// This incarnation's candidacy for the lease of the singleton task.
     pub(crate) candidate: RefCell<LeaseCandidate>,
-    /// One proposal at a time.
+    /// Held during a proposal: one at a time.
     pub(crate) proposing: Mutex<()>,
-    /// When a round may begin beside those of others.
+    /// When the next ballot may start.
     pub(crate) backoff: RefCell<ProposerBackoff>,
     pub(crate) rounds: Cell<RoundCounts>,
-    /// A poll is wanted now.
+    /// Requests a poll.
     pub(crate) poll_now: Notify,
-    /// A poll has ended.
+    /// Notified when a poll has ended.
     pub(crate) polled: Notify,
-    /// How the storage machines are.
-    pub(crate) stores: RefCell<StorageController>,
+    /// Observes the storage nodes.
+    pub(crate) storage_nodes: RefCell<StorageController>,
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// A node that has just started; it does nothing yet. `ballots`: made for this life of the process.
+    /// Creates a node; it is inactive until [`ControlNode::run`]. `ballots` must be new in this incarnation of the process.
     pub fn new(
         runtime: R,
         backend: B,
         feed: Rc<Feed<R>>,
         mut ballots: BallotSource,
-        beginning: InitialState,
+        initial_state: InitialState,
     ) -> Rc<Self> {
         let (me, backend) = (runtime.ip(), Rc::new(backend));
-        let record = beginning.record().cloned();
+        let record = initial_state.record().cloned();
         let known = record.as_ref().and_then(|record| record.chosen_voters.clone());
-        let heard = known.iter().flat_map(|known| known.voters.clone());
-        let heard = heard.chain(runtime.seeds()).chain([me]).collect();
+        let known_core_nodes = known.iter().flat_map(|known| known.voters.clone());
+        let known_core_nodes = known_core_nodes.chain(runtime.seeds()).chain([me]).collect();
         if let Some(record) = &record {
             ballots.observe(record.promised);
         }
-        let (kept, founding) = match beginning {
+        let (existing, founding) = match initial_state {
             InitialState::Existing(record) => (Some(record), None),
             InitialState::New(record) => (None, Some(record)),
             InitialState::Recovering => (None, None),
@@ -118,10 +118,10 @@
         Rc::new(Self {
             me,
             feed,
-            replica: Replica::new(runtime.clone(), backend.clone(), kept),
+            replica: Replica::new(runtime.clone(), backend.clone(), existing),
             founding: RefCell::new(founding),
-            core: RefCell::new(VoterController::new(me)),
-            heard: RefCell::new(heard),
+            voter_controller: RefCell::new(VoterController::new(me)),
+            known_core_nodes: RefCell::new(known_core_nodes),
             known: RefCell::new(known),
             ballots: RefCell::new(ballots),
             candidate: RefCell::new(LeaseCandidate::new(ENDPOINT_DISCOVERY_TASK, me)),
@@ -130,23 +130,23 @@
             rounds: Cell::default(),
             poll_now: Notify::new(),
             polled: Notify::new(),
-            stores: RefCell::default(),
+            storage_nodes: RefCell::default(),
             runtime,
             backend,
         })
     }
 
-    /// Begins all that it does by itself.
+    /// Starts the background tasks.
     pub fn run(self: &Rc<Self>) {
         self.runtime.spawn(run_heartbeats(self.feed.clone()));
-        self.runtime.spawn(self.clone().keep_voting());
-        self.runtime.spawn(self.clone().keep_polling());
-        self.runtime.spawn(self.clone().keep_tasks());
-        self.runtime.spawn(self.clone().keep_watch());
-        self.runtime.spawn(self.clone().keep_following_list());
+        self.runtime.spawn(self.clone().run_voting());
+        self.runtime.spawn(self.clone().run_polling());
+        self.runtime.spawn(self.clone().run_endpoint_discovery());
+        self.runtime.spawn(self.clone().run_failure_detection());
+        self.runtime.spawn(self.clone().follow_endpoint_list());
     }
 
-    /// Answers a call of a peer; `subscriber` is the call's link, if it can take pushes.
+    /// Answers a call of a peer; `subscriber` is the call's connection, if it can receive pushes.
     pub async fn answer(&self, from: Ipv4Addr, call: Call, subscriber: Option<R::Subscriber>) -> Answer {
         match (call, subscriber) {
             (Call::Register(request), _) => match self.answer_register(from, request).await {
@@ -158,79 +158,82 @@
             }
             (Call::JoinCore { ip }, _) => self.join_core(ip).await,
             (Call::JoinStorage { store }, _) => self.join_storage(store).await,
-            (Call::InSync { disk, epoch }, _) => self.filled(disk, epoch).await,
+            (Call::InSync { disk, epoch }, _) => self.complete_backfill_of(disk, epoch).await,
             _ => Answer::NotReady,
         }
     }
 
-    /// Another core machine was heard of, such as by the membership.
-    pub fn add_known_core_node(&self, core_machine: Ipv4Addr) {
-        self.heard.borrow_mut().insert(core_machine);
+    /// Notes another control node, learned for example from the membership.
+    pub fn add_known_core_node(&self, node: Ipv4Addr) {
+        self.known_core_nodes.borrow_mut().insert(node);
     }
 
-    /// How many core machines were heard of, voters or not.
+    /// The number of known control nodes, voters or not.
     pub fn known_core_nodes(&self) -> usize {
-        self.heard.borrow().len()
+        self.known_core_nodes.borrow().len()
     }
 
-    /// Whether it has a state to vote by; one that lost it is a recovering replica.
+    /// Whether the node has a record, so that it may vote; one that lost it is recovering.
     pub fn can_vote(&self) -> bool {
         self.replica.has_record()
     }
 
-    /// Whether the disk takes what is to be synced; while it refuses, the node does not vote.
+    /// Whether the disk accepts writes; while it refuses them, the node does not vote.
     pub fn disk(&self) -> DiskState {
         self.replica.disk()
     }
 
-    /// How many losses of storage nodes are to be borne, and how many are.
+    /// The number of storage node losses to tolerate, and the number that can be tolerated.
     pub fn storage_losses(&self) -> StorageLosses {
-        let to_bear = self.backend.tolerance();
-        StorageLosses { to_bear, borne: LossTolerance::from_roster(&self.feed.state().roster, to_bear) }
+        let configured = self.backend.tolerance();
+        StorageLosses {
+            configured,
+            tolerated: LossTolerance::from_roster(&self.feed.state().roster, configured),
+        }
     }
 
-    /// Its rounds at the register so far.
+    /// The ballots of this node so far.
     pub fn rounds(&self) -> RoundCounts {
         self.rounds.get()
     }
 
-    /// Whether a majority confirmed lately what is known here.
+    /// Whether a majority has recently confirmed the state of this node.
     pub fn is_fresh(&self) -> bool {
         self.feed.age().is_some_and(|age| age < MAX_STATE_AGE)
     }
 
-    /// The fencing token under which this life of the node holds the lease of the singleton task.
+    /// The fencing token under which this incarnation holds the lease of the singleton task.
     pub fn discovery_token(&self) -> Option<u64> {
         self.candidate.borrow().held_token(&self.feed.state())
     }
 
-    /// Asks a core machine, itself too, about the register.
-    pub(crate) async fn ask(
+    /// Sends a register request to a control node, which may be this one.
+    pub(crate) async fn call_register(
         &self,
         ip: Ipv4Addr,
         request: RegisterRequest,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<RegisterReply> {
-        self.core.borrow_mut().before_request(self.runtime.now_ms());
+        self.voter_controller.borrow_mut().before_request(self.runtime.now_ms());
         if ip == self.me {
             return self.answer_register(self.me, request).await;
         }
-        match self.runtime.call(ip, Call::Register(request), patience).await {
+        match self.runtime.call(ip, Call::Register(request), timeout).await {
             Some(Answer::Register(reply)) => {
-                self.core.borrow_mut().record_response(self.runtime.now_ms(), ip);
+                self.voter_controller.borrow_mut().record_response(self.runtime.now_ms(), ip);
                 Some(reply)
             }
             _ => None,
         }
     }
 
-    /// The acceptor's part. What it has promised or accepted is on disk before the answer leaves.
+    /// Answers as acceptor. Promised and accepted ballots are on disk before the reply is sent.
     async fn answer_register(&self, from: Ipv4Addr, request: RegisterRequest) -> Option<RegisterReply> {
         if let RegisterRequest::Prepare(ballot) = &request {
             self.observe_ballot(*ballot);
         }
         let handled = self.replica.handle(&request);
-        self.listen(from, &request, &handled.reply);
+        self.note_competing_ballot(from, &request, &handled.reply);
         let reply = self.replica.release(handled).await;
         if let RegisterRequest::Poll { chosen } = &request {
             self.learn_chosen(from, *chosen);
@@ -238,8 +241,8 @@
         reply
     }
 
-    /// Takes note of another's round that was let pass here.
-    fn listen(&self, from: Ipv4Addr, request: &RegisterRequest, reply: &RegisterReply) {
+    /// Notes another node's ballot that was promised or accepted here.
+    fn note_competing_ballot(&self, from: Ipv4Addr, request: &RegisterRequest, reply: &RegisterReply) {
         let ballot = match request {
             RegisterRequest::Prepare(ballot) => *ballot,
             RegisterRequest::Accept(offered) => offered.ballot,
@@ -250,7 +253,7 @@
         }
     }
 
-    /// A ballot is known to be chosen: its value is here, or the one that says so has it.
+    /// Handles the report that a ballot is chosen: its value is stored here, or at the node that reports it.
     fn learn_chosen(&self, from: Ipv4Addr, chosen: Ballot) {
         if chosen <= self.feed.value().ballot {
             return;
@@ -262,7 +265,7 @@
         }
     }
 
-    /// Takes a chosen value.
+    /// Adopts a chosen value.
     pub(crate) fn adopt(&self, accepted: AcceptedValue) {
         self.replica.learn_value(&accepted);
         self.backoff.borrow_mut().on_chosen(accepted.ballot);
@@ -273,7 +276,7 @@
         *self.known.borrow_mut() = Some(accepted.value.clone());
         let (state_before, value_before) = (self.feed.state(), self.feed.value());
         let voters = accepted.value.voters.clone();
-        self.heard.borrow_mut().extend(voters.iter().copied());
+        self.known_core_nodes.borrow_mut().extend(voters.iter().copied());
         let learned = self.feed.update_value(ChosenValue {
             ballot: accepted.ballot,
             voters,
@@ -291,17 +294,17 @@
         }
     }
 
-    /// Waits until what is known here is confirmed as of now, by a quorum read.
+    /// Waits until a quorum read that began after this call has confirmed the state.
     pub(crate) async fn confirm_now(&self, within: Duration) -> bool {
-        let asked = self.runtime.now();
-        let is_confirmed = || self.feed.confirmed_at().is_some_and(|at| at >= asked);
+        let requested_at = self.runtime.now();
+        let is_confirmed = || self.feed.confirmed_at().is_some_and(|at| at >= requested_at);
         let confirmed = async {
             while !is_confirmed() {
                 let polled = self.polled.notified();
                 self.poll_now.notify_one();
                 polled.await;
                 if !is_confirmed() {
-                    self.runtime.sleep(CONFIRM_AGAIN).await;
+                    self.runtime.sleep(CONFIRM_RETRY_INTERVAL).await;
                 }
             }
         };
--- a/system/control-node/src/operator_requests.rs
+++ b/system/control-node/src/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Orders of operators, with what becomes of them. Who serves operators translates.
+//! Requests of operators and their outcomes; the host translates them to and from HTTP.
 
 use crate::{ControlBackend, ControlNode};
 use bytes::Bytes;
@@ -10,70 +10,70 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An operator waits about a second for an answer: within this it gets one, if only that there is no majority.
-const ANSWER_WITHIN: Duration = Duration::from_millis(850);
+/// Deadline for the reply to an operator, who waits about a second; without a majority it is `Unavailable`.
+const OPERATOR_REPLY_TIMEOUT: Duration = Duration::from_millis(850);
 
-/// What becomes of a configuration that an operator sends.
+/// The outcome of a request to replace the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PutConfigOutcome {
-    /// This version is committed, now or before.
+    /// This version is committed, by this request or an earlier one.
     Committed(u64),
-    /// The operator goes by another version than the current one, which is this.
+    /// The request is based on another version than the current one, which is this.
     OtherVersion(u64),
-    /// Its version is not above the current one.
+    /// Its version is not higher than the current one.
     NotAbove,
-    /// It has faults.
+    /// The configuration is invalid.
     Invalid(Findings),
-    /// The order does not say which version it replaces.
+    /// The request does not state the version that it replaces.
     NoBase,
-    /// It is not known what becomes of it: no majority answered in time, or what became of it is no longer remembered.
+    /// The outcome is unknown: no majority replied in time, or the outcome is no longer stored.
     Unavailable,
 }
 
 /// The configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CurrentConfig {
-    /// There is none yet.
+    /// There is no configuration yet.
     Nothing,
-    /// The state that has it, confirmed since it was asked for.
+    /// The state with the configuration, confirmed after the request arrived.
     Current(Rc<ControlState>),
-    /// It cannot be told: no majority answered in time.
+    /// Unknown: no majority replied in time.
     Unavailable,
 }
 
-/// What becomes of the retirement of a storage machine.
+/// The outcome of a request to retire a storage node, or of a query about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetireOutcome {
-    /// This, where so many machines have to stay.
+    /// The progress of the retirement.
     Progress {
-        /// How far it is.
+        /// The progress.
         verdict: RetireVerdict,
-        /// Machines that have to stay.
+        /// The number of storage nodes that must remain.
         min_storage_nodes: usize,
     },
-    /// It is not known: no majority answered in time.
+    /// Unknown: no majority replied in time.
     Unavailable,
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Takes a configuration on top of the version `expected`.
+    /// Replaces the configuration, if the current version is `expected`.
     pub async fn put_config(&self, expected: Option<u64>, body: Bytes) -> PutConfigOutcome {
         let config = match OperatorConfig::read(&body) {
             Ok(config) => config,
             Err(findings) => return PutConfigOutcome::Invalid(findings),
         };
         let Some(expected) = expected else { return PutConfigOutcome::NoBase };
-        let taken = CommittedVersion { version: config.version, digest: digest(&body) };
+        let committed = CommittedVersion { version: config.version, digest: digest(&body) };
         let verdict = Cell::new(None);
         let done = self
-            .change(ANSWER_WITHIN, |state| {
-                let (wanted, judged) = controllers::put_config(state, expected, &taken, &body);
-                verdict.set(Some(judged));
+            .change(OPERATOR_REPLY_TIMEOUT, |state| {
+                let (wanted, verdict_now) = controllers::put_config(state, expected, &committed, &body);
+                verdict.set(Some(verdict_now));
                 wanted.into()
             })
             .await;
         match verdict.take().filter(|_| done) {
-            Some(ConfigVerdict::Committed) => PutConfigOutcome::Committed(taken.version),
+            Some(ConfigVerdict::Committed) => PutConfigOutcome::Committed(committed.version),
             Some(ConfigVerdict::VersionMismatch(current)) => PutConfigOutcome::OtherVersion(current),
             Some(ConfigVerdict::NotNewer) => PutConfigOutcome::NotAbove,
             Some(ConfigVerdict::Indeterminate) | None => PutConfigOutcome::Unavailable,
@@ -82,7 +82,7 @@
 
     /// The configuration in force.
     pub async fn config(&self) -> CurrentConfig {
-        if !self.confirm_now(ANSWER_WITHIN).await {
+        if !self.confirm_now(OPERATOR_REPLY_TIMEOUT).await {
             return CurrentConfig::Unavailable;
         }
         let state = self.feed.state();
@@ -92,14 +92,14 @@
         }
     }
 
-    /// Begins to empty a storage machine.
+    /// Begins to retire a storage node: its data is moved to the others.
     pub async fn retire(&self, name: &str) -> RetireOutcome {
         let min_storage_nodes = self.min_storage_nodes();
         let verdict = Cell::new(None);
         let done = self
-            .change(ANSWER_WITHIN, |state| {
-                let (wanted, judged) = controllers::retire(state, name, min_storage_nodes);
-                verdict.set(Some(judged));
+            .change(OPERATOR_REPLY_TIMEOUT, |state| {
+                let (wanted, verdict_now) = controllers::retire(state, name, min_storage_nodes);
+                verdict.set(Some(verdict_now));
                 wanted.into()
             })
             .await;
@@ -110,9 +110,9 @@
         })
     }
 
-    /// How far that is.
+    /// The progress of a retirement.
     pub async fn retiring(&self, name: &str) -> RetireOutcome {
-        if !self.confirm_now(ANSWER_WITHIN).await {
+        if !self.confirm_now(OPERATOR_REPLY_TIMEOUT).await {
             return RetireOutcome::Unavailable;
         }
         let verdict = controllers::retire_status(&self.feed.state(), name);
--- a/system/control-node/src/proposer.rs
+++ b/system/control-node/src/proposer.rs
@@ -1,4 +1,4 @@
-//! The node as proposer: it changes the register's value.
+//! The node as proposer: it changes the register's value, one attempt at a time.
 
 use crate::{ControlBackend, ControlEvent, ControlNode};
 use bytes::Bytes;
@@ -9,184 +9,189 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Longest time for one request to an acceptor.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(300);
+/// How long to wait for the reply of an acceptor.
+pub(crate) const REGISTER_CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a change makes of the state that it reads.
-pub(crate) enum Wanted {
-    /// Nothing: it is as wanted, or cannot be.
-    Nothing,
-    /// This state.
+/// The change to make to the state that was read.
+pub(crate) enum ProposedChange {
+    /// None: the state is as wanted, or the change is impossible.
+    Keep,
+    /// Replace the state.
     State(ControlState),
-    /// These voters, one more or less.
+    /// Replace the voters by a set with one node more or fewer.
     Voters(Vec<Ipv4Addr>),
 }
 
-impl From<Option<ControlState>> for Wanted {
+impl From<Option<ControlState>> for ProposedChange {
     fn from(state: Option<ControlState>) -> Self {
-        state.map_or(Self::Nothing, Self::State)
+        state.map_or(Self::Keep, Self::State)
     }
 }
 
-/// What a round is to have chosen, where it proposes a change.
+/// The parts of the chosen value by which an attempt tells that its change was made.
 #[derive(Default)]
-struct Aim {
+struct ExpectedValue {
     payload: Option<Bytes>,
     voters: Option<Vec<Ipv4Addr>>,
 }
 
-impl Aim {
-    fn is_met_by(&self, value: &RegisterValue) -> bool {
+impl ExpectedValue {
+    fn matches(&self, value: &RegisterValue) -> bool {
         self.payload.as_ref().is_none_or(|payload| *payload == value.payload)
             && self.voters.as_ref().is_none_or(|voters| *voters == value.voters)
     }
 }
 
-/// How a round ended.
-pub(crate) enum Ended {
-    /// A value is chosen, and taken.
+/// The outcome of one attempt.
+pub(crate) enum AttemptOutcome {
+    /// A value is chosen and adopted.
     Chosen {
-        /// It is the wanted one.
-        as_wanted: bool,
+        /// Whether it contains the change.
+        has_change: bool,
     },
-    /// Another's round was in the way.
+    /// A higher ballot was seen.
     Lost,
-    /// It reached too few.
+    /// No quorum was reached.
     Failed,
-    /// Its time was over before it came to an end.
-    Late,
+    /// The deadline passed first.
+    TimedOut,
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// The ballot of a new round.
+    /// The ballot of a new attempt.
     pub(crate) fn next_ballot(&self) -> Ballot {
-        self.count_round();
+        self.count_attempt();
         self.ballots.borrow_mut().next_ballot()
     }
 
-    /// The ballot of a new round by which this node recovers: a flood of others' rounds does not overtake it.
+    /// The ballot of a recovery attempt, which is not overtaken by a flood of others' ballots.
     pub(crate) fn recovery_ballot(&self) -> Ballot {
-        self.count_round();
+        self.count_attempt();
         self.ballots.borrow_mut().recovery_ballot()
     }
 
-    fn count_round(&self) {
+    fn count_attempt(&self) {
         let mut rounds = self.rounds.get();
         rounds.begun += 1;
         self.rounds.set(rounds);
     }
 
-    /// A ballot was seen: later ones of this node are above it.
+    /// Notes a ballot: later ones of this node are above it.
     pub(crate) fn observe_ballot(&self, ballot: Ballot) {
         self.ballots.borrow_mut().observe(ballot);
     }
 
-    /// Changes the state; true once it is as wanted, by this or by another.
+    /// Changes the state. Returns true once the register is as wanted, through this node or another.
     pub(crate) async fn change(
         &self,
         within: Duration,
-        mut wanted: impl FnMut(&ControlState) -> Wanted,
+        mut wanted: impl FnMut(&ControlState) -> ProposedChange,
     ) -> bool {
         self.propose(within, |state, _| wanted(state)).await
     }
 
-    /// The same, for what looks at the voters too.
+    /// As [`ControlNode::change`], for changes that depend on the voters or replace them.
     pub(crate) async fn propose(
         &self,
         within: Duration,
-        mut wanted: impl FnMut(&ControlState, &[Ipv4Addr]) -> Wanted,
+        mut wanted: impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
     ) -> bool {
         let deadline = self.runtime.now() + within;
         let Some(_alone) = timeout_at(&self.runtime, deadline, self.proposing.lock()).await else {
             return false;
         };
-        while self.way_is_free(deadline).await {
+        while self.wait_for_turn(deadline).await {
             match self.attempt(deadline, &mut wanted).await {
-                Ended::Chosen { as_wanted: true } => return true,
-                Ended::Chosen { as_wanted: false } | Ended::Lost | Ended::Failed => {}
-                Ended::Late => return false,
+                AttemptOutcome::Chosen { has_change: true } => return true,
+                AttemptOutcome::Chosen { has_change: false }
+                | AttemptOutcome::Lost
+                | AttemptOutcome::Failed => {}
+                AttemptOutcome::TimedOut => return false,
             }
         }
         false
     }
 
-    /// One round, as far as the time goes.
+    /// One attempt, until the deadline.
     pub(crate) async fn attempt(
         &self,
         deadline: Duration,
-        wanted: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> Wanted,
-    ) -> Ended {
-        let Some(known) = self.known.borrow().clone() else { return Ended::Late };
-        timeout_at(&self.runtime, deadline, self.round(&known, wanted)).await.unwrap_or(Ended::Late)
+        wanted: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
+    ) -> AttemptOutcome {
+        let Some(known) = self.known.borrow().clone() else { return AttemptOutcome::TimedOut };
+        timeout_at(&self.runtime, deadline, self.run_ballot(&known, wanted))
+            .await
+            .unwrap_or(AttemptOutcome::TimedOut)
     }
 
-    /// Waits until no other's round is under way and the pause after a lost one is over; false if that is too late.
-    pub(crate) async fn way_is_free(&self, deadline: Duration) -> bool {
+    /// Waits until no competing ballot is in progress and the backoff after a lost one is over; false if that is after the
+    /// deadline.
+    pub(crate) async fn wait_for_turn(&self, deadline: Duration) -> bool {
         while self.backoff.borrow().remaining_delay_ms(self.runtime.now_ms()) > 0 {
-            // Those who wait do not all begin in the moment in which the way gets free.
-            let pause = Duration::from_millis(10 + self.runtime.random_u64() % 15);
-            if self.runtime.now() + pause >= deadline {
+            // The random part keeps waiting proposers from starting at the same moment.
+            let delay = Duration::from_millis(10 + self.runtime.random_u64() % 15);
+            if self.runtime.now() + delay >= deadline {
                 return false;
             }
-            self.runtime.sleep(pause).await;
+            self.runtime.sleep(delay).await;
         }
         true
     }
 
-    /// A round that another's was in the way of, or that reached too few.
-    pub(crate) fn lost_round(&self) {
+    /// Counts an attempt that lost to a higher ballot or reached no quorum, and backs off.
+    pub(crate) fn on_attempt_lost(&self) {
         let mut rounds = self.rounds.get();
         rounds.lost += 1;
         self.rounds.set(rounds);
         self.backoff.borrow_mut().on_lost(self.runtime.now_ms(), self.runtime.random_u64());
     }
 
-    /// What is proposed on top of the value that was read.
+    /// The change to propose on top of the value that was read.
     fn proposed(
         &self,
         read: &RegisterValue,
-        wanted: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> Wanted,
-    ) -> (Change, Option<Aim>) {
+        wanted: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
+    ) -> (Change, Option<ExpectedValue>) {
         let state = match ControlState::from_payload(&read.payload) {
             Ok(state) => state,
-            Err(e) => {
-                self.backend.on_event(&ControlEvent::Unreadable(&e.to_string()));
+            Err(error) => {
+                self.backend.on_event(&ControlEvent::Unreadable(&error.to_string()));
                 return (Change::Keep, None);
             }
         };
         match wanted(&state, &read.voters) {
-            Wanted::Nothing => (Change::Keep, Some(Aim::default())),
-            Wanted::State(state) => match state.to_payload() {
+            ProposedChange::Keep => (Change::Keep, Some(ExpectedValue::default())),
+            ProposedChange::State(state) => match state.to_payload() {
                 Ok(payload) => {
-                    let aim = Aim { payload: Some(payload.clone()), voters: None };
-                    (Change::Set(payload), Some(aim))
+                    let expected_value = ExpectedValue { payload: Some(payload.clone()), voters: None };
+                    (Change::Set(payload), Some(expected_value))
                 }
                 Err(_) => (Change::Keep, None),
             },
-            Wanted::Voters(voters) => {
-                let aim = Aim { payload: None, voters: Some(voters.clone()) };
-                (Change::Voters(voters), Some(aim))
+            ProposedChange::Voters(voters) => {
+                let expected_value = ExpectedValue { payload: None, voters: Some(voters.clone()) };
+                (Change::Voters(voters), Some(expected_value))
             }
         }
     }
 
-    async fn round(
+    async fn run_ballot(
         &self,
         known: &RegisterValue,
-        wanted: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> Wanted,
-    ) -> Ended {
+        wanted: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
+    ) -> AttemptOutcome {
         let mut proposal = Proposer::start(self.next_ballot(), known);
-        let mut aim: Option<Aim> = None;
+        let mut expected_value: Option<ExpectedValue> = None;
         let mut change = |read: &RegisterValue| {
-            let (change, aims) = self.proposed(read, wanted);
-            if aims.is_some() {
-                aim = aims;
+            let (change, new_expected) = self.proposed(read, wanted);
+            if new_expected.is_some() {
+                expected_value = new_expected;
             }
             change
         };
         let mut calls = FuturesUnordered::new();
         let call = |OutgoingRequest { to, request }: OutgoingRequest| async move {
-            (to, self.ask(to, request, PATIENCE).await)
+            (to, self.call_register(to, request, REGISTER_CALL_TIMEOUT).await)
         };
         calls.extend(proposal.outbox().into_iter().map(call));
         while let Some((ip, reply)) = calls.next().await {
@@ -198,21 +203,23 @@
                 ProposerStep::Wait => {}
                 ProposerStep::Send(requests) => calls.extend(requests.into_iter().map(call)),
                 ProposerStep::Done(value) => {
-                    let as_wanted = aim.as_ref().is_some_and(|aim| aim.is_met_by(&value.value));
+                    let has_change = expected_value
+                        .as_ref()
+                        .is_some_and(|expected_value| expected_value.matches(&value.value));
                     self.backoff.borrow_mut().reset();
                     self.adopt(value);
                     self.poll_now.notify_one();
-                    return Ended::Chosen { as_wanted };
+                    return AttemptOutcome::Chosen { has_change };
                 }
                 ProposerStep::Lost { seen } => {
                     self.observe_ballot(seen);
-                    self.lost_round();
-                    return Ended::Lost;
+                    self.on_attempt_lost();
+                    return AttemptOutcome::Lost;
                 }
                 ProposerStep::Failed => break,
             }
         }
-        self.lost_round();
-        Ended::Failed
+        self.on_attempt_lost();
+        AttemptOutcome::Failed
     }
 }
--- a/system/control-node/src/recovery.rs
+++ b/system/control-node/src/recovery.rs
@@ -1,7 +1,7 @@
-//! How a node comes to vote: a new machine's first state is written, a lost one is recovered from the others, a stranger asks
-//! to be taken in, and a disk that refuses is tried again.
+//! How a node becomes able to vote: a new node writes its founding record, one that lost its record recovers it from its peers, one
+//! that is no voter requests to become one, and a disk that refuses writes is probed.
 
-use crate::proposer::PATIENCE;
+use crate::proposer::REGISTER_CALL_TIMEOUT;
 use crate::{ControlBackend, ControlEvent, ControlNode};
 use config_register::{AcceptorRecord, OutgoingRequest, Recovery, RecoveryStep};
 use fleet_model::{Answer, Ballot, Call, RegisterReply, RegisterRequest, RegisterValue};
@@ -12,19 +12,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time that a recovery waits for others' rounds to end.
-const MOST_WAIT: Duration = Duration::from_millis(600);
-/// Longest time for an answer to a machine that asks to be a voter.
-const JOIN_PATIENCE: Duration = Duration::from_millis(800);
+/// How long a recovery waits at most for competing ballots to end.
+const MAX_RECOVERY_DELAY: Duration = Duration::from_millis(600);
+/// How long to wait for the reply to a request to become a voter.
+const JOIN_CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Has this machine vote.
-    pub(crate) async fn keep_voting(self: Rc<Self>) {
+    /// Keeps this node able to vote.
+    pub(crate) async fn run_voting(self: Rc<Self>) {
         loop {
             if !self.can_vote() {
                 self.recover().await;
             } else if !self.feed.value().voters.contains(&self.me) {
-                self.ask_to_vote().await;
+                self.request_vote_membership().await;
             }
             self.replica.probe_disk();
             self.runtime.sleep(Duration::from_millis(250 + self.runtime.random_u64() % 100)).await;
@@ -40,67 +40,67 @@
                     self.poll_now.notify_one();
                 }
             }
-            None => self.recover_from_others().await,
+            None => self.recover_from_peers().await,
         }
     }
 
-    /// Core machines that were heard of, without this one.
-    fn others(&self) -> Vec<Ipv4Addr> {
-        self.heard.borrow().iter().copied().filter(|ip| *ip != self.me).collect()
+    /// Known control nodes without this one.
+    fn known_peers(&self) -> Vec<Ipv4Addr> {
+        self.known_core_nodes.borrow().iter().copied().filter(|ip| *ip != self.me).collect()
     }
 
-    async fn ask_to_vote(&self) {
-        for ip in self.others() {
+    async fn request_vote_membership(&self) {
+        for ip in self.known_peers() {
             let call = Call::JoinCore { ip: self.me };
-            if let Some(Answer::Done) = self.runtime.call(ip, call, JOIN_PATIENCE).await {
+            if let Some(Answer::Done) = self.runtime.call(ip, call, JOIN_CALL_TIMEOUT).await {
                 self.poll_now.notify_one();
                 return;
             }
         }
     }
 
-    /// The newest value that one of these knows to be chosen.
-    async fn known_chosen_value(&self, others: &[Ipv4Addr]) -> Option<RegisterValue> {
-        let asked = others.iter().map(|ip| async move {
+    /// The newest value that one of these nodes knows to be chosen.
+    async fn newest_chosen_value(&self, peers: &[Ipv4Addr]) -> Option<RegisterValue> {
+        let calls = peers.iter().map(|ip| async move {
             let poll = RegisterRequest::Poll { chosen: Ballot::default() };
-            let polled = self.ask(*ip, poll, PATIENCE).await?;
+            let polled = self.call_register(*ip, poll, REGISTER_CALL_TIMEOUT).await?;
             if let RegisterReply::Polled { accepted, chosen } = &polled {
                 self.observe_ballot(accepted.unwrap_or_default().max(*chosen));
             }
-            let fetched = self.ask(*ip, RegisterRequest::Fetch, PATIENCE).await?;
+            let fetched = self.call_register(*ip, RegisterRequest::Fetch, REGISTER_CALL_TIMEOUT).await?;
             config_register::known_chosen_value(&polled, &fetched)
         });
-        join_all(asked).await.into_iter().flatten().max_by_key(|known| known.epoch)
+        join_all(calls).await.into_iter().flatten().max_by_key(|known| known.epoch)
     }
 
-    /// Brings an acceptor without a record to where it may vote.
-    async fn recover_from_others(&self) {
-        // It begins in any case: rounds of others that go on for good must not keep this machine from its vote.
-        self.way_is_free(self.runtime.now() + MOST_WAIT).await;
-        let others = self.others();
-        // With a chosen value to start from, a voter that is gone for good need not answer.
-        let mut restore = match self.known_chosen_value(&others).await {
-            Some(known) => Recovery::start_from(self.me, self.recovery_ballot(), &known, &others),
-            None => Recovery::start(self.me, self.recovery_ballot(), &others),
+    /// Recovers the record of an acceptor from its peers.
+    async fn recover_from_peers(&self) {
+        // It starts in any case: competing ballots that never end must not keep this node from voting.
+        self.wait_for_turn(self.runtime.now() + MAX_RECOVERY_DELAY).await;
+        let peers = self.known_peers();
+        // With a chosen value to start from, a permanently lost voter need not reply.
+        let mut recovery = match self.newest_chosen_value(&peers).await {
+            Some(known) => Recovery::start_from(self.me, self.recovery_ballot(), &known, &peers),
+            None => Recovery::start(self.me, self.recovery_ballot(), &peers),
         };
         let mut calls = FuturesUnordered::new();
         let call = |OutgoingRequest { to, request }: OutgoingRequest| async move {
-            (to, self.ask(to, request, PATIENCE).await)
+            (to, self.call_register(to, request, REGISTER_CALL_TIMEOUT).await)
         };
-        calls.extend(restore.outbox().into_iter().map(call));
+        calls.extend(recovery.outbox().into_iter().map(call));
         while let Some((ip, reply)) = calls.next().await {
             let step = match reply {
-                Some(reply) => restore.on_reply(ip, &reply),
-                None => restore.on_failure(ip),
+                Some(reply) => recovery.on_reply(ip, &reply),
+                None => recovery.on_failure(ip),
             };
             match step {
                 RecoveryStep::Wait => {}
                 RecoveryStep::Send(requests) => calls.extend(requests.into_iter().map(call)),
                 RecoveryStep::Lost { seen } => {
-                    self.lost_round();
+                    self.on_attempt_lost();
                     return self.observe_ballot(seen);
                 }
-                RecoveryStep::Failed => return self.lost_round(),
+                RecoveryStep::Failed => return self.on_attempt_lost(),
                 RecoveryStep::Done(record) => return self.recovered(record).await,
             }
         }
@@ -112,7 +112,7 @@
         }
         self.observe_ballot(record.promised);
         self.backend.on_event(&ControlEvent::Recovered(&record));
-        // What a recovery has had accepted anew is chosen.
+        // The value that a recovery had accepted anew is chosen.
         if let Some(accepted) = record.accepted {
             self.adopt(accepted);
         }
--- a/system/control-node/src/replica.rs
+++ b/system/control-node/src/replica.rs
@@ -1,4 +1,4 @@
-//! This node's replica of the register: its acceptor, written through the backend.
+//! The node's replica of the register: its acceptor, made durable through the backend.
 
 use crate::durable_acceptor::{
     DiskState, DurableAcceptor, PendingReply, PendingWrite, WriteNumber, WriteOutcome,
@@ -11,17 +11,17 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// An acceptor with its disk.
+/// An acceptor and its disk.
 pub(crate) struct Replica<R, B> {
     runtime: R,
     backend: Rc<B>,
     acceptor: RefCell<DurableAcceptor>,
-    /// To be written once the write before it has come to its end.
+    /// The write to begin when the current one has completed.
     queued: RefCell<Option<PendingWrite>>,
     is_writing: Cell<bool>,
-    /// A write has come to its end. All that wait are woken in their order: a `watch` would wake them in any, and no play of
-    /// the simulation would be like the one before.
-    ended: Notify,
+    /// Notified when a write completes. Waiters are woken in their order; a `watch` would wake them in any order, which would
+    /// make runs of the simulation irreproducible.
+    write_completed: Notify,
 }
 
 impl<R: Runtime, B: ControlBackend> Replica<R, B> {
@@ -33,31 +33,31 @@
             acceptor,
             queued: RefCell::default(),
             is_writing: Cell::new(false),
-            ended: Notify::new(),
+            write_completed: Notify::new(),
         })
     }
 
-    /// Whether it has a state on disk to vote by.
+    /// Whether it has a record on disk, so that it may vote.
     pub(crate) fn has_record(&self) -> bool {
         self.acceptor.borrow().has_record()
     }
 
-    /// What it has accepted last.
+    /// The value accepted last.
     pub(crate) fn accepted(&self) -> Option<AcceptedValue> {
         self.acceptor.borrow().accepted().cloned()
     }
 
-    /// A value is known to be chosen.
+    /// Notes that a value is chosen.
     pub(crate) fn learn_value(&self, chosen: &AcceptedValue) {
         self.acceptor.borrow_mut().learn_value(chosen);
     }
 
-    /// Whether the disk takes writes.
+    /// Whether the disk accepts writes.
     pub(crate) fn disk(&self) -> DiskState {
         self.acceptor.borrow().disk()
     }
 
-    /// Handles a request at once; the answer may leave after [`Replica::release`].
+    /// Handles a request at once; the reply may be sent after [`Replica::release`].
     pub(crate) fn handle(self: &Rc<Self>, request: &RegisterRequest) -> PendingReply {
         let mut handled = self.acceptor.borrow_mut().handle(request);
         if let Some(write) = handled.write.take() {
@@ -66,7 +66,7 @@
         handled
     }
 
-    /// The answer, once it may leave; none if the disk refuses what it tells.
+    /// Waits until the reply may be sent; `None` if the disk refused the record on which it depends.
     pub(crate) async fn release(&self, handled: PendingReply) -> Option<RegisterReply> {
         match handled.after {
             Some(number) => self.is_synced(number).await.then_some(handled.reply),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Writes the state by which it may vote from then on; whether the disk has taken it.
+    /// Writes a record that allows the acceptor to vote; returns whether the disk accepted it.
     pub(crate) async fn recover(self: &Rc<Self>, record: AcceptorRecord) -> bool {
         let write = self.acceptor.borrow_mut().recover(record);
         let number = write.number;
@@ -82,7 +82,7 @@
         self.is_synced(number).await
     }
 
-    /// Where the disk has refused and nothing is being written, tries whether it goes on refusing.
+    /// If the disk has refused writes and none is in flight, writes again to find out whether it still does.
     pub(crate) fn probe_disk(self: &Rc<Self>) {
         let probe = {
             let mut acceptor = self.acceptor.borrow_mut();
@@ -96,8 +96,8 @@
         }
     }
 
-    /// In a task of its own: whoever asked may give up waiting, and the write still comes to its end. One that waits for the
-    /// write before it is left out when a later one comes: that holds all of it.
+    /// Writes in a separate task, so that the write completes even if the caller stops waiting. A queued write is replaced by a
+    /// later one, which contains the complete record.
     fn write(self: &Rc<Self>, write: PendingWrite) {
         self.queued.replace(Some(write));
         if !self.is_writing.replace(true) {
@@ -111,28 +111,28 @@
             let written = self.backend.persist(&write.record).await;
             let changed = self.acceptor.borrow_mut().on_write_completed(write.number, written.is_ok());
             if changed {
-                self.tell_disk(written.err().map(|e| e.to_string()));
+                self.report_disk(written.err().map(|error| error.to_string()));
             }
-            self.ended.notify_waiters();
+            self.write_completed.notify_waiters();
         }
         self.is_writing.set(false);
     }
 
-    fn tell_disk(&self, refused: Option<String>) {
-        match refused {
-            Some(why) => self.backend.on_event(&ControlEvent::DiskRefuses(&why)),
+    fn report_disk(&self, error: Option<String>) {
+        match error {
+            Some(error) => self.backend.on_event(&ControlEvent::DiskRefuses(&error)),
             None => self.backend.on_event(&ControlEvent::DiskAccepts),
         }
     }
 
     async fn is_synced(&self, number: WriteNumber) -> bool {
         loop {
-            let ended = self.ended.notified();
+            let write_completed = self.write_completed.notified();
             let outcome = self.acceptor.borrow().outcome(number);
             match outcome {
                 WriteOutcome::Synced => return true,
                 WriteOutcome::Failed => return false,
-                WriteOutcome::Pending => ended.await,
+                WriteOutcome::Pending => write_completed.await,
             }
         }
     }
--- a/system/control-node/tests/cluster/in_memory_cluster.rs
+++ b/system/control-node/tests/cluster/in_memory_cluster.rs
@@ -1,4 +1,4 @@
-//! Control nodes in memory, in simulated time, whose disks can refuse and stall.
+//! A cluster of control nodes in memory and simulated time, whose disks can refuse and stall.
 
 use config_register::{AcceptorRecord, BallotSource};
 use control_node::{
@@ -14,17 +14,17 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::Instant;
 
-/// A node of the fleet.
-pub type Node = ControlNode<Host, Machine>;
+/// A node of the cluster.
+pub(crate) type Node = ControlNode<Host, Machine>;
 
-/// Ages are taken off the time, so it begins late.
+/// The clock starts late, because ages are subtracted from the time.
 const BEFORE: Duration = Duration::from_secs(1_000_000);
 
-/// What a disk does with the next writes.
+/// How a disk handles the next writes.
 #[derive(Clone, Copy, Default)]
-pub enum Mood {
+pub(crate) enum DiskBehavior {
     #[default]
-    Takes,
+    Accepts,
     Refuses,
     /// Refuses one write.
     RefusesOnce,
@@ -35,42 +35,42 @@
 #[derive(Default)]
 struct Disk {
     holds: RefCell<Option<AcceptorRecord>>,
-    mood: Cell<Mood>,
+    behavior: Cell<DiskBehavior>,
 }
 
-/// The fleet: all nodes, and what lies between them.
+/// The cluster: all nodes, and what lies between them.
 #[derive(Default)]
-pub struct Fleet {
+pub(crate) struct Cluster {
     nodes: RefCell<BTreeMap<Ipv4Addr, Rc<Node>>>,
     disks: RefCell<BTreeMap<Ipv4Addr, Rc<Disk>>>,
     events: RefCell<Vec<(Ipv4Addr, String)>>,
-    /// Votes that were told while the disk did not hold them.
-    untrue: RefCell<Vec<String>>,
-    /// Machines that answer nobody and reach nobody.
-    cut_off: RefCell<BTreeSet<Ipv4Addr>>,
+    /// Votes that were sent while the disk did not have them.
+    premature_votes: RefCell<Vec<String>>,
+    /// Disconnected nodes.
+    disconnected: RefCell<BTreeSet<Ipv4Addr>>,
     drawn: Cell<u64>,
 }
 
-pub fn seeds() -> Vec<Ipv4Addr> {
+pub(crate) fn seeds() -> Vec<Ipv4Addr> {
     (1..=3).map(|last| Ipv4Addr::new(10, 0, 0, last)).collect()
 }
 
-impl Fleet {
-    /// Three nodes that start for the first time, the disks of some of them in a mood.
-    pub fn start(moods: &[(Ipv4Addr, Mood)]) -> Rc<Self> {
-        let fleet = Rc::new(Self::default());
+impl Cluster {
+    /// Three nodes that start for the first time, the disks of some of them in a behavior.
+    pub(crate) fn start(disk_behaviors: &[(Ipv4Addr, DiskBehavior)]) -> Rc<Self> {
+        let cluster = Rc::new(Self::default());
         for ip in seeds() {
-            fleet.disks.borrow_mut().insert(ip, Rc::default());
+            cluster.disks.borrow_mut().insert(ip, Rc::default());
         }
-        moods.iter().for_each(|(ip, mood)| fleet.set_mood(*ip, *mood));
-        seeds().into_iter().for_each(|ip| fleet.start_node(ip));
-        fleet
+        disk_behaviors.iter().for_each(|(ip, behavior)| cluster.set_disk_behavior(*ip, *behavior));
+        seeds().into_iter().for_each(|ip| cluster.start_node(ip));
+        cluster
     }
 
-    /// Starts a node that never voted; it is told the seeds.
-    pub fn start_node(self: &Rc<Self>, ip: Ipv4Addr) {
+    /// Starts a node that has never voted, with the seeds.
+    pub(crate) fn start_node(self: &Rc<Self>, ip: Ipv4Addr) {
         self.disks.borrow_mut().entry(ip).or_default();
-        let host = Host { fleet: self.clone(), ip, began: Instant::now() };
+        let host = Host { cluster: self.clone(), ip, began: Instant::now() };
         let machine = Machine { host: host.clone(), disk: self.disk(ip) };
         let feed = Feed::new(host.clone());
         let ballots = BallotSource::new(ip, u64::from(u32::from(ip)));
@@ -79,15 +79,15 @@
         node.run();
     }
 
-    /// From now on this machine answers nobody and reaches nobody.
-    pub fn cut_off(&self, ip: Ipv4Addr) {
-        self.cut_off.borrow_mut().insert(ip);
+    /// Disconnects a node from all others.
+    pub(crate) fn disconnect(&self, ip: Ipv4Addr) {
+        self.disconnected.borrow_mut().insert(ip);
     }
 
     /// The node at `to`, if it listens and `from` reaches it.
     fn reached(&self, from: Ipv4Addr, to: Ipv4Addr) -> Option<Rc<Node>> {
-        let cut_off = self.cut_off.borrow();
-        let is_cut = cut_off.contains(&from) || cut_off.contains(&to);
+        let disconnected = self.disconnected.borrow();
+        let is_cut = disconnected.contains(&from) || disconnected.contains(&to);
         self.nodes.borrow().get(&to).filter(|_| !is_cut).cloned()
     }
 
@@ -95,27 +95,27 @@
         self.disks.borrow()[&ip].clone()
     }
 
-    pub fn node(&self, ip: Ipv4Addr) -> Rc<Node> {
+    pub(crate) fn node(&self, ip: Ipv4Addr) -> Rc<Node> {
         self.nodes.borrow()[&ip].clone()
     }
 
-    pub fn set_mood(&self, ip: Ipv4Addr, mood: Mood) {
-        self.disk(ip).mood.set(mood);
+    pub(crate) fn set_disk_behavior(&self, ip: Ipv4Addr, behavior: DiskBehavior) {
+        self.disk(ip).behavior.set(behavior);
     }
 
-    /// Events of a node that tell of its disk.
-    pub fn disk_events(&self, ip: Ipv4Addr) -> Vec<String> {
+    /// Events of a node that concern its disk.
+    pub(crate) fn disk_events(&self, ip: Ipv4Addr) -> Vec<String> {
         let events = self.events.borrow();
         events.iter().filter(|(of, _)| *of == ip).map(|(_, event)| event.clone()).collect()
     }
 
-    /// Votes that were told while the disk did not hold them.
-    pub fn untrue(&self) -> Vec<String> {
-        self.untrue.borrow().clone()
+    /// Votes that were sent while the disk did not have them.
+    pub(crate) fn premature_votes(&self) -> Vec<String> {
+        self.premature_votes.borrow().clone()
     }
 
     /// Sends a configuration to a node until the outcome is clear, a few seconds at most.
-    pub async fn commit(&self, ip: Ipv4Addr, version: u64) -> PutConfigOutcome {
+    pub(crate) async fn commit(&self, ip: Ipv4Addr, version: u64) -> PutConfigOutcome {
         let mut outcome = PutConfigOutcome::Unavailable;
         for _ in 0..8 {
             outcome = self.node(ip).put_config(Some(version - 1), configuration(version)).await;
@@ -126,14 +126,14 @@
         outcome
     }
 
-    fn check(&self, ip: Ipv4Addr, told: &str, is_held: impl Fn(&AcceptorRecord) -> bool) {
-        if !self.disk(ip).holds.borrow().as_ref().is_some_and(is_held) {
-            self.untrue.borrow_mut().push(format!("{ip}: {told}"));
+    fn check(&self, ip: Ipv4Addr, vote: &str, is_durable: impl Fn(&AcceptorRecord) -> bool) {
+        if !self.disk(ip).holds.borrow().as_ref().is_some_and(is_durable) {
+            self.premature_votes.borrow_mut().push(format!("{ip}: {vote}"));
         }
     }
 }
 
-pub fn configuration(version: u64) -> bytes::Bytes {
+pub(crate) fn configuration(version: u64) -> bytes::Bytes {
     let text = format!(
         r#"{{"version":{version},"routes":[{{"name":"r","hostname":"h.example","path_prefix":"/",
         "route_type":"idempotent","timeout_ms":1500,"service":"s"}}],
@@ -144,8 +144,8 @@
 
 /// A node's process.
 #[derive(Clone)]
-pub struct Host {
-    fleet: Rc<Fleet>,
+pub(crate) struct Host {
+    cluster: Rc<Cluster>,
     ip: Ipv4Addr,
     began: Instant,
 }
@@ -176,8 +176,8 @@
     }
 
     fn random_u64(&self) -> u64 {
-        self.fleet.drawn.set(self.fleet.drawn.get() + 1);
-        fleet_model::rendezvous_rank(&self.fleet.drawn.get().to_be_bytes(), 1)
+        self.cluster.drawn.set(self.cluster.drawn.get() + 1);
+        fleet_model::rendezvous_rank(&self.cluster.drawn.get().to_be_bytes(), 1)
     }
 
     async fn sleep(&self, pause: Duration) {
@@ -189,7 +189,7 @@
     }
 
     async fn call(&self, to: Ipv4Addr, call: Call, patience: Duration) -> Option<Answer> {
-        let Some(node) = self.fleet.reached(self.ip, to) else {
+        let Some(node) = self.cluster.reached(self.ip, to) else {
             tokio::time::sleep(patience).await;
             return None;
         };
@@ -198,17 +198,17 @@
             _ => None,
         };
         // The called goes on when the caller gives up.
-        let (fleet, from) = (self.fleet.clone(), self.ip);
+        let (cluster, from) = (self.cluster.clone(), self.ip);
         let answering = spawn_local(async move {
             tokio::time::sleep(Duration::from_millis(1)).await;
             let answer = node.answer(from, call, None).await;
             match (&answer, request) {
                 (Answer::Register(RegisterReply::Promised(_)), Some(RegisterRequest::Prepare(ballot))) => {
-                    fleet.check(to, "promised", |record| record.promised >= ballot);
+                    cluster.check(to, "promised", |record| record.promised >= ballot);
                 }
                 (Answer::Register(RegisterReply::Accepted), Some(RegisterRequest::Accept(offered))) => {
                     let of = |record: &AcceptorRecord| record.accepted.as_ref().map(|value| value.ballot);
-                    fleet.check(to, "accepted", |record| of(record) >= Some(offered.ballot));
+                    cluster.check(to, "accepted", |record| of(record) >= Some(offered.ballot));
                 }
                 _ => {}
             }
@@ -225,7 +225,7 @@
 }
 
 /// A task of a node.
-pub struct LocalTask(AbortHandle);
+pub(crate) struct LocalTask(AbortHandle);
 
 impl Task for LocalTask {
     fn abort(self) {
@@ -234,7 +234,7 @@
 }
 
 /// There are no links here.
-pub struct NoLink;
+pub(crate) struct NoLink;
 
 impl Upstream for NoLink {
     async fn next(&mut self) -> Option<Push> {
@@ -259,7 +259,7 @@
 }
 
 /// A node's machine.
-pub struct Machine {
+pub(crate) struct Machine {
     host: Host,
     disk: Rc<Disk>,
 }
@@ -270,13 +270,13 @@
     }
 
     async fn persist(&self, record: &AcceptorRecord) -> Result<(), PersistError> {
-        let mood = self.disk.mood.get();
-        match mood {
-            Mood::Takes => tokio::time::sleep(Duration::from_millis(2)).await,
-            Mood::Stalls(time) => tokio::time::sleep(time).await,
-            Mood::Refuses => return Err(PersistError("no space left".to_owned())),
-            Mood::RefusesOnce => {
-                self.disk.mood.set(Mood::Takes);
+        let behavior = self.disk.behavior.get();
+        match behavior {
+            DiskBehavior::Accepts => tokio::time::sleep(Duration::from_millis(2)).await,
+            DiskBehavior::Stalls(time) => tokio::time::sleep(time).await,
+            DiskBehavior::Refuses => return Err(PersistError("no space left".to_owned())),
+            DiskBehavior::RefusesOnce => {
+                self.disk.behavior.set(DiskBehavior::Accepts);
                 return Err(PersistError("no space left".to_owned()));
             }
         }
@@ -294,7 +294,7 @@
 
     fn on_event(&self, event: &ControlEvent<'_>) {
         if matches!(event, ControlEvent::DiskRefuses(_) | ControlEvent::DiskAccepts) {
-            self.host.fleet.events.borrow_mut().push((self.host.ip, event.to_string()));
+            self.host.cluster.events.borrow_mut().push((self.host.ip, event.to_string()));
         }
     }
 }
--- a/system/control-node/tests/cluster/invalid_configurations.rs
+++ b/system/control-node/tests/cluster/invalid_configurations.rs
@@ -1,13 +1,13 @@
 //! Orders that have more than one fault.
 
-use crate::in_memory_cluster::{Fleet, configuration};
+use crate::in_memory_cluster::{Cluster, configuration};
 use crate::{ip, run};
 use bytes::Bytes;
 use control_node::{CurrentConfig, PutConfigOutcome};
 use googletest::prelude::*;
 
 /// Bodies that are no configuration, of the version that would be next and of one that is in force.
-fn invalid_bodies() -> Vec<Bytes> {
+fn invalid_configurations() -> Vec<Bytes> {
     let valid = |version| String::from_utf8(configuration(version).to_vec()).unwrap();
     let unknown_service = valid(3).replace(r#""service":"s""#, r#""service":"nobody""#);
     let query = valid(3).replace(r#""path_prefix":"/""#, r#""path_prefix":"/?x/""#);
@@ -20,31 +20,31 @@
 }
 
 #[gtest]
-fn an_invalid_body_on_top_of_a_version_that_is_not_in_force_is_refused_for_either_and_never_taken() {
+fn an_invalid_configuration_on_a_stale_version_is_rejected_for_either_and_never_committed() {
     run(async {
         // Given version 2 in force.
-        let fleet = Fleet::start(&[]);
-        expect_that!(fleet.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
-        expect_that!(fleet.commit(ip(0), 2).await, eq(&PutConfigOutcome::Committed(2)));
-        for body in invalid_bodies() {
-            for place in 0..3 {
+        let cluster = Cluster::start(&[]);
+        expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
+        expect_that!(cluster.commit(ip(0), 2).await, eq(&PutConfigOutcome::Committed(2)));
+        for body in invalid_configurations() {
+            for index in 0..3 {
                 for expected in [None, Some(0), Some(1), Some(2), Some(3), Some(u64::MAX)] {
                     // When an invalid body comes on top of any version, or of none,
-                    let outcome = fleet.node(ip(place)).put_config(expected, body.clone()).await;
+                    let outcome = cluster.node(ip(index)).put_config(expected, body.clone()).await;
                     // then it is refused, for its body or also for its version where that is not in force;
                     let for_body = matches!(outcome, PutConfigOutcome::Invalid(_));
                     let for_version = outcome == PutConfigOutcome::OtherVersion(2) && expected != Some(2);
                     expect_true!(for_body || for_version, "{outcome:?} on top of {expected:?}");
                 }
                 // and what is in force stays so, to the byte.
-                let current = fleet.node(ip(place)).config().await;
+                let current = cluster.node(ip(index)).config().await;
                 let CurrentConfig::Current(state) = current else { panic!("{current:?}") };
                 expect_that!((state.version(), &state.config), eq((2, &configuration(2))));
             }
         }
         // A valid one on top of a version that is not in force is refused for that, and the next is taken.
-        let stale = fleet.node(ip(1)).put_config(Some(1), configuration(3)).await;
+        let stale = cluster.node(ip(1)).put_config(Some(1), configuration(3)).await;
         expect_that!(stale, eq(&PutConfigOutcome::OtherVersion(2)));
-        expect_that!(fleet.commit(ip(2), 3).await, eq(&PutConfigOutcome::Committed(3)));
+        expect_that!(cluster.commit(ip(2), 3).await, eq(&PutConfigOutcome::Committed(3)));
     });
 }
--- a/system/control-node/tests/cluster/main.rs
+++ b/system/control-node/tests/cluster/main.rs
@@ -7,19 +7,19 @@
 
 use control_node::{CurrentConfig, PutConfigOutcome};
 use googletest::prelude::*;
-use in_memory_cluster::{Fleet, Mood, seeds};
+use in_memory_cluster::{Cluster, DiskBehavior, seeds};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-pub(crate) fn run(story: impl Future<Output = ()>) {
+pub(crate) fn run(scenario: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), story);
+    LocalSet::new().block_on(&runtime.expect("a runtime"), scenario);
 }
 
-pub(crate) fn ip(place: usize) -> Ipv4Addr {
-    seeds()[place]
+pub(crate) fn ip(index: usize) -> Ipv4Addr {
+    seeds()[index]
 }
 
 pub(crate) fn seconds(seconds: u64) -> Duration {
@@ -27,17 +27,17 @@
 }
 
 #[gtest]
-fn a_node_whose_disk_refuses_serves_on_and_votes_again() {
+fn a_node_whose_disk_refuses_keeps_serving_and_votes_again() {
     run(async {
-        // Given a fleet with a configuration, when one disk refuses,
-        let fleet = Fleet::start(&[]);
-        expect_that!(fleet.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
-        fleet.set_mood(ip(2), Mood::Refuses);
+        // Given a cluster with a configuration, when one disk refuses,
+        let cluster = Cluster::start(&[]);
+        expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
+        cluster.set_disk_behavior(ip(2), DiskBehavior::Refuses);
         // then the others commit, also what is sent to this one, and it reads what is confirmed;
-        expect_that!(fleet.commit(ip(0), 2).await, eq(&PutConfigOutcome::Committed(2)));
-        expect_that!(fleet.commit(ip(2), 3).await, eq(&PutConfigOutcome::Committed(3)));
+        expect_that!(cluster.commit(ip(0), 2).await, eq(&PutConfigOutcome::Committed(2)));
+        expect_that!(cluster.commit(ip(2), 3).await, eq(&PutConfigOutcome::Committed(3)));
         sleep(seconds(3)).await;
-        let node = fleet.node(ip(2));
+        let node = cluster.node(ip(2));
         expect_that!(node.is_fresh(), eq(true));
         expect_that!(
             matches!(node.config().await, CurrentConfig::Current(state) if state.version() == 3),
@@ -46,67 +46,67 @@
         expect_that!(node.disk().is_refusing, eq(true));
         expect_that!(node.disk().refusals, gt(1));
         // it tells of it once; and once it is over, it votes again by itself.
-        expect_that!(fleet.disk_events(ip(2)).len(), eq(1));
-        fleet.set_mood(ip(2), Mood::Takes);
+        expect_that!(cluster.disk_events(ip(2)).len(), eq(1));
+        cluster.set_disk_behavior(ip(2), DiskBehavior::Accepts);
         sleep(seconds(1)).await;
         expect_that!(node.disk().is_refusing, eq(false));
-        expect_that!(fleet.disk_events(ip(2)).len(), eq(2));
-        fleet.set_mood(ip(0), Mood::Refuses);
-        expect_that!(fleet.commit(ip(1), 4).await, eq(&PutConfigOutcome::Committed(4)));
-        expect_that!(fleet.untrue(), is_empty());
+        expect_that!(cluster.disk_events(ip(2)).len(), eq(2));
+        cluster.set_disk_behavior(ip(0), DiskBehavior::Refuses);
+        expect_that!(cluster.commit(ip(1), 4).await, eq(&PutConfigOutcome::Committed(4)));
+        expect_that!(cluster.premature_votes(), is_empty());
     });
 }
 
 #[gtest]
-fn a_majority_whose_disks_refuse_confirms_no_order_and_ends_nothing() {
+fn a_majority_of_refusing_disks_commits_nothing_and_ends_no_node() {
     run(async {
-        let fleet = Fleet::start(&[]);
-        expect_that!(fleet.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
+        let cluster = Cluster::start(&[]);
+        expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
         // When two of three refuse, then no order is confirmed or refused, by any of them,
-        fleet.set_mood(ip(1), Mood::Refuses);
-        fleet.set_mood(ip(2), Mood::Refuses);
-        for place in 0..3 {
-            expect_that!(fleet.commit(ip(place), 2).await, eq(&PutConfigOutcome::Unavailable));
+        cluster.set_disk_behavior(ip(1), DiskBehavior::Refuses);
+        cluster.set_disk_behavior(ip(2), DiskBehavior::Refuses);
+        for index in 0..3 {
+            expect_that!(cluster.commit(ip(index), 2).await, eq(&PutConfigOutcome::Unavailable));
         }
         // and the one that is sent again afterwards is.
-        fleet.set_mood(ip(1), Mood::Takes);
-        expect_that!(fleet.commit(ip(2), 2).await, eq(&PutConfigOutcome::Committed(2)));
-        expect_that!(fleet.untrue(), is_empty());
+        cluster.set_disk_behavior(ip(1), DiskBehavior::Accepts);
+        expect_that!(cluster.commit(ip(2), 2).await, eq(&PutConfigOutcome::Committed(2)));
+        expect_that!(cluster.premature_votes(), is_empty());
     });
 }
 
 #[gtest]
-fn a_disk_that_refuses_one_write_is_voted_with_again_at_the_next() {
+fn a_node_votes_again_after_one_refused_write() {
     run(async {
-        let fleet = Fleet::start(&[]);
-        expect_that!(fleet.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
+        let cluster = Cluster::start(&[]);
+        expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
         for version in 2..20 {
-            for place in 0..3 {
-                fleet.set_mood(ip(place), Mood::RefusesOnce);
+            for index in 0..3 {
+                cluster.set_disk_behavior(ip(index), DiskBehavior::RefusesOnce);
             }
             expect_that!(
-                fleet.commit(ip(version as usize % 3), version).await,
+                cluster.commit(ip(version as usize % 3), version).await,
                 eq(&PutConfigOutcome::Committed(version))
             );
         }
         sleep(seconds(1)).await;
-        for place in 0..3 {
-            expect_that!(fleet.node(ip(place)).disk().is_refusing, eq(false));
+        for index in 0..3 {
+            expect_that!(cluster.node(ip(index)).disk().is_refusing, eq(false));
         }
-        expect_that!(fleet.untrue(), is_empty());
+        expect_that!(cluster.premature_votes(), is_empty());
     });
 }
 
 #[gtest]
-fn a_stalled_disk_holds_up_votes_and_no_reads() {
+fn a_stalled_disk_delays_votes_but_not_reads() {
     run(async {
-        let fleet = Fleet::start(&[]);
-        expect_that!(fleet.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
+        let cluster = Cluster::start(&[]);
+        expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
         // Given a disk that stalls for seconds and a vote that waits for it,
-        fleet.set_mood(ip(2), Mood::Stalls(seconds(5)));
-        expect_that!(fleet.commit(ip(0), 2).await, eq(&PutConfigOutcome::Committed(2)));
+        cluster.set_disk_behavior(ip(2), DiskBehavior::Stalls(seconds(5)));
+        expect_that!(cluster.commit(ip(0), 2).await, eq(&PutConfigOutcome::Committed(2)));
         // then its polls confirm what it knows all the while,
-        let node = fleet.node(ip(2));
+        let node = cluster.node(ip(2));
         for _ in 0..30 {
             sleep(Duration::from_millis(100)).await;
             expect_that!(node.is_fresh(), eq(true));
@@ -115,27 +115,27 @@
             matches!(node.config().await, CurrentConfig::Current(state) if state.version() == 2),
             eq(true)
         );
-        // and no vote is told before it is on disk.
-        fleet.set_mood(ip(2), Mood::Takes);
+        // and no vote is vote before it is on disk.
+        cluster.set_disk_behavior(ip(2), DiskBehavior::Accepts);
         sleep(seconds(6)).await;
-        fleet.set_mood(ip(0), Mood::Refuses);
-        expect_that!(fleet.commit(ip(2), 3).await, eq(&PutConfigOutcome::Committed(3)));
-        expect_that!(fleet.untrue(), is_empty());
+        cluster.set_disk_behavior(ip(0), DiskBehavior::Refuses);
+        expect_that!(cluster.commit(ip(2), 3).await, eq(&PutConfigOutcome::Committed(3)));
+        expect_that!(cluster.premature_votes(), is_empty());
     });
 }
 
 #[gtest]
-fn a_first_start_on_a_refusing_disk_founds_once_it_takes_writes() {
+fn a_first_start_on_a_refusing_disk_founds_once_it_accepts_writes() {
     run(async {
-        let all: Vec<_> = seeds().into_iter().map(|ip| (ip, Mood::Refuses)).collect();
-        let fleet = Fleet::start(&all);
+        let all: Vec<_> = seeds().into_iter().map(|ip| (ip, DiskBehavior::Refuses)).collect();
+        let cluster = Cluster::start(&all);
         sleep(seconds(2)).await;
-        expect_that!(fleet.node(ip(0)).can_vote(), eq(false));
-        expect_that!(fleet.commit(ip(0), 1).await, eq(&PutConfigOutcome::Unavailable));
-        for place in 0..3 {
-            fleet.set_mood(ip(place), Mood::Takes);
+        expect_that!(cluster.node(ip(0)).can_vote(), eq(false));
+        expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Unavailable));
+        for index in 0..3 {
+            cluster.set_disk_behavior(ip(index), DiskBehavior::Accepts);
         }
-        expect_that!(fleet.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
-        expect_that!(fleet.untrue(), is_empty());
+        expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
+        expect_that!(cluster.premature_votes(), is_empty());
     });
 }
--- a/system/control-node/tests/durable_acceptor.rs
+++ b/system/control-node/tests/durable_acceptor.rs
@@ -1,4 +1,4 @@
-//! An acceptor tells nothing that its disk lacks, whatever the disk refuses.
+//! No reply of an acceptor is sent before its record is on disk, whatever writes the disk refuses.
 
 use bytes::Bytes;
 use config_register::{AcceptorRecord, founding_record};
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn what_the_disk_refused_was_never_promised() {
+fn a_refused_write_reverts_the_promise() {
     // Given a promise whose write fails,
     let mut acceptor = founded();
     let handled = acceptor.handle(&prepare(5));
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn reads_do_not_wait_for_the_disk_and_tell_what_it_holds() {
+fn reads_do_not_wait_for_the_disk_and_return_the_synced_state() {
     // Given a vote that is being written,
     let mut acceptor = founded();
     let write = begun(&mut acceptor, &accept(4));
@@ -89,7 +89,7 @@
 }
 
 #[gtest]
-fn an_answer_that_repeats_another_waits_for_the_same_write() {
+fn a_repeated_reply_waits_for_the_same_write() {
     let mut acceptor = founded();
     let write = begun(&mut acceptor, &prepare(4));
     let again = acceptor.handle(&prepare(4));
@@ -102,7 +102,7 @@
 }
 
 #[gtest]
-fn a_later_write_makes_good_a_failed_one() {
+fn a_later_write_supersedes_a_failed_one() {
     // Given two votes under way of which the first is refused,
     let mut acceptor = founded();
     let first = begun(&mut acceptor, &prepare(4));
@@ -125,7 +125,7 @@
 }
 
 #[gtest]
-fn without_a_record_it_votes_only_once_one_is_on_disk() {
+fn without_a_record_it_votes_only_after_one_is_synced() {
     let mut acceptor = DurableAcceptor::new(None);
     expect_that!(acceptor.handle(&prepare(1)).reply, eq(&RegisterReply::Recovering));
     let write = acceptor.recover(founding_record(voters()));
@@ -147,7 +147,7 @@
 }
 
 /// Whether the disk holds what an answer tells.
-fn is_held(reply: &RegisterReply, request: &RegisterRequest, disk: &AcceptorRecord) -> bool {
+fn is_durable(reply: &RegisterReply, request: &RegisterRequest, disk: &AcceptorRecord) -> bool {
     let accepted = disk.accepted.as_ref().map(|value| value.ballot);
     match (reply, request) {
         (RegisterReply::Promised(told), RegisterRequest::Prepare(ballot)) => {
@@ -164,8 +164,8 @@
 }
 
 #[gtest]
-fn no_answer_leaves_before_the_disk_holds_what_it_tells() {
-    let mut left = 0;
+fn no_reply_is_released_before_its_record_is_on_disk() {
+    let mut released = 0;
     for seed in 0..2_000 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut below = |most: u64| rng.next_u64() % most;
@@ -207,8 +207,8 @@
                     WriteOutcome::Failed => return false,
                     WriteOutcome::Synced => {}
                 }
-                left += 1;
-                assert!(is_held(reply, request, &disk.holds), "seed {seed}: {reply:?} of {request:?}");
+                released += 1;
+                assert!(is_durable(reply, request, &disk.holds), "seed {seed}: {reply:?} of {request:?}");
                 false
             });
             if !acceptor.is_writing() {
@@ -217,5 +217,5 @@
             }
         }
     }
-    expect_that!(left, gt(50_000));
+    expect_that!(released, gt(50_000));
 }
--- a/system/programs/src/control.rs
+++ b/system/programs/src/control.rs
@@ -61,9 +61,9 @@
             let holds = state.leases.values().filter(|fence| fence.holder == Some(self.me)).count();
             figures.gauge("control_node_duties", holds as f64);
             let losses = node.storage_losses();
-            figures.gauge("control_node_storage_losses_to_bear", losses.to_bear as f64);
-            figures.gauge("control_node_storage_losses_borne", losses.borne.served as f64);
-            figures.gauge("control_node_storage_losses_survived", losses.borne.survived as f64);
+            figures.gauge("control_node_storage_losses_to_bear", losses.configured as f64);
+            figures.gauge("control_node_storage_losses_borne", losses.tolerated.served as f64);
+            figures.gauge("control_node_storage_losses_survived", losses.tolerated.survived as f64);
             let (rounds, disk) = (node.rounds(), node.disk());
             figures.counter("control_node_runs_total", rounds.begun);
             figures.counter("control_node_runs_lost_total", rounds.lost);
