--- a/system/request-routing/src/admission.rs
+++ b/system/request-routing/src/admission.rs
@@ -1,108 +1,117 @@
-//! Who of one service's requests may take a free place: priorities that wait, and the least share of each.
+//! Admission queue of one service: priorities, and the minimum share that each priority is guaranteed.
 
 use crate::policy::RoutingPolicy;
-use crate::types::*;
+use crate::types::RoutingRequest;
 use message_sender::Time;
 use std::collections::BTreeMap;
 
-/// Requests that wait for one service at most.
-const MOST_WAITING: usize = 2_000;
-/// One that does not ask again so long after its time has left, in microseconds.
-const GONE: u64 = 50_000;
-/// Time between two looks for those, in microseconds.
-const SWEEP: u64 = 20_000;
-/// Priorities told apart; the others count as the last.
-pub(crate) const PRIORITIES: usize = 10;
-/// Each priority that waits gets at least one in so many of the calls out.
-const LEAST_SHARE: u32 = 8;
+/// Upper bound on the requests that wait for one service.
+const MAX_WAITING_REQUESTS: usize = 2_000;
+/// A waiting request that has not polled again this long after its retry time counts as abandoned, in microseconds.
+const ABANDONED_AFTER_MICROS: u64 = 50_000;
+/// Interval between sweeps for abandoned requests, in microseconds.
+const SWEEP_INTERVAL_MICROS: u64 = 20_000;
+/// Number of distinct priorities; higher values count as the last.
+pub(crate) const PRIORITY_COUNT: usize = 10;
+/// Each priority that waits is guaranteed one in this many of the calls in flight.
+const MINIMUM_SHARE_DIVISOR: u32 = 8;
 
+/// The request's priority as an index below [`PRIORITY_COUNT`].
 pub(crate) fn priority_of(request: &RoutingRequest) -> usize {
-    usize::from(request.priority).min(PRIORITIES - 1)
+    usize::from(request.priority).min(PRIORITY_COUNT - 1)
 }
 
+/// A waiting request.
 #[derive(Clone, Copy, Debug)]
-struct Waiter {
+struct WaitingRequest {
     priority: usize,
-    /// When it is to ask again.
-    until: Time,
+    /// When it polls again.
+    next_poll: Time,
 }
 
-/// The calls out and the requests that wait, by priority.
+/// Calls in flight and waiting requests, by priority.
 #[derive(Debug, Default)]
-pub(crate) struct Admission {
-    in_flight: [u32; PRIORITIES],
-    waiting: [u32; PRIORITIES],
+pub(crate) struct AdmissionQueue {
+    in_flight_by_priority: [u32; PRIORITY_COUNT],
+    waiting_by_priority: [u32; PRIORITY_COUNT],
     /// By time of arrival.
-    waiters: BTreeMap<u64, Waiter>,
-    swept: Time,
+    waiters: BTreeMap<u64, WaitingRequest>,
+    last_sweep: Time,
 }
 
-impl Admission {
-    /// Whether no call is out.
-    pub fn idle(&self) -> bool {
-        self.in_flight == [0; PRIORITIES]
+impl AdmissionQueue {
+    /// Whether no call is in flight.
+    pub(crate) fn is_idle(&self) -> bool {
+        self.in_flight_by_priority == [0; PRIORITY_COUNT]
     }
 
-    /// How many wait.
-    pub fn waiting(&self) -> usize {
+    /// Number of waiting requests.
+    pub(crate) fn waiting_count(&self) -> usize {
         self.waiters.len()
     }
 
-    pub fn sent(&mut self, request: &RoutingRequest) {
-        self.in_flight[priority_of(request)] += 1;
-        self.leave(request);
+    /// Records that a request is sent; it no longer waits.
+    pub(crate) fn record_send(&mut self, request: &RoutingRequest) {
+        self.in_flight_by_priority[priority_of(request)] += 1;
+        self.remove(request);
     }
 
-    pub fn ended(&mut self, request: &RoutingRequest) {
-        let in_flight = &mut self.in_flight[priority_of(request)];
+    /// Records that a call is completed.
+    pub(crate) fn record_completion(&mut self, request: &RoutingRequest) {
+        let in_flight = &mut self.in_flight_by_priority[priority_of(request)];
         *in_flight = in_flight.saturating_sub(1);
     }
 
-    /// Whether one of this priority leaves a free place to another: to a more urgent one that waits, once it has its
-    /// least share, and to a less urgent one that waits and has not.
-    pub fn yields(&self, priority: usize, policy: &RoutingPolicy) -> bool {
-        let total: u32 = self.in_flight.iter().sum();
-        let lacks =
-            |priority: usize| policy.minimum_share && self.in_flight[priority] * LEAST_SHARE < total.max(1);
-        let urgent_waits = policy.priority_yield && self.waiting[..priority].iter().any(|count| *count > 0);
-        let starved = (priority + 1..PRIORITIES).any(|other| self.waiting[other] > 0 && lacks(other));
-        let most = self.in_flight[priority] * LEAST_SHARE > total * (LEAST_SHARE - 1);
-        (urgent_waits && !lacks(priority)) || (starved && most && total >= LEAST_SHARE)
+    /// Whether a request of this priority leaves a free slot to another one: to a waiting one of higher priority, once
+    /// its own priority has its minimum share, or to a waiting one of lower priority whose priority lacks its share.
+    pub(crate) fn yields(&self, priority: usize, policy: &RoutingPolicy) -> bool {
+        let total: u32 = self.in_flight_by_priority.iter().sum();
+        let lacks_share = |priority: usize| {
+            policy.minimum_share
+                && self.in_flight_by_priority[priority] * MINIMUM_SHARE_DIVISOR < total.max(1)
+        };
+        let urgent_waits =
+            policy.priority_yield && self.waiting_by_priority[..priority].iter().any(|count| *count > 0);
+        let starved = (priority + 1..PRIORITY_COUNT)
+            .any(|other| self.waiting_by_priority[other] > 0 && lacks_share(other));
+        let dominates = self.in_flight_by_priority[priority] * MINIMUM_SHARE_DIVISOR
+            > total * (MINIMUM_SHARE_DIVISOR - 1);
+        (urgent_waits && !lacks_share(priority)) || (starved && dominates && total >= MINIMUM_SHARE_DIVISOR)
     }
 
-    /// One waits, until then; false if there is no room for it.
-    pub fn hold(&mut self, request: &RoutingRequest, until: Time) -> bool {
+    /// Enqueues a request until its next poll; false if the queue is full.
+    pub(crate) fn enqueue(&mut self, request: &RoutingRequest, next_poll: Time) -> bool {
         let priority = priority_of(request);
         if let Some(waiter) = self.waiters.get_mut(&request.arrived_at.0) {
-            waiter.until = until;
+            waiter.next_poll = next_poll;
             return true;
         }
-        if self.waiters.len() >= MOST_WAITING {
+        if self.waiters.len() >= MAX_WAITING_REQUESTS {
             return false;
         }
-        self.waiters.insert(request.arrived_at.0, Waiter { priority, until });
-        self.waiting[priority] += 1;
+        self.waiters.insert(request.arrived_at.0, WaitingRequest { priority, next_poll });
+        self.waiting_by_priority[priority] += 1;
         true
     }
 
-    /// One waits no more.
-    pub fn leave(&mut self, request: &RoutingRequest) {
+    /// Removes a request that no longer waits.
+    pub(crate) fn remove(&mut self, request: &RoutingRequest) {
         if let Some(waiter) = self.waiters.remove(&request.arrived_at.0) {
-            self.waiting[waiter.priority] -= 1;
+            self.waiting_by_priority[waiter.priority] -= 1;
         }
     }
 
-    /// Those that have not asked again have left.
-    pub fn sweep(&mut self, now: Time) {
-        if now.since(self.swept) < SWEEP {
+    /// Removes abandoned requests.
+    pub(crate) fn sweep(&mut self, now: Time) {
+        if now.since(self.last_sweep) < SWEEP_INTERVAL_MICROS {
             return;
         }
-        self.swept = now;
-        let waiting = &mut self.waiting;
+        self.last_sweep = now;
+        let waiting = &mut self.waiting_by_priority;
         self.waiters.retain(|_, waiter| {
-            let stays = now.since(waiter.until) <= GONE;
-            waiting[waiter.priority] -= u32::from(!stays);
-            stays
+            let retained = now.since(waiter.next_poll) <= ABANDONED_AFTER_MICROS;
+            waiting[waiter.priority] -= u32::from(!retained);
+            retained
         });
     }
 }
--- a/system/request-routing/src/endpoint.rs
+++ b/system/request-routing/src/endpoint.rs
@@ -1,80 +1,92 @@
-//! What is known of one incarnation of an endpoint, and what it may be sent.
+//! State of one endpoint incarnation: its presence in the list, load, pace, refusals and outlier detection, and the
+//! number of calls that this proxy may have in flight there.
 
+use crate::decay::DecayingValue;
 use crate::outlier::{Failure, OutlierDetector};
 use crate::policy::RoutingPolicy;
-use crate::types::*;
+use crate::types::{EndpointKey, EndpointView, ServerLoad, UnavailableReason};
 use fleet_model::EndpointState;
 use message_sender::{Outcome, Span, Time};
 use std::sync::Arc;
 
-/// Reported load counts half after this, in microseconds.
-const LOAD_HALF_LIFE: f64 = 300_000.0;
-/// First time for which a refusal as full closes an endpoint; it doubles while refusals go on.
-const CLOSED: u64 = 30_000;
-/// Most such doublings: up to 480 ms.
-const CLOSED_DOUBLINGS: u32 = 4;
-/// Chance adds up to this share.
-const CLOSED_JITTER: f64 = 0.25;
-/// Weight of one more time to the first byte in its mean.
-const LEARNING_RATE: f64 = 0.2;
-/// What was learned of an endpoint's pace counts half after this, in microseconds.
-const PACE_HALF_LIFE: f64 = 5_000_000.0;
+/// Half-life of a load report's weight, in microseconds.
+const REPORTED_LOAD_HALF_LIFE_MICROS: f64 = 300_000.0;
+/// First backoff after a refusal for lack of capacity, in microseconds; it doubles with each further refusal.
+const FIRST_REFUSAL_BACKOFF_MICROS: u64 = 30_000;
+/// Upper bound on the doublings: the backoff reaches at most 480 ms before jitter.
+const MAX_REFUSAL_BACKOFF_DOUBLINGS: u32 = 4;
+/// Jitter added to a refusal backoff, as a share of it.
+const REFUSAL_BACKOFF_JITTER: f64 = 0.25;
+/// Weight of a new observation in the moving mean of the time to first byte.
+const PACE_LEARNING_RATE: f64 = 0.2;
+/// Half-life of the weight of an endpoint's learned pace, in microseconds.
+const PACE_HALF_LIFE_MICROS: f64 = 5_000_000.0;
 
-/// Whether the list has it, and how.
+/// Presence of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Presence {
+    /// Listed and accepting calls.
     Ready,
-    /// Once draining it stays so: an endpoint that is leaving does not come back under its name.
+    /// Final: a draining incarnation does not become ready again.
     Draining,
+    /// No longer listed, but calls are still in flight.
     Unlisted,
 }
 
-/// What the service's terms and the number of proxies make of it.
+/// Limits of an endpoint that follow from its service's settings and the number of proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Bounds {
-    pub engine: bool,
-    pub proxies: u32,
-    /// Connections of this proxy to one endpoint.
-    pub connections: u32,
-    pub default_slots: u32,
-    /// Tokens that an endpoint's memory holds; 0 where nothing tells them.
-    pub cache_tokens: u64,
+pub(crate) struct EndpointLimits {
+    /// The service runs a model, which batches calls in a fixed number of slots.
+    pub(crate) engine: bool,
+    /// Number of proxies that share the endpoint.
+    pub(crate) proxies: u32,
+    /// Upper bound on this proxy's connections to one endpoint.
+    pub(crate) max_connections: u32,
+    /// Slots of an endpoint whose list entry states none.
+    pub(crate) default_slots: u32,
+    /// Capacity of an endpoint's prefix cache in tokens; 0 if unknown.
+    pub(crate) cache_tokens: u64,
 }
 
-/// A call that has ended.
+/// A completed call.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EndedCall {
-    pub outcome: Outcome,
-    /// Time to its first byte.
-    pub elapsed: Span,
-    /// Whether its service can do without the endpoint.
-    pub may_eject: bool,
-    /// Drawn within 0 and 1.
-    pub jitter: f64,
+pub(crate) struct CompletedCall {
+    pub(crate) outcome: Outcome,
+    /// Time to first byte.
+    pub(crate) time_to_first_byte: Span,
+    /// Whether the service has enough other endpoints to eject this one.
+    pub(crate) may_eject: bool,
+    /// Random value within 0 and 1 for the refusal backoff.
+    pub(crate) jitter: f64,
 }
 
+/// One incarnation of an endpoint as this proxy knows it.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
-    pub key: EndpointKey,
-    pub listed: fleet_model::Endpoint,
-    pub instance_id: Arc<str>,
-    /// Hash of the incarnation's id, for ranks.
-    pub hash: u64,
-    pub presence: Presence,
-    pub in_flight: u32,
-    pub connections: u32,
+    pub(crate) key: EndpointKey,
+    /// Its entry in the newest list that had it.
+    pub(crate) listed: fleet_model::Endpoint,
+    pub(crate) instance_id: Arc<str>,
+    /// Hash of the instance id, for rendezvous hashing.
+    pub(crate) hash: u64,
+    pub(crate) presence: Presence,
+    /// Calls of this proxy that are in flight.
+    pub(crate) in_flight: u32,
+    /// Open connections of this proxy.
+    pub(crate) connections: u32,
     misdirected: bool,
-    outliers: OutlierDetector,
-    closed_until: Time,
+    outlier_detector: OutlierDetector,
+    backing_off_until: Time,
+    /// Consecutive refusals for lack of capacity.
     refusals: u32,
-    /// Calls of other proxies that it reported, and when.
-    reported: (f64, Time),
-    /// Mean time to the first byte, and when it was last learned.
-    pace: (f64, Time),
+    /// Calls of other proxies, as of its last load report.
+    reported_load: DecayingValue,
+    /// Moving mean of the time to first byte, in microseconds; 0 before the first response.
+    pace: DecayingValue,
 }
 
 impl Endpoint {
-    pub fn new(key: EndpointKey, listed: &fleet_model::Endpoint) -> Endpoint {
+    pub(crate) fn new(key: EndpointKey, listed: &fleet_model::Endpoint) -> Endpoint {
         Endpoint {
             key,
             instance_id: Arc::from(listed.instance_id.as_str()),
@@ -84,16 +96,16 @@
             in_flight: 0,
             connections: 0,
             misdirected: false,
-            outliers: OutlierDetector::new(),
-            closed_until: Time(0),
+            outlier_detector: OutlierDetector::new(),
+            backing_off_until: Time(0),
             refusals: 0,
-            reported: (0.0, Time(0)),
-            pace: (0.0, Time(0)),
+            reported_load: DecayingValue::ZERO,
+            pace: DecayingValue::ZERO,
         }
     }
 
-    /// Takes what the list says of this incarnation now.
-    pub fn list(&mut self, listed: &fleet_model::Endpoint) {
+    /// Applies this incarnation's entry in a new list.
+    pub(crate) fn update_from_list(&mut self, listed: &fleet_model::Endpoint) {
         if self.presence != Presence::Draining {
             self.presence = presence(listed);
         }
@@ -103,159 +115,171 @@
         }
     }
 
-    pub fn slots(&self, bounds: &Bounds) -> u32 {
-        if self.listed.capacity_slots > 0 { self.listed.capacity_slots } else { bounds.default_slots.max(1) }
+    /// Calls that the endpoint runs at once.
+    pub(crate) fn slots(&self, limits: &EndpointLimits) -> u32 {
+        if self.listed.capacity_slots > 0 { self.listed.capacity_slots } else { limits.default_slots.max(1) }
     }
 
-    /// Calls there: this proxy's, and those of others as far as reported.
-    pub fn load(&self, now: Time) -> f64 {
-        f64::from(self.in_flight) + self.others(now)
+    /// Estimated calls at the endpoint: this proxy's, plus the decayed report of other proxies' calls.
+    pub(crate) fn load(&self, now: Time) -> f64 {
+        f64::from(self.in_flight) + self.load_of_other_proxies(now)
     }
 
-    fn others(&self, now: Time) -> f64 {
-        let (calls, index) = self.reported;
-        if calls <= 0.0 { 0.0 } else { calls * (-(now.since(index) as f64) / LOAD_HALF_LIFE).exp2() }
+    fn load_of_other_proxies(&self, now: Time) -> f64 {
+        self.reported_load.decayed(now, REPORTED_LOAD_HALF_LIFE_MICROS)
     }
 
-    /// Calls of this proxy that it may have.
-    pub fn limit(&self, bounds: &Bounds, load: f64) -> u32 {
-        let slots = self.slots(bounds);
-        let calls = if bounds.engine {
+    /// Upper bound on this proxy's calls in flight there.
+    pub(crate) fn max_in_flight(&self, limits: &EndpointLimits, load: f64) -> u32 {
+        let slots = self.slots(limits);
+        let calls = if limits.engine {
             slots
         } else if load >= f64::from(slots) {
-            (slots + 2).min((2 * slots).div_ceil(bounds.proxies).max(2))
+            (slots + 2).min((2 * slots).div_ceil(limits.proxies).max(2))
         } else {
             slots + 2
         };
-        calls.min(bounds.connections)
+        calls.min(limits.max_connections)
     }
 
-    /// Whether it takes new calls but for those that it has, its refusals and failures.
-    pub fn in_service(&self) -> bool {
+    /// Whether it accepts new calls, capacity, refusals and failures aside.
+    pub(crate) fn is_in_service(&self) -> bool {
         self.presence == Presence::Ready && !self.misdirected
     }
 
-    /// Closed by a refusal.
-    pub fn closed(&self, now: Time) -> bool {
-        now < self.closed_until
+    /// Whether a refusal backoff is in effect.
+    pub(crate) fn is_backing_off(&self, now: Time) -> bool {
+        now < self.backing_off_until
     }
 
-    /// Ejected, or its one trial is out.
-    pub fn ejected(&self, now: Time) -> bool {
-        self.outliers.ejected(now)
+    /// Whether it is ejected, or its probe call is in flight.
+    pub(crate) fn is_ejected(&self, now: Time) -> bool {
+        self.outlier_detector.is_ejected(now)
     }
 
-    /// It has been ejected and has not proved itself since.
-    pub fn unproven(&self) -> bool {
-        self.outliers.unproven()
+    /// Whether it was ejected and has had no success since.
+    pub(crate) fn is_unproven(&self) -> bool {
+        self.outlier_detector.is_unproven()
     }
 
-    /// When it is usable again as far as refusals and failures go.
-    pub fn opens(&self, now: Time) -> Time {
-        self.outliers.ejected_until(now).unwrap_or(now).max(self.closed_until).max(now)
+    /// End of the current refusal backoff and ejection; `now` without one.
+    pub(crate) fn usable_at(&self, now: Time) -> Time {
+        self.outlier_detector.ejected_until(now).unwrap_or(now).max(self.backing_off_until).max(now)
     }
 
-    /// What its recent failures add to its load, in shares of its slots.
-    pub fn penalty(&self, now: Time) -> f64 {
-        self.outliers.penalty(now)
+    /// Load penalty of recent failures, as a share of its slots.
+    pub(crate) fn failure_penalty(&self, now: Time) -> f64 {
+        self.outlier_detector.penalty(now)
     }
 
-    /// Its time to the first byte against its service's mean; 1 unless it is much slower.
-    pub fn slowness(&self, now: Time, mean: f64) -> f64 {
-        let (pace, index) = self.pace;
+    /// Ratio of its time to first byte to the service's `mean` (in microseconds), within 1 and 3; 1 unless it is much
+    /// slower.
+    pub(crate) fn slowness(&self, now: Time, mean: f64) -> f64 {
+        let pace = self.pace.value;
         if pace <= 0.0 || mean <= 0.0 {
             return 1.0;
         }
-        let kept = (-(now.since(index) as f64) / PACE_HALF_LIFE).exp2();
-        let ratio = 1.0 + (pace / mean - 1.0) * kept;
+        let weight = self.pace.remaining_share(now, PACE_HALF_LIFE_MICROS);
+        let ratio = 1.0 + (pace / mean - 1.0) * weight;
         if ratio > 1.5 { ratio.min(3.0) } else { 1.0 }
     }
 
-    /// A new connection is within this proxy's share; calls that have none yet are opening theirs.
-    pub fn may_open(&self, bounds: &Bounds) -> bool {
-        self.connections.max(self.in_flight) < bounds.connections
+    /// Whether a new connection is within this proxy's share. Calls without a connection are opening one.
+    pub(crate) fn may_open(&self, limits: &EndpointLimits) -> bool {
+        self.connections.max(self.in_flight) < limits.max_connections
     }
 
-    /// A call goes there.
-    pub fn send(&mut self) {
+    /// Records that a call is sent there.
+    pub(crate) fn record_send(&mut self) {
         self.in_flight += 1;
-        self.outliers.sent();
+        self.outlier_detector.record_send();
     }
 
-    pub fn misdirect(&mut self) {
+    /// Records that another incarnation responds at its address.
+    pub(crate) fn mark_misdirected(&mut self) {
         self.misdirected = true;
     }
 
-    pub fn report(&mut self, now: Time, load: ServerLoad) {
+    /// Records a load report.
+    pub(crate) fn record_load(&mut self, now: Time, load: ServerLoad) {
         let calls = load.running.saturating_add(load.waiting).saturating_sub(self.in_flight);
-        self.reported = (f64::from(calls), now);
+        self.reported_load = DecayingValue { value: f64::from(calls), updated_at: now };
     }
 
-    /// Takes the end of one of its calls.
-    pub fn end(&mut self, now: Time, call: &EndedCall, bounds: &Bounds, policy: &RoutingPolicy) {
+    /// Records the completion of one of its calls.
+    pub(crate) fn record_completion(
+        &mut self,
+        now: Time,
+        call: &CompletedCall,
+        limits: &EndpointLimits,
+        policy: &RoutingPolicy,
+    ) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let may_eject = call.may_eject && policy.outlier_ejection;
         match call.outcome {
             Outcome::Success => {
-                self.outliers.succeeded();
+                self.outlier_detector.record_success();
                 self.refusals = 0;
-                self.learn_pace(now, call.elapsed);
+                self.learn_pace(now, call.time_to_first_byte);
             }
             Outcome::Full(wait) => {
-                self.outliers.succeeded();
-                self.refuse(now, wait, policy, call.jitter);
-                self.assume_full(now, bounds);
+                self.outlier_detector.record_success();
+                self.record_refusal(now, wait, policy, call.jitter);
+                self.assume_full(now, limits);
             }
             Outcome::NoRoom => {
-                self.outliers.inconclusive(now);
-                self.refuse(now, None, policy, call.jitter);
+                self.outlier_detector.record_inconclusive(now);
+                self.record_refusal(now, None, policy, call.jitter);
             }
-            Outcome::ConnectFailed => self.outliers.failed(now, Failure::Connect, may_eject),
+            Outcome::ConnectFailed => self.outlier_detector.record_failure(now, Failure::Connect, may_eject),
             Outcome::Reset | Outcome::TimedOut | Outcome::Failure => {
-                self.outliers.failed(now, Failure::Answer, may_eject);
+                self.outlier_detector.record_failure(now, Failure::Response, may_eject);
             }
-            Outcome::Cancelled | Outcome::Void => self.outliers.inconclusive(now),
+            Outcome::Cancelled | Outcome::Void => self.outlier_detector.record_inconclusive(now),
         }
     }
 
-    fn learn_pace(&mut self, now: Time, elapsed: Span) {
-        let (pace, _) = self.pace;
-        let took = elapsed.0 as f64;
-        self.pace = (if pace > 0.0 { pace + LEARNING_RATE * (took - pace) } else { took }, now);
+    fn learn_pace(&mut self, now: Time, time_to_first_byte: Span) {
+        let pace = self.pace.value;
+        let sample = time_to_first_byte.0 as f64;
+        let value = if pace > 0.0 { pace + PACE_LEARNING_RATE * (sample - pace) } else { sample };
+        self.pace = DecayingValue { value, updated_at: now };
     }
 
-    /// It refused as full: others have what this proxy does not.
-    fn assume_full(&mut self, now: Time, bounds: &Bounds) {
-        let missing = f64::from(self.slots(bounds)) - self.load(now);
+    /// After a refusal for lack of capacity: attributes all slots that this proxy does not use to other proxies.
+    fn assume_full(&mut self, now: Time, limits: &EndpointLimits) {
+        let missing = f64::from(self.slots(limits)) - self.load(now);
         if missing > 0.0 {
-            self.reported = (self.others(now) + missing, now);
+            self.reported_load =
+                DecayingValue { value: self.load_of_other_proxies(now) + missing, updated_at: now };
         }
     }
 
-    /// Closes it for all messages. Refusals that arrive while it is closed are of calls sent before: they count once.
-    fn refuse(&mut self, now: Time, wait: Option<Span>, policy: &RoutingPolicy, jitter: f64) {
+    /// Begins a refusal backoff. Refusals that arrive during a backoff belong to calls sent before it and count once.
+    fn record_refusal(&mut self, now: Time, wait: Option<Span>, policy: &RoutingPolicy, jitter: f64) {
         if let Some(wait) = wait {
-            self.closed_until = self.closed_until.max(now.after(wait.0 as f64));
-        } else if !self.closed(now) && policy.refusal_backoff {
-            let wait = (CLOSED << self.refusals.min(CLOSED_DOUBLINGS)) as f64;
-            self.closed_until = now.after(wait * (1.0 + CLOSED_JITTER * jitter));
+            self.backing_off_until = self.backing_off_until.max(now.after(wait.0 as f64));
+        } else if !self.is_backing_off(now) && policy.refusal_backoff {
+            let wait =
+                (FIRST_REFUSAL_BACKOFF_MICROS << self.refusals.min(MAX_REFUSAL_BACKOFF_DOUBLINGS)) as f64;
+            self.backing_off_until = now.after(wait * (1.0 + REFUSAL_BACKOFF_JITTER * jitter));
             self.refusals += 1;
         }
     }
 
-    /// For staff.
-    pub fn view(&self, now: Time, bounds: &Bounds) -> EndpointView {
+    /// Snapshot for the admin endpoint.
+    pub(crate) fn view(&self, now: Time, limits: &EndpointLimits) -> EndpointView {
         let load = self.load(now);
-        let unavailable = match (self.presence, self.outliers.ejected_until(now)) {
+        let unavailable = match (self.presence, self.outlier_detector.ejected_until(now)) {
             (Presence::Draining, _) => Some(UnavailableReason::Draining),
             (Presence::Unlisted, _) => Some(UnavailableReason::Unlisted),
             (Presence::Ready, _) if self.misdirected => Some(UnavailableReason::Misdirected),
             (Presence::Ready, Some(until)) => Some(UnavailableReason::Ejected { until }),
-            (Presence::Ready, None) if self.outliers.on_trial() => Some(UnavailableReason::Probing),
-            (Presence::Ready, None) if self.closed(now) => {
-                Some(UnavailableReason::BackingOff { until: self.closed_until })
+            (Presence::Ready, None) if self.outlier_detector.is_probing() => Some(UnavailableReason::Probing),
+            (Presence::Ready, None) if self.is_backing_off(now) => {
+                Some(UnavailableReason::BackingOff { until: self.backing_off_until })
             }
-            (Presence::Ready, None) if self.in_flight >= self.limit(bounds, load) => {
+            (Presence::Ready, None) if self.in_flight >= self.max_in_flight(limits, load) => {
                 Some(UnavailableReason::AtCapacity)
             }
             (Presence::Ready, None) => None,
@@ -268,7 +292,7 @@
             zone: self.listed.zone.clone(),
             in_flight: self.in_flight,
             connections: self.connections,
-            slots: self.slots(bounds),
+            slots: self.slots(limits),
             reported_load: load - f64::from(self.in_flight),
             unavailable,
         }
--- a/system/request-routing/src/hash.rs
+++ b/system/request-routing/src/hash.rs
@@ -1,6 +1,6 @@
-//! Hashes for ranks and sessions: the same in each process.
+//! Deterministic hashes for rendezvous hashing and session affinity: identical in every process.
 
-/// FNV-1a with a final mix.
+/// 64-bit FNV-1a, finalized with [`mix`].
 pub(crate) fn hash(bytes: &[u8]) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     for byte in bytes {
@@ -9,7 +9,7 @@
     mix(hash)
 }
 
-/// The finish of SplitMix64.
+/// The output function of `SplitMix64`.
 pub(crate) fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/system/request-routing/src/lib.rs
+++ b/system/request-routing/src/lib.rs
@@ -1,8 +1,20 @@
-//! Where a request goes, when, and whether it goes again: decisions only, without I/O or clock. A host asks
-//! [`Router::pick`], carries out the call, tells its end with [`Router::record_completion`] and asks [`Router::decide_retry`] after one
-//! that did not deliver. The rule is the design's: retry the transport, not the intent.
+//! Request routing for one proxy: endpoint selection, admission and retries.
+//!
+//! A proxy must send each request to an endpoint that has capacity for it and, where possible, the state that it needs
+//! (its session, or its prompt prefix in the cache); it must hold or refuse requests when there is no capacity; and it must
+//! retry failed attempts without ever executing a request twice that is not idempotent. The rule is the design's: retry
+//! the transport, not the intent.
+//!
+//! The crate makes these decisions only. It has no I/O and no clock: the host passes the current time with each event,
+//! sends the requests, and reports what it observes. For each request the host calls [`Router::pick`] until it returns
+//! [`RoutingDecision::Send`] or [`RoutingDecision::GiveUp`], makes the call, reports it with
+//! [`Router::record_completion`], and after an attempt without a response calls [`Router::decide_retry`].
+//!
+//! All randomness derives from the router's seed, and iteration orders are fixed: the same sequence of events yields the
+//! same decisions.
 
 mod admission;
+mod decay;
 mod endpoint;
 mod execution;
 mod hash;
@@ -21,4 +33,7 @@
 pub use operator_config::RouteKind;
 pub use policy::{RoutingPolicy, UnknownMechanism};
 pub use router::Router;
-pub use types::*;
+pub use types::{
+    AttemptHistory, EndpointKey, EndpointView, GiveUp, RetryDecision, RoutingDecision, RoutingRequest,
+    ServerLoad, ServiceSettings, Target, UnavailableReason,
+};
--- a/system/request-routing/src/outlier.rs
+++ b/system/request-routing/src/outlier.rs
@@ -1,60 +1,61 @@
-//! Outlier detection for one endpoint: attempts that fail in a row eject it for a growing time, and single calls let it
-//! back in. One that fails only part of its attempts is never ejected: what failed lately adds to its load, whatever
-//! succeeded between.
+//! Outlier detection for one endpoint, as a circuit breaker: consecutive failures eject the endpoint for an
+//! exponentially growing time, after which a single probe call decides whether it is readmitted. An endpoint that fails
+//! only a share of its attempts is never ejected; its recent failures add a decaying penalty to its load instead.
 
+use crate::decay::DecayingValue;
 use message_sender::Time;
 
-/// Attempts in a row without a usable answer that eject an endpoint.
-const EJECTING_FAILURES: u32 = 4;
-/// A connection that was not made counts for so many of them.
+/// Consecutive failures that eject an endpoint.
+const EJECTION_THRESHOLD: u32 = 4;
+/// Number of failures that a failed connection attempt counts for.
 const CONNECT_FAILURE_WEIGHT: u32 = 2;
-/// First time for which an endpoint is ejected, in microseconds.
-const FIRST_EJECTION: u64 = 200_000;
-/// The longest.
-const LONGEST_EJECTION: u64 = 5_000_000;
-/// A failure counts half in the choice after this, in microseconds.
-const FAILURE_HALF_LIFE: f64 = 2_000_000.0;
-/// What a failure adds to an endpoint's load at first, in shares of its slots.
-const PENALTY: f64 = 0.5;
-/// A penalty below this is none.
-const LEAST_PENALTY: f64 = PENALTY / 8.0;
-/// Failures that count at most.
-const MOST_FAILURES: f64 = 4.0;
+/// Duration of the first ejection, in microseconds; it doubles with each further one.
+const FIRST_EJECTION_MICROS: u64 = 200_000;
+/// Upper bound of an ejection's duration, in microseconds.
+const MAX_EJECTION_MICROS: u64 = 5_000_000;
+/// Half-life of a failure's weight in endpoint selection, in microseconds.
+const FAILURE_HALF_LIFE_MICROS: f64 = 2_000_000.0;
+/// Initial load penalty of one failure, as a share of the endpoint's slots.
+const FAILURE_PENALTY: f64 = 0.5;
+/// Penalties below this are treated as none.
+const MIN_PENALTY: f64 = FAILURE_PENALTY / 8.0;
+/// Upper bound of the decayed failure count.
+const MAX_COUNTED_FAILURES: f64 = 4.0;
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// No connection was made.
+    /// The connection was not established.
     Connect,
-    /// Anything else.
-    Answer,
+    /// The connection was established, but no usable response came.
+    Response,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// In use, after so many failures in a row.
+    /// In use; `failures` is the number of consecutive failures.
     InUse { failures: u32 },
-    /// Out of use until then, for the n-th time; after that one call tries it.
+    /// Ejected until then, for the `times`-th time in succession; afterwards one call probes it.
     Ejected { until: Time, times: u32 },
-    /// That call is out.
+    /// The probe call is in flight.
     Probing { times: u32 },
 }
 
-/// Whether an endpoint's attempts fail.
+/// Circuit breaker and failure penalty of one endpoint.
 #[derive(Debug)]
 pub(crate) struct OutlierDetector {
     state: State,
-    /// Failures as they counted at the last one, and when that was.
-    failures: (f64, Time),
+    /// Decayed number of failures.
+    failures: DecayingValue,
 }
 
 impl OutlierDetector {
-    pub fn new() -> Self {
-        Self { state: State::InUse { failures: 0 }, failures: (0.0, Time(0)) }
+    pub(crate) fn new() -> Self {
+        Self { state: State::InUse { failures: 0 }, failures: DecayingValue::ZERO }
     }
 
-    /// Ejected, or its one trial is out.
-    pub fn ejected(&self, now: Time) -> bool {
+    /// Whether it is ejected, or its probe call is in flight.
+    pub(crate) fn is_ejected(&self, now: Time) -> bool {
         match self.state {
             State::InUse { .. } => false,
             State::Ejected { until, .. } => now < until,
@@ -62,72 +63,75 @@
         }
     }
 
-    /// When an ejection that is under way ends.
-    pub fn ejected_until(&self, now: Time) -> Option<Time> {
+    /// End of the current ejection.
+    pub(crate) fn ejected_until(&self, now: Time) -> Option<Time> {
         match self.state {
             State::Ejected { until, .. } if now < until => Some(until),
             _ => None,
         }
     }
 
-    pub fn on_trial(&self) -> bool {
+    /// Whether its probe call is in flight.
+    pub(crate) fn is_probing(&self) -> bool {
         matches!(self.state, State::Probing { .. })
     }
 
-    /// It has been ejected and has not proved itself since.
-    pub fn unproven(&self) -> bool {
+    /// Whether it was ejected and has had no success since.
+    pub(crate) fn is_unproven(&self) -> bool {
         !matches!(self.state, State::InUse { .. })
     }
 
-    /// What failures add to the endpoint's load, in shares of its slots.
-    pub fn penalty(&self, now: Time) -> f64 {
-        let penalty = PENALTY * self.failures(now);
-        // One that was ejected is let back in by a trial, which the penalty would only put off.
-        if self.unproven() || penalty < LEAST_PENALTY { 0.0 } else { penalty }
+    /// Load penalty of recent failures, as a share of the endpoint's slots.
+    pub(crate) fn penalty(&self, now: Time) -> f64 {
+        let penalty = FAILURE_PENALTY * self.decayed_failures(now);
+        // An ejected endpoint is readmitted by a probe, which the penalty would only delay.
+        if self.is_unproven() || penalty < MIN_PENALTY { 0.0 } else { penalty }
     }
 
-    /// Failures, each by how long ago it was.
-    fn failures(&self, now: Time) -> f64 {
-        let (failures, index) = self.failures;
-        if failures <= 0.0 { 0.0 } else { failures * (-(now.since(index) as f64) / FAILURE_HALF_LIFE).exp2() }
+    /// Number of failures, each decayed by its age.
+    fn decayed_failures(&self, now: Time) -> f64 {
+        self.failures.decayed(now, FAILURE_HALF_LIFE_MICROS)
     }
 
-    /// A call goes there.
-    pub fn sent(&mut self) {
+    /// Records that a call is sent to the endpoint.
+    pub(crate) fn record_send(&mut self) {
         if let State::Ejected { times, .. } = self.state {
             self.state = State::Probing { times };
         }
     }
 
-    /// It answers, so it is there.
-    pub fn succeeded(&mut self) {
+    /// Records a response, which closes the circuit breaker.
+    pub(crate) fn record_success(&mut self) {
         self.state = State::InUse { failures: 0 };
     }
 
-    /// A trial that told nothing: another may go.
-    pub fn inconclusive(&mut self, now: Time) {
+    /// Records a call that says nothing about the endpoint: another probe may follow at once.
+    pub(crate) fn record_inconclusive(&mut self, now: Time) {
         if let State::Probing { times } = self.state {
             self.state = State::Ejected { until: now, times };
         }
     }
 
-    /// An attempt failed. `may_eject` is whether its service can do without it.
-    pub fn failed(&mut self, now: Time, failure: Failure, may_eject: bool) {
-        self.failures = ((self.failures(now) + 1.0).min(MOST_FAILURES), now);
+    /// Records a failed attempt. `may_eject`: whether the service has enough other endpoints.
+    pub(crate) fn record_failure(&mut self, now: Time, failure: Failure, may_eject: bool) {
+        self.failures = DecayingValue {
+            value: (self.decayed_failures(now) + 1.0).min(MAX_COUNTED_FAILURES),
+            updated_at: now,
+        };
         let weight = match failure {
             Failure::Connect => CONNECT_FAILURE_WEIGHT,
-            Failure::Answer => 1,
+            Failure::Response => 1,
         };
         let eject = |times: u32| {
-            let span = (FIRST_EJECTION << (times - 1).min(10)).min(LONGEST_EJECTION);
+            let span = (FIRST_EJECTION_MICROS << (times - 1).min(10)).min(MAX_EJECTION_MICROS);
             State::Ejected { until: now.after(span as f64), times }
         };
         self.state = match self.state {
-            State::InUse { failures } if failures + weight >= EJECTING_FAILURES && may_eject => eject(1),
+            State::InUse { failures } if failures + weight >= EJECTION_THRESHOLD && may_eject => eject(1),
             State::InUse { failures } => {
-                State::InUse { failures: failures.saturating_add(weight).min(EJECTING_FAILURES) }
+                State::InUse { failures: failures.saturating_add(weight).min(EJECTION_THRESHOLD) }
             }
-            // Of calls sent before.
+            // The failed call was sent before the ejection.
             State::Ejected { until, times } if now < until => State::Ejected { until, times },
             State::Ejected { times, .. } | State::Probing { times } => eject(times + 1),
         };
--- a/system/request-routing/src/policy.rs
+++ b/system/request-routing/src/policy.rs
@@ -1,8 +1,8 @@
-//! Which decision mechanisms are in force. In service all of them are; a trial switches one off to measure its worth.
+//! Switches of the routing mechanisms. In service all of them are on; a trial switches one off to measure its effect.
 
 macro_rules! mechanisms {
     ($($(#[doc = $doc:literal])* $name:ident,)*) => {
-        /// A switch for each decision mechanism; the default is what is in service.
+        /// A switch for each routing mechanism; the default has all of them on, as in service.
         #[derive(Clone, Debug, PartialEq, Eq)]
         pub struct RoutingPolicy {
             $($(#[doc = $doc])* pub $name: bool,)*
@@ -19,6 +19,10 @@
             pub const MECHANISMS: &'static [&'static str] = &[$(stringify!($name)),*];
 
             /// Switches a mechanism on or off.
+            ///
+            /// # Errors
+            ///
+            /// If no mechanism has this name.
             pub fn switch(&mut self, mechanism: &str, on: bool) -> Result<(), UnknownMechanism> {
                 match mechanism {
                     $(stringify!($name) => self.$name = on,)*
@@ -37,42 +41,42 @@
     };
 }
 
-/// A mechanism of this name does not exist.
+/// No mechanism has this name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no mechanism has the name {0}")]
 pub struct UnknownMechanism(pub String);
 
 mechanisms! {
-    /// A shared prefix is kept on as many endpoints as memory allows and its demand needs; off: on all.
+    /// Prefix affinity: a shared prefix is cached on as many endpoints as its demand needs; off: on all.
     prefix_affinity,
-    /// A session goes on at the endpoint that ran it last.
+    /// Session affinity: a session continues at the endpoint that last served it.
     session_affinity,
-    /// Affinity yields where an endpoint's load is far above its peers' mean.
+    /// Bounded load: affinity yields where an endpoint's load is far above its peers' mean.
     load_bounds,
-    /// Endpoints of the proxy's own zone come first.
+    /// Endpoints of the proxy's own zone are preferred.
     zone_tiers,
-    /// What endpoints tell of their load counts.
+    /// Load reports of endpoints count towards their load.
     reported_load,
-    /// A refusal as full closes its endpoint for a short, growing time.
+    /// A refusal for lack of capacity starts an exponential backoff for its endpoint.
     refusal_backoff,
-    /// An endpoint whose attempts fail in a row is ejected, and let back in by single calls.
+    /// Consecutive failures eject an endpoint; a probe call readmits it.
     outlier_ejection,
-    /// Recent failures add to an endpoint's load.
+    /// Recent failures add a penalty to an endpoint's load.
     failure_penalty,
-    /// Endpoints that take much longer to their first byte than their peers get less.
+    /// Endpoints with a much longer time to first byte than their peers receive fewer calls.
     latency_weight,
-    /// An attempt that may be repeated has a timeout of its own.
+    /// An idempotent attempt has a timeout of its own.
     try_timeout,
-    /// Less urgent requests leave free places to more urgent ones that wait.
+    /// Requests leave free slots to waiting ones of higher priority.
     priority_yield,
-    /// Each priority that waits gets at least a small share.
+    /// Each priority that waits is guaranteed a minimum share.
     minimum_share,
-    /// A request that nothing has run of is refused early rather than held.
+    /// A request that cannot have executed is refused at the queue timeout rather than held until its deadline.
     queue_patience,
-    /// A resumable stream that fails goes on at another endpoint.
+    /// A resumable stream that fails is resumed at another endpoint.
     stream_resumption,
-    /// Waits between attempts grow and vary.
+    /// Exponential backoff with jitter between attempts.
     retry_backoff,
-    /// Idle connections are used only for as long as their service's are known to live.
+    /// Idle connections are reused only within the lifetime observed for their service.
     idle_connection_limit,
 }
--- a/system/request-routing/src/router.rs
+++ b/system/request-routing/src/router.rs
@@ -1,47 +1,57 @@
-//! The decisions: which endpoint, whether to wait, whether to go again.
+//! The router: applies configuration, endpoint lists and observations, and decides where a request goes, whether it waits
+//! and whether it is retried.
 
 use crate::admission::priority_of;
-use crate::endpoint::{Bounds, EndedCall, Endpoint, Presence};
+use crate::endpoint::{CompletedCall, Endpoint, EndpointLimits, Presence};
 use crate::hash::{hash, mix};
 use crate::placement::Candidates;
 use crate::policy::RoutingPolicy;
 use crate::prefix_demand::Prompt;
 use crate::retry;
 use crate::service::Service;
-use crate::sessions::Sessions;
-use crate::types::*;
+use crate::sessions::SessionTable;
+use crate::types::{
+    AttemptHistory, EndpointKey, EndpointView, RetryDecision, RoutingDecision, RoutingRequest, ServerLoad,
+    ServiceSettings, Target,
+};
 use fleet_model::EndpointList;
 use message_sender::{Outcome, Span, Time};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Shortest and longest wait before asking again, in microseconds.
-const WAIT: (f64, f64) = (5_000.0, 50_000.0);
-/// The shortest, where the request's own time ends sooner.
-const LEAST_WAIT: u64 = 1_000;
-/// Shortest and longest time after which a refused client is asked to come again, in microseconds.
-const RETRY_AFTER: (f64, f64) = (20_000.0, 2_000_000.0);
-/// The same where no endpoint is known: the list comes that often.
-const NO_ENDPOINT: u64 = 500_000;
+/// Lower bound of the interval between two decisions about a waiting request, in microseconds.
+const MIN_POLL_INTERVAL_MICROS: f64 = 5_000.0;
+/// Upper bound of that interval, in microseconds.
+const MAX_POLL_INTERVAL_MICROS: f64 = 50_000.0;
+/// Lower bound of that interval where the request's deadline comes sooner, in microseconds.
+const MIN_REMAINING_WAIT_MICROS: u64 = 1_000;
+/// Lower bound of the `Retry-After` of a refused request, in microseconds.
+const MIN_RETRY_AFTER_MICROS: f64 = 20_000.0;
+/// Upper bound of the `Retry-After` of a refused request, in microseconds.
+const MAX_RETRY_AFTER_MICROS: f64 = 2_000_000.0;
+/// `Retry-After` where no endpoint is in service, in microseconds: about the interval of endpoint lists.
+const RETRY_AFTER_WITHOUT_ENDPOINT_MICROS: u64 = 500_000;
 
-/// Decides for one proxy.
+/// Routes the requests of one proxy.
 pub struct Router {
     zone: String,
     policy: RoutingPolicy,
     seed: u64,
     rng: ChaCha8Rng,
     proxies: u32,
+    /// Time of the last event.
     now: Time,
-    next_key: u32,
-    /// By key, rising.
+    /// The last key assigned.
+    last_key: u32,
+    /// In ascending order of their keys.
     endpoints: Vec<Endpoint>,
     services: BTreeMap<String, Service>,
-    sessions: Sessions,
+    sessions: SessionTable,
 }
 
 impl Router {
-    /// A router for a proxy in this zone; all its chance comes from the seed.
+    /// A router for a proxy in this zone; all of its random values derive from the seed.
     pub fn new(zone: String, seed: u64, policy: RoutingPolicy) -> Router {
         Router {
             zone,
@@ -50,27 +60,28 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             proxies: 1,
             now: Time(0),
-            next_key: 0,
+            last_key: 0,
             endpoints: Vec::new(),
             services: BTreeMap::new(),
-            sessions: Sessions::default(),
+            sessions: SessionTable::default(),
         }
     }
 
-    /// Takes the services of a new configuration, in place of those before.
+    /// Replaces the services by those of a new configuration.
     pub fn update_services(&mut self, now: Time, services: &[ServiceSettings]) {
         self.now = now;
         for service in self.services.values_mut() {
-            service.terms = None;
+            service.settings = None;
         }
-        for terms in services {
-            self.services.entry(terms.name.clone()).or_insert_with(Service::new).terms = Some(terms.clone());
+        for settings in services {
+            self.services.entry(settings.name.clone()).or_insert_with(Service::new).settings =
+                Some(settings.clone());
         }
-        self.services.retain(|_, service| !service.idle());
+        self.services.retain(|_, service| !service.is_removable());
     }
 
-    /// Takes a new list, in place of the one before: which of two is later is for the host to know. An incarnation
-    /// that was draining stays so, whatever a list says.
+    /// Replaces the endpoint list. The host decides which of two lists is newer. A draining incarnation stays draining,
+    /// whatever a list states.
     pub fn update_endpoints(&mut self, now: Time, list: &EndpointList) {
         self.now = now;
         for endpoint in &mut self.endpoints {
@@ -78,26 +89,26 @@
                 endpoint.presence = Presence::Unlisted;
             }
         }
-        let name =
+        let identity =
             |entry: &fleet_model::Endpoint| (entry.instance_id.clone(), entry.address, entry.service.clone());
         let mut known: BTreeMap<_, usize> = self
             .endpoints
             .iter()
             .enumerate()
-            .map(|(index, endpoint)| (name(&endpoint.listed), index))
+            .map(|(index, endpoint)| (identity(&endpoint.listed), index))
             .collect();
         let mut listed = vec![false; self.endpoints.len()];
         for entry in &list.endpoints {
-            let same = known.get(&name(entry)).copied();
-            match same {
+            let existing = known.get(&identity(entry)).copied();
+            match existing {
                 Some(index) => {
-                    self.endpoints[index].list(entry);
+                    self.endpoints[index].update_from_list(entry);
                     listed[index] = true;
                 }
                 None => {
-                    self.next_key += 1;
-                    known.insert(name(entry), self.endpoints.len());
-                    self.endpoints.push(Endpoint::new(EndpointKey(self.next_key), entry));
+                    self.last_key += 1;
+                    known.insert(identity(entry), self.endpoints.len());
+                    self.endpoints.push(Endpoint::new(EndpointKey(self.last_key), entry));
                     listed.push(true);
                 }
             }
@@ -107,7 +118,7 @@
         self.rebuild_service_index();
     }
 
-    /// Sorts the ready endpoints by service and zone.
+    /// Rebuilds each service's indices of its ready endpoints, by zone.
     fn rebuild_service_index(&mut self) {
         for service in self.services.values_mut() {
             service.local.clear();
@@ -122,19 +133,19 @@
                 group.push(index);
             }
         }
-        self.services.retain(|_, service| !service.idle());
+        self.services.retain(|_, service| !service.is_removable());
     }
 
-    /// How many proxies there are, this one included.
+    /// Sets the number of proxies, this one included.
     pub fn set_proxy_count(&mut self, now: Time, count: u32) {
         self.now = now;
         self.proxies = count.max(1);
     }
 
-    /// Where this request goes now. A send is counted as out at once.
+    /// Decides where a request goes now. A send counts as in flight at once.
     pub fn pick(&mut self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> RoutingDecision {
         self.now = now;
-        if retry::spent(request, history) || now > retry::last_send(request) {
+        if retry::is_exhausted(request, history) || now > retry::latest_send_time(request) {
             return self.give_up(now, request, history);
         }
         if now < history.not_before {
@@ -143,30 +154,30 @@
         if let Some(service) = self.services.get_mut(&request.service) {
             service.admission.sweep(now);
         }
-        match self.choose(now, request, history) {
+        match self.choose_endpoint(now, request, history) {
             Some(index) => self.send(request, index),
-            None => self.hold(now, request, history),
+            None => self.wait_or_give_up(now, request, history),
         }
     }
 
     fn give_up(&mut self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> RoutingDecision {
         if let Some(service) = self.services.get_mut(&request.service) {
-            service.admission.leave(request);
+            service.admission.remove(request);
         }
-        RoutingDecision::GiveUp(retry::last_answer(history, self.retry_after(now, request)))
+        RoutingDecision::GiveUp(retry::give_up(history, self.retry_after(now, request)))
     }
 
     fn send(&mut self, request: &RoutingRequest, index: usize) -> RoutingDecision {
         let endpoint = &mut self.endpoints[index];
         let mut may_open = true;
         if let Some(service) = self.services.get_mut(&request.service) {
-            may_open = endpoint.may_open(&service.bounds(self.proxies));
-            service.admission.sent(request);
-            if let Some(prompt) = prompt(request) {
-                service.prefixes.observe(prompt);
+            may_open = endpoint.may_open(&service.endpoint_limits(self.proxies));
+            service.admission.record_send(request);
+            if let Some(prompt) = shared_prompt(request) {
+                service.prefix_demand.observe(prompt);
             }
         }
-        endpoint.send();
+        endpoint.record_send();
         RoutingDecision::Send(Target {
             key: endpoint.key,
             address: endpoint.listed.address,
@@ -175,56 +186,71 @@
         })
     }
 
-    /// No endpoint takes it now: it waits, as long as that makes sense.
-    fn hold(&mut self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> RoutingDecision {
-        let mut until = retry::last_send(request);
-        if history.execution.may_promise() && self.policy.queue_patience {
-            until = until.min(retry::patience(request));
+    /// No endpoint can take the request now: it waits while a send is still useful.
+    fn wait_or_give_up(
+        &mut self,
+        now: Time,
+        request: &RoutingRequest,
+        history: &AttemptHistory,
+    ) -> RoutingDecision {
+        let mut until = retry::latest_send_time(request);
+        if history.execution.guarantees_not_executed() && self.policy.queue_patience {
+            until = until.min(retry::queue_deadline(request));
         }
         if now >= until {
             return self.give_up(now, request, history);
         }
-        let opens = self.opens(now, request);
-        let left = until.since(now).max(LEAST_WAIT);
+        let usable_in = self.time_until_usable(now, request);
+        let remaining = until.since(now).max(MIN_REMAINING_WAIT_MICROS);
         let Some(service) = self.services.get_mut(&request.service) else {
-            return RoutingDecision::Wait(Span((WAIT.1 as u64).min(left)));
+            return RoutingDecision::Wait(Span((MAX_POLL_INTERVAL_MICROS as u64).min(remaining)));
         };
-        let wait = opens.unwrap_or_else(|| service.gap()).clamp(WAIT.0, WAIT.1) as u64;
-        let wait = wait.min(left);
-        if service.admission.hold(request, now.after(wait as f64)) {
+        let wait = usable_in
+            .unwrap_or_else(|| service.expected_completion_interval())
+            .clamp(MIN_POLL_INTERVAL_MICROS, MAX_POLL_INTERVAL_MICROS) as u64;
+        let wait = wait.min(remaining);
+        if service.admission.enqueue(request, now.after(wait as f64)) {
             RoutingDecision::Wait(Span(wait))
         } else {
             self.give_up(now, request, history)
         }
     }
 
-    /// Time until the first of its endpoints opens, if refusals and failures keep all of them closed.
-    fn opens(&self, now: Time, request: &RoutingRequest) -> Option<f64> {
+    /// Time in microseconds until the first endpoint is usable, if refusals and failures keep all of them from use.
+    fn time_until_usable(&self, now: Time, request: &RoutingRequest) -> Option<f64> {
         let service = self.services.get(&request.service)?;
-        let all = service.all().map(|index| &self.endpoints[index]);
-        let first = all.filter(|endpoint| endpoint.in_service()).map(|endpoint| endpoint.opens(now)).min()?;
+        let all = service.ready_endpoints().map(|index| &self.endpoints[index]);
+        let first =
+            all.filter(|endpoint| endpoint.is_in_service()).map(|endpoint| endpoint.usable_at(now)).min()?;
         (first > now).then(|| first.since(now) as f64)
     }
 
-    /// When a place is expected.
+    /// When a free slot is expected.
     fn retry_after(&self, now: Time, request: &RoutingRequest) -> Span {
-        let Some(service) = self.services.get(&request.service) else { return Span(NO_ENDPOINT) };
-        if !service.all().any(|index| self.endpoints[index].in_service()) {
-            return Span(NO_ENDPOINT);
+        let Some(service) = self.services.get(&request.service) else {
+            return Span(RETRY_AFTER_WITHOUT_ENDPOINT_MICROS);
+        };
+        if !service.ready_endpoints().any(|index| self.endpoints[index].is_in_service()) {
+            return Span(RETRY_AFTER_WITHOUT_ENDPOINT_MICROS);
         }
-        let wait = self.opens(now, request).unwrap_or_else(|| service.turn());
-        Span(wait.clamp(RETRY_AFTER.0, RETRY_AFTER.1) as u64)
+        let wait = self.time_until_usable(now, request).unwrap_or_else(|| service.expected_queue_time());
+        Span(wait.clamp(MIN_RETRY_AFTER_MICROS, MAX_RETRY_AFTER_MICROS) as u64)
     }
 
-    fn choose(&mut self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> Option<usize> {
+    fn choose_endpoint(
+        &mut self,
+        now: Time,
+        request: &RoutingRequest,
+        history: &AttemptHistory,
+    ) -> Option<usize> {
         let service = self.services.get(&request.service)?;
         if service.admission.yields(priority_of(request), &self.policy) {
             return None;
         }
         let candidates = Candidates::new(now, &self.policy, history, service, self.proxies, &self.endpoints);
-        if candidates.bounds.engine || request.prefix_id.is_some() {
-            let last = session_hash(request).and_then(|session| self.sessions.get(session));
-            let last = last.and_then(|key| self.find(key));
+        if candidates.limits.engine || request.prefix_id.is_some() {
+            let last = session_hash(request).and_then(|session| self.sessions.endpoint_of(session));
+            let last = last.and_then(|key| self.find_endpoint(key));
             if let Some(index) = candidates.by_session(last, &request.service) {
                 return Some(index);
             }
@@ -234,14 +260,14 @@
                 return Some(index);
             }
         }
-        candidates.by_load(&mut self.rng).or_else(|| candidates.least_bad())
+        candidates.by_load(&mut self.rng).or_else(|| candidates.first_to_recover())
     }
 
-    fn find(&self, key: EndpointKey) -> Option<usize> {
+    fn find_endpoint(&self, key: EndpointKey) -> Option<usize> {
         self.endpoints.binary_search_by_key(&key, |endpoint| endpoint.key).ok()
     }
 
-    /// A call has ended; `elapsed` is the time to its first byte.
+    /// Records a completed call, with the endpoint's load report if the response had one.
     pub fn record_completion(
         &mut self,
         now: Time,
@@ -249,83 +275,83 @@
         request: &RoutingRequest,
         outcome: Outcome,
         load: Option<ServerLoad>,
-        elapsed: Span,
+        time_to_first_byte: Span,
     ) {
         self.now = now;
         if let Some(service) = self.services.get_mut(&request.service) {
-            service.end(now, request);
+            service.record_completion(now, request);
             if outcome == Outcome::Success {
-                service.learn_pace(request, elapsed);
+                service.record_pace(request, time_to_first_byte);
             }
         }
-        let Some(index) = self.find(key) else { return };
+        let Some(index) = self.find_endpoint(key) else { return };
         if let Some(load) = load.filter(|_| self.policy.reported_load) {
-            self.endpoints[index].report(now, load);
+            self.endpoints[index].record_load(now, load);
         }
-        let bounds = self.bounds(index);
+        let limits = self.endpoint_limits(index);
         let jitter = unit_interval(self.rng.next_u64());
-        let call = EndedCall { outcome, elapsed, may_eject: self.may_eject(index), jitter };
-        self.endpoints[index].end(now, &call, &bounds, &self.policy);
+        let call = CompletedCall { outcome, time_to_first_byte, may_eject: self.may_eject(index), jitter };
+        self.endpoints[index].record_completion(now, &call, &limits, &self.policy);
         if outcome == Outcome::Success
-            && (bounds.engine || request.prefix_id.is_some())
+            && (limits.engine || request.prefix_id.is_some())
             && let Some(session) = session_hash(request)
         {
-            self.sessions.put(session, key);
+            self.sessions.record_use(session, key);
         }
     }
 
-    /// Whether half of its service is left without it.
+    /// Whether at least half of the service's endpoints remain if this one is ejected as well.
     fn may_eject(&self, index: usize) -> bool {
         let Some(service) = self.services.get(&self.endpoints[index].listed.service) else { return false };
-        let all = service.all().filter(|other| self.endpoints[*other].in_service());
-        let (mut ready, mut in_flight) = (0, 0);
-        for other in all {
+        let in_service = service.ready_endpoints().filter(|other| self.endpoints[*other].is_in_service());
+        let (mut ready, mut unproven) = (0, 0);
+        for other in in_service {
             ready += 1;
-            in_flight += usize::from(other != index && self.endpoints[other].unproven());
+            unproven += usize::from(other != index && self.endpoints[other].is_unproven());
         }
-        (in_flight + 1) * 2 <= ready
+        (unproven + 1) * 2 <= ready
     }
 
-    fn bounds(&self, index: usize) -> Bounds {
+    fn endpoint_limits(&self, index: usize) -> EndpointLimits {
         match self.services.get(&self.endpoints[index].listed.service) {
-            Some(service) => service.bounds(self.proxies),
-            None => Service::new().bounds(self.proxies),
+            Some(service) => service.endpoint_limits(self.proxies),
+            None => Service::new().endpoint_limits(self.proxies),
         }
     }
 
-    /// An endpoint reported its load.
+    /// Records a load report of an endpoint.
     pub fn record_load(&mut self, now: Time, key: EndpointKey, load: ServerLoad) {
         self.now = now;
-        if let Some(index) = self.find(key).filter(|_| self.policy.reported_load) {
-            self.endpoints[index].report(now, load);
+        if let Some(index) = self.find_endpoint(key).filter(|_| self.policy.reported_load) {
+            self.endpoints[index].record_load(now, load);
         }
     }
 
-    /// A connection was opened.
+    /// Records that a connection to the endpoint was opened.
     pub fn connection_opened(&mut self, key: EndpointKey) {
-        if let Some(index) = self.find(key) {
+        if let Some(index) = self.find_endpoint(key) {
             self.endpoints[index].connections += 1;
         }
     }
 
-    /// A connection was closed.
+    /// Records that a connection to the endpoint was closed.
     pub fn connection_closed(&mut self, key: EndpointKey) {
-        if let Some(index) = self.find(key) {
+        if let Some(index) = self.find_endpoint(key) {
             let connections = &mut self.endpoints[index].connections;
             *connections = connections.saturating_sub(1);
         }
     }
 
-    /// Another incarnation answers at its address: it is closed until the list says something new of it.
+    /// Records that another incarnation responds at the endpoint's address: it is not used until its list entry changes.
     pub fn mark_misdirected(&mut self, now: Time, key: EndpointKey) {
         self.now = now;
-        if let Some(index) = self.find(key) {
-            self.endpoints[index].misdirect();
+        if let Some(index) = self.find_endpoint(key) {
+            self.endpoints[index].mark_misdirected();
         }
     }
 
-    /// Whether a request goes again after an attempt that ended like this; to be asked after [`Router::record_completion`]. What
-    /// the attempt was is noted in `history`.
+    /// Decides whether to retry a request after an attempt with this outcome, and records the attempt in `history`. Call
+    /// [`Router::record_completion`] first.
     pub fn decide_retry(
         &self,
         now: Time,
@@ -334,70 +360,83 @@
         key: EndpointKey,
         outcome: Outcome,
     ) -> RetryDecision {
-        retry::note(history, key, outcome);
-        if retry::spent(request, history) {
-            return RetryDecision::GiveUp(retry::last_answer(history, self.retry_after(now, request)));
+        retry::record_outcome(history, key, outcome);
+        if retry::is_exhausted(request, history) {
+            return RetryDecision::GiveUp(retry::give_up(history, self.retry_after(now, request)));
         }
-        let first = history.attempts.max(history.unexecuted) == 1;
-        let elsewhere = self.free_elsewhere(now, request, history);
-        let unsent = outcome == Outcome::Void;
-        let wait = if history.execution.may_promise() && (unsent || (first && elsewhere)) {
+        let is_first_attempt = history.attempts.max(history.unexecuted) == 1;
+        let free_elsewhere = self.has_free_untried_endpoint(now, request, history);
+        let never_sent = outcome == Outcome::Void;
+        let delay = if history.execution.guarantees_not_executed()
+            && (never_sent || (is_first_attempt && free_elsewhere))
+        {
             0.0
         } else {
             let random = mix(self.seed ^ mix(now.0 ^ mix(request.arrived_at.0 ^ u64::from(key.0) << 40)));
-            let told = match outcome {
-                Outcome::Full(Some(told)) if !elsewhere => told.0 as f64,
+            let requested_wait = match outcome {
+                Outcome::Full(Some(wait)) if !free_elsewhere => wait.0 as f64,
                 _ => 0.0,
             };
             let backoff = match self.policy.retry_backoff {
                 true => retry::backoff(request, history, unit_interval(random)),
                 false => retry::first_backoff(request),
             };
-            backoff.max(told)
+            backoff.max(requested_wait)
         };
-        history.not_before = now.after(wait);
-        if history.not_before > retry::last_send(request) {
-            return RetryDecision::GiveUp(retry::last_answer(history, self.retry_after(now, request)));
+        history.not_before = now.after(delay);
+        if history.not_before > retry::latest_send_time(request) {
+            return RetryDecision::GiveUp(retry::give_up(history, self.retry_after(now, request)));
         }
         RetryDecision::Retry
     }
 
-    /// How long an attempt that is about to be sent may be silent before another endpoint is tried: only an
-    /// idempotent one is, where there is an attempt left and another endpoint to make it. `history` is what came before it.
-    pub fn try_timeout(&self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> Option<Span> {
+    /// Timeout of an attempt that is about to be sent: only for an idempotent request that has a further attempt and
+    /// another endpoint for it. `history` is the history before the attempt.
+    pub fn attempt_timeout(
+        &self,
+        now: Time,
+        request: &RoutingRequest,
+        history: &AttemptHistory,
+    ) -> Option<Span> {
         let service = self.services.get(&request.service).filter(|_| self.policy.try_timeout)?;
-        let timeout = retry::try_timeout(now, request, history, service.repeatable_pace())?;
-        let ready = service.all().map(|index| &self.endpoints[index]);
+        let timeout = retry::attempt_timeout(now, request, history, service.idempotent_pace())?;
+        let ready = service.ready_endpoints().map(|index| &self.endpoints[index]);
         let others =
-            ready.filter(|other| other.in_service() && !history.avoided.contains(&other.key)).count();
+            ready.filter(|other| other.is_in_service() && !history.avoided.contains(&other.key)).count();
         (others > 1).then_some(timeout)
     }
 
-    /// Whether an endpoint that it has not met has a place.
-    fn free_elsewhere(&self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> bool {
+    /// Whether an endpoint that the request has not tried has a free slot.
+    fn has_free_untried_endpoint(
+        &self,
+        now: Time,
+        request: &RoutingRequest,
+        history: &AttemptHistory,
+    ) -> bool {
         let Some(service) = self.services.get(&request.service) else { return false };
         let candidates = Candidates::new(now, &self.policy, history, service, self.proxies, &self.endpoints);
         service
-            .all()
+            .ready_endpoints()
             .map(|index| &self.endpoints[index])
-            .any(|endpoint| !history.avoided.contains(&endpoint.key) && candidates.usable(endpoint))
+            .any(|endpoint| !history.avoided.contains(&endpoint.key) && candidates.is_usable(endpoint))
     }
 
-    /// All endpoints as they stood at the last event.
+    /// Snapshot of all endpoints as of the last event, for the admin endpoint.
     pub fn endpoint_views(&self) -> Vec<EndpointView> {
         (0..self.endpoints.len())
-            .map(|index| self.endpoints[index].view(self.now, &self.bounds(index)))
+            .map(|index| self.endpoints[index].view(self.now, &self.endpoint_limits(index)))
             .collect()
     }
 }
 
+/// Hash of the request's service and session.
 fn session_hash(request: &RoutingRequest) -> Option<u64> {
     let session = request.session.as_ref()?;
     Some(mix(hash(request.service.as_bytes()) ^ hash(session.as_bytes()).rotate_left(1)))
 }
 
-/// How much of its prompt a request shares with others, where it tells.
-fn prompt(request: &RoutingRequest) -> Option<Prompt> {
+/// The request's shared prefix, if it states one.
+fn shared_prompt(request: &RoutingRequest) -> Option<Prompt> {
     let prefix = request.prefix_id.as_ref().filter(|_| request.prefix_tokens > 0)?;
     Some(Prompt {
         prefix: hash(prefix.as_bytes()),
@@ -406,7 +445,7 @@
     })
 }
 
-/// Within 0 and 1.
+/// Maps a random number to [0, 1).
 fn unit_interval(random: u64) -> f64 {
     (random >> 11) as f64 / (1_u64 << 53) as f64
 }
--- a/system/request-routing/src/service.rs
+++ b/system/request-routing/src/service.rs
@@ -1,112 +1,120 @@
-//! What is known of one service: its terms, who waits for it and how fast places become free.
+//! State of one service: its settings, its ready endpoints, its admission queue and its learned pace.
 
-use crate::admission::Admission;
-use crate::endpoint::Bounds;
+use crate::admission::AdmissionQueue;
+use crate::endpoint::EndpointLimits;
 use crate::prefix_demand::PrefixDemand;
-use crate::types::*;
+use crate::types::{RoutingRequest, ServiceSettings};
 use message_sender::{Span, Time};
 use operator_config::RouteKind;
 
-/// Weight of one more observation in a learned mean.
+/// Weight of a new observation in a moving mean.
 const LEARNING_RATE: f64 = 0.1;
-/// Time between two ends of calls before any was seen, in microseconds.
-const FIRST_GAP: f64 = 50_000.0;
-/// The longest that counts.
-const MOST_GAP: u64 = 1_000_000;
-/// Slots of an endpoint of which nothing tells them.
-const SLOTS: u32 = 8;
-/// Share of the connections that the proxies use together.
-const CONNECTIONS_USED: f64 = 0.9;
-/// Connections that a proxy may have to an endpoint in any case.
-const LEAST_CONNECTIONS: u32 = 2;
+/// Assumed interval between completions before any is observed, in microseconds.
+const INITIAL_COMPLETION_INTERVAL_MICROS: f64 = 50_000.0;
+/// Upper bound of an observed interval between completions, in microseconds.
+const MAX_COMPLETION_INTERVAL_MICROS: u64 = 1_000_000;
+/// Slots of an endpoint for which neither the list nor the configuration states them.
+const DEFAULT_SLOTS: u32 = 8;
+/// Share of an endpoint's connections that all proxies use together.
+const CONNECTION_UTILIZATION: f64 = 0.9;
+/// Lower bound of a proxy's share of an endpoint's connections.
+const MIN_CONNECTIONS: u32 = 2;
 
+/// State of one service.
 pub(crate) struct Service {
-    /// None once the configuration does not name it.
-    pub terms: Option<ServiceSettings>,
+    /// None if the configuration does not name the service.
+    pub(crate) settings: Option<ServiceSettings>,
     /// Indices of its endpoints in this zone that are listed as ready.
-    pub local: Vec<usize>,
+    pub(crate) local: Vec<usize>,
     /// The same of the other zones.
-    pub remote: Vec<usize>,
-    /// Mean time to the first byte, in microseconds; 0 before the first.
-    pub pace: f64,
+    pub(crate) remote: Vec<usize>,
+    /// Moving mean of the time to first byte, in microseconds; 0 before the first response.
+    pub(crate) pace: f64,
     /// The same of idempotent requests.
-    repeatable_pace: f64,
-    pub admission: Admission,
-    /// How its prompts share their prefixes.
-    pub prefixes: PrefixDemand,
-    gap: f64,
-    ended: Time,
+    idempotent_pace: f64,
+    /// Calls in flight and requests that wait.
+    pub(crate) admission: AdmissionQueue,
+    /// Demand for shared prompt prefixes.
+    pub(crate) prefix_demand: PrefixDemand,
+    /// Moving mean of the interval between completions, in microseconds.
+    completion_interval: f64,
+    last_completion: Time,
 }
 
 impl Service {
-    pub fn new() -> Service {
+    pub(crate) fn new() -> Service {
         Service {
-            terms: None,
+            settings: None,
             local: Vec::new(),
             remote: Vec::new(),
             pace: 0.0,
-            repeatable_pace: 0.0,
-            admission: Admission::default(),
-            prefixes: PrefixDemand::default(),
-            gap: FIRST_GAP,
-            ended: Time(0),
+            idempotent_pace: 0.0,
+            admission: AdmissionQueue::default(),
+            prefix_demand: PrefixDemand::default(),
+            completion_interval: INITIAL_COMPLETION_INTERVAL_MICROS,
+            last_completion: Time(0),
         }
     }
 
-    pub fn bounds(&self, proxies: u32) -> Bounds {
-        let terms = self.terms.as_ref();
-        let all = terms.map_or(0, |terms| terms.max_connections);
-        let share = (CONNECTIONS_USED * f64::from(all) / f64::from(proxies)) as u32;
-        Bounds {
-            engine: terms.is_some_and(|terms| terms.engine),
+    /// Limits of each of its endpoints, for one of `proxies` proxies.
+    pub(crate) fn endpoint_limits(&self, proxies: u32) -> EndpointLimits {
+        let settings = self.settings.as_ref();
+        let max_connections = settings.map_or(0, |settings| settings.max_connections);
+        let share = (CONNECTION_UTILIZATION * f64::from(max_connections) / f64::from(proxies)) as u32;
+        EndpointLimits {
+            engine: settings.is_some_and(|settings| settings.engine),
             proxies,
-            connections: if all == 0 { u32::MAX } else { share.max(LEAST_CONNECTIONS) },
-            default_slots: terms.and_then(|terms| terms.slots).unwrap_or(SLOTS),
-            cache_tokens: terms.and_then(|terms| terms.cache_tokens).unwrap_or(0),
+            max_connections: if max_connections == 0 { u32::MAX } else { share.max(MIN_CONNECTIONS) },
+            default_slots: settings.and_then(|settings| settings.slots).unwrap_or(DEFAULT_SLOTS),
+            cache_tokens: settings.and_then(|settings| settings.cache_tokens).unwrap_or(0),
         }
     }
 
-    /// Whether nothing holds it any more.
-    pub fn idle(&self) -> bool {
-        self.terms.is_none() && self.local.is_empty() && self.remote.is_empty() && self.admission.idle()
+    /// Whether it may be removed: not configured, without ready endpoints and without calls in flight.
+    pub(crate) fn is_removable(&self) -> bool {
+        self.settings.is_none() && self.local.is_empty() && self.remote.is_empty() && self.admission.is_idle()
     }
 
     /// Indices of all its endpoints that are listed as ready.
-    pub fn all(&self) -> impl Iterator<Item = usize> {
+    pub(crate) fn ready_endpoints(&self) -> impl Iterator<Item = usize> {
         self.local.iter().chain(&self.remote).copied()
     }
 
-    pub fn end(&mut self, now: Time, request: &RoutingRequest) {
-        self.admission.ended(request);
-        if self.ended > Time(0) {
-            self.gap += LEARNING_RATE * (now.since(self.ended).min(MOST_GAP) as f64 - self.gap);
+    /// Records a completed call.
+    pub(crate) fn record_completion(&mut self, now: Time, request: &RoutingRequest) {
+        self.admission.record_completion(request);
+        if self.last_completion > Time(0) {
+            self.completion_interval += LEARNING_RATE
+                * (now.since(self.last_completion).min(MAX_COMPLETION_INTERVAL_MICROS) as f64
+                    - self.completion_interval);
         }
-        self.ended = now;
+        self.last_completion = now;
     }
 
-    pub fn learn_pace(&mut self, request: &RoutingRequest, elapsed: Span) {
-        let learn = |mean: &mut f64| {
-            let took = elapsed.0 as f64;
-            *mean = if *mean > 0.0 { *mean + LEARNING_RATE * (took - *mean) } else { took };
+    /// Records the time to first byte of a successful call.
+    pub(crate) fn record_pace(&mut self, request: &RoutingRequest, time_to_first_byte: Span) {
+        let update_mean = |mean: &mut f64| {
+            let sample = time_to_first_byte.0 as f64;
+            *mean = if *mean > 0.0 { *mean + LEARNING_RATE * (sample - *mean) } else { sample };
         };
-        learn(&mut self.pace);
+        update_mean(&mut self.pace);
         if request.kind == RouteKind::Idempotent {
-            learn(&mut self.repeatable_pace);
+            update_mean(&mut self.idempotent_pace);
         }
     }
 
-    /// Mean time to the first byte of idempotent requests, in microseconds; 0 before the first.
-    pub fn repeatable_pace(&self) -> f64 {
-        self.repeatable_pace
+    /// Moving mean of the time to first byte of idempotent requests, in microseconds; 0 before the first response.
+    pub(crate) fn idempotent_pace(&self) -> f64 {
+        self.idempotent_pace
     }
 
-    /// Time until a place becomes free, in microseconds.
-    pub fn gap(&self) -> f64 {
-        self.gap
+    /// Expected time until a slot becomes free, in microseconds.
+    pub(crate) fn expected_completion_interval(&self) -> f64 {
+        self.completion_interval
     }
 
-    /// Time until one becomes free for a newcomer, behind those that wait.
-    pub fn turn(&self) -> f64 {
-        self.gap * (self.admission.waiting() + 1) as f64
+    /// Expected time until a slot becomes free for a new request, behind all that wait, in microseconds.
+    pub(crate) fn expected_queue_time(&self) -> f64 {
+        self.completion_interval * (self.admission.waiting_count() + 1) as f64
     }
 }
--- a/system/request-routing/src/sessions.rs
+++ b/system/request-routing/src/sessions.rs
@@ -1,32 +1,41 @@
-//! Which endpoint last ran a session: the newest so many.
+//! Session affinity table: the endpoint that last served each session, bounded by recency.
 
 use crate::types::EndpointKey;
 use std::collections::HashMap;
 
-/// Sessions remembered at most.
-const MOST: usize = 20_000;
+/// Upper bound on remembered sessions.
+const MAX_SESSIONS: usize = 20_000;
 
+/// The last use of a session.
+struct SessionUse {
+    endpoint: EndpointKey,
+    /// Logical time of the use.
+    tick: u64,
+}
+
+/// Maps the hash of a session to the endpoint that last served it.
 #[derive(Default)]
-pub(crate) struct Sessions {
-    /// By hash of the session: the endpoint, and the tick of the last use.
-    last_endpoint: HashMap<u64, (EndpointKey, u64)>,
+pub(crate) struct SessionTable {
+    by_hash: HashMap<u64, SessionUse>,
+    /// Logical clock: incremented with each recorded use.
     tick: u64,
 }
 
-impl Sessions {
-    pub fn get(&self, session: u64) -> Option<EndpointKey> {
-        self.last_endpoint.get(&session).map(|(key, _)| *key)
+impl SessionTable {
+    /// The endpoint that last served the session with this hash.
+    pub(crate) fn endpoint_of(&self, session_hash: u64) -> Option<EndpointKey> {
+        self.by_hash.get(&session_hash).map(|last_use| last_use.endpoint)
     }
 
-    /// Notes a run. When there are too many, the older half of what there is goes.
-    pub fn put(&mut self, session: u64, key: EndpointKey) {
+    /// Records a use. On overflow the less recently used half is evicted.
+    pub(crate) fn record_use(&mut self, session_hash: u64, endpoint: EndpointKey) {
         self.tick += 1;
-        self.last_endpoint.insert(session, (key, self.tick));
-        if self.last_endpoint.len() > MOST {
-            let mut ticks: Vec<u64> = self.last_endpoint.values().map(|(_, tick)| *tick).collect();
-            let (_, middle, _) = ticks.select_nth_unstable(MOST / 2);
-            let middle = *middle;
-            self.last_endpoint.retain(|_, (_, tick)| *tick > middle);
+        self.by_hash.insert(session_hash, SessionUse { endpoint, tick: self.tick });
+        if self.by_hash.len() > MAX_SESSIONS {
+            let mut ticks: Vec<u64> = self.by_hash.values().map(|last_use| last_use.tick).collect();
+            let (_, median, _) = ticks.select_nth_unstable(MAX_SESSIONS / 2);
+            let median = *median;
+            self.by_hash.retain(|_, last_use| last_use.tick > median);
         }
     }
 }
--- a/system/request-routing/src/types.rs
+++ b/system/request-routing/src/types.rs
@@ -1,4 +1,4 @@
-//! The types that a host and the router speak.
+//! Requests, decisions and views exchanged between the router and its host.
 
 use crate::execution::Execution;
 use message_sender::{Span, Time};
@@ -6,41 +6,41 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// Number of an endpoint's incarnation within this process.
+/// Identifies one endpoint incarnation within this process.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 pub struct EndpointKey(pub u32);
 
-/// A request that wants an endpoint.
+/// A request to be routed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoutingRequest {
-    /// The service.
+    /// Name of the requested service.
     pub service: String,
-    /// What a repeat would do.
+    /// Whether the request is idempotent, not idempotent or streaming.
     pub kind: RouteKind,
-    /// It is a stream that may be continued at another endpoint.
+    /// Whether it is a stream that may be resumed at another endpoint.
     pub resumable: bool,
-    /// The session that it belongs to.
+    /// The session it belongs to, for session affinity.
     pub session: Option<String>,
-    /// Id of the first part of its prompt.
+    /// Id of its shared prompt prefix, for prefix affinity.
     pub prefix_id: Option<String>,
-    /// Tokens of that part, or 0.
+    /// Tokens of that prefix; 0 if unknown.
     pub prefix_tokens: u32,
-    /// Tokens of its prompt and the most it generates, or 0.
+    /// Tokens of the prompt plus the maximum to generate; 0 if unknown.
     pub total_tokens: u32,
-    /// Its rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived_at: Time,
-    /// When it is given up.
+    /// Time at which it is given up.
     pub deadline: Time,
-    /// An answer within this earns its full worth.
+    /// Time to first byte within which the response has its full value.
     pub latency_target: Span,
-    /// Endpoints to which it may be sent at most.
+    /// Upper bound on the attempts that reach an endpoint.
     pub max_attempts: u32,
 }
 
 impl RoutingRequest {
-    /// Whether more than one endpoint may run it.
+    /// Whether more than one endpoint may execute it.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -50,140 +50,140 @@
     }
 }
 
-/// What a request has been through.
+/// The attempts of a request so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// Sends that reached an endpoint.
+    /// Number of attempts that reached an endpoint.
     pub attempts: u32,
-    /// Whether one of them may have run.
+    /// Whether one of them may have executed.
     pub execution: Execution,
-    /// Attempts that ended without having run: refusals, and connections not made.
+    /// Number of attempts that did not execute: refusals, and connections that were not established.
     pub unexecuted: u32,
     /// The endpoint of the last attempt.
     pub last_endpoint: Option<EndpointKey>,
-    /// Endpoints that it is not to meet again while there are others.
+    /// Endpoints that are not tried again while there are others.
     pub avoided: Vec<EndpointKey>,
-    /// It goes again no sooner.
+    /// Earliest time of the next attempt.
     pub not_before: Time,
 }
 
-/// What to do with a request now.
+/// Where a request goes now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoutingDecision {
-    /// Send it; the call is counted as out from now on.
+    /// Send it to this endpoint; the call counts as in flight from now on.
     Send(Target),
-    /// Ask again after this, or earlier when a place may have become free.
+    /// Decide again after this time, or earlier if a slot may have become free.
     Wait(Span),
-    /// End it.
+    /// Give up.
     GiveUp(GiveUp),
 }
 
-/// The endpoint of a send.
+/// The endpoint that a request is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its number.
+    /// Its key.
     pub key: EndpointKey,
     /// Its address.
     pub address: SocketAddrV4,
-    /// Its incarnation.
+    /// Instance id of its incarnation.
     pub instance_id: Arc<str>,
-    /// A new connection may be opened within this proxy's share.
+    /// Whether a new connection is within this proxy's share.
     pub may_open: bool,
 }
 
-/// How a request ends undelivered.
+/// How a request ends without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUp {
-    /// With a promise that nothing ran.
+    /// With the guarantee that it was not executed.
     Refused {
-        /// When coming again may help.
+        /// Time after which a retry by the client may succeed.
         retry_after: Span,
     },
-    /// Without a promise.
+    /// Without that guarantee.
     Failed,
 }
 
-/// What follows an attempt that did not deliver.
+/// What follows an attempt without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Pick again; `not_before` is set.
+    /// Route it again, no earlier than [`AttemptHistory::not_before`].
     Retry,
-    /// End it.
+    /// Give up.
     GiveUp(GiveUp),
 }
 
-/// What an endpoint tells of its load.
+/// Load report of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that run.
+    /// Requests that it executes.
     pub running: u32,
     /// Requests in its queue.
     pub waiting: u32,
-    /// Its slots.
+    /// Requests that it can execute at once.
     pub slots: u32,
 }
 
-/// What the configuration says of a service.
+/// Settings of a service that routing depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceSettings {
     /// Its name.
     pub name: String,
-    /// Connections that an endpoint takes from all callers together.
+    /// Upper bound on an endpoint's connections from all proxies together.
     pub max_connections: u32,
-    /// Its endpoints serve a model.
+    /// Whether its endpoints serve a model.
     pub engine: bool,
-    /// Slots of an endpoint, where the configuration tells them.
+    /// Slots of an endpoint, if configured.
     pub slots: Option<u32>,
-    /// Tokens that an endpoint's memory holds, where the configuration tells them.
+    /// Capacity of an endpoint's prefix cache in tokens, if configured.
     pub cache_tokens: Option<u64>,
 }
 
-/// Why an endpoint gets no new requests now.
+/// Why an endpoint receives no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnavailableReason {
-    /// It is leaving.
+    /// It is draining.
     Draining,
-    /// It is no longer listed.
+    /// It is no longer in the endpoint list.
     Unlisted,
-    /// Another incarnation answers at its address.
+    /// Another incarnation responds at its address.
     Misdirected,
-    /// Too many attempts failed in a row.
+    /// Too many consecutive attempts failed.
     Ejected {
-        /// Until then.
+        /// End of this state.
         until: Time,
     },
-    /// It was, and one call tries it now.
+    /// Its ejection is over, and a probe call is in flight.
     Probing,
-    /// It refused as full.
+    /// It refused a call for lack of capacity.
     BackingOff {
-        /// Until then.
+        /// End of this state.
         until: Time,
     },
-    /// It has as many calls as this proxy may send it.
+    /// As many calls of this proxy as allowed are in flight there.
     AtCapacity,
 }
 
-/// An endpoint as the router sees it, for staff.
+/// Snapshot of an endpoint for the admin endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointView {
-    /// Its number.
+    /// Its key.
     pub key: EndpointKey,
-    /// Its incarnation.
+    /// Instance id of its incarnation.
     pub instance_id: Arc<str>,
-    /// Its service.
+    /// Name of its service.
     pub service: String,
     /// Its address.
     pub address: SocketAddrV4,
     /// Its zone.
     pub zone: String,
-    /// Calls that are out.
+    /// Calls of this proxy in flight.
     pub in_flight: u32,
-    /// Connections that are open.
+    /// Open connections of this proxy.
     pub connections: u32,
     /// Its slots.
     pub slots: u32,
-    /// Calls of other proxies there, as far as it reported them, aged.
+    /// Decayed number of other proxies' calls, from its load reports.
     pub reported_load: f64,
-    /// Why it is not used, if it is not.
+    /// Why it receives no new requests; None if it does.
     pub unavailable: Option<UnavailableReason>,
 }
--- a/system/request-routing/tests/choice.rs
+++ b/system/request-routing/tests/choice.rs
@@ -2,9 +2,12 @@
 
 mod common;
 
-use common::*;
+use common::{MS, draining, end, entry, list, ms, request, router, send, sent, service_settings, turn};
 use googletest::prelude::*;
-use request_routing::*;
+use request_routing::{
+    AttemptHistory, Outcome, RouteKind, Router, RoutingDecision, RoutingPolicy, RoutingRequest, ServerLoad,
+    Span, Time, UnavailableReason,
+};
 use std::collections::BTreeMap;
 
 fn ids(router: &mut Router, now: Time, request: &RoutingRequest, count: usize) -> BTreeMap<String, usize> {
@@ -16,14 +19,14 @@
 }
 
 #[gtest]
-fn given_endpoints_in_two_zones_when_the_own_has_slots_then_it_gets_all() {
+fn the_local_zone_gets_all_calls_while_it_has_slots() {
     let mut router = router(&[entry("near", "tool", "a", 4), entry("far", "tool", "b", 4)]);
     let request = request("tool", RouteKind::Idempotent);
     expect_that!(ids(&mut router, ms(0), &request, 4), eq(&BTreeMap::from([("near".to_owned(), 4)])));
 }
 
 #[gtest]
-fn given_the_own_zone_is_full_when_another_has_slots_then_that_one_gets_it() {
+fn a_full_local_zone_spills_over_to_a_remote_zone() {
     let mut router = router(&[entry("near", "tool", "a", 4), entry("far", "tool", "b", 8)]);
     let request = request("tool", RouteKind::Idempotent);
     ids(&mut router, ms(0), &request, 4);
@@ -31,7 +34,7 @@
 }
 
 #[gtest]
-fn given_a_plain_service_when_calls_come_then_they_spread_evenly() {
+fn calls_spread_evenly_over_equal_endpoints() {
     let mut router = router(&[entry("x", "tool", "a", 8), entry("y", "tool", "a", 8)]);
     let request = request("tool", RouteKind::NonIdempotent);
     expect_that!(
@@ -41,7 +44,7 @@
 }
 
 #[gtest]
-fn given_a_told_load_when_calls_come_then_they_go_elsewhere_until_it_is_old() {
+fn a_load_report_diverts_calls_until_it_has_decayed() {
     let mut router = router(&[entry("x", "tool", "a", 8), entry("y", "tool", "a", 8)]);
     let request = request("tool", RouteKind::Idempotent);
     let busy = send(&mut router, ms(0), &request);
@@ -63,7 +66,7 @@
 }
 
 #[gtest]
-fn given_a_much_slower_endpoint_when_calls_come_then_it_gets_fewer() {
+fn a_much_slower_endpoint_gets_fewer_calls() {
     let mut router = router(&[entry("x", "tool", "a", 20), entry("y", "tool", "a", 20)]);
     let request = request("tool", RouteKind::Idempotent);
     let (one, two) = (send(&mut router, ms(0), &request), send(&mut router, ms(0), &request));
@@ -75,7 +78,7 @@
 }
 
 #[gtest]
-fn given_a_draining_endpoint_when_calls_come_then_it_gets_none_whatever_a_list_says_later() {
+fn a_draining_endpoint_gets_no_calls_whatever_a_later_list_states() {
     let (x, y) = (entry("x", "tool", "a", 8), entry("y", "tool", "a", 8));
     let mut router = router(&[x.clone(), y.clone()]);
     let request = request("tool", RouteKind::Idempotent);
@@ -86,7 +89,7 @@
 }
 
 #[gtest]
-fn given_an_unlisted_endpoint_when_its_calls_end_then_it_is_forgotten() {
+fn an_unlisted_endpoint_is_removed_once_its_calls_complete() {
     let x = entry("x", "tool", "a", 8);
     let mut router = router(std::slice::from_ref(&x));
     let request = request("tool", RouteKind::Idempotent);
@@ -103,7 +106,7 @@
 }
 
 #[gtest]
-fn given_an_address_with_a_new_incarnation_when_it_is_listed_then_it_has_a_new_key() {
+fn a_new_incarnation_at_an_address_gets_a_new_key() {
     let x = entry("x", "tool", "a", 8);
     let mut reused = entry("z", "tool", "a", 8);
     reused.address = x.address;
@@ -117,7 +120,7 @@
 }
 
 #[gtest]
-fn given_an_address_that_moved_to_another_service_when_listed_then_only_that_service_uses_it() {
+fn an_address_that_moved_serves_only_its_new_service() {
     let x = entry("x", "tool", "a", 8);
     let mut router = router(std::slice::from_ref(&x));
     let mut moved = x;
@@ -132,7 +135,7 @@
 }
 
 #[gtest]
-fn given_a_misdirected_endpoint_when_the_list_changes_it_then_it_is_used_again() {
+fn a_misdirected_endpoint_is_used_again_once_its_list_entry_changes() {
     let x = entry("x", "tool", "a", 8);
     let mut router = router(std::slice::from_ref(&x));
     let request = request("tool", RouteKind::Idempotent);
@@ -154,7 +157,7 @@
 }
 
 #[gtest]
-fn given_a_favourite_far_above_its_peers_when_more_come_then_they_are_passed_on() {
+fn prefix_affinity_yields_when_the_endpoint_is_overloaded() {
     let mut router = router(&engines(4));
     let loads = (0..20).fold(BTreeMap::new(), |mut loads, n| {
         let id = send(&mut router, ms(0), &turn(&format!("s{n}"), "p")).instance_id;
@@ -167,8 +170,7 @@
 }
 
 #[gtest]
-fn given_a_session_that_ran_elsewhere_when_it_goes_on_then_it_stays_there_unless_that_is_overloaded_or_leaves()
- {
+fn a_session_stays_at_its_endpoint_unless_that_is_overloaded_or_draining() {
     let engines = engines(3);
     let mut router = router(&engines);
     let favourite = send(&mut router, ms(0), &turn("other", "p"));
@@ -189,7 +191,7 @@
 }
 
 #[gtest]
-fn given_an_engine_with_all_slots_taken_when_one_more_comes_then_it_waits() {
+fn a_request_waits_while_all_engine_slots_are_occupied() {
     let mut router = router(&[entry("e", "model", "a", 3)]);
     for n in 0..3 {
         send(&mut router, ms(0), &turn(&format!("s{n}"), "p"));
@@ -201,7 +203,7 @@
 }
 
 #[gtest]
-fn given_a_plain_endpoint_when_its_slots_are_taken_then_only_a_few_queue_there() {
+fn only_a_few_calls_queue_at_a_plain_endpoint_without_free_slots() {
     let mut router = router(&[entry("x", "tool", "a", 4)]);
     let request = request("tool", RouteKind::Idempotent);
     let mut alone = 0;
@@ -212,7 +214,7 @@
 }
 
 #[gtest]
-fn given_many_proxies_when_an_endpoint_told_that_its_slots_are_taken_then_each_sends_its_share() {
+fn each_proxy_sends_its_share_to_an_endpoint_that_reports_no_free_slots() {
     let mut router = router(&[entry("x", "tool", "a", 4)]);
     router.set_proxy_count(ms(0), 8);
     let request = request("tool", RouteKind::Idempotent);
@@ -226,9 +228,9 @@
 }
 
 #[gtest]
-fn given_a_connection_limit_when_the_share_is_open_then_no_more_may_be_opened() {
+fn no_connection_is_opened_beyond_this_proxys_share() {
     let mut router = Router::new("a".to_owned(), 1, RoutingPolicy::default());
-    router.update_services(ms(0), &[terms("tool", 40, false)]);
+    router.update_services(ms(0), &[service_settings("tool", 40, false)]);
     router.set_proxy_count(ms(0), 12);
     router.update_endpoints(ms(0), &list(&[entry("x", "tool", "a", 50)]));
     let request = request("tool", RouteKind::Idempotent);
@@ -248,7 +250,7 @@
 }
 
 #[gtest]
-fn given_one_that_waits_when_a_less_urgent_one_comes_then_that_leaves_it_the_place_but_for_its_least_share() {
+fn low_priority_yields_to_a_waiting_request_except_for_its_minimum_share() {
     let mut router = router(&[entry("e", "model", "a", 10)]);
     let (urgent, plain) = (
         RoutingRequest { priority: 0, arrived_at: Time(ms(0).0 + 1), ..turn("u", "p") },
@@ -268,7 +270,7 @@
 }
 
 #[gtest]
-fn given_urgent_ones_with_all_places_when_a_less_urgent_one_waits_then_the_next_place_is_left_to_it() {
+fn a_starved_low_priority_gets_the_next_free_slot() {
     let mut router = router(&[entry("e", "model", "a", 10)]);
     let (urgent, plain) = (
         RoutingRequest { priority: 0, arrived_at: Time(ms(0).0 + 1), ..turn("u", "p") },
@@ -288,7 +290,7 @@
 }
 
 #[gtest]
-fn given_a_waiter_that_left_when_its_time_is_over_then_nobody_yields_to_it() {
+fn no_request_yields_to_an_abandoned_one() {
     let mut router = router(&[entry("e", "model", "a", 10)]);
     let urgent = RoutingRequest { priority: 0, arrived_at: Time(ms(0).0 + 1), ..turn("u", "p") };
     let plain = RoutingRequest { priority: 3, arrived_at: Time(ms(0).0 + 2), ..turn("v", "p") };
--- a/system/request-routing/tests/common/mod.rs
+++ b/system/request-routing/tests/common/mod.rs
@@ -1,16 +1,19 @@
-//! A router with its world: what the stories begin with.
-#![allow(dead_code)]
+//! Fixtures: endpoints, requests and a configured router.
+#![allow(dead_code, reason = "each test file uses a part of the fixtures")]
 
 use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
-use request_routing::*;
+use request_routing::{
+    AttemptHistory, EndpointKey, Outcome, RetryDecision, RouteKind, Router, RoutingDecision, RoutingPolicy,
+    RoutingRequest, ServiceSettings, Span, Target, Time,
+};
 
-pub const MS: u64 = 1_000;
+pub(crate) const MS: u64 = 1_000;
 
-pub fn ms(millis: u64) -> Time {
+pub(crate) fn ms(millis: u64) -> Time {
     Time(1_000_000 + millis * MS)
 }
 
-pub fn entry(id: &str, service: &str, zone: &str, slots: u32) -> Endpoint {
+pub(crate) fn entry(id: &str, service: &str, zone: &str, slots: u32) -> Endpoint {
     let number = id.bytes().fold(0_u32, |sum, byte| sum.wrapping_mul(31).wrapping_add(u32::from(byte)));
     Endpoint {
         instance_id: id.to_owned(),
@@ -22,28 +25,31 @@
     }
 }
 
-pub fn draining(mut entry: Endpoint) -> Endpoint {
+pub(crate) fn draining(mut entry: Endpoint) -> Endpoint {
     entry.state = EndpointState::Draining;
     entry
 }
 
-pub fn list(endpoints: &[Endpoint]) -> EndpointList {
+pub(crate) fn list(endpoints: &[Endpoint]) -> EndpointList {
     EndpointList { version: ListVersion::new(1, 1), endpoints: endpoints.to_vec() }
 }
 
-pub fn terms(name: &str, max_connections: u32, engine: bool) -> ServiceSettings {
+pub(crate) fn service_settings(name: &str, max_connections: u32, engine: bool) -> ServiceSettings {
     ServiceSettings { name: name.to_owned(), max_connections, engine, slots: None, cache_tokens: None }
 }
 
 /// In zone `a`, with the plain service `tool` and the model service `model`.
-pub fn router(endpoints: &[Endpoint]) -> Router {
+pub(crate) fn router(endpoints: &[Endpoint]) -> Router {
     let mut router = Router::new("a".to_owned(), 7, RoutingPolicy::default());
-    router.update_services(ms(0), &[terms("tool", 1_000, false), terms("model", 1_000, true)]);
+    router.update_services(
+        ms(0),
+        &[service_settings("tool", 1_000, false), service_settings("model", 1_000, true)],
+    );
     router.update_endpoints(ms(0), &list(endpoints));
     router
 }
 
-pub fn request(service: &str, kind: RouteKind) -> RoutingRequest {
+pub(crate) fn request(service: &str, kind: RouteKind) -> RoutingRequest {
     RoutingRequest {
         service: service.to_owned(),
         kind,
@@ -60,7 +66,7 @@
     }
 }
 
-pub fn turn(session: &str, part: &str) -> RoutingRequest {
+pub(crate) fn turn(session: &str, part: &str) -> RoutingRequest {
     RoutingRequest {
         session: Some(session.to_owned()),
         prefix_id: Some(part.to_owned()),
@@ -70,24 +76,30 @@
     }
 }
 
-pub fn sent(pick: RoutingDecision) -> Target {
-    match pick {
+pub(crate) fn sent(decision: RoutingDecision) -> Target {
+    match decision {
         RoutingDecision::Send(target) => target,
         other => panic!("not sent: {other:?}"),
     }
 }
 
 /// Sends a request and says where it went.
-pub fn send(router: &mut Router, now: Time, request: &RoutingRequest) -> Target {
+pub(crate) fn send(router: &mut Router, now: Time, request: &RoutingRequest) -> Target {
     sent(router.pick(now, request, &AttemptHistory::default()))
 }
 
-pub fn end(router: &mut Router, now: Time, key: EndpointKey, request: &RoutingRequest, outcome: Outcome) {
+pub(crate) fn end(
+    router: &mut Router,
+    now: Time,
+    key: EndpointKey,
+    request: &RoutingRequest,
+    outcome: Outcome,
+) {
     router.record_completion(now, key, request, outcome, None, Span(20 * MS));
 }
 
 /// Sends a request, ends it so and says where it was.
-pub fn attempt(
+pub(crate) fn attempt(
     router: &mut Router,
     now: Time,
     request: &RoutingRequest,
--- a/system/request-routing/tests/execution.rs
+++ b/system/request-routing/tests/execution.rs
@@ -3,62 +3,65 @@
 
 mod common;
 
-use common::*;
+use common::{MS, entry, ms, request, router};
 use googletest::prelude::*;
 use proptest::prelude::*;
-use request_routing::*;
+use request_routing::{
+    AttemptHistory, Execution, GiveUp, Outcome, RetryDecision, RouteKind, RoutingDecision, RoutingRequest,
+    SendOutcome, Span, status_promises_not_executed,
+};
 
 /// What happens to one send: what the stand-in endpoint does with it, and what the proxy sees of that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum SendScenario {
     ConnectionRefused,
-    BrokenInTheHead,
-    BrokenInTheBodyUnrun,
+    LostInHead,
+    LostInBodyUnexecuted,
     /// An endpoint may begin before it has the body.
-    BrokenInTheBodyRun,
-    ResetUnrun,
-    ResetAfterItRan,
-    SilentUnrun,
+    LostInBodyExecuted,
+    ResetUnexecuted,
+    ResetAfterExecution,
+    TimedOutUnexecuted,
     /// It runs once the proxy has given it up.
-    SilentAndRunsLater,
-    ForeignAnswer,
-    AnswerCutShort,
+    TimedOutExecutesLater,
+    ResponseOfAnotherRequest,
+    TruncatedResponse,
     Declined,
-    DeclinedWithTime,
+    DeclinedWithRetryAfter,
     AnotherIncarnation,
-    OwnFailure,
+    EndpointFailure,
 }
 
-const FATES: [Fate; 14] = [
-    Fate::ConnectionRefused,
-    Fate::BrokenInTheHead,
-    Fate::BrokenInTheBodyUnrun,
-    Fate::BrokenInTheBodyRun,
-    Fate::ResetUnrun,
-    Fate::ResetAfterItRan,
-    Fate::SilentUnrun,
-    Fate::SilentAndRunsLater,
-    Fate::ForeignAnswer,
-    Fate::AnswerCutShort,
-    Fate::Declined,
-    Fate::DeclinedWithTime,
-    Fate::AnotherIncarnation,
-    Fate::OwnFailure,
+const SCENARIOS: [SendScenario; 14] = [
+    SendScenario::ConnectionRefused,
+    SendScenario::LostInHead,
+    SendScenario::LostInBodyUnexecuted,
+    SendScenario::LostInBodyExecuted,
+    SendScenario::ResetUnexecuted,
+    SendScenario::ResetAfterExecution,
+    SendScenario::TimedOutUnexecuted,
+    SendScenario::TimedOutExecutesLater,
+    SendScenario::ResponseOfAnotherRequest,
+    SendScenario::TruncatedResponse,
+    SendScenario::Declined,
+    SendScenario::DeclinedWithRetryAfter,
+    SendScenario::AnotherIncarnation,
+    SendScenario::EndpointFailure,
 ];
 
 const KINDS: [RouteKind; 3] = [RouteKind::Idempotent, RouteKind::NonIdempotent, RouteKind::Streaming];
 
-impl Fate {
+impl SendScenario {
     /// Whether the endpoint begins work on it, now or later.
     fn runs(self) -> bool {
         matches!(
             self,
-            Self::BrokenInTheBodyRun
-                | Self::ResetAfterItRan
-                | Self::SilentAndRunsLater
-                | Self::ForeignAnswer
-                | Self::AnswerCutShort
-                | Self::OwnFailure
+            Self::LostInBodyExecuted
+                | Self::ResetAfterExecution
+                | Self::TimedOutExecutesLater
+                | Self::ResponseOfAnotherRequest
+                | Self::TruncatedResponse
+                | Self::EndpointFailure
         )
     }
 
@@ -66,24 +69,24 @@
     fn outcome(self) -> Outcome {
         let end = match self {
             Self::ConnectionRefused => SendOutcome::ConnectFailed,
-            Self::BrokenInTheHead => SendOutcome::connection_lost(false),
-            Self::BrokenInTheBodyUnrun
-            | Self::BrokenInTheBodyRun
-            | Self::ResetUnrun
-            | Self::ResetAfterItRan => SendOutcome::connection_lost(true),
-            Self::SilentUnrun | Self::SilentAndRunsLater => SendOutcome::timed_out(true),
-            Self::ForeignAnswer | Self::AnswerCutShort => SendOutcome::Unusable,
+            Self::LostInHead => SendOutcome::connection_lost(false),
+            Self::LostInBodyUnexecuted
+            | Self::LostInBodyExecuted
+            | Self::ResetUnexecuted
+            | Self::ResetAfterExecution => SendOutcome::connection_lost(true),
+            Self::TimedOutUnexecuted | Self::TimedOutExecutesLater => SendOutcome::timed_out(true),
+            Self::ResponseOfAnotherRequest | Self::TruncatedResponse => SendOutcome::InvalidResponse,
             Self::Declined => SendOutcome::Declined(None),
-            Self::DeclinedWithTime => SendOutcome::Declined(Some(Span(20 * MS))),
+            Self::DeclinedWithRetryAfter => SendOutcome::Declined(Some(Span(20 * MS))),
             Self::AnotherIncarnation => SendOutcome::Misdirected,
-            Self::OwnFailure => return Outcome::Failure,
+            Self::EndpointFailure => return Outcome::Failure,
         };
         end.outcome()
     }
 }
 
-/// Sends one request with these fates in turn; the error says which promise was broken.
-fn play(kind: RouteKind, fates: &[Fate]) -> std::result::Result<(), String> {
+/// Sends one request with these scenarios in turn; the error says which promise was broken.
+fn simulate(kind: RouteKind, scenarios: &[SendScenario]) -> std::result::Result<(), String> {
     let mut router = router(&["x", "y", "z"].map(|id| entry(id, "tool", "a", 8)));
     let request = RoutingRequest {
         max_attempts: 3,
@@ -93,7 +96,7 @@
     };
     let (mut history, mut now) = (AttemptHistory::default(), ms(0));
     let mut ran = 0_u32;
-    let mut fates = fates.iter();
+    let mut scenarios = scenarios.iter();
     let end = 'over: loop {
         let target = loop {
             match router.pick(now, &request, &history) {
@@ -103,14 +106,14 @@
             }
         };
         // Whatever is not fated is answered, which is the end of it.
-        let Some(fate) = fates.next() else {
+        let Some(scenario) = scenarios.next() else {
             ran += 1;
             break 'over GiveUp::Failed;
         };
-        ran += u32::from(fate.runs());
-        let outcome = fate.outcome();
+        ran += u32::from(scenario.runs());
+        let outcome = scenario.outcome();
         router.record_completion(now, target.key, &request, outcome, None, Span(5 * MS));
-        if *fate == Fate::AnotherIncarnation {
+        if *scenario == SendScenario::AnotherIncarnation {
             router.mark_misdirected(now, target.key);
         }
         if let RetryDecision::GiveUp(end) =
@@ -132,24 +135,25 @@
 }
 
 #[gtest]
-fn given_every_order_of_up_to_four_ends_then_nothing_runs_twice_and_no_promise_is_broken() {
-    let mut played = 0;
+fn no_sequence_of_up_to_four_send_outcomes_executes_twice_or_breaks_a_guarantee() {
+    let mut simulated = 0;
     for kind in KINDS {
         let mut order = Vec::new();
-        for number in 0..FATES.len().pow(4) {
+        for number in 0..SCENARIOS.len().pow(4) {
             order.clear();
-            order.extend((0..4).map(|place| FATES[number / FATES.len().pow(place) % FATES.len()]));
-            expect_that!(play(kind, &order), ok(()), "{kind:?} {order:?}");
-            played += 1;
+            order
+                .extend((0..4).map(|place| SCENARIOS[number / SCENARIOS.len().pow(place) % SCENARIOS.len()]));
+            expect_that!(simulate(kind, &order), ok(()), "{kind:?} {order:?}");
+            simulated += 1;
         }
     }
-    expect_that!(played, eq(3 * 38_416));
+    expect_that!(simulated, eq(3 * 38_416));
 }
 
 #[gtest]
-fn given_any_end_after_it_may_have_run_then_it_may_have_run_for_good() {
-    for first in FATES.map(Fate::outcome) {
-        for second in FATES.map(Fate::outcome) {
+fn may_have_executed_is_final() {
+    for first in SCENARIOS.map(SendScenario::outcome) {
+        for second in SCENARIOS.map(SendScenario::outcome) {
             let both = Execution::NotExecuted.after(first).after(second);
             expect_that!(both, eq(Execution::NotExecuted.after(second).after(first)), "{first:?} {second:?}");
             if Execution::NotExecuted.after(first) == Execution::MayHaveExecuted {
@@ -160,7 +164,7 @@
 }
 
 #[gtest]
-fn given_a_status_without_the_endpoints_statement_then_only_a_repeatable_request_gets_it() {
+fn a_status_without_the_endpoints_statement_is_forwarded_only_for_idempotent_requests() {
     for status in 200..=599 {
         expect_that!(status_promises_not_executed(status, RouteKind::Idempotent), eq(false));
         let plain = matches!(status, 408 | 421 | 429 | 503);
@@ -177,10 +181,10 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(38), ..ProptestConfig::default() })]
 
     #[test]
-    fn given_any_longer_order_then_nothing_runs_twice_and_no_promise_is_broken(
+    fn no_longer_sequence_of_send_outcomes_executes_twice_or_breaks_a_guarantee(
         kind in prop::sample::select(KINDS.to_vec()),
-        fates in prop::collection::vec(prop::sample::select(FATES.to_vec()), 5..12),
+        scenarios in prop::collection::vec(prop::sample::select(SCENARIOS.to_vec()), 5..12),
     ) {
-        prop_assert_eq!(play(kind, &fates), Ok(()));
+        prop_assert_eq!(simulate(kind, &scenarios), Ok(()));
     }
 }
--- a/system/request-routing/tests/outliers.rs
+++ b/system/request-routing/tests/outliers.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use common::*;
+use common::{end, entry, list, ms, request, router, send, service_settings, turn};
 use googletest::prelude::*;
-use request_routing::*;
+use request_routing::{Outcome, RouteKind, Router, RoutingPolicy, RoutingRequest};
 use std::collections::BTreeMap;
 
 /// Calls one after the other, each of which ends at once; how many each endpoint got.
@@ -42,7 +42,7 @@
 }
 
 #[gtest]
-fn given_an_endpoint_that_fails_every_other_call_then_it_gets_far_fewer_than_its_peers() {
+fn an_endpoint_that_fails_every_other_call_gets_a_fraction_of_its_peers_calls() {
     // For 20 seconds.
     let got = calls(&mut three(), 0, 1_000, half_fail);
     expect_that!(got["grey"] * 5, le(got["x"]));
@@ -51,7 +51,7 @@
 }
 
 #[gtest]
-fn given_an_endpoint_that_is_sound_again_then_it_gets_its_share_after_some_seconds() {
+fn a_recovered_endpoint_regains_its_share_within_seconds() {
     let mut router = three();
     calls(&mut router, 0, 100, half_fail);
     let got = calls(&mut router, 20_000, 300, |_, _| Outcome::Success);
@@ -59,14 +59,14 @@
 }
 
 #[gtest]
-fn given_endpoints_that_all_fail_alike_then_none_is_left_out() {
+fn no_endpoint_is_excluded_when_all_fail_alike() {
     let got =
         calls(&mut three(), 0, 300, |_, nth| if nth % 3 == 0 { Outcome::Reset } else { Outcome::Success });
     expect_that!(got.values().min(), some(ge(&60)));
 }
 
 #[gtest]
-fn given_a_session_whose_endpoint_failed_when_it_goes_on_then_it_goes_elsewhere_for_a_while() {
+fn session_affinity_is_suspended_after_a_failure() {
     let mut router = router(&["x", "y"].map(|id| entry(id, "model", "a", 8)));
     let request = turn("mine", "p");
     let home = send(&mut router, ms(0), &request);
@@ -77,10 +77,10 @@
 }
 
 #[gtest]
-fn given_the_failure_penalty_is_switched_off_then_a_grey_endpoint_gets_its_share() {
+fn without_the_failure_penalty_a_partially_failed_endpoint_gets_its_share() {
     let policy = RoutingPolicy { failure_penalty: false, ..RoutingPolicy::default() };
     let mut router = Router::new("a".to_owned(), 7, policy);
-    router.update_services(ms(0), &[terms("tool", 1_000, false)]);
+    router.update_services(ms(0), &[service_settings("tool", 1_000, false)]);
     router.update_endpoints(ms(0), &list(&["grey", "x", "y"].map(|id| entry(id, "tool", "a", 8))));
     let got = calls(&mut router, 0, 300, half_fail);
     expect_that!(got["grey"], ge(70));
--- a/system/request-routing/tests/placement.rs
+++ b/system/request-routing/tests/placement.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::*;
+use common::{end, entry, list, ms, send, service_settings, turn};
 use fleet_model::Endpoint;
 use googletest::prelude::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
-use request_routing::*;
+use request_routing::{EndpointKey, Outcome, Router, RoutingPolicy, RoutingRequest, ServiceSettings, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 const PREFIX_TOKENS: u32 = 10_000;
@@ -20,7 +20,8 @@
 /// A proxy whose engines have memory for so many tokens.
 fn proxy(seed: u64, engines: &[Endpoint], cache_tokens: u64) -> Router {
     let mut router = Router::new("a".to_owned(), seed, RoutingPolicy::default());
-    let model = ServiceSettings { cache_tokens: Some(cache_tokens), ..terms("model", 10_000, true) };
+    let model =
+        ServiceSettings { cache_tokens: Some(cache_tokens), ..service_settings("model", 10_000, true) };
     router.update_services(ms(0), &[model]);
     router.update_endpoints(ms(0), &list(engines));
     router
@@ -38,11 +39,11 @@
 }
 
 /// Sends so many prompts, each of which ends before the next begins; the engines that each prefix met after the first
-/// `warm_up` prompts.
+/// `fill_sample` prompts.
 fn engines_by_prefix(
     router: &mut Router,
     prompts: usize,
-    warm_up: usize,
+    fill_sample: usize,
     prefix_of: impl Fn(usize) -> usize,
 ) -> BTreeMap<usize, BTreeSet<String>> {
     let mut met: BTreeMap<usize, BTreeSet<String>> = BTreeMap::new();
@@ -50,7 +51,7 @@
         let (at_ms, prefix) = (n as u64 * 50, prefix_of(n));
         let request = prompt(n, prefix, at_ms);
         let target = send(router, ms(at_ms), &request);
-        if n >= warm_up {
+        if n >= fill_sample {
             met.entry(prefix).or_default().insert(target.instance_id.to_string());
         }
         end(router, ms(at_ms + 20), target.key, &request, Outcome::Success);
@@ -64,14 +65,14 @@
 const AMPLE: u64 = 10_000_000;
 
 #[gtest]
-fn given_ample_memory_when_prompts_share_prefixes_then_all_engines_take_them() {
+fn prefixes_are_not_confined_when_the_cache_fits_all() {
     let mut router = proxy(1, &engines(6, 4), AMPLE);
     let met = engines_by_prefix(&mut router, 400, 100, |n| n % 8);
     expect_that!(met.values().map(BTreeSet::len).min(), some(eq(6)));
 }
 
 #[gtest]
-fn given_memory_for_one_prefix_when_eight_are_in_use_then_each_is_confined_and_all_proxies_agree() {
+fn all_proxies_confine_each_prefix_to_the_same_engines() {
     let engines = engines(8, 4);
     let met: Vec<_> = (1..3)
         .map(|seed| engines_by_prefix(&mut proxy(seed, &engines, SMALL), 400, 100, |n| n % 8))
@@ -86,7 +87,7 @@
 }
 
 #[gtest]
-fn given_small_memory_when_one_prefix_is_hot_then_it_gets_engines_by_its_demand() {
+fn a_hot_prefix_gets_engines_in_proportion_to_its_demand() {
     let mut router = proxy(1, &engines(10, 4), SMALL);
     let met = engines_by_prefix(&mut router, 600, 200, |n| if n % 2 == 0 { 0 } else { 1 + n % 40 });
     expect_that!(met[&0].len(), ge(7));
@@ -94,14 +95,14 @@
 }
 
 #[gtest]
-fn given_small_memory_when_there_is_one_prefix_then_all_engines_take_it() {
+fn a_single_prefix_is_served_by_all_engines() {
     let mut router = proxy(1, &engines(6, 4), SMALL);
     let met = engines_by_prefix(&mut router, 400, 100, |_| 0);
     expect_that!(met[&0].len(), eq(6));
 }
 
 #[gtest]
-fn given_four_thousand_prefixes_when_memory_holds_a_few_then_each_has_one_engine_and_all_engines_work() {
+fn four_thousand_prefixes_have_one_engine_each_and_occupy_all_engines() {
     let engines = engines(8, 4);
     let mut router = proxy(1, &engines, 8 * SMALL);
     // Each prefix twice in a row, as the turns of two programs would be.
@@ -113,7 +114,7 @@
 }
 
 #[gtest]
-fn given_few_prompts_or_no_told_memory_then_nothing_is_confined() {
+fn prefixes_are_not_confined_with_a_small_sample_or_unknown_cache_size() {
     let met = engines_by_prefix(&mut proxy(1, &engines(6, 4), SMALL), 15, 0, |_| 0);
     expect_that!(met[&0].len(), ge(4));
     let met = engines_by_prefix(&mut proxy(1, &engines(6, 4), 0), 400, 100, |n| n % 8);
@@ -121,7 +122,7 @@
 }
 
 #[gtest]
-fn given_a_loaded_home_when_more_of_its_prefix_come_then_they_are_passed_on() {
+fn a_prefix_spills_over_when_its_engine_is_loaded() {
     let mut router = proxy(1, &engines(8, 16), SMALL);
     engines_by_prefix(&mut router, 200, 0, |n| n % 8);
     let mut loads = BTreeMap::new();
@@ -160,8 +161,8 @@
         Self { proxies, rng: ChaCha8Rng::seed_from_u64(5) }
     }
 
-    /// Arrivals every `gap_ms`, each of which runs for `hold_ms`, with eight prefixes.
-    fn play(&mut self, engines: usize, arrivals: u64, gap_ms: u64, hold_ms: u64) -> Spread {
+    /// Arrivals every `gap_ms`, each of which runs for `duration_ms`, with eight prefixes.
+    fn simulate(&mut self, engines: usize, arrivals: u64, gap_ms: u64, duration_ms: u64) -> Spread {
         let mut in_flight: Vec<(u64, usize, EndpointKey, String, RoutingRequest)> = Vec::new();
         let (mut now_out, mut total) = (BTreeMap::<String, usize>::new(), BTreeMap::<String, usize>::new());
         let mut busiest = 0;
@@ -179,7 +180,7 @@
             let there = now_out.entry(id.clone()).or_default();
             *there += 1;
             busiest = busiest.max(*there);
-            in_flight.push((at_ms + hold_ms, proxy, target.key, id, request));
+            in_flight.push((at_ms + duration_ms, proxy, target.key, id, request));
         }
         let mean = arrivals as f64 / engines as f64;
         let most = total.values().max().copied().unwrap_or(0) as f64;
@@ -188,10 +189,10 @@
 }
 
 #[gtest]
-fn given_one_thirteen_or_340_proxies_when_memory_is_ample_then_no_engine_is_overrun_or_idle() {
+fn load_is_balanced_for_1_13_and_340_proxies_with_ample_cache() {
     for proxies in [1, 13, 340] {
         // Eleven engines with four calls out each in the mean.
-        let spread = Fleet::new(proxies, &engines(11, 12), AMPLE).play(11, 6_000, 7, 308);
+        let spread = Fleet::new(proxies, &engines(11, 12), AMPLE).simulate(11, 6_000, 7, 308);
         expect_that!(spread.arrivals_over_mean, lt(1.3), "{proxies} proxies");
         expect_that!(spread.idle, eq(0), "{proxies} proxies");
         expect_that!(spread.busiest, le(16), "{proxies} proxies");
@@ -199,17 +200,17 @@
 }
 
 #[gtest]
-fn given_many_proxies_when_memory_is_small_then_confinement_leaves_no_engine_overrun() {
+fn confinement_overloads_no_engine_with_many_proxies() {
     for proxies in [1, 13] {
         // Twelve engines, 1.5 calls out in the mean, long enough for each proxy to know the prefixes.
-        let spread = Fleet::new(proxies, &engines(12, 12), SMALL).play(12, 6_000, 17, 306);
+        let spread = Fleet::new(proxies, &engines(12, 12), SMALL).simulate(12, 6_000, 17, 306);
         expect_that!(spread.arrivals_over_mean, lt(2.2), "{proxies} proxies");
         expect_that!(spread.busiest, le(12), "{proxies} proxies");
     }
 }
 
 #[gtest]
-fn given_two_twelve_or_96_slots_when_calls_come_then_they_spread_by_slots() {
+fn calls_spread_in_proportion_to_slots() {
     for slots in [2, 12, 96] {
         let mut router = proxy(1, &engines(4, slots), AMPLE);
         let mut loads: BTreeMap<String, u32> = BTreeMap::new();
@@ -225,14 +226,14 @@
 }
 
 #[gtest]
-fn given_a_zone_without_engines_when_prefixes_are_confined_then_other_zones_take_them() {
+fn prefixes_are_confined_to_remote_engines_if_the_zone_has_none() {
     let remote: Vec<Endpoint> = (0..8).map(|n| entry(&format!("e{n}"), "model", "b", 4)).collect();
     let met = engines_by_prefix(&mut proxy(1, &remote, SMALL), 400, 100, |n| n % 8);
     expect_that!(met.values().map(BTreeSet::len).max(), some(le(2)));
 }
 
 #[gtest]
-fn given_skewed_zones_when_the_own_is_full_then_the_other_takes_what_is_left() {
+fn the_remote_zone_takes_the_overflow_of_a_small_local_zone() {
     let mut fleet = engines(1, 2);
     fleet.extend((0..6).map(|n| entry(&format!("f{n}"), "model", "b", 12)));
     let mut router = proxy(1, &fleet, SMALL);
@@ -243,7 +244,7 @@
 }
 
 #[gtest]
-fn given_half_of_the_engines_replaced_when_prompts_come_then_the_new_ones_get_their_share() {
+fn replacement_engines_get_their_share() {
     let old = engines(8, 12);
     let mut router = proxy(1, &old, AMPLE);
     engines_by_prefix(&mut router, 200, 0, |n| n % 8);
--- a/system/request-routing/tests/properties.rs
+++ b/system/request-routing/tests/properties.rs
@@ -2,10 +2,13 @@
 
 mod common;
 
-use common::*;
+use common::{entry, list, ms, request, router};
 use fleet_model::{Endpoint, EndpointState};
 use proptest::prelude::*;
-use request_routing::*;
+use request_routing::{
+    AttemptHistory, EndpointKey, GiveUp, Outcome, RetryDecision, RouteKind, RoutingDecision, RoutingRequest,
+    ServerLoad, Span, Target, Time,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug)]
@@ -23,7 +26,7 @@
     /// A new list: for each endpoint whether it is listed, and as ready.
     List(Vec<(bool, bool)>),
     Misdirected(usize),
-    Later(u64),
+    AdvanceTime(u64),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -48,7 +51,7 @@
             .prop_map(|(call, outcome, load)| Step::End { call, outcome, load }),
         1 => proptest::collection::vec((any::<bool>(), any::<bool>()), ENDPOINTS).prop_map(Step::List),
         1 => (0_usize..ENDPOINTS).prop_map(Step::Misdirected),
-        3 => (0_u64..60_000).prop_map(Step::Later),
+        3 => (0_u64..60_000).prop_map(Step::AdvanceTime),
     ]
 }
 
@@ -88,7 +91,8 @@
     over: bool,
 }
 
-fn play(steps: Vec<Step>) -> Result<(), TestCaseError> {
+#[allow(clippy::too_many_lines, reason = "one arm for each kind of event")]
+fn simulate(steps: Vec<Step>) -> Result<(), TestCaseError> {
     let fleet = fleet();
     let requests = requests();
     let mut router = router(&fleet);
@@ -96,7 +100,7 @@
     let mut seen: Vec<Seen> = (0..REQUESTS).map(|_| Seen::default()).collect();
     let mut calls: Vec<(usize, Target)> = Vec::new();
     let mut ready: BTreeSet<String> = fleet.iter().map(|e| e.instance_id.clone()).collect();
-    let mut shut: BTreeSet<EndpointKey> = BTreeSet::new();
+    let mut misdirected: BTreeSet<EndpointKey> = BTreeSet::new();
     let check_end = |request: &RoutingRequest, seen: &Seen, end: GiveUp| {
         if seen.ran && request.kind != RouteKind::Idempotent {
             prop_assert_eq!(end, GiveUp::Failed);
@@ -120,7 +124,11 @@
                             "{} is not ready",
                             target.instance_id
                         );
-                        prop_assert!(!shut.contains(&target.key), "{} is another's", target.instance_id);
+                        prop_assert!(
+                            !misdirected.contains(&target.key),
+                            "{} is another's",
+                            target.instance_id
+                        );
                         let listed = fleet.iter().find(|e| e.instance_id == *target.instance_id).unwrap();
                         prop_assert_eq!(&listed.service, &request.service);
                         prop_assert_eq!(listed.address, target.address);
@@ -178,15 +186,15 @@
                 }
                 router.update_endpoints(now, &list(&listed));
                 // What a list says of an entry anew may open it again.
-                shut.clear();
+                misdirected.clear();
             }
             Step::Misdirected(n) => {
                 if let Some(view) = router.endpoint_views().get(n) {
                     router.mark_misdirected(now, view.key);
-                    shut.insert(view.key);
+                    misdirected.insert(view.key);
                 }
             }
-            Step::Later(span) => now = now.after(span as f64),
+            Step::AdvanceTime(span) => now = now.after(span as f64),
         }
     }
     // Calls out are counted as they are.
@@ -205,7 +213,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
     #[test]
-    fn given_any_history_then_no_rule_is_broken(steps in proptest::collection::vec(step(), 1..250)) {
-        play(steps)?;
+    fn invariants_hold_after_any_sequence_of_events(steps in proptest::collection::vec(step(), 1..250)) {
+        simulate(steps)?;
     }
 }
--- a/system/request-routing/tests/retries.rs
+++ b/system/request-routing/tests/retries.rs
@@ -2,9 +2,12 @@
 
 mod common;
 
-use common::*;
+use common::{MS, attempt, draining, end, entry, list, ms, request, router, send, sent};
 use googletest::prelude::*;
-use request_routing::*;
+use request_routing::{
+    AttemptHistory, EndpointKey, Execution, GiveUp, Outcome, RetryDecision, RouteKind, Router,
+    RoutingDecision, RoutingRequest, Span, Time, UnavailableReason,
+};
 
 const NEVER_RAN: [Outcome; 4] = [Outcome::Full(None), Outcome::NoRoom, Outcome::ConnectFailed, Outcome::Void];
 const MAY_HAVE_RUN: [Outcome; 4] = [Outcome::Failure, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
@@ -15,7 +18,7 @@
 }
 
 #[gtest]
-fn given_an_attempt_that_never_ran_when_another_endpoint_is_free_then_any_kind_goes_there_at_once() {
+fn an_unexecuted_attempt_of_any_kind_is_retried_at_once_at_a_free_endpoint() {
     for kind in KINDS {
         for outcome in [Outcome::Full(None), Outcome::NoRoom, Outcome::ConnectFailed] {
             let mut router = two();
@@ -29,7 +32,7 @@
 }
 
 #[gtest]
-fn given_an_attempt_that_may_have_run_when_it_ends_then_only_an_idempotent_one_goes_again() {
+fn only_idempotent_requests_are_retried_after_possible_execution() {
     for outcome in MAY_HAVE_RUN {
         for kind in [RouteKind::NonIdempotent, RouteKind::Streaming] {
             let mut router = two();
@@ -56,7 +59,7 @@
 }
 
 #[gtest]
-fn given_no_other_endpoint_when_attempts_fail_then_the_waits_double_up_to_the_cap() {
+fn the_backoff_doubles_up_to_its_maximum() {
     let mut router = router(&[entry("x", "tool", "a", 8)]);
     let request =
         RoutingRequest { max_attempts: 9, deadline: ms(60_000), ..request("tool", RouteKind::Idempotent) };
@@ -71,7 +74,7 @@
 }
 
 #[gtest]
-fn given_refusals_only_when_the_attempts_are_spent_then_it_is_refused_with_a_time() {
+fn a_request_that_was_only_refused_ends_refused_with_retry_after() {
     let mut router = router(&["x", "y", "z", "w"].map(|id| entry(id, "tool", "a", 8)));
     for kind in KINDS {
         let (request, mut history) =
@@ -85,7 +88,7 @@
 }
 
 #[gtest]
-fn given_a_refusal_after_one_that_may_have_run_when_attempts_are_spent_then_it_has_failed() {
+fn a_refusal_after_possible_execution_ends_as_failed() {
     let mut router = two();
     let (request, mut history) = (
         RoutingRequest { max_attempts: 2, ..request("tool", RouteKind::Idempotent) },
@@ -97,7 +100,7 @@
 }
 
 #[gtest]
-fn given_connections_that_are_not_made_when_they_go_on_then_they_count_as_no_attempt_but_end_at_last() {
+fn failed_connections_consume_no_attempt_but_are_bounded() {
     let mut router = router(&["x", "y"].map(|id| entry(id, "tool", "a", 8)));
     let request =
         RoutingRequest { max_attempts: 1, deadline: ms(60_000), ..request("tool", RouteKind::NonIdempotent) };
@@ -118,7 +121,7 @@
 }
 
 #[gtest]
-fn given_a_next_try_past_the_deadline_when_an_attempt_ends_then_it_ends_in_time() {
+fn a_request_is_given_up_if_the_next_attempt_would_miss_the_deadline() {
     for (outcome, failed) in [(Outcome::Full(None), false), (Outcome::Reset, true)] {
         let mut router = router(&[entry("x", "tool", "a", 8)]);
         let (request, mut history) = (request("tool", RouteKind::Idempotent), AttemptHistory::default());
@@ -133,7 +136,7 @@
 }
 
 #[gtest]
-fn given_little_time_when_a_request_comes_then_it_is_refused_at_once() {
+fn a_request_with_too_little_time_left_is_refused_at_once() {
     let mut router = two();
     let request = request("tool", RouteKind::Idempotent);
     expect_that!(
@@ -143,7 +146,7 @@
 }
 
 #[gtest]
-fn given_no_place_when_a_quarter_of_the_aim_is_over_then_it_is_refused() {
+fn a_queued_request_is_refused_after_a_quarter_of_the_latency_target() {
     let mut router = router(&[entry("x", "tool", "a", 1)]);
     let request = request("tool", RouteKind::NonIdempotent);
     while let RoutingDecision::Send(_) = router.pick(ms(0), &request, &AttemptHistory::default()) {}
@@ -162,7 +165,7 @@
 }
 
 #[gtest]
-fn given_one_that_may_have_run_when_no_place_comes_then_it_waits_until_its_time_is_over_and_has_failed() {
+fn a_request_that_may_have_executed_waits_until_its_deadline_and_fails() {
     let mut router = router(&[entry("x", "tool", "a", 1)]);
     let request = request("tool", RouteKind::Idempotent);
     while let RoutingDecision::Send(_) = router.pick(ms(0), &request, &AttemptHistory::default()) {}
@@ -173,7 +176,7 @@
 }
 
 #[gtest]
-fn given_more_that_wait_when_one_is_refused_then_it_is_told_a_later_time() {
+fn retry_after_grows_with_the_queue() {
     let retry_after = |waiting: u64| {
         let mut router = router(&[entry("x", "tool", "a", 1)]);
         let request = request("tool", RouteKind::Idempotent);
@@ -192,7 +195,7 @@
 }
 
 #[gtest]
-fn given_no_endpoint_at_all_when_a_request_comes_then_it_waits_for_the_list_for_a_while() {
+fn a_request_without_any_endpoint_waits_for_a_list() {
     let mut router = router(&[]);
     let request = request("tool", RouteKind::Idempotent);
     expect_that!(
@@ -206,7 +209,7 @@
 }
 
 #[gtest]
-fn given_a_refusal_when_others_ask_then_the_endpoint_is_closed_for_all_and_longer_while_refusals_go_on() {
+fn a_refusal_backs_off_its_endpoint_for_all_requests_exponentially() {
     let mut router = router(&[entry("x", "tool", "a", 8)]);
     let request = RoutingRequest {
         latency_target: Span(10_000 * MS),
@@ -232,7 +235,7 @@
 }
 
 #[gtest]
-fn given_many_calls_out_when_all_are_refused_together_then_that_counts_once() {
+fn simultaneous_refusals_count_once() {
     let mut router = router(&[entry("x", "tool", "a", 8)]);
     let request =
         RoutingRequest { latency_target: Span(10_000 * MS), ..request("tool", RouteKind::Idempotent) };
@@ -244,7 +247,7 @@
 }
 
 #[gtest]
-fn given_a_told_wait_when_it_lasts_then_nothing_goes_there() {
+fn retry_after_of_an_endpoint_is_respected() {
     let mut router = router(&[entry("x", "tool", "a", 8)]);
     let request =
         RoutingRequest { latency_target: Span(4_000 * MS), ..request("tool", RouteKind::Idempotent) };
@@ -277,7 +280,7 @@
 }
 
 #[gtest]
-fn given_an_endpoint_that_cannot_be_reached_when_it_is_ejected_then_one_trial_lets_it_back() {
+fn one_probe_readmits_an_ejected_endpoint() {
     let mut router = router(&[entry("x", "tool", "a", 50), entry("y", "tool", "a", 50)]);
     let request = RoutingRequest { deadline: ms(60_000), ..request("tool", RouteKind::Idempotent) };
     let key = fail_until_ejected(&mut router, ms(0), &request, "x");
@@ -300,7 +303,7 @@
 }
 
 #[gtest]
-fn given_a_service_that_fails_when_all_its_endpoints_do_then_half_stay_in_use() {
+fn at_most_half_of_a_services_endpoints_are_ejected() {
     let mut router = router(&["x", "y", "z", "w"].map(|id| entry(id, "tool", "a", 8)));
     let request = request("tool", RouteKind::Idempotent);
     for _ in 0..40 {
@@ -313,7 +316,7 @@
 }
 
 #[gtest]
-fn given_the_only_others_leave_when_all_that_is_left_is_ejected_then_the_least_bad_is_used() {
+fn the_first_endpoint_to_recover_is_used_when_all_are_ejected() {
     let mut router = two();
     let request = request("tool", RouteKind::Idempotent);
     let key = fail_until_ejected(&mut router, ms(0), &request, "x");
@@ -323,7 +326,7 @@
 }
 
 #[gtest]
-fn given_an_ended_attempt_when_it_never_ran_then_it_says_so_in_tried() {
+fn the_attempt_history_records_unexecuted_attempts() {
     for outcome in NEVER_RAN {
         let mut router = two();
         let (request, mut history) = (request("tool", RouteKind::Streaming), AttemptHistory::default());
@@ -334,46 +337,46 @@
 }
 
 #[gtest]
-fn given_another_endpoint_and_an_attempt_left_when_a_repeatable_one_is_sent_then_silence_ends_the_try() {
+fn an_idempotent_attempt_has_a_timeout_if_another_endpoint_and_attempt_remain() {
     let mut router = two();
     let (request, history) = (request("tool", RouteKind::Idempotent), AttemptHistory::default());
     // Nothing is known yet: its aim.
-    expect_that!(router.try_timeout(ms(0), &request, &history), some(eq(Span(250 * MS))));
+    expect_that!(router.attempt_timeout(ms(0), &request, &history), some(eq(Span(250 * MS))));
     // Six times what its like take, once that is more.
     let target = send(&mut router, ms(0), &request);
     router.record_completion(ms(60), target.key, &request, Outcome::Success, None, Span(60 * MS));
-    expect_that!(router.try_timeout(ms(60), &request, &history), some(eq(Span(360 * MS))));
+    expect_that!(router.attempt_timeout(ms(60), &request, &history), some(eq(Span(360 * MS))));
     // What may not be repeated takes its own time, and tells nothing of the others.
     let slow = RoutingRequest { kind: RouteKind::NonIdempotent, ..request.clone() };
     let target = send(&mut router, ms(60), &slow);
     router.record_completion(ms(900), target.key, &slow, Outcome::Success, None, Span(840 * MS));
-    expect_that!(router.try_timeout(ms(60), &request, &history), some(eq(Span(360 * MS))));
+    expect_that!(router.attempt_timeout(ms(60), &request, &history), some(eq(Span(360 * MS))));
 }
 
 #[gtest]
-fn given_no_use_in_another_try_when_an_attempt_is_sent_then_its_silence_is_borne() {
+fn an_attempt_has_no_timeout_if_a_retry_would_be_useless() {
     let mut router = two();
     let (request, history) = (request("tool", RouteKind::Idempotent), AttemptHistory::default());
     for kind in [RouteKind::NonIdempotent, RouteKind::Streaming] {
         expect_that!(
-            router.try_timeout(ms(0), &RoutingRequest { kind, ..request.clone() }, &history),
+            router.attempt_timeout(ms(0), &RoutingRequest { kind, ..request.clone() }, &history),
             none()
         );
     }
     expect_that!(
-        router.try_timeout(ms(0), &request, &AttemptHistory { attempts: 2, ..history.clone() }),
+        router.attempt_timeout(ms(0), &request, &AttemptHistory { attempts: 2, ..history.clone() }),
         none()
     );
     // The other one was tried already, or is leaving.
     let last = router.endpoint_views()[0].key;
     expect_that!(
-        router.try_timeout(ms(0), &request, &AttemptHistory { avoided: vec![last], ..history.clone() }),
+        router.attempt_timeout(ms(0), &request, &AttemptHistory { avoided: vec![last], ..history.clone() }),
         none()
     );
     // The next try would have less time than this one: 25 ms before the deadline are of no use.
-    expect_that!(router.try_timeout(ms(975), &request, &history), some(anything()));
-    expect_that!(router.try_timeout(ms(976), &request, &history), none());
+    expect_that!(router.attempt_timeout(ms(975), &request, &history), some(anything()));
+    expect_that!(router.attempt_timeout(ms(976), &request, &history), none());
     router
         .update_endpoints(ms(1), &list(&[entry("x", "tool", "a", 8), draining(entry("y", "tool", "a", 8))]));
-    expect_that!(router.try_timeout(ms(1), &request, &history), none());
+    expect_that!(router.attempt_timeout(ms(1), &request, &history), none());
 }
