--- a/system/request-forwarding/src/turn_under_way.rs
+++ b/system/request-forwarding/src/active_turn.rs
@@ -1,16 +1,16 @@
 //! What hangs on a turn while it is under way: its reservation, and what is to be kept of it.
 
-use crate::turns::{CompletedTurn, TurnStorage};
+use crate::turn_storage::{CompletedTurn, TurnStorage};
 use std::rc::Rc;
 
 /// What hangs on a stream.
-pub(crate) struct Turn<T: TurnStorage> {
+pub(crate) struct ActiveTurn<T: TurnStorage> {
     pub(crate) reservation: Option<Reservation<T>>,
     pub(crate) to_store: Option<CompletedTurn>,
     pub(crate) tokens_per_event: u32,
 }
 
-impl<T: TurnStorage> Turn<T> {
+impl<T: TurnStorage> ActiveTurn<T> {
     pub(crate) fn forget_reservation(&mut self) {
         if let Some(reservation) = &mut self.reservation {
             reservation.settled = true;
--- a/system/request-forwarding/src/body_reading.rs
+++ b/system/request-forwarding/src/body_collection.rs
@@ -1,6 +1,6 @@
 //! Bodies that are read whole, of requests and of answers.
 
-use crate::own_answer::LocalResponse;
+use crate::local_response::LocalResponse;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::StatusCode;
@@ -21,7 +21,7 @@
         return Err(too_large());
     }
     let read = async {
-        let mut pieces = Pieces::default();
+        let mut pieces = ChunkBuffer::default();
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return Err(LocalResponse::closing(StatusCode::BAD_REQUEST)) };
             let data = frame.into_data().unwrap_or_default();
@@ -37,7 +37,7 @@
 
 /// A whole answer, if it is that and not too large.
 pub(crate) async fn read_whole(mut body: Incoming) -> Option<Bytes> {
-    let mut pieces = Pieces::default();
+    let mut pieces = ChunkBuffer::default();
     while let Some(frame) = body.frame().await {
         let data = frame.ok()?.into_data().unwrap_or_default();
         if pieces.len() + data.len() > MOST_UNTOLD {
@@ -50,12 +50,12 @@
 
 /// A body as it comes; one that comes in one piece is not copied.
 #[derive(Default)]
-struct Pieces {
+struct ChunkBuffer {
     only: Bytes,
     several: BytesMut,
 }
 
-impl Pieces {
+impl ChunkBuffer {
     fn len(&self) -> usize {
         self.only.len() + self.several.len()
     }
--- a/system/request-forwarding/src/whole_events.rs
+++ b/system/request-forwarding/src/complete_events.rs
@@ -7,7 +7,7 @@
 
 /// Bytes of a stream that have come, up to the end of its last whole event.
 #[derive(Default)]
-pub(crate) struct WholeEvents {
+pub(crate) struct CompleteEvents {
     held: BytesMut,
     /// How much of `held` has been looked through.
     seen: usize,
@@ -21,7 +21,7 @@
     too_long: bool,
 }
 
-impl WholeEvents {
+impl CompleteEvents {
     /// Takes the next bytes; returns those of the events that are whole now.
     pub(crate) fn take(&mut self, data: &[u8]) -> Bytes {
         self.held.extend_from_slice(data);
--- a/system/request-forwarding/src/whole_events/tests.rs
+++ b/system/request-forwarding/src/complete_events/tests.rs
@@ -5,7 +5,7 @@
 
 /// What is passed on in all, and the id of the last event of it, with the stream cut into two.
 fn passed(cut: usize) -> (Vec<u8>, Option<Bytes>, Bytes) {
-    let mut events = WholeEvents::default();
+    let mut events = CompleteEvents::default();
     let mut all = events.take(&STREAM[..cut]).to_vec();
     all.extend_from_slice(&events.take(&STREAM[cut..]));
     let last = events.last_id().cloned();
@@ -25,7 +25,7 @@
 
 #[test]
 fn one_byte_at_a_time_makes_no_difference() {
-    let mut events = WholeEvents::default();
+    let mut events = CompleteEvents::default();
     let mut all = Vec::new();
     for byte in STREAM {
         all.extend_from_slice(&events.take(&[*byte]));
@@ -35,7 +35,7 @@
 
 #[test]
 fn an_event_that_broke_off_tells_no_id() {
-    let mut events = WholeEvents::default();
+    let mut events = CompleteEvents::default();
     assert!(events.take(b"id: 1\ndata: x\n").is_empty());
     assert!(events.last_id().is_none());
     events.rest();
@@ -45,7 +45,7 @@
 
 #[test]
 fn an_event_that_is_too_long_is_passed_on_and_ends_resumption() {
-    let mut events = WholeEvents::default();
+    let mut events = CompleteEvents::default();
     assert!(!events.take(b"id: 1\n\n").is_empty());
     let long = vec![b'x'; MOST_HELD + 1];
     assert_eq!(events.take(&long).len(), long.len());
--- a/system/request-forwarding/src/delivery.rs
+++ b/system/request-forwarding/src/delivery.rs
@@ -1,9 +1,9 @@
 //! One request on its way from endpoint to endpoint, until one answers or it is given up.
 
-use crate::attempt::Attempt;
-use crate::outgoing::Outgoing;
-use crate::pool::{CallOut, Core, Line};
-use crate::queue::Rank;
+use crate::endpoint_attempt::AttemptResult;
+use crate::outbound_request::OutboundRequest;
+use crate::pool::{CallInFlight, EndpointConnection, SharedState};
+use crate::wait_queue::Rank;
 use hyper::Response;
 use hyper::body::Incoming;
 use message_sender::{Outcome, Span};
@@ -17,8 +17,8 @@
 
 /// A request, and what it has been through.
 pub(crate) struct Delivery {
-    core: Rc<Core>,
-    pub(crate) outgoing: Outgoing,
+    core: Rc<SharedState>,
+    pub(crate) outgoing: OutboundRequest,
     pub(crate) routing_request: Rc<RoutingRequest>,
     pub(crate) history: AttemptHistory,
     sends: u32,
@@ -26,36 +26,42 @@
 }
 
 /// The head of an endpoint's answer, and the call that brought it.
-pub(crate) struct Answered {
+pub(crate) struct EndpointResponse {
     pub(crate) response: Response<Incoming>,
-    pub(crate) line: Line,
-    pub(crate) call: CallOut,
+    pub(crate) connection: EndpointConnection,
+    pub(crate) call: CallInFlight,
 }
 
 impl Delivery {
-    pub(crate) fn new(core: Rc<Core>, outgoing: Outgoing, routing_request: Rc<RoutingRequest>) -> Self {
+    pub(crate) fn new(
+        core: Rc<SharedState>,
+        outgoing: OutboundRequest,
+        routing_request: Rc<RoutingRequest>,
+    ) -> Self {
         let rank = core.queue.rank(routing_request.arrived_at.0, routing_request.priority);
         Self { core, outgoing, routing_request, history: AttemptHistory::default(), sends: 0, rank }
     }
 
     /// Sends until an endpoint answers.
-    pub(crate) async fn answer(&mut self) -> Result<Answered, GiveUp> {
+    pub(crate) async fn answer(&mut self) -> Result<EndpointResponse, GiveUp> {
         loop {
             let target = self
                 .core
                 .place(&self.routing_request, &self.history, self.rank, self.outgoing.deadline)
                 .await?;
             let key = target.key;
-            let mut call = CallOut::new(self.core.clone(), key, self.routing_request.clone());
+            let mut call = CallInFlight::new(self.core.clone(), key, self.routing_request.clone());
             let attempt =
                 self.core.attempt(&self.outgoing, &target, &self.history, &mut call, &mut self.sends);
             match attempt.await {
-                Attempt::Answer(response, line) => return Ok(Answered { response, line, call }),
-                Attempt::NoConnection => {
-                    call.end(Outcome::Void);
+                AttemptResult::Answer(response, connection) => {
+                    return Ok(EndpointResponse { response, connection, call });
+                }
+                AttemptResult::NoConnection => {
+                    call.complete(Outcome::Void);
                     self.wait_for_connection(key).await;
                 }
-                Attempt::Ended(end) => {
+                AttemptResult::Ended(end) => {
                     if end == SendOutcome::Misdirected {
                         self.core.router.borrow_mut().mark_misdirected(self.core.now(), key);
                         self.core.count(|metrics| metrics.misdirected += 1);
@@ -67,7 +73,7 @@
     }
 
     /// A call ended without an answer to pass on. An error says that the request does not go again.
-    pub(crate) fn failed(&mut self, call: CallOut, outcome: Outcome) -> Result<(), GiveUp> {
+    pub(crate) fn failed(&mut self, call: CallInFlight, outcome: Outcome) -> Result<(), GiveUp> {
         self.core.count(|metrics| match outcome {
             Outcome::Full(_) => metrics.full += 1,
             Outcome::ConnectFailed => metrics.connect_failed += 1,
@@ -76,7 +82,7 @@
             _ => {}
         });
         let key = call.key();
-        call.end(outcome);
+        call.complete(outcome);
         let next = self.core.router.borrow().decide_retry(
             self.core.now(),
             &self.routing_request,
--- a/system/request-forwarding/src/headers/tests.rs
+++ b/system/request-forwarding/src/headers/tests.rs
@@ -23,7 +23,7 @@
         ("cookie", "a"),
         ("cookie", "b"),
     ]);
-    assert_eq!(passed(&headers), map(&[("previous", "40c8"), ("cookie", "a"), ("cookie", "b")]));
+    assert_eq!(forwarded(&headers), map(&[("previous", "40c8"), ("cookie", "a"), ("cookie", "b")]));
 }
 
 #[test]
--- a/system/request-forwarding/src/lib.rs
+++ b/system/request-forwarding/src/lib.rs
@@ -1,26 +1,38 @@
-//! The data plane: takes requests from clients, carries them to endpoints and brings the answers back. All of it runs
-//! on one thread, inside a `LocalSet`.
+//! The data plane: receives HTTP requests from clients, forwards them to endpoints and streams the responses back.
+//!
+//! Where a request goes, whether it waits and whether it is retried is decided by [`request_routing`]; this crate does the
+//! I/O: client connections, pooled connections to endpoints, deadlines, response streaming with resumption at another
+//! endpoint, and graceful shutdown. Turns and token budgets are stored by the host, behind [`TurnStorage`].
+//!
+//! Everything runs on one thread, inside a `LocalSet`.
 
-mod answer_pump;
-mod attempt;
-mod body;
-mod body_reading;
+mod active_turn;
+mod body_collection;
+mod client_connection;
+mod client_stream;
+mod complete_events;
 mod delivery;
-mod events;
+mod endpoint_attempt;
+mod event_scan;
+mod exchange;
 mod forwarder;
 mod headers;
+mod local_response;
 mod metrics;
-mod outgoing;
-mod own_answer;
-mod place;
+mod open_connections;
+mod outbound_request;
 mod pool;
-mod queue;
+mod readiness;
+mod response_body;
+mod response_forwarding;
 mod server;
-mod turn_under_way;
-mod turns;
-mod whole_events;
+mod slot_wait;
+mod stream_preparation;
+mod turn_storage;
+mod wait_queue;
 
 pub use forwarder::{Forwarder, SystemState};
 pub use metrics::ForwardingMetrics;
-pub use server::{ShutdownPhase, serve_readiness};
-pub use turns::{ChainLookup, CompletedTurn, ReserveOutcome, TurnStorage};
+pub use readiness::serve_readiness;
+pub use server::ShutdownPhase;
+pub use turn_storage::{ChainLookup, CompletedTurn, ReserveOutcome, TurnStorage};
--- a/system/request-forwarding/src/own_answer.rs
+++ b/system/request-forwarding/src/local_response.rs
@@ -1,7 +1,7 @@
 //! Answers of our own.
 
-use crate::body::AnswerBody;
 use crate::headers::ATTEMPT_ID;
+use crate::response_body::ResponseBody;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use message_sender::Span;
@@ -33,9 +33,9 @@
         Self { retry_after: Some(retry_after), ..Self::new(StatusCode::SERVICE_UNAVAILABLE) }
     }
 
-    pub(crate) fn response(self, attempt: Option<&str>) -> Response<AnswerBody> {
+    pub(crate) fn response(self, attempt: Option<&str>) -> Response<ResponseBody> {
         let text = self.status.canonical_reason().unwrap_or_default();
-        let mut response = Response::new(AnswerBody::whole(text));
+        let mut response = Response::new(ResponseBody::whole(text));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
@@ -61,10 +61,10 @@
     deadline: Instant,
 ) -> LocalResponse {
     match give_up {
-        GiveUp::Refused { retry_after } if history.execution.may_promise() => {
+        GiveUp::Refused { retry_after } if history.execution.guarantees_not_executed() => {
             LocalResponse::refused(retry_after)
         }
-        GiveUp::Failed if history.execution.may_promise() => LocalResponse::refused(RETRY),
+        GiveUp::Failed if history.execution.guarantees_not_executed() => LocalResponse::refused(RETRY),
         _ if Instant::now() >= deadline => LocalResponse::new(StatusCode::GATEWAY_TIMEOUT),
         _ => LocalResponse::new(StatusCode::BAD_GATEWAY),
     }
--- a/system/request-forwarding/src/outgoing.rs
+++ b/system/request-forwarding/src/outbound_request.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 /// A request as it goes out.
-pub(crate) struct Outgoing {
+pub(crate) struct OutboundRequest {
     pub(crate) number: RequestNumber,
     pub(crate) method: Method,
     pub(crate) path: String,
@@ -19,7 +19,7 @@
     pub(crate) deadline: Instant,
 }
 
-impl Outgoing {
+impl OutboundRequest {
     /// The head for a send to this incarnation: with what is left of the time.
     pub(crate) fn head(&self, instance: &str) -> Builder {
         let left = self.deadline.saturating_duration_since(Instant::now());
--- a/system/request-forwarding/src/pool.rs
+++ b/system/request-forwarding/src/pool.rs
@@ -1,8 +1,8 @@
-//! What the requests of a process share: the router, the connections to endpoints, the queue and the figures.
+//! State that the requests of a process share: the router, the connection pool, the wait queue and the metrics.
 
 use crate::headers;
 use crate::metrics::ForwardingMetrics;
-use crate::queue::Queue;
+use crate::wait_queue::WaitQueue;
 use hyper::HeaderMap;
 use hyper::body::Incoming;
 use message_sender::net::connection::{CallError, Connection};
@@ -17,54 +17,56 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// So much of a body that nobody wants is read to be able to use its connection again.
-const MOST_UNWANTED: usize = 64 * 1024;
-/// For so long.
-const UNWANTED_PATIENCE: Duration = Duration::from_millis(200);
+/// Upper bound on the bytes of an unwanted response body that are read so that its connection can be reused.
+const MAX_DRAINED_BYTES: usize = 64 * 1024;
+/// Time limit for that, and for the check of a returned connection.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Tells the requests of this process apart.
+/// Identifies a request within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RequestNumber(u64);
 
-pub(crate) struct Core {
+/// State that all requests of this process share.
+pub(crate) struct SharedState {
     start: Instant,
     last_request: Cell<u64>,
     pub(crate) router: RefCell<Router>,
-    /// Which decision mechanisms are in force.
+    /// Which routing mechanisms are on.
     pub(crate) policy: RoutingPolicy,
-    idle: RefCell<HashMap<EndpointKey, Vec<IdleLine>>>,
-    /// By service: for how long its idle connections can be used.
+    /// Idle connections by endpoint, the newest last.
+    idle: RefCell<HashMap<EndpointKey, Vec<IdleConnection>>>,
+    /// For each service, how long its idle connections can be reused.
     idle_trust: RefCell<HashMap<String, IdleTrust>>,
-    pub(crate) queue: Rc<Queue>,
+    pub(crate) queue: Rc<WaitQueue>,
     pub(crate) metrics: Cell<ForwardingMetrics>,
 }
 
-/// A connection to an endpoint. The router hears when it closes.
-pub(crate) struct Line {
-    core: Weak<Core>,
+/// A connection to an endpoint. The router is notified when it closes.
+pub(crate) struct EndpointConnection {
+    core: Weak<SharedState>,
     key: EndpointKey,
     pub(crate) connection: Connection,
-    /// The request that it has carried last, or carries now.
-    carried: RequestNumber,
-    /// For how long it was idle before this call; none if it is new.
-    idled: Option<Duration>,
+    /// The last request that it carried, or the current one.
+    last_request: RequestNumber,
+    /// How long it was idle before this call; none if it is new.
+    idle_time: Option<Duration>,
 }
 
-/// A connection that waits for its next call.
-struct IdleLine {
-    line: Line,
+/// An idle connection in the pool.
+struct IdleConnection {
+    connection: EndpointConnection,
     since: Instant,
-    /// Its endpoint has told that it closes it then.
-    until: Instant,
+    /// When its endpoint is expected to close it.
+    expires_at: Instant,
 }
 
-impl IdleLine {
-    fn is_over(&self, now: Instant) -> bool {
-        self.until <= now || self.line.connection.is_closed()
+impl IdleConnection {
+    fn is_expired(&self, now: Instant) -> bool {
+        self.expires_at <= now || self.connection.connection.is_closed()
     }
 }
 
-impl Drop for Line {
+impl Drop for EndpointConnection {
     fn drop(&mut self) {
         if let Some(core) = self.core.upgrade() {
             core.router.borrow_mut().connection_closed(self.key);
@@ -72,8 +74,8 @@
     }
 }
 
-impl Core {
-    pub(crate) fn new(zone: String, seed: u64, policy: RoutingPolicy, most_waiting: usize) -> Rc<Self> {
+impl SharedState {
+    pub(crate) fn new(zone: String, seed: u64, policy: RoutingPolicy, max_waiting: usize) -> Rc<Self> {
         Rc::new(Self {
             start: Instant::now(),
             last_request: Cell::new(0),
@@ -81,37 +83,45 @@
             policy,
             idle: RefCell::default(),
             idle_trust: RefCell::default(),
-            queue: Queue::new(most_waiting),
+            queue: WaitQueue::new(max_waiting),
             metrics: Cell::default(),
         })
     }
 
+    /// The current time in the router's time base.
     pub(crate) fn now(&self) -> Time {
         self.at(Instant::now())
     }
 
+    /// Converts an instant to the router's time base.
     pub(crate) fn at(&self, instant: Instant) -> Time {
         let micros = instant.saturating_duration_since(self.start).as_micros();
-        // One second in: nothing that is reckoned back from now falls below 0.
+        // Starts at one second, so that no time computed backwards from now falls below 0.
         Time(1_000_000 + u64::try_from(micros).unwrap_or(u64::MAX / 2))
     }
 
+    /// Changes the metrics.
     pub(crate) fn count(&self, change: impl FnOnce(&mut ForwardingMetrics)) {
         let mut metrics = self.metrics.get();
         change(&mut metrics);
         self.metrics.set(metrics);
     }
 
-    /// A number for the next request.
+    /// Assigns a number to a request.
     pub(crate) fn number_request(&self) -> RequestNumber {
         self.last_request.set(self.last_request.get() + 1);
         RequestNumber(self.last_request.get())
     }
 
-    /// An idle connection that may still be used, to an endpoint of this service: none that has carried the same
-    /// request just before. An endpoint may answer twice, and the second answer, as that a request was not run, would
-    /// pass for the answer to the new send, as both have the same `Attempt-Id`.
-    pub(crate) fn idle_line(&self, target: &Target, service: &str, request: RequestNumber) -> Option<Line> {
+    /// An idle connection that may be reused for this request: none that carried the same request last. An endpoint may
+    /// respond twice, and a late second response (such as a statement that it was not executed) would be taken for the
+    /// response to the new send, since both have the same `Attempt-Id`.
+    pub(crate) fn checkout_idle(
+        &self,
+        target: &Target,
+        service: &str,
+        request: RequestNumber,
+    ) -> Option<EndpointConnection> {
         let now = Instant::now();
         let trusted = self.idle_trust.borrow_mut().get_mut(service).and_then(|trust| {
             trust.forget();
@@ -119,122 +129,135 @@
         });
         loop {
             let mut idle = self.take_idle(target, request)?;
-            let idled = now - idle.since;
-            if !idle.is_over(now) && trusted.is_none_or(|trusted| idled < trusted) {
-                idle.line.idled = Some(idled);
-                idle.line.carried = request;
-                return Some(idle.line);
+            let idle_time = now - idle.since;
+            if !idle.is_expired(now) && trusted.is_none_or(|trusted| idle_time < trusted) {
+                idle.connection.idle_time = Some(idle_time);
+                idle.connection.last_request = request;
+                return Some(idle.connection);
             }
         }
     }
 
-    /// The newest idle connection that did not carry this request. Where there are only such that did, and no more may
-    /// be opened, one of them is closed, so that another may.
-    fn take_idle(&self, target: &Target, request: RequestNumber) -> Option<IdleLine> {
+    /// The newest idle connection that did not carry this request last. If all did, and no further connection may be
+    /// opened, one of them is closed to make way for another.
+    fn take_idle(&self, target: &Target, request: RequestNumber) -> Option<IdleConnection> {
         let mut all = self.idle.borrow_mut();
         let lines = all.get_mut(&target.key)?;
-        let other = lines.iter().rposition(|idle| idle.line.carried != request);
+        let other = lines.iter().rposition(|idle| idle.connection.last_request != request);
         if other.is_none() && !target.may_open {
             drop(lines.pop());
         }
         Some(lines.remove(other?))
     }
 
-    /// Takes in whether a connection broke under its call: endpoints may forget an idle one without a word.
-    pub(crate) fn learn_idle(&self, service: &str, line: &Line, broke: bool) {
+    /// Records whether a connection was lost under its call: endpoints may drop an idle one without notice.
+    pub(crate) fn record_idle_reuse(&self, service: &str, connection: &EndpointConnection, was_lost: bool) {
         let mut all = self.idle_trust.borrow_mut();
         match all.get_mut(service) {
-            Some(trust) => trust.learn(line.idled, broke),
-            // Nothing is known as long as nothing breaks.
-            None if broke => all.entry(service.to_owned()).or_default().learn(line.idled, broke),
+            Some(trust) => trust.learn(connection.idle_time, was_lost),
+            // Until a first loss there is nothing to learn from.
+            None if was_lost => {
+                all.entry(service.to_owned()).or_default().learn(connection.idle_time, was_lost)
+            }
             None => {}
         }
     }
 
-    /// A new connection.
-    pub(crate) async fn open_line(
+    /// Opens a new connection.
+    pub(crate) async fn open_connection(
         self: &Rc<Self>,
         target: &Target,
-        patience: Duration,
+        connect_timeout: Duration,
         request: RequestNumber,
-    ) -> Result<Line, CallError> {
-        // Counted from the start: an endpoint may count one that is never finished here.
+    ) -> Result<EndpointConnection, CallError> {
+        // PendingConnection from the start: an endpoint may count one that is never finished here.
         self.router.borrow_mut().connection_opened(target.key);
-        let counted = Counted { core: self, key: Some(target.key) };
-        let connection = Connection::open(SocketAddr::V4(target.address), patience).await?;
+        let counted = PendingConnection { core: self, key: Some(target.key) };
+        let connection = Connection::open(SocketAddr::V4(target.address), connect_timeout).await?;
         counted.disarm();
         self.count(|metrics| metrics.connections_opened += 1);
-        Ok(Line { core: Rc::downgrade(self), key: target.key, connection, carried: request, idled: None })
+        Ok(EndpointConnection {
+            core: Rc::downgrade(self),
+            key: target.key,
+            connection,
+            last_request: request,
+            idle_time: None,
+        })
     }
 
-    /// Takes back a connection after an answer with this head that was read whole.
-    pub(crate) fn give_back(self: &Rc<Self>, mut line: Line, head: &HeaderMap) {
-        let stay = headers::idle_time(head);
-        // One answered before its request was written whole has the rest of that to come.
-        if headers::closes(head) || stay.is_zero() || !line.connection.request_written() {
+    /// Returns a connection to the pool after a response with this head that was read completely.
+    pub(crate) fn check_in(self: &Rc<Self>, mut connection: EndpointConnection, head: &HeaderMap) {
+        let idle_limit = headers::idle_time(head);
+        // If the response came before the request was completely written, the rest of the request would follow.
+        if headers::closes(head) || idle_limit.is_zero() || !connection.connection.request_written() {
             return;
         }
         let core = self.clone();
         spawn_local(async move {
-            if matches!(timeout(UNWANTED_PATIENCE, line.connection.is_alive()).await, Ok(true)) {
+            if matches!(timeout(DRAIN_TIMEOUT, connection.connection.is_alive()).await, Ok(true)) {
                 let since = Instant::now();
-                let idle = IdleLine { since, until: since + stay, line };
-                core.idle.borrow_mut().entry(idle.line.key).or_default().push(idle);
+                let idle = IdleConnection { since, expires_at: since + idle_limit, connection };
+                core.idle.borrow_mut().entry(idle.connection.key).or_default().push(idle);
             }
         });
     }
 
-    /// The same, once the rest of an unwanted answer has been read.
-    pub(crate) fn give_back_unread(self: &Rc<Self>, line: Line, head: HeaderMap, mut body: Incoming) {
+    /// The same, once the rest of an unwanted response has been read.
+    pub(crate) fn check_in_unread(
+        self: &Rc<Self>,
+        connection: EndpointConnection,
+        head: HeaderMap,
+        mut body: Incoming,
+    ) {
         let core = self.clone();
         spawn_local(async move {
-            if read_away(&mut body).await {
+            if drain_body(&mut body).await {
                 drop(body);
-                core.give_back(line, &head);
+                core.check_in(connection, &head);
             }
         });
     }
 
-    /// Closes idle connections whose time is over.
+    /// Closes expired idle connections.
     pub(crate) fn sweep(&self) {
         let now = Instant::now();
         let mut over = Vec::new();
         self.idle.borrow_mut().retain(|_, lines| {
-            over.extend(lines.extract_if(.., |idle| idle.is_over(now)));
+            over.extend(lines.extract_if(.., |idle| idle.is_expired(now)));
             !lines.is_empty()
         });
     }
 }
 
-async fn read_away(body: &mut Incoming) -> bool {
+async fn drain_body(body: &mut Incoming) -> bool {
     use http_body_util::BodyExt;
-    let whole = async {
+    let complete = async {
         let mut read = 0;
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return false };
-            read += frame.data_ref().map_or(0, |data| data.len());
-            if read > MOST_UNWANTED {
+            read += frame.data_ref().map_or(0, bytes::Bytes::len);
+            if read > MAX_DRAINED_BYTES {
                 return false;
             }
         }
         true
     };
-    timeout(UNWANTED_PATIENCE, whole).await.unwrap_or(false)
+    timeout(DRAIN_TIMEOUT, complete).await.unwrap_or(false)
 }
 
-/// A connection that is being opened.
-struct Counted<'a> {
-    core: &'a Core,
+/// Counts a connection as open while it is being established.
+struct PendingConnection<'a> {
+    core: &'a SharedState,
     key: Option<EndpointKey>,
 }
 
-impl Counted<'_> {
+impl PendingConnection<'_> {
     fn disarm(mut self) {
         self.key = None;
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for PendingConnection<'_> {
     fn drop(&mut self) {
         if let Some(key) = self.key {
             self.core.router.borrow_mut().connection_closed(key);
@@ -242,56 +265,65 @@
     }
 }
 
-/// A call that is out. The router hears of its end, however that comes.
-pub(crate) struct CallOut {
-    core: Rc<Core>,
+/// A call in flight. The router is notified of its completion, however that comes about.
+pub(crate) struct CallInFlight {
+    core: Rc<SharedState>,
     key: EndpointKey,
     routing_request: Rc<RoutingRequest>,
-    begun: Instant,
-    first_byte: Option<Instant>,
+    started_at: Instant,
+    first_byte_at: Option<Instant>,
     load: Option<ServerLoad>,
     outcome: Outcome,
 }
 
-impl CallOut {
-    pub(crate) fn new(core: Rc<Core>, key: EndpointKey, routing_request: Rc<RoutingRequest>) -> Self {
-        let begun = Instant::now();
-        Self { core, key, routing_request, begun, first_byte: None, load: None, outcome: Outcome::Void }
+impl CallInFlight {
+    pub(crate) fn new(core: Rc<SharedState>, key: EndpointKey, routing_request: Rc<RoutingRequest>) -> Self {
+        let started_at = Instant::now();
+        Self {
+            core,
+            key,
+            routing_request,
+            started_at,
+            first_byte_at: None,
+            load: None,
+            outcome: Outcome::Void,
+        }
     }
 
-    /// Its endpoint.
+    /// The endpoint.
     pub(crate) fn key(&self) -> EndpointKey {
         self.key
     }
 
-    /// What it carries.
+    /// The request that it carries.
     pub(crate) fn routing_request(&self) -> &Rc<RoutingRequest> {
         &self.routing_request
     }
 
-    /// From now on it may run.
+    /// Records that the send begins: from now on the request may execute.
     pub(crate) fn sending(&mut self) {
         self.outcome = Outcome::Cancelled;
     }
 
-    /// The head of the answer is there.
-    pub(crate) fn answered(&mut self, load: Option<ServerLoad>) {
-        self.first_byte = Some(Instant::now());
+    /// Records that the response head has arrived.
+    pub(crate) fn response_received(&mut self, load: Option<ServerLoad>) {
+        self.first_byte_at = Some(Instant::now());
         self.load = load;
         if let Some(load) = load {
             self.core.router.borrow_mut().record_load(self.core.now(), self.key, load);
         }
     }
 
-    pub(crate) fn end(mut self, outcome: Outcome) {
+    /// Completes the call.
+    pub(crate) fn complete(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 }
 
-impl Drop for CallOut {
+impl Drop for CallInFlight {
     fn drop(&mut self) {
-        let elapsed = self.first_byte.unwrap_or_else(Instant::now) - self.begun;
-        let elapsed = Span(u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX));
+        let time_to_first_byte = self.first_byte_at.unwrap_or_else(Instant::now) - self.started_at;
+        let time_to_first_byte = Span(u64::try_from(time_to_first_byte.as_micros()).unwrap_or(u64::MAX));
         let now = self.core.now();
         self.core.router.borrow_mut().record_completion(
             now,
@@ -299,7 +331,7 @@
             &self.routing_request,
             self.outcome,
             self.load,
-            elapsed,
+            time_to_first_byte,
         );
         self.core.queue.wake_first(&self.routing_request.service);
     }
--- /dev/null
+++ b/system/request-forwarding/src/readiness.rs
@@ -0,0 +1,63 @@
+//! The readiness probe's server.
+
+use crate::open_connections::{ConnectionGuard, OpenConnections};
+use crate::response_body::ResponseBody;
+use crate::server::MIN_BUFFER_BYTES;
+use futures_util::FutureExt;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::{TokioIo, TokioTimer};
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+/// Upper bound on the connections to the readiness address.
+const MAX_PROBE_CONNECTIONS: usize = 32;
+/// Idle timeout of a connection to the readiness address.
+const PROBE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Answers `GET /sedgewood/readiness` with 200 while `ready` says so, else with 503.
+pub async fn serve_readiness(listener: TcpListener, ready: impl Fn() -> bool + 'static) {
+    let ready = Rc::new(ready);
+    let open = Rc::new(OpenConnections::default());
+    loop {
+        let stream = match listener.accept().await {
+            Ok((stream, _)) => stream,
+            Err(e) => {
+                log::warn!("readiness: {e}");
+                sleep(Duration::from_millis(5)).await;
+                continue;
+            }
+        };
+        if open.count.get() >= MAX_PROBE_CONNECTIONS {
+            continue;
+        }
+        let (ready, place) = (ready.clone(), ConnectionGuard::new(&open));
+        spawn_local(async move {
+            let service = service_fn(move |request: Request<Incoming>| {
+                let status = match request.uri().path() {
+                    "/sedgewood/readiness" if ready() => StatusCode::OK,
+                    "/sedgewood/readiness" => StatusCode::SERVICE_UNAVAILABLE,
+                    _ => StatusCode::NOT_FOUND,
+                };
+                let mut answer = Response::new(ResponseBody::whole(""));
+                *answer.status_mut() = status;
+                async move { Ok::<_, Infallible>(answer) }
+            });
+            let served = http1::Builder::new()
+                .max_buf_size(MIN_BUFFER_BYTES)
+                .keep_alive(false)
+                .timer(TokioTimer::new())
+                .header_read_timeout(PROBE_IDLE_TIMEOUT)
+                .serve_connection(TokioIo::new(stream), service);
+            // An asker that breaks off is its own affair.
+            served.map(drop).await;
+            drop(place);
+        });
+    }
+}
--- a/system/request-forwarding/src/body.rs
+++ b/system/request-forwarding/src/response_body.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 /// What comes through the channel of a body that is passed on as it arrives.
-pub(crate) enum Piece {
+pub(crate) enum BodyChunk {
     /// Bytes.
     Data(Bytes),
     /// The body is whole. A channel that closes without it is a body that broke off.
@@ -17,21 +17,21 @@
 
 enum Kind {
     Whole(Option<Bytes>),
-    Passed { pieces: mpsc::Receiver<Piece>, length: Option<u64>, over: bool },
+    Passed { pieces: mpsc::Receiver<BodyChunk>, length: Option<u64>, over: bool },
 }
 
 /// The body of an answer; `guard` is dropped with it.
-pub(crate) struct AnswerBody {
+pub(crate) struct ResponseBody {
     kind: Kind,
     guard: Option<Box<dyn std::any::Any>>,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
         Self { kind: Kind::Whole(Some(bytes.into()).filter(|bytes: &Bytes| !bytes.is_empty())), guard: None }
     }
 
-    pub(crate) fn passed(pieces: mpsc::Receiver<Piece>, length: Option<u64>) -> Self {
+    pub(crate) fn passed(pieces: mpsc::Receiver<BodyChunk>, length: Option<u64>) -> Self {
         Self { kind: Kind::Passed { pieces, length, over: false }, guard: None }
     }
 
@@ -41,7 +41,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -53,8 +53,8 @@
             Kind::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Kind::Passed { over: true, .. } => Poll::Ready(None),
             Kind::Passed { pieces, over, .. } => pieces.poll_recv(cx).map(|piece| match piece {
-                Some(Piece::Data(bytes)) => Some(Ok(Frame::data(bytes))),
-                Some(Piece::End) => {
+                Some(BodyChunk::Data(bytes)) => Some(Ok(Frame::data(bytes))),
+                Some(BodyChunk::End) => {
                     *over = true;
                     None
                 }
--- a/system/request-forwarding/src/answer_pump.rs
+++ b/system/request-forwarding/src/response_forwarding.rs
@@ -1,13 +1,13 @@
 //! An answer that is passed on as it comes.
 
-use crate::body::Piece;
-use crate::delivery::{Answered, Delivery};
-use crate::events::EventScan;
+use crate::active_turn::ActiveTurn;
+use crate::complete_events::CompleteEvents;
+use crate::delivery::{Delivery, EndpointResponse};
+use crate::event_scan::EventScan;
 use crate::headers::{LAST_EVENT_ID, is_event_stream};
-use crate::pool::{CallOut, Core, Line};
-use crate::turn_under_way::Turn;
-use crate::turns::TurnStorage;
-use crate::whole_events::WholeEvents;
+use crate::pool::{CallInFlight, EndpointConnection, SharedState};
+use crate::response_body::BodyChunk;
+use crate::turn_storage::TurnStorage;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::HeaderMap;
@@ -19,42 +19,42 @@
 use tokio::time::{Instant, timeout_at};
 
 /// An answer as an endpoint sends it.
-pub(crate) struct Upstream {
+pub(crate) struct UpstreamResponse {
     pub(crate) body: Incoming,
-    pub(crate) line: Line,
-    pub(crate) call: CallOut,
+    pub(crate) connection: EndpointConnection,
+    pub(crate) call: CallInFlight,
 }
 
 /// What a stream needs to go on at another endpoint.
-pub(crate) struct Resumption {
+pub(crate) struct StreamResumption {
     delivery: Delivery,
-    events: WholeEvents,
+    events: CompleteEvents,
 }
 
-impl Resumption {
+impl StreamResumption {
     pub(crate) fn new(delivery: Delivery) -> Self {
-        Self { delivery, events: WholeEvents::default() }
+        Self { delivery, events: CompleteEvents::default() }
     }
 }
 
 /// Carries an answer from the endpoint to the client.
-pub(crate) struct Pump<T: TurnStorage> {
-    pub(crate) core: Rc<Core>,
+pub(crate) struct ResponseForwarding<T: TurnStorage> {
+    pub(crate) core: Rc<SharedState>,
     pub(crate) turns: Rc<T>,
     pub(crate) headers: HeaderMap,
     pub(crate) end: Instant,
     pub(crate) events: bool,
     /// None for an answer that only its first endpoint can give.
-    pub(crate) resumption: Option<Resumption>,
+    pub(crate) resumption: Option<StreamResumption>,
 }
 
-impl<T: TurnStorage> Pump<T> {
+impl<T: TurnStorage> ResponseForwarding<T> {
     pub(crate) async fn run(
         mut self,
-        answer: Upstream,
+        answer: UpstreamResponse,
         first: Option<Bytes>,
-        pieces: mpsc::Sender<Piece>,
-        turn: Turn<T>,
+        pieces: mpsc::Sender<BodyChunk>,
+        turn: ActiveTurn<T>,
     ) {
         let whole = self.carry(answer, first, &pieces, turn).await;
         self.core.count(|metrics| match whole {
@@ -66,10 +66,10 @@
     /// True if the client has been handed all, the end included.
     async fn carry(
         &mut self,
-        mut answer: Upstream,
+        mut answer: UpstreamResponse,
         mut first: Option<Bytes>,
-        pieces: &mpsc::Sender<Piece>,
-        mut turn: Turn<T>,
+        pieces: &mpsc::Sender<BodyChunk>,
+        mut turn: ActiveTurn<T>,
     ) -> bool {
         let mut scan = EventScan::new(turn.to_store.is_some());
         loop {
@@ -89,19 +89,19 @@
                 },
             };
             if let Err(outcome) = self.hand_on(data, &mut scan, &mut turn, pieces).await {
-                answer.call.end(outcome);
+                answer.call.complete(outcome);
                 return false;
             }
         }
         let rest = self.resumption.as_mut().map(|resumption| resumption.events.rest()).unwrap_or_default();
         if let Err(outcome) = self.hand_on(rest, &mut scan, &mut turn, pieces).await {
-            answer.call.end(outcome);
+            answer.call.complete(outcome);
             return false;
         }
-        let Upstream { body, line, call } = answer;
+        let UpstreamResponse { body, connection, call } = answer;
         drop(body);
-        self.core.give_back(line, &self.headers);
-        call.end(Outcome::Success);
+        self.core.check_in(connection, &self.headers);
+        call.complete(Outcome::Success);
         self.end(scan, turn, pieces).await
     }
 
@@ -109,7 +109,7 @@
     async fn read(
         &self,
         body: &mut Incoming,
-        pieces: &mpsc::Sender<Piece>,
+        pieces: &mpsc::Sender<BodyChunk>,
     ) -> Result<Option<Bytes>, Outcome> {
         let frame = tokio::select! {
             biased;
@@ -137,8 +137,8 @@
         &self,
         data: Bytes,
         scan: &mut EventScan,
-        turn: &mut Turn<T>,
-        pieces: &mpsc::Sender<Piece>,
+        turn: &mut ActiveTurn<T>,
+        pieces: &mpsc::Sender<BodyChunk>,
     ) -> Result<(), Outcome> {
         if data.is_empty() {
             return Ok(());
@@ -149,7 +149,7 @@
                 reservation.handed = scan.handed().saturating_mul(turn.tokens_per_event);
             }
         }
-        match timeout_at(self.end, pieces.send(Piece::Data(data))).await {
+        match timeout_at(self.end, pieces.send(BodyChunk::Data(data))).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) => Err(Outcome::Cancelled),
             Err(_) => Err(Outcome::TimedOut),
@@ -159,15 +159,15 @@
     /// The answer of another endpoint, which goes on after the last event that was passed on.
     async fn resume(
         &mut self,
-        call: CallOut,
+        call: CallInFlight,
         outcome: Outcome,
-        pieces: &mpsc::Sender<Piece>,
-    ) -> Option<Upstream> {
+        pieces: &mpsc::Sender<BodyChunk>,
+    ) -> Option<UpstreamResponse> {
         let resumption = self.resumption.as_mut().filter(|_| outcome == Outcome::Reset);
         let last_id = resumption.as_ref().and_then(|resumption| resumption.events.last_id());
         let last_id = last_id.and_then(|id| HeaderValue::from_maybe_shared(id.clone()).ok());
         let (Some(resumption), Some(last_id)) = (resumption, last_id) else {
-            call.end(outcome);
+            call.complete(outcome);
             return None;
         };
         // The other endpoint sends the event whole that broke off.
@@ -179,19 +179,19 @@
             () = pieces.closed() => return None,
             answered = resumption.delivery.answer() => answered.ok()?,
         };
-        let Answered { response, line, call } = answered;
+        let EndpointResponse { response, connection, call } = answered;
         if !response.status().is_success() || !is_event_stream(response.headers()) {
-            call.end(Outcome::Failure);
+            call.complete(Outcome::Failure);
             return None;
         }
         self.core.count(|metrics| metrics.streams_resumed += 1);
         let (head, body) = response.into_parts();
         self.headers = head.headers;
-        Some(Upstream { body, line, call })
+        Some(UpstreamResponse { body, connection, call })
     }
 
     /// Keeps the turn, if it is to be kept, and ends the answer.
-    async fn end(&self, scan: EventScan, mut turn: Turn<T>, pieces: &mpsc::Sender<Piece>) -> bool {
+    async fn end(&self, scan: EventScan, mut turn: ActiveTurn<T>, pieces: &mpsc::Sender<BodyChunk>) -> bool {
         if let Some(mut kept) = turn.to_store.take() {
             if !scan.between_events() {
                 return false;
@@ -210,6 +210,6 @@
             }
             turn.forget_reservation();
         }
-        matches!(timeout_at(self.end, pieces.send(Piece::End)).await, Ok(Ok(())))
+        matches!(timeout_at(self.end, pieces.send(BodyChunk::End)).await, Ok(Ok(())))
     }
 }
--- a/system/request-forwarding/src/place.rs
+++ b/system/request-forwarding/src/slot_wait.rs
@@ -1,8 +1,8 @@
 //! Waiting for a place at an endpoint, in turn.
 
-use crate::own_answer::RETRY;
-use crate::pool::Core;
-use crate::queue::Rank;
+use crate::local_response::RETRY;
+use crate::pool::SharedState;
+use crate::wait_queue::Rank;
 use message_sender::{Span, Time};
 use request_routing::{AttemptHistory, GiveUp, RoutingDecision, RoutingRequest, Target};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// The shortest wait between two looks.
 const LEAST_WAIT: Span = Span(1_000);
 
-impl Core {
+impl SharedState {
     /// Waits for a place in its turn.
     pub(crate) async fn place(
         &self,
--- /dev/null
+++ b/system/request-forwarding/src/stream_preparation.rs
@@ -0,0 +1,86 @@
+//! What a stream needs before it is sent: a reservation of tokens, and the text that precedes its input.
+
+use crate::active_turn::{ActiveTurn, Reservation};
+use crate::forwarder::Forwarder;
+use crate::headers;
+use crate::local_response::{LocalResponse, RETRY};
+use crate::turn_storage::{ChainLookup, CompletedTurn, ReserveOutcome, TurnStorage};
+use bytes::{Bytes, BytesMut};
+use hyper::StatusCode;
+use hyper::header::HeaderMap;
+use operator_config::Route;
+use tokio::time::{Instant, timeout_at};
+
+impl<T: TurnStorage> Forwarder<T> {
+    /// Prepares a stream: reserves tokens of the program's budget, and returns the input with the text of the chain that
+    /// it continues.
+    pub(crate) async fn prepare_stream(
+        &self,
+        request_headers: &HeaderMap,
+        route: &Route,
+        attempt: &str,
+        input: Bytes,
+        deadline: Instant,
+        turn: &mut ActiveTurn<T>,
+    ) -> Result<Bytes, LocalResponse> {
+        let program = headers::text(request_headers, "program");
+        let budget = headers::number(request_headers, "budget")
+            .map(|budget| u32::try_from(budget).unwrap_or(u32::MAX));
+        let previous = headers::text(request_headers, "previous").filter(|_| route.retained);
+        let reserve = async {
+            let (Some(program), Some(budget)) = (program, budget) else { return ReserveOutcome::Granted };
+            // A request that states no maximum may generate the remaining budget.
+            let max_tokens =
+                headers::token_usage(request_headers).map_or(budget, |(_, max_tokens)| max_tokens);
+            turn.reservation = Some(Reservation {
+                turns: self.turns.clone(),
+                program: program.to_owned(),
+                attempt: attempt.to_owned(),
+                handed: 0,
+                settled: false,
+            });
+            self.turns.reserve(program, attempt, max_tokens, budget).await
+        };
+        let chain = async {
+            match previous {
+                Some(previous) => self.turns.chain(previous).await,
+                None => ChainLookup::Text(Bytes::new()),
+            }
+        };
+        let reservation_and_chain = async { tokio::join!(reserve, chain) };
+        let Ok((reserved, chain)) = timeout_at(deadline, reservation_and_chain).await else {
+            return Err(LocalResponse::refused(RETRY));
+        };
+        match reserved {
+            ReserveOutcome::Granted => {}
+            ReserveOutcome::BudgetExhausted => {
+                turn.forget_reservation();
+                return Err(LocalResponse::new(StatusCode::PAYMENT_REQUIRED));
+            }
+            ReserveOutcome::Unavailable => return Err(LocalResponse::refused(RETRY)),
+        }
+        let text = match chain {
+            ChainLookup::Text(text) => text,
+            ChainLookup::NotFound => return Err(LocalResponse::new(StatusCode::NOT_FOUND)),
+            ChainLookup::Unavailable => return Err(LocalResponse::refused(RETRY)),
+        };
+        if route.retained {
+            turn.to_store = Some(CompletedTurn {
+                attempt: attempt.to_owned(),
+                previous: previous.map(str::to_owned),
+                program: program.unwrap_or_default().to_owned(),
+                input: input.clone(),
+                output: Bytes::new(),
+                retention_ms: route.retention_ms,
+                tokens: 0,
+            });
+        }
+        if text.is_empty() {
+            return Ok(input);
+        }
+        let mut complete = BytesMut::with_capacity(text.len() + input.len());
+        complete.extend_from_slice(&text);
+        complete.extend_from_slice(&input);
+        Ok(complete.freeze())
+    }
+}
--- a/system/request-forwarding/src/turns.rs
+++ b/system/request-forwarding/src/turn_storage.rs
@@ -27,7 +27,7 @@
 /// A turn whose answer has come whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletedTurn {
-    /// Its `Attempt-Id`.
+    /// Its `AttemptResult-Id`.
     pub attempt: String,
     /// The turn it continues from.
     pub previous: Option<String>,
--- a/system/request-forwarding/src/queue.rs
+++ b/system/request-forwarding/src/wait_queue.rs
@@ -18,7 +18,7 @@
 type Waiters = BTreeMap<Rank, Rc<Notify>>;
 
 /// Waiters by service and rank.
-pub(crate) struct Queue {
+pub(crate) struct WaitQueue {
     most: usize,
     waiting: Cell<usize>,
     next: Cell<u64>,
@@ -27,13 +27,13 @@
 
 /// A place in the queue, left when it is dropped.
 pub(crate) struct Waiter {
-    queue: Rc<Queue>,
+    queue: Rc<WaitQueue>,
     service: Rc<str>,
     rank: Rank,
     notify: Rc<Notify>,
 }
 
-impl Queue {
+impl WaitQueue {
     pub(crate) fn new(most: usize) -> Rc<Self> {
         Rc::new(Self {
             most,
--- a/system/request-forwarding/src/queue/tests.rs
+++ b/system/request-forwarding/src/wait_queue/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn the_most_urgent_is_woken_first_and_the_next_when_it_leaves() {
-    let queue = Queue::new(10);
+    let queue = WaitQueue::new(10);
     let late = queue.enter("a", queue.rank(0, 2)).unwrap();
     let urgent = queue.enter("a", queue.rank(100, 0)).unwrap();
     queue.wake_first("a");
@@ -15,7 +15,7 @@
 
 #[test]
 fn whoever_has_waited_for_long_goes_before_the_urgent_who_come_now() {
-    let queue = Queue::new(10);
+    let queue = WaitQueue::new(10);
     let old = queue.rank(0, 3);
     let _old = queue.enter("a", old).unwrap();
     assert!(queue.is_behind("a", queue.rank(1_000_000, 0)));
@@ -25,7 +25,7 @@
 
 #[test]
 fn it_holds_no_more_than_its_bound() {
-    let queue = Queue::new(1);
+    let queue = WaitQueue::new(1);
     let only = queue.enter("a", queue.rank(0, 0)).unwrap();
     assert!(queue.enter("b", queue.rank(0, 0)).is_none());
     drop(only);
--- a/system/request-forwarding/tests/renewed_rules.rs
+++ b/system/request-forwarding/tests/connection_and_time_rules.rs
@@ -1,9 +1,10 @@
 //! Rules that came later: what a connection may be used for, how long a request is held, and what is left to endpoints
 //! of a client that has gone.
 
-mod world;
+mod fixtures;
 
 use bytes::Bytes;
+use fixtures::{Part, Reply, Server, TestProxy, get, post, run, run_within};
 use fleet_model::EndpointList;
 use googletest::prelude::*;
 use operator_config::OperatorConfig;
@@ -12,15 +13,14 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
-use world::{Part, Reply, Server, World, get, post, run, run_within};
 
 /// For stories in which much time is let pass.
 const LONG: Duration = Duration::from_secs(1_000);
 
 /// The stand-in's configuration with something in it changed.
 fn changed(from: &str, to: &str) -> SystemState {
-    assert!(world::CONFIG.contains(from));
-    let config = OperatorConfig::read(world::CONFIG.replace(from, to).as_bytes()).unwrap();
+    assert!(fixtures::CONFIG.contains(from));
+    let config = OperatorConfig::read(fixtures::CONFIG.replace(from, to).as_bytes()).unwrap();
     SystemState { config: Some(Rc::new(config)), list: None, proxies: 1 }
 }
 
@@ -35,16 +35,16 @@
 fn a_connection_that_rested_for_four_fifths_of_the_newest_idle_time_is_taken_up() {
     run_within(LONG, async {
         let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         // Given a connection from before a configuration that raised the idle time from 15 s to 60 s.
         let mut client = world.client().await;
-        expect_that!(client.routing_request(&get("/plain/", "a")).await.status(), eq(200));
+        expect_that!(client.send_request(&get("/plain/", "a")).await.status(), eq(200));
         world.forwarder.update(changed(r#""idle_timeout_ms":15000"#, r#""idle_timeout_ms":60000"#));
         // When it has rested for four fifths of the new one, then it is still there.
         pass(Duration::from_secs(24)).await;
         expect_that!(timeout(Duration::from_millis(50), client.ends()).await, err(anything()));
         pass(Duration::from_secs(24)).await;
-        expect_that!(client.routing_request(&get("/plain/", "b")).await.status(), eq(200));
+        expect_that!(client.send_request(&get("/plain/", "b")).await.status(), eq(200));
         // And beyond the whole of it, it is closed.
         pass(Duration::from_secs(61)).await;
         expect_true!(client.ends().await);
@@ -55,10 +55,10 @@
 fn a_request_that_comes_as_the_idle_time_ends_is_answered_or_was_not_read() {
     run_within(LONG, async {
         let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         for place in 0..20 {
             let mut client = world.client().await;
-            expect_that!(client.routing_request(&get("/plain/", "a")).await.status(), eq(200));
+            expect_that!(client.send_request(&get("/plain/", "a")).await.status(), eq(200));
             // Both are there before the proxy looks again.
             let request = post("/unsafe/", &format!("b{place}"), "", "body").bytes();
             expect_that!(client.stream.try_write(&request).unwrap(), eq(request.len()));
@@ -75,7 +75,7 @@
     for last in ["GET /plain/ HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: b\r\n\r\n", "GET /pl"] {
         run(async move {
             let server = Server::start("i-1", |_| Reply::Silence).await;
-            let world = World::start(&[(&server, "s")]).await;
+            let world = TestProxy::start(&[(&server, "s")]).await;
             let mut client = world.client().await;
             let mut bytes = post("/unsafe/", "a", "", "b").bytes();
             bytes.extend_from_slice(last.as_bytes());
@@ -95,7 +95,7 @@
         let (parts, receiver) = mpsc::unbounded_channel();
         let mut receiver = Some(receiver);
         let server = Server::start("i-1", move |_| Reply::Stream(receiver.take().unwrap())).await;
-        let world = World::start(&[(&server, "m")]).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
         let mut client = world.client().await;
         let mut bytes = post("/events/", "a", "", "b").bytes();
         bytes.extend_from_slice(b"GET /plain/ HT");
@@ -115,7 +115,7 @@
         let server =
             Server::start("i-1", |_| Reply::Answer(503, "Not-Executed: 1\r\nRetry-After: 0.06\r\n", ""))
                 .await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         let mut client = world.client().await;
         client.write(post("/unsafe/", "a", "", "b").bytes()).await;
         server.has_seen(1).await;
@@ -130,13 +130,13 @@
 fn a_request_goes_by_the_time_out_of_the_newest_configuration_when_it_comes() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Silence).await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         world.forwarder.update(changed(
             r#""path_prefix":"/unsafe/","route_type":"non_idempotent","timeout_ms":6000"#,
             r#""path_prefix":"/unsafe/","route_type":"non_idempotent","timeout_ms":100"#,
         ));
         let began = Instant::now();
-        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
+        let answer = world.send_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!(answer.status(), eq(504));
         expect_that!(began.elapsed(), lt(Duration::from_millis(600)));
         let left: u64 = server.seen.borrow()[0].header("deadline-remaining").unwrap().parse().unwrap();
@@ -150,7 +150,7 @@
         let (parts, receiver) = mpsc::unbounded_channel();
         let mut receiver = Some(receiver);
         let server = Server::start("i-1", move |_| Reply::Stream(receiver.take().unwrap())).await;
-        let world = World::start(&[(&server, "m")]).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
         world.forwarder.update(changed(
             r#""path_prefix":"/events/","route_type":"streaming","timeout_ms":6000"#,
             r#""path_prefix":"/events/","route_type":"streaming","timeout_ms":100"#,
@@ -186,7 +186,7 @@
             }
         })
         .await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         let mut client = world.client().await;
         // Without a time of its own it has its route's.
         client.write("GET /plain/ HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: a\r\n\r\n").await;
@@ -207,7 +207,7 @@
 #[gtest]
 fn while_no_configuration_is_known_nothing_is_denied() {
     run(async {
-        let world = World::unconfigured().await;
+        let world = TestProxy::unconfigured().await;
         let long = "x".repeat(5 << 20);
         for request in [
             get("/nowhere/", "a"),
@@ -238,10 +238,10 @@
             None => Reply::Answer(200, "Versions: 3\r\n", "done"),
         })
         .await;
-        let world = World::start(&[(&server, "s")]).await;
-        let refused = world.routing_request(&post("/unsafe/", "a", "Expect-Version: 2\r\n", "b")).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
+        let refused = world.send_request(&post("/unsafe/", "a", "Expect-Version: 2\r\n", "b")).await;
         expect_that!((refused.status(), refused.header("retry-after").is_some()), eq((503, true)));
-        let answer = world.routing_request(&post("/unsafe/", "b", "", "b")).await;
+        let answer = world.send_request(&post("/unsafe/", "b", "", "b")).await;
         expect_that!((answer.status(), answer.header("versions")), eq((200, Some("3"))));
     });
 }
@@ -252,7 +252,7 @@
         let (parts, receiver) = mpsc::unbounded_channel();
         let mut receiver = Some(receiver);
         let server = Server::start("i-1", move |_| Reply::Stream(receiver.take().unwrap())).await;
-        let world = World::start(&[(&server, "m")]).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
         let mut client = world.client().await;
         client
             .write(post("/turns/", "t1", "Program: p\r\nBudget: 50\r\nToken-Usage: 4,6\r\n", "in").bytes())
@@ -274,12 +274,12 @@
 fn a_program_that_comes_again_after_its_budget_was_spent_is_turned_away_again() {
     run(async {
         let server = Server::start("i-1", |_| unreachable!("nothing is sent")).await;
-        let world = World::start(&[(&server, "m")]).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
         world.turns.reserve.set(ReserveOutcome::BudgetExhausted);
         *world.turns.chain.borrow_mut() = ChainLookup::Text(Bytes::new());
         for id in ["t1", "t2", "t3"] {
             let headers = "Program: p\r\nBudget: 50\r\nToken-Usage: 4,6\r\n";
-            let answer = world.routing_request(&post("/turns/", id, headers, "in")).await;
+            let answer = world.send_request(&post("/turns/", id, headers, "in")).await;
             expect_that!((answer.status(), answer.header("server-seal")), eq((402, None)));
         }
         expect_that!(world.turns.reserved.borrow().len(), eq(3));
@@ -294,21 +294,21 @@
         let std::net::SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
         let stub = Server::start("i-0", |_| unreachable!()).await;
         let server = Server { instance: "i-1", address, ..stub };
-        let world = World::start(&[]).await;
+        let world = TestProxy::start(&[]).await;
         world.forwarder.update(changed(r#""max_body_bytes":1000"#, r#""max_body_bytes":8000000"#));
-        let list = world::listed(&[(&server, "s")]);
+        let list = fixtures::listed(&[(&server, "s")]);
         let config = changed(r#""max_body_bytes":1000"#, r#""max_body_bytes":8000000"#).config;
         world.forwarder.update(SystemState { config, list: Some(Rc::<EndpointList>::new(list)), proxies: 1 });
         let body = "x".repeat(7_000_000);
         let asked = async {
             let mut client = world.client().await;
-            let first = client.routing_request(&post("/unsafe/", "a", "", &body)).await;
-            let second = client.routing_request(&post("/unsafe/", "b", "", "second")).await;
+            let first = client.send_request(&post("/unsafe/", "a", "", &body)).await;
+            let second = client.send_request(&post("/unsafe/", "b", "", "second")).await;
             (first.status(), second.status())
         };
         let played = async {
             let (stream, _) = listener.accept().await.unwrap();
-            let mut wire = world::Wire::new(stream);
+            let mut wire = fixtures::Wire::new(stream);
             let head = wire.head().await.unwrap();
             let answer = |id: &str| {
                 format!("HTTP/1.1 200 X\r\nAttempt-Id: {id}\r\nServer-Seal: s\r\nContent-Length: 2\r\n\r\nok")
@@ -316,7 +316,7 @@
             wire.write(answer("a")).await;
             // The next request comes on another connection, as the rest of this one's body is due here.
             let (stream, _) = listener.accept().await.unwrap();
-            let mut next = world::Wire::new(stream);
+            let mut next = fixtures::Wire::new(stream);
             let second = next.message().await.unwrap();
             next.write(answer("b")).await;
             let mut first = head;
@@ -339,18 +339,18 @@
         let stub = Server::start("i-0", |_| unreachable!()).await;
         let server = Server { instance: "i-1", address, ..stub };
         let other = Server::start("i-2", |_| Reply::Answer(200, "", "done")).await;
-        let world = World::start(&[]).await;
+        let world = TestProxy::start(&[]).await;
         let config = changed(r#""max_body_bytes":1000"#, r#""max_body_bytes":8000000"#).config;
-        let list = world::listed(&[(&server, "s")]);
+        let list = fixtures::listed(&[(&server, "s")]);
         world.forwarder.update(SystemState { config: config.clone(), list: Some(Rc::new(list)), proxies: 1 });
         let body = "x".repeat(7_000_000);
         let request = post("/unsafe/", "a", "", &body);
-        let asked = world.routing_request(&request);
+        let asked = world.send_request(&request);
         let played = async {
             let (stream, _) = listener.accept().await.unwrap();
-            let mut wire = world::Wire::new(stream);
+            let mut wire = fixtures::Wire::new(stream);
             wire.head().await.unwrap();
-            let list = world::listed(&[(&server, "s"), (&other, "s")]);
+            let list = fixtures::listed(&[(&server, "s"), (&other, "s")]);
             world.forwarder.update(SystemState { config, list: Some(Rc::new(list)), proxies: 1 });
             wire.stream.set_zero_linger().unwrap();
         };
--- a/system/request-forwarding/tests/orders.rs
+++ b/system/request-forwarding/tests/fault_sequences.rs
@@ -1,8 +1,9 @@
 //! Over every order of what endpoints do to the sends of requests: a request that cannot be repeated runs at most once,
 //! nothing is promised of one that ran, and no bytes reach a client or an endpoint but their own.
 
-mod world;
+mod fixtures;
 
+use fixtures::{Message, Server, TestProxy, Wire, run};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
@@ -13,7 +14,6 @@
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinSet, spawn_local};
-use world::{Message, Server, Wire, World, run};
 
 /// Plays that go on at once.
 const AT_ONCE: usize = 81;
@@ -138,6 +138,7 @@
     }
 
     /// One connection, to its end.
+    #[allow(clippy::too_many_lines, reason = "one arm for each kind of fault")]
     async fn attend(&self, stream: TcpStream) {
         let mut wire = Wire::new(stream);
         let mut due: Option<String> = None;
@@ -304,7 +305,7 @@
     let first = Server { instance: "i-1", address: endpoints.listen().await, ..stub };
     let stub = Server::start("i-0", |_| unreachable!()).await;
     let second = Server { instance: "i-2", address: endpoints.listen().await, ..stub };
-    let world = World::start(&[(&first, "s"), (&second, "s"), (&first, "m"), (&second, "m")]).await;
+    let world = TestProxy::start(&[(&first, "s"), (&second, "s"), (&first, "m"), (&second, "m")]).await;
     let requests: Vec<(Kind, String)> =
         play.requests.iter().enumerate().map(|(place, kind)| (*kind, format!("r{place}"))).collect();
     let mut answers: Vec<Option<Message>> = Vec::new();
--- a/system/request-forwarding/tests/frozen.rs
+++ b/system/request-forwarding/tests/frozen.rs
@@ -1,7 +1,8 @@
 //! A proxy that stood still while calls were under way: what it does with them once it wakes.
 
-mod world;
+mod fixtures;
 
+use fixtures::{TestProxy, Wire, post, run_within};
 use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
 use googletest::prelude::*;
 use operator_config::OperatorConfig;
@@ -10,7 +11,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::yield_now;
-use world::{Wire, World, post, run_within};
 
 /// For stories in which much time is let pass.
 const LONG: Duration = Duration::from_secs(1_000);
@@ -49,7 +49,7 @@
         self.listener.accept().is_ok()
     }
 
-    async fn world(&self) -> World {
+    async fn world(&self) -> TestProxy {
         let endpoint = Endpoint {
             instance_id: "i-1".into(),
             service: "s".into(),
@@ -58,8 +58,8 @@
             capacity_slots: 8,
             state: EndpointState::Ready,
         };
-        let world = World::unconfigured().await;
-        let config = OperatorConfig::read(world::CONFIG.as_bytes()).unwrap();
+        let world = TestProxy::unconfigured().await;
+        let config = OperatorConfig::read(fixtures::CONFIG.as_bytes()).unwrap();
         let list = EndpointList { version: ListVersion::new(1, 1), endpoints: vec![endpoint] };
         world.forwarder.update(SystemState {
             config: Some(Rc::new(config)),
--- a/system/request-forwarding/tests/fuzz.rs
+++ b/system/request-forwarding/tests/fuzz.rs
@@ -1,12 +1,12 @@
 //! Answers of endpoints that were changed in many ways, over sockets: a client gets an endpoint's answer only as its own.
 
-mod world;
+mod fixtures;
 
 use byte_mutation::mutated;
+use fixtures::{Reply, Server, TestProxy, get, post, run};
 use googletest::prelude::*;
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::TestRunner;
-use world::{Reply, Server, World, get, post, run};
 
 const SAMPLES: &[&str] = &[
     "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Seal: seal-{id}\r\nServer-Load: 3, 2, 16\r\nKeep-Alive: timeout=5, max=9\r\nContent-Length: 4\r\n\r\ndone",
@@ -47,7 +47,7 @@
                 false => Reply::Answer(200, "", "well"),
             })
             .await;
-            let world = World::start(&[(&server, "s")]).await;
+            let world = TestProxy::start(&[(&server, "s")]).await;
             // When a request that must not be repeated comes, and then one that may be.
             let id = format!("id-{number}");
             let mut client = world.client().await;
--- a/system/request-forwarding/tests/requests.rs
+++ b/system/request-forwarding/tests/requests.rs
@@ -1,13 +1,13 @@
 //! Plain requests: who gets them, how often, and what the client is told.
 
-mod world;
+mod fixtures;
 
+use fixtures::{Reply, Server, TestProxy, Wire, get, post, run};
 use googletest::prelude::*;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
-use world::{Reply, Server, Wire, World, get, post, run};
 
 const REFUSAL: Reply = Reply::Answer(503, "Not-Executed: 1\r\n", "full");
 
@@ -17,7 +17,7 @@
     let first = Rc::new(first);
     let reply = move || {
         let (asked, first) = (asked.clone(), first.clone());
-        move |_: &world::Message| match asked.replace(true) {
+        move |_: &fixtures::Message| match asked.replace(true) {
             false => first(),
             true => Reply::Answer(200, "", "done"),
         }
@@ -34,10 +34,10 @@
     run(async {
         let server =
             Server::start("i-1", |_| Reply::Answer(201, "Keep-Alive: timeout=5\r\nX: y\r\n", "bytes")).await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         let headers =
             "Connection: keep-alive, x-hop\r\nX-Hop: 1\r\nX-Own: 2\r\nPrevious: p\r\nFinish-Ms: 800\r\n";
-        let answer = world.routing_request(&post("/unsafe/a%20b?c=d", "id-1", headers, "body")).await;
+        let answer = world.send_request(&post("/unsafe/a%20b?c=d", "id-1", headers, "body")).await;
         expect_that!(answer.status(), eq(201));
         expect_that!(answer.text(), eq("bytes"));
         expect_that!(answer.header("server-seal"), some(eq("seal-id-1")));
@@ -62,7 +62,7 @@
 fn a_body_in_chunks_reaches_the_endpoint_whole() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(200, "", "")).await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         let mut client = world.client().await;
         client.write("POST /unsafe/ HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: c\r\nTransfer-Encoding: chunked\r\n\r\n").await;
         client.write("3\r\nabc\r\n").await;
@@ -71,7 +71,7 @@
         expect_that!(answer.status(), eq(200));
         expect_that!(server.seen.borrow()[0].text(), eq("abcdefg"));
         // And the connection goes on.
-        expect_that!(client.routing_request(&get("/plain/", "d")).await.status(), eq(200));
+        expect_that!(client.send_request(&get("/plain/", "d")).await.status(), eq(200));
     });
 }
 
@@ -79,14 +79,14 @@
 fn what_no_route_or_limit_allows_is_answered_here() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(200, "", "")).await;
-        let world = World::start(&[(&server, "s")]).await;
-        let missing = world.routing_request(&get("/nowhere/", "a")).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
+        let missing = world.send_request(&get("/nowhere/", "a")).await;
         expect_that!((missing.status(), missing.header("attempt-id")), eq((404, Some("a"))));
         let mut client = world.client().await;
         client.write("GET /plain/ HTTP/1.1\r\nHost: a.example\r\n\r\n").await;
         expect_that!(client.message().await.unwrap().status(), eq(400));
         expect_that!(
-            world.routing_request(&post("/unsafe/", "b", "", &"x".repeat(1001))).await.status(),
+            world.send_request(&post("/unsafe/", "b", "", &"x".repeat(1001))).await.status(),
             eq(413)
         );
         expect_that!(server.seen.borrow().len(), eq(0));
@@ -96,8 +96,8 @@
 #[gtest]
 fn without_a_configuration_the_client_is_to_come_again() {
     run(async {
-        let world = World::unconfigured().await;
-        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
+        let world = TestProxy::unconfigured().await;
+        let answer = world.send_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!((answer.status(), answer.header("retry-after")), eq((503, Some("0.250"))));
     });
 }
@@ -106,8 +106,8 @@
 fn another_incarnation_is_not_shown_to_the_client() {
     run(async {
         let servers = two(|| Reply::Answer(421, "Not-Executed: 1\r\n", "")).await;
-        let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
+        let world = TestProxy::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
+        let answer = world.send_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!((answer.status(), answer.text()), eq((200, "done")));
         expect_that!((servers.0.seen.borrow().len(), servers.1.seen.borrow().len()), eq((1, 1)));
     });
@@ -117,8 +117,8 @@
 fn a_refused_request_that_cannot_be_repeated_goes_to_another_endpoint() {
     run(async {
         let servers = two(|| REFUSAL).await;
-        let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
+        let world = TestProxy::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
+        let answer = world.send_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!(answer.status(), eq(200));
         expect_that!((servers.0.seen.borrow().len(), servers.1.seen.borrow().len()), eq((1, 1)));
     });
@@ -128,8 +128,8 @@
 fn refused_everywhere_it_is_refused_with_a_time() {
     run(async {
         let server = Server::start("i-1", |_| REFUSAL).await;
-        let world = World::start(&[(&server, "s")]).await;
-        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
+        let answer = world.send_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!(answer.status(), eq(503));
         expect_that!(answer.header("retry-after").unwrap().parse::<f64>().unwrap(), gt(0.0));
         expect_that!(answer.header("server-seal"), none());
@@ -140,8 +140,8 @@
 fn after_a_reset_a_request_that_cannot_be_repeated_has_failed() {
     run(async {
         let servers = two(|| Reply::Reset).await;
-        let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
+        let world = TestProxy::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
+        let answer = world.send_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!(answer.status(), eq(502));
         expect_that!(sends(&servers), eq(1));
     });
@@ -155,8 +155,8 @@
     for first in [None, Some(cut), Some(unending), Some(noise)] {
         run(async move {
             let servers = two(move || first.map_or(Reply::Reset, Reply::RawClose)).await;
-            let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-            let answer = world.routing_request(&get("/plain/", "a")).await;
+            let world = TestProxy::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
+            let answer = world.send_request(&get("/plain/", "a")).await;
             expect_that!((answer.status(), answer.text()), eq((200, "done")), "after {first:?}");
             expect_that!(sends(&servers), eq(2));
         });
@@ -168,8 +168,8 @@
     run(async {
         let cut = "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Seal: s\r\nContent-Length: 9\r\n\r\nhalf";
         let servers = two(move || Reply::RawClose(cut)).await;
-        let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
+        let world = TestProxy::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
+        let answer = world.send_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!((answer.status(), sends(&servers)), eq((502, 1)));
     });
 }
@@ -183,8 +183,8 @@
     for first in [foreign, foreign_refusal, unsealed] {
         run(async move {
             let servers = two(move || Reply::Raw(first)).await;
-            let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-            let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
+            let world = TestProxy::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
+            let answer = world.send_request(&post("/unsafe/", "a", "", "b")).await;
             expect_that!((answer.status(), answer.text()), eq((502, "Bad Gateway")), "after {first:?}");
             expect_that!(sends(&servers), eq(1));
         });
@@ -196,11 +196,11 @@
     run(async {
         let with_more = "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Seal: s\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nAttempt-Id: b\r\nServer-Seal: s\r\nContent-Length: 5\r\n\r\nalien";
         let servers = two(move || Reply::Raw(with_more)).await;
-        let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
+        let world = TestProxy::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
         let mut client = world.client().await;
-        let answer = client.routing_request(&get("/plain/", "a")).await;
+        let answer = client.send_request(&get("/plain/", "a")).await;
         expect_that!((answer.status(), answer.text()), eq((200, "ok")));
-        let answer = client.routing_request(&post("/unsafe/", "b", "", "b")).await;
+        let answer = client.send_request(&post("/unsafe/", "b", "", "b")).await;
         expect_that!((answer.status(), answer.text()), eq((200, "done")));
     });
 }
@@ -210,8 +210,8 @@
     for status in [503, 429, 408] {
         run(async move {
             let servers = two(move || Reply::Answer(status, "Retry-After: 1\r\n", "")).await;
-            let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-            let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
+            let world = TestProxy::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
+            let answer = world.send_request(&post("/unsafe/", "a", "", "b")).await;
             expect_that!((answer.status(), sends(&servers)), eq((502, 1)), "after {status}");
         });
     }
@@ -221,8 +221,8 @@
 fn a_silent_endpoint_is_left_for_another_where_the_request_may_run_twice() {
     run(async {
         let servers = two(|| Reply::Silence).await;
-        let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.routing_request(&get("/plain/", "a")).await;
+        let world = TestProxy::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
+        let answer = world.send_request(&get("/plain/", "a")).await;
         expect_that!((answer.status(), answer.text()), eq((200, "done")));
         expect_that!(sends(&servers), eq(2));
     });
@@ -232,9 +232,9 @@
 fn a_silent_endpoint_is_waited_for_where_the_request_cannot_be_repeated() {
     run(async {
         let servers = two(|| Reply::Silence).await;
-        let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
+        let world = TestProxy::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
         // Its route's whole time is 150 ms.
-        let answer = world.routing_request(&post("/short/", "a", "", "b")).await;
+        let answer = world.send_request(&post("/short/", "a", "", "b")).await;
         expect_that!((answer.status(), sends(&servers)), eq((504, 1)));
     });
 }
@@ -253,19 +253,19 @@
             }
         })
         .await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         let idle = async || {
             tokio::time::pause();
             tokio::time::advance(std::time::Duration::from_millis(120)).await;
             tokio::time::resume();
         };
-        expect_that!(world.routing_request(&post("/unsafe/", "a", "", "b")).await.status(), eq(200));
+        expect_that!(world.send_request(&post("/unsafe/", "a", "", "b")).await.status(), eq(200));
         idle().await;
-        expect_that!(world.routing_request(&post("/unsafe/", "b", "", "b")).await.status(), eq(502));
+        expect_that!(world.send_request(&post("/unsafe/", "b", "", "b")).await.status(), eq(502));
         // The connection that was reset has ended; the next request opens another, which goes idle as long.
-        expect_that!(world.routing_request(&post("/unsafe/", "c", "", "b")).await.status(), eq(200));
+        expect_that!(world.send_request(&post("/unsafe/", "c", "", "b")).await.status(), eq(200));
         idle().await;
-        expect_that!(world.routing_request(&post("/unsafe/", "d", "", "b")).await.status(), eq(200));
+        expect_that!(world.send_request(&post("/unsafe/", "d", "", "b")).await.status(), eq(200));
         expect_that!(world.forwarder.metrics().connections_opened, eq(3));
     });
 }
@@ -274,8 +274,8 @@
 fn an_endpoints_own_error_is_passed_on() {
     run(async {
         let servers = two(|| Reply::Answer(500, "", "own words")).await;
-        let world = World::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
-        let answer = world.routing_request(&post("/unsafe/", "a", "", "b")).await;
+        let world = TestProxy::start(&[(&servers.0, "s"), (&servers.1, "s")]).await;
+        let answer = world.send_request(&post("/unsafe/", "a", "", "b")).await;
         expect_that!((answer.status(), answer.text()), eq((500, "own words")));
         expect_that!(answer.header("server-seal"), some(eq("seal-a")));
         expect_that!(sends(&servers), eq(1));
@@ -290,9 +290,9 @@
         let free = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let std::net::SocketAddr::V4(free) = free else { unreachable!() };
         let gone = Server { address: free, ..gone };
-        let world = World::start(&[(&gone, "s"), (&server, "s")]).await;
+        let world = TestProxy::start(&[(&gone, "s"), (&server, "s")]).await;
         for _ in 0..4 {
-            expect_that!(world.routing_request(&post("/unsafe/", "a", "", "b")).await.status(), eq(200));
+            expect_that!(world.send_request(&post("/unsafe/", "a", "", "b")).await.status(), eq(200));
         }
     });
 }
@@ -301,8 +301,8 @@
 fn at_the_deadline_a_request_that_was_sent_has_failed() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Silence).await;
-        let world = World::start(&[(&server, "s")]).await;
-        let answer = world.routing_request(&post("/short/", "a", "", "b")).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
+        let answer = world.send_request(&post("/short/", "a", "", "b")).await;
         expect_that!(answer.status(), eq(504));
         server.has_closed(1).await;
         expect_that!(server.seen.borrow().len(), eq(1));
@@ -313,7 +313,7 @@
 fn with_the_client_the_call_goes() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Silence).await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         let mut client = world.client().await;
         client.write(post("/unsafe/", "a", "", "b").bytes()).await;
         server.has_seen(1).await;
@@ -330,10 +330,10 @@
             _ => Reply::Answer(200, "", ""),
         })
         .await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         let mut client = world.client().await;
         for (id, opened) in [("a", 1), ("b", 1), ("c", 2)] {
-            expect_that!(client.routing_request(&get("/plain/", id)).await.status(), eq(200));
+            expect_that!(client.send_request(&get("/plain/", id)).await.status(), eq(200));
             expect_that!(world.forwarder.metrics().connections_opened, eq(opened), "after {id}");
         }
     });
@@ -344,8 +344,8 @@
     run(async {
         let body: &'static str = Box::leak("0123456789abcdef".repeat(100_000).into_boxed_str());
         let server = Server::start("i-1", move |_| Reply::Answer(200, "", body)).await;
-        let world = World::start(&[(&server, "s")]).await;
-        let answer = world.routing_request(&get("/plain/", "a")).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
+        let answer = world.send_request(&get("/plain/", "a")).await;
         expect_that!(answer.header("content-length"), some(eq("1600000")));
         expect_true!(answer.whole && answer.text() == body);
     });
--- a/system/request-forwarding/tests/resumption.rs
+++ b/system/request-forwarding/tests/resumption.rs
@@ -1,13 +1,13 @@
 //! Resumable streams whose endpoint fails: before the first event they go again, after it they go on elsewhere.
 
-mod world;
+mod fixtures;
 
 use bytes::Bytes;
+use fixtures::{Message, Part, Reply, Server, TestProxy, Wire, post, run};
 use googletest::prelude::*;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::mpsc;
-use world::{Message, Part, Reply, Server, Wire, World, post, run};
 
 const TURN: &str = "Program: p\r\nSession: x\r\nBudget: 500\r\nToken-Usage: 40,12\r\n";
 
@@ -16,7 +16,7 @@
 
 /// A world with two endpoints, whichever of which is asked gives the next reply.
 struct Story {
-    world: World,
+    world: TestProxy,
     servers: [Server; 2],
     streams: Vec<mpsc::UnboundedSender<Part>>,
 }
@@ -36,7 +36,7 @@
         let server =
             |name, replies: Replies| Server::start(name, move |_| replies.borrow_mut().pop_front().unwrap());
         let servers = [server("i-1", replies.clone()).await, server("i-2", replies).await];
-        let world = World::start(&[(&servers[0], "m"), (&servers[1], "m")]).await;
+        let world = TestProxy::start(&[(&servers[0], "m"), (&servers[1], "m")]).await;
         Self { world, servers, streams }
     }
 
--- a/system/request-forwarding/tests/shutdown.rs
+++ b/system/request-forwarding/tests/shutdown.rs
@@ -1,12 +1,12 @@
 //! Winding down.
 
-mod world;
+mod fixtures;
 
+use fixtures::{Part, Reply, Server, TestProxy, get, post, run};
 use googletest::prelude::*;
 use request_forwarding::ShutdownPhase;
 use tokio::sync::mpsc;
 use tokio::task::yield_now;
-use world::{Part, Reply, Server, World, get, post, run};
 
 #[gtest]
 fn while_it_drains_a_stream_under_way_is_finished() {
@@ -14,7 +14,7 @@
         let (parts, receiver) = mpsc::unbounded_channel();
         let mut receiver = Some(receiver);
         let server = Server::start("i-1", move |_| Reply::Stream(receiver.take().unwrap())).await;
-        let world = World::start(&[(&server, "m")]).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
         let mut client = world.client().await;
         client.write(post("/events/", "t1", "", "input").bytes()).await;
         client.head().await.unwrap();
@@ -33,10 +33,10 @@
 fn while_it_drains_new_requests_are_answered_and_are_the_last_of_their_connections() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         world.stage.send_replace(ShutdownPhase::Draining);
         let mut client = world.client().await;
-        let answer = client.routing_request(&get("/plain/", "a")).await;
+        let answer = client.send_request(&get("/plain/", "a")).await;
         expect_that!((answer.status(), answer.header("connection")), eq((200, Some("close"))));
         expect_true!(client.ends().await);
     });
@@ -46,9 +46,9 @@
 fn idle_connections_are_closed_at_once() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         let mut client = world.client().await;
-        let answer = client.routing_request(&get("/plain/", "a")).await;
+        let answer = client.send_request(&get("/plain/", "a")).await;
         expect_that!(answer.header("connection"), none());
         world.stage.send_replace(ShutdownPhase::Draining);
         expect_true!(client.ends().await);
@@ -59,10 +59,10 @@
 fn a_request_that_is_being_read_in_that_moment_is_answered() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         let mut client = world.client().await;
         // On a connection that has carried one, so that it could pass for idle.
-        client.routing_request(&get("/plain/", "a")).await;
+        client.send_request(&get("/plain/", "a")).await;
         let request = post("/unsafe/", "b", "", "body").bytes();
         let (begin, rest) = request.split_at(30);
         client.write(begin).await;
@@ -81,9 +81,9 @@
 fn a_request_that_has_come_unread_in_that_moment_is_answered() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         let mut client = world.client().await;
-        client.routing_request(&get("/plain/", "a")).await;
+        client.send_request(&get("/plain/", "a")).await;
         // Both without a turn of the runtime between them.
         let request = get("/plain/", "b").bytes();
         expect_that!(client.stream.try_write(&request).unwrap(), eq(request.len()));
@@ -98,12 +98,12 @@
 fn whoever_is_still_in_the_listener_is_served_before_it_closes() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = World::start(&[(&server, "s")]).await;
+        let world = TestProxy::start(&[(&server, "s")]).await;
         let late = std::net::TcpStream::connect(world.front).unwrap();
         world.stage.send_replace(ShutdownPhase::Closing);
         late.set_nonblocking(true).unwrap();
-        let mut late = world::Wire::new(tokio::net::TcpStream::from_std(late).unwrap());
-        expect_that!(late.routing_request(&get("/plain/", "a")).await.status(), eq(200));
+        let mut late = fixtures::Wire::new(tokio::net::TcpStream::from_std(late).unwrap());
+        expect_that!(late.send_request(&get("/plain/", "a")).await.status(), eq(200));
         world.serving.await.unwrap();
         expect_that!(tokio::net::TcpStream::connect(world.front).await, err(anything()));
     });
--- a/system/request-forwarding/tests/streams.rs
+++ b/system/request-forwarding/tests/streams.rs
@@ -1,14 +1,14 @@
 //! Streams and the turns that are kept of them.
 
-mod world;
+mod fixtures;
 
 use bytes::Bytes;
+use fixtures::{Message, Part, Reply, Server, TestProxy, Wire, post, run};
 use googletest::prelude::*;
 use request_forwarding::{ChainLookup, ReserveOutcome};
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
-use world::{Message, Part, Reply, Server, Wire, World, post, run};
 
 const TURN: &str = "Program: p\r\nSession: x\r\nBudget: 500\r\nToken-Usage: 40,12\r\n";
 
@@ -21,14 +21,14 @@
 }
 
 /// A client whose turn has its head.
-async fn begun(world: &World, path: &str, headers: &str) -> (Wire, Message) {
+async fn begun(world: &TestProxy, path: &str, headers: &str) -> (Wire, Message) {
     let mut client = world.client().await;
     client.write(post(path, "t1", headers, "input").bytes()).await;
     let head = client.head().await.unwrap();
     (client, head)
 }
 
-async fn settled(world: &World) -> Vec<(String, String, u32)> {
+async fn settled(world: &TestProxy) -> Vec<(String, String, u32)> {
     world.turns.settles.subscribe().wait_for(|count| *count > 0).await.unwrap();
     world.turns.settled.borrow().clone()
 }
@@ -37,7 +37,7 @@
 fn events_are_passed_on_one_by_one_and_the_turn_is_kept_before_the_end() {
     run(async {
         let (server, parts) = streaming().await;
-        let world = World::start(&[(&server, "m")]).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
         world.turns.keep.send_replace(None);
         *world.turns.chain.borrow_mut() = ChainLookup::Text(Bytes::from_static(b"earlier\n"));
         let headers = format!("{TURN}Previous: t0\r\n");
@@ -73,7 +73,7 @@
 fn a_turn_that_could_not_be_kept_breaks_off() {
     run(async {
         let (server, parts) = streaming().await;
-        let world = World::start(&[(&server, "m")]).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
         world.turns.keep.send_replace(Some(false));
         let (mut client, _) = begun(&world, "/turns/", TURN).await;
         parts.send(Part::Bytes("data: one\n\n")).ok().unwrap();
@@ -88,7 +88,7 @@
 fn what_the_endpoint_breaks_off_does_not_look_whole_and_is_not_kept() {
     run(async {
         let (server, parts) = streaming().await;
-        let world = World::start(&[(&server, "m")]).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
         let (mut client, _) = begun(&world, "/turns/", TURN).await;
         parts.send(Part::Bytes("data: one\n\ndata: tw")).ok().unwrap();
         expect_that!(client.chunk().await, some(anything()));
@@ -104,7 +104,7 @@
 fn a_turn_that_ends_inside_an_event_is_not_kept() {
     run(async {
         let (server, parts) = streaming().await;
-        let world = World::start(&[(&server, "m")]).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
         let (mut client, _) = begun(&world, "/turns/", TURN).await;
         parts.send(Part::Bytes("data: one\n\ndata: tw")).ok().unwrap();
         parts.send(Part::End).ok().unwrap();
@@ -118,7 +118,7 @@
 fn with_the_client_the_stream_goes_and_what_it_had_is_settled() {
     run(async {
         let (server, parts) = streaming().await;
-        let world = World::start(&[(&server, "m")]).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
         let (mut client, _) = begun(&world, "/turns/", TURN).await;
         parts.send(Part::Bytes("data: one\n\n")).ok().unwrap();
         expect_that!(client.chunk().await, some(anything()));
@@ -132,7 +132,7 @@
 fn a_stream_that_is_not_kept_ends_with_the_endpoints() {
     run(async {
         let (server, parts) = streaming().await;
-        let world = World::start(&[(&server, "m")]).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
         world.turns.keep.send_replace(Some(false));
         let (mut client, _) = begun(&world, "/events/", "Previous: t0\r\n").await;
         parts.send(Part::Bytes("data: one\n\n")).ok().unwrap();
@@ -157,12 +157,11 @@
     for (reserve, chain, status, settles) in stories {
         run(async move {
             let (server, _parts) = streaming().await;
-            let world = World::start(&[(&server, "m")]).await;
+            let world = TestProxy::start(&[(&server, "m")]).await;
             world.turns.reserve.set(reserve);
             *world.turns.chain.borrow_mut() = chain.clone();
-            let answer = world
-                .routing_request(&post("/turns/", "t1", &format!("{TURN}Previous: t0\r\n"), "input"))
-                .await;
+            let answer =
+                world.send_request(&post("/turns/", "t1", &format!("{TURN}Previous: t0\r\n"), "input")).await;
             expect_that!(answer.status(), eq(status), "{reserve:?} {chain:?}");
             expect_that!(answer.header("retry-after").is_some(), eq(status == 503));
             expect_that!(world.turns.settled.borrow().len(), eq(settles), "{reserve:?} {chain:?}");
@@ -175,8 +174,8 @@
 fn a_turn_refused_by_the_endpoint_has_handed_out_nothing() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(503, "Not-Executed: 1\r\n", "")).await;
-        let world = World::start(&[(&server, "m")]).await;
-        let answer = world.routing_request(&post("/turns/", "t1", TURN, "input")).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
+        let answer = world.send_request(&post("/turns/", "t1", TURN, "input")).await;
         expect_that!(answer.status(), eq(503));
         expect_that!(settled(&world).await, eq(&vec![("p".into(), "t1".into(), 0)]));
     });
@@ -186,8 +185,8 @@
 fn an_endpoints_own_402_is_no_promise_of_ours() {
     run(async {
         let server = Server::start("i-1", |_| Reply::Answer(402, "", "")).await;
-        let world = World::start(&[(&server, "m")]).await;
-        let answer = world.routing_request(&post("/turns/", "t1", TURN, "input")).await;
+        let world = TestProxy::start(&[(&server, "m")]).await;
+        let answer = world.send_request(&post("/turns/", "t1", TURN, "input")).await;
         expect_that!(answer.status(), eq(502));
     });
 }
