--- a/system/fleet-membership/src/lib.rs
+++ b/system/fleet-membership/src/lib.rs
@@ -1,6 +1,6 @@
 //! Fleet membership and failure detection, after SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
 //! Infection-style Process Group Membership Protocol", DSN 2002) with ideas of Lifeguard (Dadgar, Phillips, Currey:
-//! "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2017).
+//! "Lifeguard: Local Health Awareness for More Accurate Failure Detection", arXiv 1707.00788).
 //!
 //! The crate decides which processes of the fleet are alive, suspected or dead. It does no I/O and reads no clock: the
 //! host passes datagrams and the time to a [`Membership`], and carries out the [`Effect`]s that it returns.
--- a/system/fleet-membership/src/membership/rejoin.rs
+++ b/system/fleet-membership/src/membership/rejoin.rs
@@ -22,6 +22,7 @@
         self.next_rejoin = now_ms + self.rejoin_interval();
     }
 
+    /// Sends a join request: a request for the first page of the receiver's state.
     pub(super) fn send_join(&mut self, to: Ipv4Addr) {
         let is_isolated = self.table.live_addresses().is_empty();
         self.send(to, Message::SyncRequest { after: None, is_isolated }, &[self.local_member.ip]);
@@ -37,6 +38,7 @@
         }
     }
 
+    /// Moves the next rejoin attempt forward after a member was lost.
     pub(super) fn schedule_rejoin(&mut self, now_ms: u64) {
         let soon = if self.table.live_addresses().is_empty() {
             self.config.isolated_rejoin_interval_ms
--- a/system/fleet-membership/tests/fleet/failure_and_recovery.rs
+++ b/system/fleet-membership/tests/fleet/failure_and_recovery.rs
@@ -50,7 +50,7 @@
             fleet.thaw(ip(1));
             let elapsed_ms = fleet.run_until_views_agree(2_000);
 
-            // Then it is a member everywhere, unsuspected, and has suspected nobody for its own lack of time.
+            // Then it is an unsuspected member everywhere, and has suspected nobody because of its own stall.
             expect_that!(elapsed_ms, some(le(2_000)), "{count} members, seed {seed}");
             fleet.run(1_000);
             expect_that!(fleet.suspected_by(ip(1)), eq(0), "{count} members, seed {seed}");
@@ -81,7 +81,7 @@
         fleet.thaw(ip(4));
         fleet.run(5_000);
 
-        // Then it has noticed, and suspects nobody; nobody was removed.
+        // Then it has detected its stall and suspects nobody, and nobody was removed.
         expect_that!(fleet.view(ip(4)).counters().stalls, ge(1), "seed {seed}");
         let suspects: Vec<_> = fleet
             .member_events
@@ -117,7 +117,7 @@
 fn three_partitions_merge_within_fifteen_seconds_of_healing() {
     for (count, seeds) in [(3, 20), (6, 20), (30, 10), (150, 2)] {
         for seed in 0..seeds {
-            // Given three parts, cut off for so long that each has removed the others and no old rumour is left.
+            // Given three partitions that last until each side has removed the others and no old update is gossiped.
             let mut fleet = Simulator::converged(seed, count);
             let third = count / 3;
             let parts = [members(0..third), members(third..2 * third), members(2 * third..count)];
@@ -183,7 +183,7 @@
         fleet.start(at, &[ip(0), ip(1), ip(2)]);
         let elapsed_ms = fleet.run_until_views_agree(2_000);
 
-        // Then all know the new life within 2 s, each having been told that the old one is over, and it stays.
+        // Then every member sees the new incarnation within 2 s, after an event for the end of the old one, and keeps it.
         expect_that!(elapsed_ms, some(le(2_000)), "{count} members, seed {seed}");
         expect_that!(
             fleet.view(ip(4 % count)).member_at(at).map(|member| member.incarnation),
@@ -252,7 +252,7 @@
 
 #[googletest::test]
 fn a_member_restarted_without_live_seeds_keeps_trying_to_join() {
-    // Given a fleet whose seeds are gone.
+    // Given a fleet whose seeds have failed.
     let mut fleet = Simulator::converged(1, 10);
     for at in members(0..3) {
         fleet.kill(at);
@@ -268,7 +268,7 @@
     fleet.run(13_000);
     fleet.assert_views_agree();
 
-    // When one that nobody knows starts, it stays alone, and asks.
+    // When an unknown member starts, it stays isolated and retries.
     fleet.start(ip(50), &members(0..3));
     fleet.run(120_000);
     expect_that!(fleet.view(ip(50)).member_count(), eq(1));
@@ -303,7 +303,7 @@
             fleet.block_link(ip(from), ip(to));
         }
 
-        // When a minute goes by.
+        // When a minute passes.
         fleet.run(60_000);
 
         // Then third parties have vouched for all.
@@ -314,7 +314,7 @@
 #[googletest::test]
 fn a_member_that_receives_nothing_is_removed_and_rejoins() {
     for seed in 0..5 {
-        // Given one that can send to all and hears nobody.
+        // Given a member that can send to all and receives from none.
         let mut fleet = Simulator::converged(seed, 20);
         for at in members(0..20) {
             fleet.block_link(at, ip(3));
@@ -332,7 +332,7 @@
             .collect();
         expect_that!(others, is_empty(), "seed {seed}");
 
-        // Then it is back soon after it hears again.
+        // Then it rejoins soon after it receives again.
         fleet.heal();
         expect_that!(
             fleet.run_until_views_agree(15_000),
@@ -384,7 +384,7 @@
         };
         let before = total(&fleet);
 
-        // When a minute goes by.
+        // When a minute passes.
         fleet.run(60_000);
 
         // Then each member has sent less than 200 bytes, headers of UDP and IP included, for each of its probes.
--- a/system/fleet-membership/tests/fleet/simulator.rs
+++ b/system/fleet-membership/tests/fleet/simulator.rs
@@ -255,7 +255,7 @@
         self.nodes.values().map(|node| node.membership.counters()).collect()
     }
 
-    /// All removals that any process has told.
+    /// All removals that any process has reported.
     pub(crate) fn removals(&self) -> Vec<&(u64, Ipv4Addr, MemberEvent)> {
         self.member_events.iter().filter(|(_, _, change)| matches!(change, MemberEvent::Removed(_))).collect()
     }
--- a/system/fleet-membership/tests/invalid_datagrams.rs
+++ b/system/fleet-membership/tests/invalid_datagrams.rs
@@ -36,7 +36,7 @@
     // Given a process of one fleet.
     let mut membership = membership(ME, FLEET);
 
-    // When one of another fleet asks to be let in.
+    // When a member of another fleet requests to join.
     let effects = membership.receive_datagram(1, OTHER, &join_datagram(FLEET + 1));
 
     // Then nothing comes of it.
--- a/system/node-settings/src/lib.rs
+++ b/system/node-settings/src/lib.rs
@@ -108,7 +108,7 @@
 /// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Share of a core, 1.0 being a whole one.
+    /// Share of a core; 1.0 is a full core.
     pub cpu_share: f64,
     /// Speed of that core.
     pub cpu_cores: f64,
--- a/system/peer-wire/tests/answers.rs
+++ b/system/peer-wire/tests/answers.rs
@@ -1,5 +1,5 @@
-//! An answer reaches the call that it answers, or nobody: over every order in which a peer answers, answers twice,
-//! answers late, says what was asked on a former connection, or ends the connection.
+//! An answer reaches exactly its own call or none: over every sequence in which a peer answers, answers twice or late,
+//! answers calls of an earlier connection, or closes the connection.
 
 use fleet_model::{Answer, Call, Frame};
 use googletest::prelude::*;
--- a/system/peer-wire/tests/calls.rs
+++ b/system/peer-wire/tests/calls.rs
@@ -237,7 +237,7 @@
         let (accepted, mut connections) = mpsc::unbounded_channel();
         spawn_local(async move {
             loop {
-                // Says the same hello and answers one call, and then says nothing.
+                // Sends the same hello and answers one call, and then sends nothing.
                 let (mut stream, _) = listener.accept().await.unwrap();
                 let mut hello = [0; HELLO_LEN];
                 stream.read_exact(&mut hello).await.unwrap();
--- a/system/peer-wire/tests/codec.rs
+++ b/system/peer-wire/tests/codec.rs
@@ -9,7 +9,7 @@
 use samples::{frames, reservations, reserve};
 use std::collections::BTreeSet;
 
-/// One number for each variant; with a new one this does not compile until it is told here, and in `VARIANTS`.
+/// One number for each variant; a new variant does not compile until it is added here and to `VARIANTS`.
 fn variant(frame: &Frame) -> usize {
     match frame {
         Frame::Call(_, call) => match call {
--- a/system/peer-wire/tests/fuzz.rs
+++ b/system/peer-wire/tests/fuzz.rs
@@ -1,6 +1,6 @@
 //! Mutated frames: decoding never panics, allocates little memory, and yields only frames that encode stably.
 
-// One test only: what is requested for is counted for the whole process.
+// One test only: allocations are counted for the whole process.
 mod samples;
 
 use byte_mutation::mutated;
@@ -94,7 +94,7 @@
 
 #[gtest]
 fn mutated_frames_are_rejected_or_decode_stably_within_memory_bounds() {
-    // Given a frame that tells of far more words than it has.
+    // Given a frame whose header claims far more words than it has.
     let long = [vec![0x70, 0xff, 0xff, 0x1f], vec![0; 12]].concat();
     expect_that!(check(&long), eq(false));
     // And frames whose lists of structs tell of a million without any field: these take no room in a frame.
--- a/system/peer-wire/tests/recorded.rs
+++ b/system/peer-wire/tests/recorded.rs
@@ -81,7 +81,7 @@
 #[test]
 fn a_client_says_what_it_said_before() {
     local(async {
-        // Given a server that says what was recorded.
+        // Given a server that sends the recorded bytes.
         let [hello, call, hello_back, answer] = conversation();
         let (listener, address) = listen().await;
         let lengths = (hello.len(), call.len());
@@ -112,7 +112,7 @@
         let (listener, address) = listen().await;
         let server = PeerServer::new(FLEET, Rc::new(Viewer));
         let serving = spawn_local(async move { server.serve(listener).await });
-        // When a client says what was recorded, then so does the server.
+        // When a client sends the recorded bytes, then so does the server.
         let mut stream = TcpStream::connect(address).await.unwrap();
         stream.write_all(&hello).await.unwrap();
         assert_that!(next_bytes(&mut stream, hello_back.len()).await, eq(&hello_back));
--- a/system/peer-wire/tests/schema.rs
+++ b/system/peer-wire/tests/schema.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::process::Command;
 
-/// Where the compiler of Cap'n Proto is not installed, this tells so and compares nothing.
+/// Where the Cap'n Proto compiler is not installed, this prints so and compares nothing.
 #[test]
 fn the_committed_code_matches_the_schema() {
     if Command::new("capnp").arg("--version").output().is_err() {
