--- a/testbed/src/checker/tests.rs
+++ b/testbed/src/checker/tests.rs
@@ -6,16 +6,16 @@
 const UNSAFE: usize = 2;
 
 /// A judge that knows one message of the class, taken on by sender 0 for partner 3, with 20 s to go.
-fn judge(class: usize) -> Judge {
+fn judge(class: usize) -> RuleChecker {
     let scenario = Scenario::parse("name = \"t\"\nseconds = 30.0").unwrap();
-    let mut judge = Judge::new(&scenario, &Plan::draw(&scenario, 1));
+    let mut judge = RuleChecker::new(&scenario, &Plan::draw(&scenario, 1));
     let first = judge.wants(0, class);
     judge.handed_in("m", first, 0, 3, 20 * SECOND);
     judge.answered(1000, "m", true);
     judge
 }
 
-fn call(judge: &mut Judge, at: Micros, ended: Ended) {
+fn call(judge: &mut RuleChecker, at: Micros, ended: Ended) {
     assert!(matches!(judge.begins(at, "m", 3, 0), Admission::Through { sender: 0, .. }));
     if ended != Ended::Refused(None) {
         judge.runs(at, "m");
@@ -24,7 +24,7 @@
 }
 
 /// The rules that were broken once all is over.
-fn broken(judge: Judge, at: Micros) -> Vec<Rule> {
+fn broken(judge: RuleChecker, at: Micros) -> Vec<Rule> {
     judge.verdict(at).breaches.into_iter().map(|(rule, _, _)| rule).collect()
 }
 
--- a/testbed/src/environment.rs
+++ b/testbed/src/environment.rs
@@ -1,5 +1,5 @@
 //! What all parties of a play share: the clock, the partners' models and the judge.
-use crate::checker::Judge;
+use crate::checker::RuleChecker;
 use crate::model::{Condition, Partner};
 use crate::plan::{Micros, Plan};
 use crate::scenario::{Scenario, Trouble};
@@ -25,7 +25,7 @@
 /// What is changed under the lock.
 pub struct Inner {
     /// The judge.
-    pub judge: Judge,
+    pub judge: RuleChecker,
     /// The partners.
     pub partners: Vec<Partner>,
     /// Work of each message, by the judge's number.
@@ -43,7 +43,7 @@
         Self {
             open: partners.iter().map(|_| watch::Sender::new(true)).collect(),
             inner: Mutex::new(Inner {
-                judge: Judge::new(&scenario, &plan),
+                judge: RuleChecker::new(&scenario, &plan),
                 partners,
                 works: Vec::new(),
                 returns: HashMap::new(),
@@ -96,9 +96,9 @@
     }
 
     /// Takes out what is left once all parties are done.
-    pub fn finish(&self) -> (Judge, Vec<String>) {
+    pub fn finish(&self) -> (RuleChecker, Vec<String>) {
         let mut inner = self.lock();
-        let fresh = Judge::new(&self.scenario, &self.plan);
+        let fresh = RuleChecker::new(&self.scenario, &self.plan);
         (std::mem::replace(&mut inner.judge, fresh), std::mem::take(&mut inner.faults))
     }
 }
--- a/testbed/src/sim.rs
+++ b/testbed/src/sim.rs
@@ -1,6 +1,6 @@
 //! The decision module alone in simulated time: thousands of senders against the same partners, clients and judge, in
 //! one thread. No sockets and no journal: what a kill takes is what an unbroken journal would give back.
-use crate::checker::{Admission, Ended, Judge};
+use crate::checker::{Admission, Ended, RuleChecker};
 use crate::fleet::{FleetError, apply, configuration};
 use crate::model::{Condition, Fate, Partner};
 use crate::plan::{Micros, Plan, micros};
@@ -117,7 +117,7 @@
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     happenings: HashMap<u64, Happening>,
     next_happening: u64,
-    judge: Judge,
+    judge: RuleChecker,
     partners: Vec<Partner>,
     /// By the number that all senders give them: partner and place there.
     endpoints: Vec<(usize, usize)>,
@@ -231,7 +231,7 @@
             queue: BinaryHeap::new(),
             happenings: HashMap::new(),
             next_happening: 0,
-            judge: Judge::new(scenario, &plan),
+            judge: RuleChecker::new(scenario, &plan),
             partners: Partner::all(&plan, scenario, seed),
             endpoints,
             nodes,
