--- a/system/turn-store/src/record_log/faults/power.rs
+++ b/system/turn-store/src/record_log/faults/power.rs
@@ -10,7 +10,7 @@
 
 /// What can be refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Operation {
+pub(super) enum Operation {
     Write,
     SyncData,
     Sync,
@@ -19,7 +19,7 @@
     SyncFolder,
 }
 
-pub const OPERATIONS: [Operation; 6] = [
+pub(super) const OPERATIONS: [Operation; 6] = [
     Operation::Write,
     Operation::SyncData,
     Operation::Sync,
@@ -56,16 +56,16 @@
 
 /// Files whose operations can be refused.
 #[derive(Clone, Debug, Default)]
-pub struct FaultyFiles(Arc<Mutex<Disk>>);
+pub(super) struct FaultyFiles(Arc<Mutex<Disk>>);
 
 impl FaultyFiles {
     /// Refuse this operation `times` times, after `let_through` more of them.
-    pub fn refuse(&self, operation: Operation, let_through: usize, times: usize) {
+    pub(super) fn refuse(&self, operation: Operation, let_through: usize, times: usize) {
         self.0.lock().unwrap().refused.insert(operation, (let_through, times));
     }
 
     /// Nothing is refused any more.
-    pub fn recover(&self) {
+    pub(super) fn recover(&self) {
         self.0.lock().unwrap().refused.clear();
     }
 
@@ -97,8 +97,8 @@
             return;
         }
         let mut bytes = fs::read(path_of(inode, folder)).unwrap();
-        for place in &content.cache_only {
-            if let Some(byte) = bytes.get_mut(*place as usize) {
+        for position in &content.cache_only {
+            if let Some(byte) = bytes.get_mut(*position as usize) {
                 *byte = 0;
             }
         }
@@ -106,7 +106,7 @@
     }
 
     /// What the folder holds after a loss of power now.
-    pub fn after_power_loss(&self) -> tempfile::TempDir {
+    pub(super) fn after_power_loss(&self) -> tempfile::TempDir {
         let left = tempfile::tempdir().unwrap();
         let disk = self.0.lock().unwrap();
         for (name, named) in &disk.names {
@@ -127,7 +127,7 @@
 
 /// Faulty files in a folder.
 #[derive(Debug)]
-pub struct InFolder {
+pub(super) struct InFolder {
     pub files: FaultyFiles,
     pub folder: PathBuf,
 }
@@ -140,9 +140,9 @@
         SystemFiles.write(file, written)?;
         let mut disk = self.files.0.lock().unwrap();
         let content = disk.contents.entry(file.metadata()?.ino()).or_default();
-        for place in begin..begin + written.len() as u64 {
-            content.dirty.insert(place);
-            content.cache_only.remove(&place);
+        for position in begin..begin + written.len() as u64 {
+            content.dirty.insert(position);
+            content.cache_only.remove(&position);
         }
         if refused { Err(Error::from(ErrorKind::StorageFull)) } else { Ok(()) }
     }
@@ -177,7 +177,7 @@
         SystemFiles.remove(path)
     }
 
-    fn sync_folder(&mut self, path: &Path) -> Result<()> {
+    fn sync_directory(&mut self, path: &Path) -> Result<()> {
         if path != self.folder {
             return Ok(());
         }
--- a/system/turn-store/tests/changes/operations.rs
+++ b/system/turn-store/tests/membership_changes/client_operations.rs
@@ -1,18 +1,20 @@
 //! What proxies ask of the machines: each call goes out by itself, by the roster that the proxy knew when it began.
 
-use crate::fleet::{Fleet, Mutation};
+use crate::cluster::{Fleet, Mutation};
 use bytes::Bytes;
 use fleet_model::{Answer, Call, QuorumSizes, Reservation, Roster, StorageNode, Turn, rendezvous_rank};
 use std::collections::{BTreeMap, BTreeSet};
-use turn_store::{AccountReplicas, copies_needed, copy_order, has_copies, merge_reservations};
+use turn_store::{
+    AccountReplicas, NodePreference, copies_needed, copy_order, has_copies, merge_reservations,
+};
 
 /// Each account's bound; a reservation takes two fifths of it.
-pub const BOUND: u32 = 100;
+pub(crate) const BOUND: u32 = 100;
 const TOKENS: u32 = 40;
 
 /// A turn to be kept, or a reservation to be made.
 #[derive(Clone)]
-pub struct Operation {
+pub(crate) struct Operation {
     roster: Roster,
     waiting: Vec<u64>,
     answered: BTreeSet<u64>,
@@ -22,7 +24,7 @@
 #[derive(Clone)]
 enum Work {
     Keep { attempt: String, replicas: Vec<u64>, naming: bool },
-    Reserve { program: String, number: u64, account: BTreeMap<u64, u32>, reading: bool },
+    Reserve { program: String, number: u64, read_account: BTreeMap<u64, u32>, reading: bool },
 }
 
 enum Progress {
@@ -36,12 +38,14 @@
     }
 
     /// A turn is about to be kept, by the roster of now.
-    pub fn begin_turn(&mut self, attempt: String) {
+    pub(crate) fn begin_turn(&mut self, attempt: String) {
         let roster = self.roster().clone();
         let up: BTreeSet<u64> =
             self.machines.iter().filter(|machine| machine.up).map(|machine| machine.store.disk).collect();
-        let order = copy_order(&roster, |store: &StorageNode| {
-            (!up.contains(&store.disk), store.zone != "a", !rendezvous_rank(attempt.as_bytes(), store.disk))
+        let order = copy_order(&roster, |store: &StorageNode| NodePreference {
+            is_down: !up.contains(&store.disk),
+            is_remote: store.zone != "a",
+            rank: !rendezvous_rank(attempt.as_bytes(), store.disk),
         });
         let Some(replicas) = copies_needed(&roster, &order, self.copies()) else { return };
         let waiting = order.iter().rev().map(|store| store.disk).collect();
@@ -50,16 +54,16 @@
     }
 
     /// A reservation is about to be made, by the roster of now.
-    pub fn begin_reservation(&mut self, program: String, number: u64) {
+    pub(crate) fn begin_reservation(&mut self, program: String, number: u64) {
         let roster = self.roster().clone();
         let Some(replicas) = AccountReplicas::for_program(&roster, &program, self.tolerance) else { return };
         let waiting = replicas.all().map(|store| store.disk).collect();
-        let work = Work::Reserve { program, number, account: BTreeMap::new(), reading: false };
+        let work = Work::Reserve { program, number, read_account: BTreeMap::new(), reading: false };
         self.operations.push(Operation { roster, waiting, answered: BTreeSet::new(), work });
     }
 
     /// The next call of one of the operations.
-    pub fn operate(&mut self, at: usize) {
+    pub(crate) fn operate(&mut self, at: usize) {
         let mut operation = self.operations.swap_remove(at);
         let progress = match operation.work {
             Work::Keep { .. } => self.keep_next(&mut operation),
@@ -71,7 +75,7 @@
     }
 
     /// Carries out one operation alone; it ends as it may.
-    pub fn operate_all(&mut self) {
+    pub(crate) fn operate_all(&mut self) {
         while !self.operations.is_empty() {
             self.operate(0);
         }
@@ -119,13 +123,13 @@
 
     fn reserve_next(&mut self, operation: &mut Operation) -> Progress {
         let Operation { roster, waiting, answered, work } = operation;
-        let Work::Reserve { program, number, account, reading } = work else { return Progress::Ends };
+        let Work::Reserve { program, number, read_account, reading } = work else { return Progress::Ends };
         let Some(replicas) = AccountReplicas::for_program(roster, program, self.tolerance) else {
             return Progress::Ends;
         };
         let current = replicas.current_only();
         if !waiting.is_empty() {
-            let disk = waiting.swap_remove(self.random_u64(waiting.len()));
+            let disk = waiting.swap_remove(self.random_below(waiting.len()));
             let reservation = Reservation { attempt: *number, tokens: TOKENS };
             let (epoch, program) = (roster.epoch, program.clone());
             let call = match *reading {
@@ -135,7 +139,7 @@
             if let Some(Answer::Account(known)) = self.call(disk, &call) {
                 answered.insert(disk);
                 if current.current.iter().any(|store| store.disk == disk) {
-                    merge_reservations(account, known);
+                    merge_reservations(read_account, known);
                 }
             }
         }
@@ -153,7 +157,7 @@
                 self.decide(operation);
                 Progress::Ends
             }
-            (true, false) if waiting.is_empty() || self.random_u64(2) == 0 => {
+            (true, false) if waiting.is_empty() || self.random_below(2) == 0 => {
                 *reading = true;
                 answered.clear();
                 *waiting = current.current.iter().map(|store| store.disk).collect();
@@ -173,8 +177,8 @@
     }
 
     fn decide(&mut self, operation: &Operation) {
-        let Work::Reserve { program, number, account, .. } = &operation.work else { return };
-        if account.values().sum::<u32>() <= BOUND {
+        let Work::Reserve { program, number, read_account, .. } = &operation.work else { return };
+        if read_account.values().sum::<u32>() <= BOUND {
             self.granted.push((program.clone(), *number, TOKENS));
         }
     }
