--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
 //! The sender on real sockets: everything round the decision module that does I/O or reads a clock.
+pub mod admin_endpoint;
 pub mod clock;
 pub mod connection;
 pub mod discovery;
@@ -7,20 +8,19 @@
 pub mod host;
 pub mod idle_trust;
 pub mod input;
+pub mod journal;
 pub mod log;
-pub mod mgmt;
 pub mod notices;
 pub mod pool;
 pub mod relay;
 pub mod server;
-pub mod store;
 pub mod telemetry;
 pub mod tuning;
 pub mod wal;
 
 /// Descriptors besides those of clients and endpoints: standard streams, the loops' and the signals' own, the
 /// listeners, the journal's two files, discovery, notices, the configuration at a reload, staff's callers.
-const OWN: usize = 32 + mgmt::MOST_CALLERS;
+const OWN: usize = 32 + admin_endpoint::MAX_CONNECTIONS;
 
 /// How the descriptors that the process may hold are shared out.
 #[derive(Clone, Copy, Debug)]
--- a/system/programs/src/control/record.rs
+++ b/system/programs/src/control/record.rs
@@ -50,7 +50,7 @@
     let mut is_logged = false;
     loop {
         match RecordLog::open(folder) {
-            Err(refused @ DiskError::Folder { .. }) => {
+            Err(refused @ DiskError::Io { .. }) => {
                 if !is_logged {
                     log::error!("acceptor record cannot be opened, retrying: error={refused}");
                 }
--- a/system/programs/src/disk.rs
+++ b/system/programs/src/disk.rs
@@ -136,6 +136,6 @@
 
     /// Submits writes that are synced with the next batch; no completion is reported.
     pub fn write_lazily(&self, writes: Vec<Write>) {
-        self.writer.submit_lazy(writes);
+        self.writer.submit_deferred(writes);
     }
 }
--- a/system/programs/src/storage/placement.rs
+++ b/system/programs/src/storage/placement.rs
@@ -68,7 +68,7 @@
         let Some(capacity) = changed_capacity.flatten() else { return };
         log::warn!("disk capacity changed: capacity={capacity:?}");
         if let (true, Some(folder)) = (capacity != DiskCapacity::Ample, &settings.data_directory)
-            && let Err(e) = Disk::remove_aside(folder)
+            && let Err(e) = Disk::remove_quarantined(folder)
         {
             log::error!("quarantined records not removed: error={e}");
         }
--- a/system/programs/src/turns/store.rs
+++ b/system/programs/src/turns/store.rs
@@ -6,7 +6,7 @@
 use request_forwarding::CompletedTurn;
 use std::collections::BTreeSet;
 use tokio::time::timeout;
-use turn_store::{copies_needed, copy_order, has_copies};
+use turn_store::{NodePreference, copies_needed, copy_order, has_copies};
 
 impl TurnClient {
     pub(super) async fn try_store_turn(&self, turn: &CompletedTurn) -> Round<()> {
@@ -14,12 +14,10 @@
         let roster = &state.roster;
         let zone = self.process.settings().zone.clone();
         let copies = self.losses() + 1;
-        let stores = copy_order(roster, |store| {
-            (
-                self.is_unresponsive(store),
-                store.zone != zone,
-                !rendezvous_rank(turn.attempt.as_bytes(), store.disk),
-            )
+        let stores = copy_order(roster, |store| NodePreference {
+            is_down: self.is_unresponsive(store),
+            is_remote: store.zone != zone,
+            rank: !rendezvous_rank(turn.attempt.as_bytes(), store.disk),
         });
         let Some(first) = copies_needed(roster, &stores, copies) else { return Round::Retry };
         let record = |replicas: Vec<u64>| Turn {
--- a/system/turn-store/src/disk/tests.rs
+++ b/system/turn-store/src/disk/tests.rs
@@ -1,7 +1,7 @@
-use super::directory::{DAMAGED, FORMAT_KEY, NUMBER_KEY, OWN, PROBE};
+use super::directory::{FORMAT_KEY, METADATA, NUMBER_KEY, PROBE_FILE, QUARANTINE_DIRECTORY};
 use super::frame::{Fault, checksum, frame, unframe};
-use super::{ASIDE, Damage, Disk, DiskError, Replaced, Write, journal};
-use crate::{ACCOUNTS, BackfillRecord, Payload, Payloads, ReplicaState, SPACES, STATE, TURNS, load};
+use super::{DamagedRecord, Disk, DiskError, OpenedDisk, QUARANTINE, Write, journal};
+use crate::{ACCOUNTS, BackfillRecord, KEYSPACES, Payload, Payloads, ReplicaState, STATE, TURNS, load};
 use bytes::Bytes;
 use fjall::{Keyspace, PersistMode};
 use fleet_model::{Call, Reservation, Turn};
@@ -15,7 +15,7 @@
 mod recorded;
 
 fn open(dir: &Path) -> Disk {
-    Disk::open(dir, SPACES, || 7).unwrap()
+    Disk::open(dir, KEYSPACES, || 7).unwrap()
 }
 
 fn turn(attempt: &str) -> Turn {
@@ -34,12 +34,12 @@
 }
 
 /// Put a value as it is, past the frame.
-fn put_raw(disk: &Disk, space: &'static str, key: &[u8], raw: &[u8]) {
-    disk.space(space).unwrap().insert(key, raw).unwrap();
+fn put_raw(disk: &Disk, keyspace: &'static str, key: &[u8], raw: &[u8]) {
+    disk.keyspace(keyspace).unwrap().insert(key, raw).unwrap();
 }
 
-fn raw(disk: &Disk, space: &'static str, key: &[u8]) -> Option<Vec<u8>> {
-    disk.space(space).unwrap().get(key).unwrap().map(|value| value.to_vec())
+fn raw(disk: &Disk, keyspace: &'static str, key: &[u8]) -> Option<Vec<u8>> {
+    disk.keyspace(keyspace).unwrap().get(key).unwrap().map(|value| value.to_vec())
 }
 
 /// The newest journal and where its last byte is that is not zero.
@@ -76,7 +76,7 @@
     changed
 }
 
-/// A folder with two batches in its journal, which is as long as what is written.
+/// A directory with two batches in its journal, which is as long as what is written.
 fn two_batches() -> (tempfile::TempDir, PathBuf, Vec<u8>, usize) {
     let dir = tempfile::tempdir().unwrap();
     let disk = open(dir.path());
@@ -92,17 +92,17 @@
     (dir, path, bytes, end)
 }
 
-type Loaded = Replaced<(crate::Stored, Vec<Damage>)>;
+type Loaded = OpenedDisk<(crate::Stored, Vec<DamagedRecord>)>;
 
 fn open_or_replace(dir: &Path) -> std::result::Result<Loaded, DiskError> {
-    Disk::open_or_replace(dir, SPACES, || 8, load)
+    Disk::open_or_replace(dir, KEYSPACES, || 8, load)
 }
 
 fn attempts(loaded: &Loaded) -> Vec<&str> {
     loaded.read.0.turns.iter().map(|turn| turn.attempt.as_str()).collect()
 }
 
-/// A copy of a folder.
+/// A copy of a directory.
 fn copied(from: &Path) -> tempfile::TempDir {
     fn copy(from: &Path, to: &Path) {
         fs::create_dir_all(to).unwrap();
--- a/system/turn-store/src/record_log/faults/power.rs
+++ b/system/turn-store/src/record_log/faults/power.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 enum Named {
     Inode(u64),
-    /// The file was removed, and the folder not synced since.
+    /// The file was removed, and the directory not synced since.
     Removed(Vec<u8>),
 }
 
@@ -97,15 +97,15 @@
             return;
         }
         let mut bytes = fs::read(path_of(inode, folder)).unwrap();
-        for place in &content.cache_only {
-            if let Some(byte) = bytes.get_mut(*place as usize) {
+        for position in &content.cache_only {
+            if let Some(byte) = bytes.get_mut(*position as usize) {
                 *byte = 0;
             }
         }
         content.synced = bytes;
     }
 
-    /// What the folder holds after a loss of power now.
+    /// What the directory holds after a loss of power now.
     pub(super) fn after_power_loss(&self) -> tempfile::TempDir {
         let left = tempfile::tempdir().unwrap();
         let disk = self.0.lock().unwrap();
@@ -125,7 +125,7 @@
     entries.into_iter().find(|entry| entry.metadata().unwrap().ino() == inode).unwrap().path()
 }
 
-/// Faulty files in a folder.
+/// Faulty files in a directory.
 #[derive(Debug)]
 pub(super) struct InFolder {
     pub files: FaultyFiles,
@@ -140,9 +140,9 @@
         SystemFiles.write(file, written)?;
         let mut disk = self.files.0.lock().unwrap();
         let content = disk.contents.entry(file.metadata()?.ino()).or_default();
-        for place in begin..begin + written.len() as u64 {
-            content.dirty.insert(place);
-            content.cache_only.remove(&place);
+        for position in begin..begin + written.len() as u64 {
+            content.dirty.insert(position);
+            content.cache_only.remove(&position);
         }
         if refused { Err(Error::from(ErrorKind::StorageFull)) } else { Ok(()) }
     }
@@ -177,7 +177,7 @@
         SystemFiles.remove(path)
     }
 
-    fn sync_folder(&mut self, path: &Path) -> Result<()> {
+    fn sync_directory(&mut self, path: &Path) -> Result<()> {
         if path != self.folder {
             return Ok(());
         }
--- a/system/turn-store/src/record_log/tests/recorded.rs
+++ b/system/turn-store/src/record_log/tests/recorded.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A recorded file of the folder of a log.
+/// A recorded file of the directory of a log.
 fn recorded(name: &str) -> Vec<u8> {
     fs::read(format!("{}/tests/recorded/record-log/{name}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
@@ -22,7 +22,7 @@
     opened.log.put(&record(3)).unwrap();
     expect_that!(fs::read(&path).unwrap(), eq(&recorded("three-records")));
     // A new log's file is written alike.
-    let (_folder, path, _) = kept(3);
+    let (_folder, path, _) = persisted(3);
     expect_that!(fs::read(path).unwrap(), eq(&recorded("three-records")));
 }
 
