--- a/sender-membership/src/failure_view.rs
+++ b/sender-membership/src/failure_view.rs
@@ -374,7 +374,7 @@
 
     /// Members that answer, besides this one.
     pub(crate) fn answering(&self) -> impl Iterator<Item = &Identity> {
-        self.foca.iter_members().map(|member| member.id())
+        self.foca.iter_members().map(foca::Member::id)
     }
 
     fn state(&self, member: &foca::Member<Identity>) -> Health {
--- a/sender-membership/src/node/mod.rs
+++ b/sender-membership/src/node/mod.rs
@@ -240,6 +240,9 @@
     }
 
     /// Takes in a datagram or a frame.
+    ///
+    /// # Errors
+    /// The bytes are damaged, of another version or of another fleet: they are counted and dropped.
     pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> Result<(), WireError> {
         if self.halted.is_some() {
             return Ok(());
@@ -279,78 +282,100 @@
             Packet::Digest { fleet, epoch, number } => self.digest(now, from, fleet, (epoch, number)),
             Packet::Pull { epoch, number } => self.pulled_by(from.address, epoch, number),
             Packet::Steps { fleet, epoch, after, changes } => {
-                let Some(member_list) = &self.member_list else { return };
-                if member_list.fleet != fleet || member_list.epoch != epoch || after > member_list.number {
-                    return;
-                }
-                let known = usize::try_from(member_list.number - after).unwrap_or(usize::MAX);
-                self.heard = Some(now);
-                for change in changes.into_iter().skip(known) {
-                    self.step(now, change);
-                }
+                self.receive_steps(now, fleet, (epoch, after), changes)
             }
             Packet::Whole(member_list) => self.whole(now, *member_list),
-            Packet::Propose(change) => {
-                if let Change::Start { folder, boot, info, .. } = &change
-                    && let Some(incarnation) = self.copied(*folder, info)
-                {
-                    let boot = *boot;
-                    return self.send(from.address, Packet::Refused { boot, incarnation });
-                }
-                if self.agreed_already(&change) {
-                    // Whoever asks has not heard of it: the frame that told it may have been lost with its connection.
-                    return self.tell_digest(from.address);
-                }
-                self.propose_to_voters(&change);
-            }
+            Packet::Propose(change) => self.receive_proposal(from, &change),
             Packet::Refused { boot, incarnation } => {
                 if boot == self.boot && !self.confirmed() {
                     self.halt(now, Halt::Copied { theirs: incarnation, own: self.incarnation });
                 }
             }
             Packet::Voter { fleet, epoch, group, message } => {
-                let ours = self.member_list.as_ref().is_some_and(|r| r.fleet == fleet && r.epoch == epoch);
-                if !ours {
-                    return;
-                }
-                self.heard = Some(now);
-                match &mut self.voter {
-                    Some(voter) if voter.group == group => {
-                        let again = self.broken.remove(&from.folder);
-                        if again {
-                            voter.reconnected(from.folder);
-                        }
-                        voter.hear(from.folder, *message);
-                        if again {
-                            self.send(from.address, Packet::Again { group });
-                        }
-                    }
-                    // One of the two has an old member list.
-                    _ => self.tell_digest(from.address),
-                }
+                self.receive_voter_message(now, from, (fleet, epoch, group), *message)
             }
             Packet::Again { group } => {
                 if let Some(voter) = self.voter.as_mut().filter(|voter| voter.group == group) {
                     voter.reconnected(from.folder);
                 }
             }
-            Packet::Swim { fleet, data } => {
-                let Some(member_list) = &self.member_list else { return };
-                // Only members are listened to: so nobody else can have this sender hold anything.
-                let member = member_list.members.contains_key(&from.folder);
-                if member_list.fleet == fleet && self.watching.is_none() {
-                    // It counts as a member there, and does not know so.
-                    self.tell_digest(from.address);
-                } else if member_list.fleet == fleet {
-                    if member {
-                        self.heard = Some(now);
-                        self.watch.hear(now, &data);
-                    } else {
-                        // Either it is gone and has to learn so, or it is new and this member list is old.
-                        self.tell_digest(from.address);
-                    }
+            Packet::Swim { fleet, data } => self.receive_swim(now, from, fleet, &data),
+        }
+    }
+
+    /// Applies the steps that follow the number `after` in an epoch.
+    fn receive_steps(&mut self, now: Millis, fleet: u64, (epoch, after): (u32, u64), changes: Vec<Change>) {
+        let Some(member_list) = &self.member_list else { return };
+        if member_list.fleet != fleet || member_list.epoch != epoch || after > member_list.number {
+            return;
+        }
+        let known = usize::try_from(member_list.number - after).unwrap_or(usize::MAX);
+        self.heard = Some(now);
+        for change in changes.into_iter().skip(known) {
+            self.step(now, change);
+        }
+    }
+
+    /// Has the voters agree on a step that a peer proposes, or answers why not.
+    fn receive_proposal(&mut self, from: Identity, change: &Change) {
+        if let Change::Start { folder, boot, info, .. } = change
+            && let Some(incarnation) = self.copied(*folder, info)
+        {
+            let boot = *boot;
+            return self.send(from.address, Packet::Refused { boot, incarnation });
+        }
+        if self.agreed_already(change) {
+            // Whoever asks has not heard of it: the frame that told it may have been lost with its connection.
+            return self.tell_digest(from.address);
+        }
+        self.propose_to_voters(change);
+    }
+
+    /// Hands a message of another voter of the group to the consensus library.
+    fn receive_voter_message(
+        &mut self,
+        now: Millis,
+        from: Identity,
+        (fleet, epoch, group): (u64, u32, u32),
+        message: Message<Change>,
+    ) {
+        let ours = self.member_list.as_ref().is_some_and(|r| r.fleet == fleet && r.epoch == epoch);
+        if !ours {
+            return;
+        }
+        self.heard = Some(now);
+        match &mut self.voter {
+            Some(voter) if voter.group == group => {
+                let again = self.broken.remove(&from.folder);
+                if again {
+                    voter.reconnected(from.folder);
+                }
+                voter.hear(from.folder, message);
+                if again {
+                    self.send(from.address, Packet::Again { group });
                 }
             }
+            // One of the two has an old member list.
+            _ => self.tell_digest(from.address),
+        }
+    }
+
+    /// Hands a message of the failure detector to it, if a member sent it.
+    fn receive_swim(&mut self, now: Millis, from: Identity, fleet: u64, data: &[u8]) {
+        let Some(member_list) = &self.member_list else { return };
+        // Only members are listened to: so nobody else can have this sender hold anything.
+        let member = member_list.members.contains_key(&from.folder);
+        if member_list.fleet == fleet && self.watching.is_none() {
+            // It counts as a member there, and does not know so.
+            self.tell_digest(from.address);
+        } else if member_list.fleet == fleet {
+            if member {
+                self.heard = Some(now);
+                self.watch.hear(now, data);
+            } else {
+                // Either it is gone and has to learn so, or it is new and this member list is old.
+                self.tell_digest(from.address);
+            }
         }
     }
 
