--- a/sender-membership/src/failure_view.rs
+++ b/sender-membership/src/failure_view.rs
@@ -13,21 +13,21 @@
 use std::time::Duration;
 
 /// Room that the envelope takes of a datagram.
-const ENVELOPE: usize = 120;
+const ENVELOPE_BYTES: usize = 120;
 /// Members that are told of a change at a time, and how often.
 const GOSSIP_TO: usize = 3;
-const GOSSIP_EACH: Millis = 300;
+const GOSSIP_INTERVAL: Millis = 300;
 /// How often a change is told on: enough for ten thousand members by SWIM's rule, 4 log10(n).
-const TELLINGS: u8 = 16;
+const MAX_TRANSMISSIONS: u8 = 16;
 /// One that is held lost is remembered for so long.
-const FORGET: Duration = Duration::from_secs(600);
+const DOWN_RETENTION: Duration = Duration::from_secs(600);
 /// Members that ask one which they hear is lost whether that is so, all in all.
-const ASKING: u64 = 8;
+const MAX_CONFIRMING_PEERS: u64 = 8;
 /// Suspicions are looked at this often, and taken for forgotten by the library so long after their time.
-const LOOK: Millis = 1_000;
-const FORGOTTEN: Millis = 500;
+const SUSPECT_CHECK_INTERVAL: Millis = 1_000;
+const SUSPECT_GRACE: Millis = 500;
 /// One that is held lost is greeted this often, by each.
-const GREET_LOST: Millis = 4_000;
+const DOWN_ANNOUNCE_INTERVAL: Millis = 4_000;
 
 /// Whether a member answers, as far as this sender knows: a guess in all four cases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
@@ -130,27 +130,27 @@
 
 /// What foca wants done.
 #[derive(Default)]
-struct Wanted {
+struct FocaOutput {
     sends: Vec<(Identity, Vec<u8>)>,
     timers: Vec<(Timer<Identity>, Duration)>,
-    changes: Vec<Heard>,
+    changes: Vec<HealthChange>,
 }
 
 /// A change of who answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Heard {
+pub(crate) enum HealthChange {
     Up(Identity),
     Down(Identity),
     /// This sender was held lost, and has come back under this identity.
     Returned(Identity),
 }
 
-impl Runtime<Identity> for Wanted {
+impl Runtime<Identity> for FocaOutput {
     fn notify(&mut self, notification: Notification<'_, Identity>) {
         match notification {
-            Notification::MemberUp(id) => self.changes.push(Heard::Up(*id)),
-            Notification::MemberDown(id) => self.changes.push(Heard::Down(*id)),
-            Notification::Rejoin(id) => self.changes.push(Heard::Returned(*id)),
+            Notification::MemberUp(id) => self.changes.push(HealthChange::Up(*id)),
+            Notification::MemberDown(id) => self.changes.push(HealthChange::Down(*id)),
+            Notification::Rejoin(id) => self.changes.push(HealthChange::Returned(*id)),
             _ => {}
         }
     }
@@ -171,7 +171,7 @@
     /// How often this sender has asked it itself whether that is so.
     asked: u8,
     /// Whether it counts as lost.
-    told: bool,
+    notified: bool,
 }
 
 impl Lost {
@@ -179,12 +179,12 @@
     /// not, as a datagram of theirs was lost too often, ask it themselves, twice.
     fn due(&self, confirm: Millis) -> Option<Millis> {
         let share = [confirm / 2, confirm * 3 / 4].get(usize::from(self.asked)).copied().unwrap_or(confirm);
-        (!self.told).then_some(self.since + share)
+        (!self.notified).then_some(self.since + share)
     }
 }
 
 /// Who answers.
-pub(crate) struct Watch {
+pub(crate) struct FailureDetector {
     foca: Foca<Identity, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
     timers: BTreeMap<(Millis, u64), Timer<Identity>>,
     count: u64,
@@ -194,9 +194,9 @@
     lost: BTreeMap<u64, Lost>,
     /// Since when those that are suspected are, and when that is looked at next.
     suspected: BTreeMap<u64, (Millis, Identity)>,
-    next_look: Millis,
+    next_suspect_check: Millis,
     pub(crate) sends: Vec<(Identity, Vec<u8>)>,
-    pub(crate) changes: Vec<Heard>,
+    pub(crate) changes: Vec<HealthChange>,
 }
 
 fn periodic(every: Millis, members: usize) -> Option<PeriodicParams> {
@@ -204,21 +204,21 @@
     Some(PeriodicParams { frequency: Duration::from_millis(every), num_members })
 }
 
-impl Watch {
+impl FailureDetector {
     pub(crate) fn new(own: Identity, settings: &Settings, rng: ChaCha8Rng) -> Self {
         let config = Config {
             probe_period: Duration::from_millis(settings.probe),
             probe_rtt: Duration::from_millis(settings.answer),
             num_indirect_probes: NonZeroUsize::new(GOSSIP_TO).unwrap_or(NonZeroUsize::MIN),
-            max_transmissions: NonZeroU8::new(TELLINGS).unwrap_or(NonZeroU8::MIN),
+            max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: Duration::from_millis(settings.suspect),
-            remove_down_after: Some(FORGET),
-            max_packet_size: NonZeroUsize::new(crate::MAX_DATAGRAM_BYTES - ENVELOPE)
+            remove_down_after: Some(DOWN_RETENTION),
+            max_packet_size: NonZeroUsize::new(crate::MAX_DATAGRAM_BYTES - ENVELOPE_BYTES)
                 .unwrap_or(NonZeroUsize::MIN),
             notify_down_members: true,
             periodic_announce: None,
-            periodic_announce_to_down_members: periodic(GREET_LOST, 1),
-            periodic_gossip: periodic(GOSSIP_EACH, GOSSIP_TO),
+            periodic_announce_to_down_members: periodic(DOWN_ANNOUNCE_INTERVAL, 1),
+            periodic_gossip: periodic(GOSSIP_INTERVAL, GOSSIP_TO),
         };
         Self {
             foca: Foca::new(own, config, rng, PostcardCodec),
@@ -229,7 +229,7 @@
             confirm: settings.confirm,
             lost: BTreeMap::new(),
             suspected: BTreeMap::new(),
-            next_look: 0,
+            next_suspect_check: 0,
             sends: Vec::new(),
             changes: Vec::new(),
         }
@@ -245,7 +245,7 @@
         timer.into_iter().chain(untold).min()
     }
 
-    fn take(&mut self, now: Millis, wanted: Wanted) {
+    fn take(&mut self, now: Millis, wanted: FocaOutput) {
         for (timer, after) in wanted.timers {
             self.count += 1;
             let after = u64::try_from(after.as_millis()).unwrap_or(u64::MAX);
@@ -255,23 +255,28 @@
         for change in &wanted.changes {
             match change {
                 // Who was never told of as lost has never been away.
-                Heard::Up(id) => match self.lost.remove(&id.folder) {
-                    Some(Lost { told: false, .. }) => {}
+                HealthChange::Up(id) => match self.lost.remove(&id.folder) {
+                    Some(Lost { notified: false, .. }) => {}
                     _ => self.changes.push(*change),
                 },
-                Heard::Down(id) => {
-                    self.lost.entry(id.folder).or_insert(Lost { since: now, id: *id, asked: 0, told: false });
+                HealthChange::Down(id) => {
+                    self.lost.entry(id.folder).or_insert(Lost {
+                        since: now,
+                        id: *id,
+                        asked: 0,
+                        notified: false,
+                    });
                     doubtful.push(*id);
                 }
-                Heard::Returned(_) => self.changes.push(*change),
+                HealthChange::Returned(_) => self.changes.push(*change),
             }
         }
         self.sends.extend(wanted.sends);
         // Nobody speaks to one that is lost any more, so that it would not learn of it soon; some ask it.
         let members = self.foca.num_members() as u64 + 1;
         for id in doubtful {
-            if (id.folder ^ self.own().folder).wrapping_add(now) % members < ASKING {
-                self.greet(now, id);
+            if (id.folder ^ self.own().folder).wrapping_add(now) % members < MAX_CONFIRMING_PEERS {
+                self.announce_to(now, id);
             }
         }
     }
@@ -282,9 +287,9 @@
         if due.is_some_and(|due| now > due + self.answer) {
             self.doubt(now);
         }
-        if now >= self.next_look {
-            self.next_look = now + LOOK;
-            self.look(now);
+        if now >= self.next_suspect_check {
+            self.next_suspect_check = now + SUSPECT_CHECK_INTERVAL;
+            self.check_suspects(now);
         }
         let mut ask = Vec::new();
         for lost in self.lost.values_mut() {
@@ -292,19 +297,19 @@
                 continue;
             }
             if now >= lost.since + self.confirm {
-                lost.told = true;
-                self.changes.push(Heard::Down(lost.id));
+                lost.notified = true;
+                self.changes.push(HealthChange::Down(lost.id));
             } else {
                 lost.asked += 1;
                 ask.push(lost.id);
             }
         }
-        ask.into_iter().for_each(|id| self.greet(now, id));
+        ask.into_iter().for_each(|id| self.announce_to(now, id));
         while let Some(entry) = self.timers.first_entry()
             && entry.key().0 <= now
         {
             let timer = entry.remove();
-            let mut wanted = Wanted::default();
+            let mut wanted = FocaOutput::default();
             // An error says that a probe was cut short, as after a pause: the next one is whole.
             let _ = self.foca.handle_timer(timer, &mut wanted);
             self.take(now, wanted);
@@ -313,16 +318,16 @@
 
     /// Ends suspicions that the library has forgotten: one that comes back under a new identity drops its timers, and those
     /// that it suspected would stay so for ever. Held lost, they object if they live, before that counts.
-    fn look(&mut self, now: Millis) {
+    fn check_suspects(&mut self, now: Millis) {
         let suspects = self.foca.iter_members().filter(|member| member.state() == foca::State::Suspect);
         let suspects: BTreeMap<u64, foca::Member<Identity>> =
             suspects.map(|member| (member.id().folder, member.clone())).collect();
         self.suspected.retain(|folder, (_, id)| suspects.get(folder).is_some_and(|m| m.id() == id));
         for (folder, member) in suspects {
             let (since, id) = *self.suspected.entry(folder).or_insert((now, *member.id()));
-            if now >= since + self.suspect + FORGOTTEN {
+            if now >= since + self.suspect + SUSPECT_GRACE {
                 let lost = foca::Member::new(id, member.incarnation(), foca::State::Down);
-                let mut wanted = Wanted::default();
+                let mut wanted = FocaOutput::default();
                 // An error is one of writing into memory: it is looked at again.
                 let _ = self.foca.apply_many(std::iter::once(lost), true, &mut wanted);
                 self.take(now, wanted);
@@ -350,15 +355,15 @@
 
     /// Takes in what a peer says; false if it cannot be read.
     pub(crate) fn hear(&mut self, now: Millis, data: &[u8]) -> bool {
-        let mut wanted = Wanted::default();
+        let mut wanted = FocaOutput::default();
         let heard = self.foca.handle_data(data, &mut wanted);
         self.take(now, wanted);
         heard.is_ok()
     }
 
     /// Makes itself known to one.
-    pub(crate) fn greet(&mut self, now: Millis, to: Identity) {
-        let mut wanted = Wanted::default();
+    pub(crate) fn announce_to(&mut self, now: Millis, to: Identity) {
+        let mut wanted = FocaOutput::default();
         // An error is one of writing into memory: nothing is greeted, and that is done again soon.
         let _ = self.foca.announce(to, &mut wanted);
         self.take(now, wanted);
@@ -366,7 +371,7 @@
 
     /// Tells that it goes.
     pub(crate) fn leave(&mut self, now: Millis) {
-        let mut wanted = Wanted::default();
+        let mut wanted = FocaOutput::default();
         let _ = self.foca.leave_cluster(&mut wanted);
         self.take(now, wanted);
         self.timers.clear();
@@ -378,10 +383,10 @@
     }
 
     fn state(&self, member: &foca::Member<Identity>) -> Health {
-        let told = || self.lost.get(&member.id().folder).is_none_or(|lost| lost.told);
+        let notified = || self.lost.get(&member.id().folder).is_none_or(|lost| lost.notified);
         match member.state() {
             foca::State::Alive => Health::Answers,
-            foca::State::Down if told() => Health::Lost,
+            foca::State::Down if notified() => Health::Lost,
             foca::State::Suspect | foca::State::Down => Health::Suspected,
         }
     }
--- a/sender-membership/src/member_list.rs
+++ b/sender-membership/src/member_list.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 
 /// Former members that are remembered, so that they cannot come back as what they were.
-const MOST_GONE: usize = 1_000;
+const MAX_DEPARTED: usize = 1_000;
 /// Members a fleet can have: what peers may make a sender hold is bounded.
-const MOST_MEMBERS: usize = 10_000;
+const MAX_MEMBERS: usize = 10_000;
 
 /// What a sender tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -193,7 +193,7 @@
             }
             return;
         }
-        if self.members.len() >= MOST_MEMBERS {
+        if self.members.len() >= MAX_MEMBERS {
             return;
         }
         if let Some(former) = self.folder_of(&info.name) {
@@ -212,7 +212,7 @@
                 incarnation: member.incarnation,
                 why,
             });
-            if self.departed.len() > MOST_GONE {
+            if self.departed.len() > MAX_DEPARTED {
                 self.departed.pop_front();
             }
         }
--- a/sender-membership/src/node/commands.rs
+++ b/sender-membership/src/node/commands.rs
@@ -5,7 +5,7 @@
 use crate::member_list::{Change, Departure};
 
 /// Operators have an answer by then.
-const ORDER_PATIENCE: Millis = 8_000;
+const COMMAND_TIMEOUT: Millis = 8_000;
 
 /// What operators can ask for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
     Alone,
 }
 
-pub(super) struct Waiting {
+pub(super) struct PendingCommand {
     id: u64,
     pub(super) change: Change,
     until: Millis,
@@ -48,22 +48,22 @@
 
 impl Node {
     /// Carries out, or begins to carry out, what operators ask; the answer comes as an effect with that id.
-    pub fn execute(&mut self, now: Millis, id: u64, order: &Command) {
-        let done = self.ordered(now, id, order);
+    pub fn execute(&mut self, now: Millis, id: u64, command: &Command) {
+        let done = self.begin_command(now, id, command);
         if let Err(e) = done {
             self.effects.push(Effect::Answer(id, Err(e)));
         }
-        self.after_voter(now);
+        self.process_voter(now);
     }
 
-    fn ordered(&mut self, now: Millis, id: u64, order: &Command) -> Result<(), CommandError> {
+    fn begin_command(&mut self, now: Millis, id: u64, command: &Command) -> Result<(), CommandError> {
         if let Some(halt) = &self.halted {
             return Err(CommandError::NoFleet(halt.to_string()));
         }
         let Some(member_list) = &self.member_list else {
             return Err(CommandError::NoFleet("none has been found or founded yet".to_owned()));
         };
-        let change = match order {
+        let change = match command {
             // First that it leaves, so that others see it going and the voters give its seat away; then that it is gone.
             Command::Leave => Change::Leaving { folder: self.folder },
             Command::Remove(name) => {
@@ -73,7 +73,7 @@
             }
             Command::Refound => return self.refound(now, id),
         };
-        self.orders.push(Waiting { id, change, until: now + ORDER_PATIENCE });
+        self.pending_commands.push(PendingCommand { id, change, until: now + COMMAND_TIMEOUT });
         self.next_propose = now;
         Ok(())
     }
@@ -102,29 +102,30 @@
         Ok(())
     }
 
-    pub(super) fn settle_orders(&mut self) {
+    pub(super) fn settle_commands(&mut self) {
         let Some(member_list) = &self.member_list else { return };
-        for order in &mut self.orders {
-            if let Change::Leaving { folder } = order.change
+        for command in &mut self.pending_commands {
+            if let Change::Leaving { folder } = command.change
                 && member_list.members.get(&folder).is_none_or(|member| member.leaving)
             {
-                order.change = Change::Departure { folder, why: Departure::Left };
+                command.change = Change::Departure { folder, why: Departure::Left };
                 // It is due at once.
                 self.next_propose = 0;
             }
         }
-        let (over, open): (Vec<Waiting>, Vec<Waiting>) = std::mem::take(&mut self.orders)
-            .into_iter()
-            .partition(|order| self.agreed_already(&order.change));
-        self.orders = open;
-        self.effects.extend(over.into_iter().map(|order| Effect::Answer(order.id, Ok(()))));
+        let (over, open): (Vec<PendingCommand>, Vec<PendingCommand>) =
+            std::mem::take(&mut self.pending_commands)
+                .into_iter()
+                .partition(|command| self.agreed_already(&command.change));
+        self.pending_commands = open;
+        self.effects.extend(over.into_iter().map(|command| Effect::Answer(command.id, Ok(()))));
     }
 
-    pub(super) fn give_up_orders(&mut self, now: Millis) {
+    pub(super) fn expire_commands(&mut self, now: Millis) {
         let (over, open): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.orders).into_iter().partition(|order| order.until <= now);
-        self.orders = open;
-        let error = || CommandError::NoMajority(ORDER_PATIENCE / 1_000);
-        self.effects.extend(over.into_iter().map(|order| Effect::Answer(order.id, Err(error()))));
+            std::mem::take(&mut self.pending_commands).into_iter().partition(|command| command.until <= now);
+        self.pending_commands = open;
+        let error = || CommandError::NoMajority(COMMAND_TIMEOUT / 1_000);
+        self.effects.extend(over.into_iter().map(|command| Effect::Answer(command.id, Err(error()))));
     }
 }
--- a/sender-membership/src/node/dissemination.rs
+++ b/sender-membership/src/node/dissemination.rs
@@ -9,18 +9,18 @@
 use std::net::SocketAddr;
 
 /// One peer is asked for the member list no more often than this.
-const PULL: Millis = 250;
+const MIN_PULL_INTERVAL: Millis = 250;
 /// A voter that hears of steps its group has agreed on without it asks its leader after this.
-const LAGGING: Millis = 1_500;
+const LAG_TIMEOUT: Millis = 1_500;
 /// The so many-th time it tries to lead, as asking has not helped.
-const LAGS: u32 = 3;
+const LAGS_PER_ELECTION: u32 = 3;
 /// Members that are told at once of a new step, so that it spreads as a rumour does.
-const FANOUT: usize = 3;
+const GOSSIP_FANOUT: usize = 3;
 /// Steps that are kept for those that are a little behind; others get the whole.
-const RECENT: usize = 256;
+const MAX_RECENT_CHANGES: usize = 256;
 
 impl Node {
-    pub(super) fn tell_digest(&mut self, to: SocketAddr) {
+    pub(super) fn send_digest(&mut self, to: SocketAddr) {
         if let Some(member_list) = &self.member_list
             && to != self.settings.info.address
         {
@@ -41,17 +41,17 @@
             }
             return;
         }
-        self.heard = Some(now);
+        self.last_seen = Some(now);
         let own = own.map_or((0, 0), |(_, age)| age);
         if theirs > own {
-            if now >= self.pulled + PULL || self.pulled == 0 {
+            if now >= self.pulled + MIN_PULL_INTERVAL || self.pulled == 0 {
                 self.pulled = now.max(1);
                 let (epoch, number) = own;
                 self.send(from.address, Packet::Pull { epoch, number });
             }
             self.lag(now);
         } else if theirs < own {
-            self.tell_digest(from.address);
+            self.send_digest(from.address);
         } else {
             self.lagging = None;
             self.lags = 0;
@@ -61,12 +61,12 @@
     /// A voter that others are ahead of has missed something of its leader's, which does not tell it twice.
     fn lag(&mut self, now: Millis) {
         let since = *self.lagging.get_or_insert(now);
-        if now >= since + LAGGING
+        if now >= since + LAG_TIMEOUT
             && let Some(voter) = &mut self.voter
         {
             self.lagging = Some(now);
             self.lags += 1;
-            if self.lags.is_multiple_of(LAGS) {
+            if self.lags.is_multiple_of(LAGS_PER_ELECTION) {
                 voter.lead();
             } else if let Some(leader) = voter.leader().filter(|leader| *leader != self.folder) {
                 voter.reconnected(leader);
@@ -74,7 +74,7 @@
         }
     }
 
-    pub(super) fn pulled_by(&mut self, to: SocketAddr, epoch: u32, number: u64) {
+    pub(super) fn handle_pull(&mut self, to: SocketAddr, epoch: u32, number: u64) {
         let Some(member_list) = &self.member_list else { return };
         if (epoch, number) >= member_list.age() {
             return;
@@ -84,12 +84,12 @@
             let changes = self.recent.iter().skip(self.recent.len() - behind).cloned().collect();
             Packet::Steps { fleet: member_list.fleet, epoch, after: number, changes }
         } else {
-            Packet::Whole(Box::new(member_list.clone()))
+            Packet::FullList(Box::new(member_list.clone()))
         };
         self.send(to, packet);
     }
 
-    pub(super) fn whole(&mut self, now: Millis, member_list: MemberList) {
+    pub(super) fn receive_list(&mut self, now: Millis, member_list: MemberList) {
         match &self.member_list {
             Some(own) if own.fleet != member_list.fleet || own.age() >= member_list.age() => return,
             // One that promised to follow another founder, and is named as if it had followed this one, is not to be
@@ -101,7 +101,7 @@
             }
             _ => {}
         }
-        self.heard = Some(now);
+        self.last_seen = Some(now);
         let before = self.member_list.as_ref().map_or(0, |own| own.number);
         self.effects.push(Effect::Notify(Notification::MemberList {
             before,
@@ -121,7 +121,7 @@
         member_list.apply(change.clone());
         self.effects.push(Effect::Persist(Record::Step(before + 1, change.clone())));
         self.recent.push_back(change.clone());
-        if self.recent.len() > RECENT {
+        if self.recent.len() > MAX_RECENT_CHANGES {
             self.recent.pop_front();
         }
         self.effects.push(Effect::Notify(Notification::MemberList {
@@ -144,7 +144,7 @@
             return self.halt(now, Halt::Departed(why));
         }
         self.learned.retain(|folder, _| member_list.members.contains_key(folder));
-        self.told.retain(|folder, _| member_list.members.contains_key(folder));
+        self.notified.retain(|folder, _| member_list.members.contains_key(folder));
         for (folder, member) in &member_list.members {
             let known = self.learned.entry(*folder).or_insert((member.incarnation, now));
             if known.0 != member.incarnation {
@@ -163,7 +163,7 @@
             here = member.info.address == self.settings.info.address;
             if here && self.watching.is_none() {
                 self.watching = Some(now);
-                self.next_greet = now;
+                self.next_announce = now;
             }
         }
         let (group, voters) = (member_list.group, member_list.voters.clone());
@@ -178,7 +178,7 @@
                 self.voter = Voter::new(group, &voters, self.folder, self.stored_voter.as_ref());
             }
             self.stored_voter = None;
-            self.broken.clear();
+            self.broken_connections.clear();
             let now_in = self.voter.as_ref().map(|voter| voter.group);
             if before != now_in {
                 self.effects.push(Effect::Notify(Notification::Voter(now_in)));
@@ -187,18 +187,18 @@
             self.settled_at = now;
         }
         // The news spreads: to a few members, and to those who agree on the next step.
-        let answering: Vec<SocketAddr> = self.watch.answering().map(|id| id.address).collect();
-        for _ in 0..FANOUT.min(answering.len()) {
+        let answering: Vec<SocketAddr> = self.failure_detector.answering().map(|id| id.address).collect();
+        for _ in 0..GOSSIP_FANOUT.min(answering.len()) {
             to.push(answering[self.rng.random_range(0..answering.len())]);
         }
         to.sort();
         to.dedup();
-        to.into_iter().for_each(|address| self.tell_digest(address));
-        self.settle_orders();
+        to.into_iter().for_each(|address| self.send_digest(address));
+        self.settle_commands();
     }
 
     /// Some member besides this one, by chance; a seed while none is known.
-    pub(super) fn some_member(&mut self) -> Option<SocketAddr> {
+    pub(super) fn random_member(&mut self) -> Option<SocketAddr> {
         let member_list = self.member_list.as_ref()?;
         let others: Vec<SocketAddr> = member_list
             .members
--- a/sender-membership/src/node/joining.rs
+++ b/sender-membership/src/node/joining.rs
@@ -1,6 +1,6 @@
 //! How a sender without a fleet finds one, or founds it together with the other seeds; and whether its own start is
 //! agreed on.
-use super::{Effect, HELLO, Node, Notification};
+use super::{Effect, HELLO_INTERVAL, Node, Notification};
 use crate::Millis;
 use crate::disk::Record;
 use crate::failure_view::Health;
@@ -9,13 +9,13 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-const HELLO_LATER: Millis = 2_000;
-const HELLO_SOON: u32 = 20;
+const LATER_HELLO_INTERVAL: Millis = 2_000;
+const FREQUENT_HELLOS: u32 = 20;
 
 impl Node {
     pub(super) fn hello(&mut self, now: Millis) {
         self.hellos += 1;
-        let pause = if self.hellos > HELLO_SOON { HELLO_LATER } else { HELLO };
+        let pause = if self.hellos > FREQUENT_HELLOS { LATER_HELLO_INTERVAL } else { HELLO_INTERVAL };
         self.next_hello = now + pause + self.rng.random_range(0..pause / 4);
         let own = self.settings.info.address;
         for seed in self.settings.seeds.clone() {
@@ -23,7 +23,7 @@
                 self.send(seed, Packet::Hello);
             }
         }
-        if self.hellos.is_multiple_of(HELLO_SOON) {
+        if self.hellos.is_multiple_of(FREQUENT_HELLOS) {
             let missing: Vec<String> = self
                 .settings
                 .seeds
@@ -103,7 +103,7 @@
     pub(super) fn copied(&self, folder: u64, info: &Info) -> Option<u32> {
         let member = self.member_list.as_ref()?.members.get(&folder)?;
         let answers = folder == self.folder
-            || matches!(self.watch.health_of(folder), Some(Health::Answers | Health::Suspected));
+            || matches!(self.failure_detector.health_of(folder), Some(Health::Answers | Health::Suspected));
         (answers && member.info.address != info.address).then_some(member.incarnation)
     }
 }
--- a/sender-membership/src/node/mod.rs
+++ b/sender-membership/src/node/mod.rs
@@ -12,12 +12,12 @@
 
 use crate::Millis;
 use crate::disk::{Record, State, VoterState};
-use crate::failure_view::{Health, Watch};
+use crate::failure_view::{FailureDetector, Health};
 use crate::member_list::{Change, Info, MemberList};
 use crate::settings::Settings;
 use crate::voter::Voter;
 use crate::wire::{Identity, MAX_DATAGRAM_BYTES, Packet, WireError, decode, encode};
-use commands::Waiting;
+use commands::PendingCommand;
 use omnipaxos::messages::Message;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -25,17 +25,17 @@
 use std::net::SocketAddr;
 
 /// A voter's clock ticks this often.
-const KEEPER_TICK: Millis = 200;
+const VOTER_TICK_INTERVAL: Millis = 200;
 /// One member is told this often how far the member list here is.
-const DIGEST: Millis = 1_000;
+const DIGEST_INTERVAL: Millis = 1_000;
 /// What is asked of the voters is asked again after this, until it is agreed or given up.
-const PROPOSE: Millis = 700;
+const PROPOSE_INTERVAL: Millis = 700;
 /// A blank sender asks the seeds this often, and later this often.
-const HELLO: Millis = 500;
+const HELLO_INTERVAL: Millis = 500;
 /// The leader of the voters looks at their group this often, and changes it no sooner than this after the last change.
-const HOUSEKEEPING: Millis = 1_000;
+const GROUP_CHECK_INTERVAL: Millis = 1_000;
 /// A disk that took no record is tried again after this.
-const RELOAD: Millis = 3_000;
+const DISK_RETRY_DELAY: Millis = 3_000;
 
 /// One sender's part in its fleet.
 pub struct Node {
@@ -50,7 +50,7 @@
     promises: BTreeMap<SocketAddr, (u64, u32, u64, Info)>,
     member_list: Option<MemberList>,
     recent: VecDeque<Change>,
-    watch: Watch,
+    failure_detector: FailureDetector,
     watching: Option<Millis>,
     voter: Option<Voter>,
     stored_voter: Option<VoterState>,
@@ -60,8 +60,8 @@
     next_digest: Millis,
     next_propose: Millis,
     next_voter_tick: Millis,
-    next_housekeeping: Millis,
-    next_greet: Millis,
+    next_group_check: Millis,
+    next_announce: Millis,
     next_reload: Millis,
     settled_at: Millis,
     pulled: Millis,
@@ -70,12 +70,12 @@
     /// The incarnation of each member that the member list has, and since when it is known here.
     learned: BTreeMap<u64, (u32, Millis)>,
     /// What the log was told last of who answers.
-    told: BTreeMap<u64, Health>,
+    notified: BTreeMap<u64, Health>,
     /// Peers whose connection broke and that were not heard since.
-    broken: BTreeSet<u64>,
-    heard: Option<Millis>,
+    broken_connections: BTreeSet<u64>,
+    last_seen: Option<Millis>,
     other_fleet: Option<SocketAddr>,
-    orders: Vec<Waiting>,
+    pending_commands: Vec<PendingCommand>,
     halted: Option<Halt>,
     effects: Vec<Effect>,
     counts: Counts,
@@ -93,8 +93,8 @@
         let incarnation = state.incarnation.saturating_add(1);
         effects.push(Effect::Persist(Record::Incarnation(incarnation)));
         let own = Identity { folder: state.folder, incarnation, returns: 0, address: settings.info.address };
-        let watch = Watch::new(own, &settings, ChaCha8Rng::from_rng(&mut rng));
-        let spread = rng.random_range(0..HELLO);
+        let failure_detector = FailureDetector::new(own, &settings, ChaCha8Rng::from_rng(&mut rng));
+        let spread = rng.random_range(0..HELLO_INTERVAL);
         let mut node = Self {
             hash: settings.fleet_hash(),
             folder: state.folder,
@@ -106,7 +106,7 @@
             promises: BTreeMap::new(),
             member_list: state.member_list,
             recent: VecDeque::new(),
-            watch,
+            failure_detector,
             watching: None,
             voter: None,
             stored_voter: state.voter,
@@ -116,19 +116,19 @@
             next_digest: now + spread,
             next_propose: now,
             next_voter_tick: now,
-            next_housekeeping: now + HOUSEKEEPING,
-            next_greet: now,
+            next_group_check: now + GROUP_CHECK_INTERVAL,
+            next_announce: now,
             next_reload: now,
             settled_at: now,
             pulled: 0,
             lagging: None,
             lags: 0,
             learned: BTreeMap::new(),
-            told: BTreeMap::new(),
-            broken: BTreeSet::new(),
-            heard: None,
+            notified: BTreeMap::new(),
+            broken_connections: BTreeSet::new(),
+            last_seen: None,
             other_fleet: None,
-            orders: Vec::new(),
+            pending_commands: Vec::new(),
             halted: None,
             effects,
             counts: Counts::default(),
@@ -184,18 +184,18 @@
             next = next.min(self.next_hello);
         }
         if self.watching.is_some() {
-            next = next.min(self.next_greet);
+            next = next.min(self.next_announce);
         }
-        if !self.confirmed() || !self.orders.is_empty() {
+        if !self.confirmed() || !self.pending_commands.is_empty() {
             next = next.min(self.next_propose);
         }
         if self.voter.is_some() {
-            next = next.min(self.next_voter_tick).min(self.next_housekeeping);
+            next = next.min(self.next_voter_tick).min(self.next_group_check);
         }
         if self.disk_broken {
             next = next.min(self.next_reload);
         }
-        Some(self.watch.next().map_or(next, |due| next.min(due)))
+        Some(self.failure_detector.next().map_or(next, |due| next.min(due)))
     }
 
     /// What is due by now. Whatever has come is to be handed in before.
@@ -206,37 +206,37 @@
         if self.member_list.is_none() && self.next_hello <= now {
             self.hello(now);
         }
-        self.watch.tick(now);
-        self.after_watch(now);
+        self.failure_detector.tick(now);
+        self.process_failure_detector(now);
         if self.next_digest <= now {
-            self.next_digest = now + DIGEST;
-            if let Some(address) = self.some_member() {
-                self.tell_digest(address);
+            self.next_digest = now + DIGEST_INTERVAL;
+            if let Some(address) = self.random_member() {
+                self.send_digest(address);
             }
         }
-        if self.next_greet <= now && self.watching.is_some() {
-            self.greet(now);
+        if self.next_announce <= now && self.watching.is_some() {
+            self.announce_to(now);
         }
-        if self.next_propose <= now && (!self.confirmed() || !self.orders.is_empty()) {
-            self.next_propose = now + PROPOSE + self.rng.random_range(0..PROPOSE / 2);
+        if self.next_propose <= now && (!self.confirmed() || !self.pending_commands.is_empty()) {
+            self.next_propose = now + PROPOSE_INTERVAL + self.rng.random_range(0..PROPOSE_INTERVAL / 2);
             self.propose_own();
-            self.give_up_orders(now);
+            self.expire_commands(now);
         }
         if self.voter.is_some() && self.next_voter_tick <= now {
-            self.next_voter_tick = now + KEEPER_TICK;
+            self.next_voter_tick = now + VOTER_TICK_INTERVAL;
             if let Some(voter) = &mut self.voter {
                 voter.tick();
             }
         }
-        if self.voter.is_some() && self.next_housekeeping <= now {
-            self.next_housekeeping = now + HOUSEKEEPING;
-            self.housekeeping(now);
+        if self.voter.is_some() && self.next_group_check <= now {
+            self.next_group_check = now + GROUP_CHECK_INTERVAL;
+            self.check_group(now);
         }
         if self.disk_broken && self.next_reload <= now {
-            self.next_reload = now + RELOAD;
+            self.next_reload = now + DISK_RETRY_DELAY;
             self.effects.push(Effect::Reload);
         }
-        self.after_voter(now);
+        self.process_voter(now);
     }
 
     /// Takes in a datagram or a frame.
@@ -253,9 +253,9 @@
             WireError::Damaged | WireError::Unreadable => self.counts.damaged += 1,
         })?;
         self.counts.received += 1;
-        self.taken_in(now, from, packet);
-        self.after_watch(now);
-        self.after_voter(now);
+        self.handle_packet(now, from, packet);
+        self.process_failure_detector(now);
+        self.process_voter(now);
         Ok(())
     }
 
@@ -265,12 +265,12 @@
             member_list.members.iter().find(|(_, m)| m.info.address == address).map(|(folder, _)| *folder)
         });
         // Nothing is told to it until it is heard again: it may be gone.
-        self.broken.extend(folder.filter(|_| self.voter.is_some()));
+        self.broken_connections.extend(folder.filter(|_| self.voter.is_some()));
     }
 
-    fn taken_in(&mut self, now: Millis, from: Identity, packet: Packet) {
+    fn handle_packet(&mut self, now: Millis, from: Identity, packet: Packet) {
         match packet {
-            Packet::Hello if self.member_list.is_some() => self.tell_digest(from.address),
+            Packet::Hello if self.member_list.is_some() => self.send_digest(from.address),
             Packet::Hello => self.promise_to(from),
             Packet::Promise { founder, incarnation, boot, info } => {
                 let seeds = &self.settings.seeds;
@@ -280,11 +280,11 @@
                 }
             }
             Packet::Digest { fleet, epoch, number } => self.digest(now, from, fleet, (epoch, number)),
-            Packet::Pull { epoch, number } => self.pulled_by(from.address, epoch, number),
+            Packet::Pull { epoch, number } => self.handle_pull(from.address, epoch, number),
             Packet::Steps { fleet, epoch, after, changes } => {
                 self.receive_steps(now, fleet, (epoch, after), changes)
             }
-            Packet::Whole(member_list) => self.whole(now, *member_list),
+            Packet::FullList(member_list) => self.receive_list(now, *member_list),
             Packet::Propose(change) => self.receive_proposal(from, &change),
             Packet::Refused { boot, incarnation } => {
                 if boot == self.boot && !self.confirmed() {
@@ -294,7 +294,7 @@
             Packet::Voter { fleet, epoch, group, message } => {
                 self.receive_voter_message(now, from, (fleet, epoch, group), *message)
             }
-            Packet::Again { group } => {
+            Packet::Resync { group } => {
                 if let Some(voter) = self.voter.as_mut().filter(|voter| voter.group == group) {
                     voter.reconnected(from.folder);
                 }
@@ -310,7 +310,7 @@
             return;
         }
         let known = usize::try_from(member_list.number - after).unwrap_or(usize::MAX);
-        self.heard = Some(now);
+        self.last_seen = Some(now);
         for change in changes.into_iter().skip(known) {
             self.step(now, change);
         }
@@ -326,7 +326,7 @@
         }
         if self.agreed_already(change) {
             // Whoever asks has not heard of it: the frame that told it may have been lost with its connection.
-            return self.tell_digest(from.address);
+            return self.send_digest(from.address);
         }
         self.propose_to_voters(change);
     }
@@ -343,20 +343,20 @@
         if !ours {
             return;
         }
-        self.heard = Some(now);
+        self.last_seen = Some(now);
         match &mut self.voter {
             Some(voter) if voter.group == group => {
-                let again = self.broken.remove(&from.folder);
+                let again = self.broken_connections.remove(&from.folder);
                 if again {
                     voter.reconnected(from.folder);
                 }
                 voter.hear(from.folder, message);
                 if again {
-                    self.send(from.address, Packet::Again { group });
+                    self.send(from.address, Packet::Resync { group });
                 }
             }
             // One of the two has an old member list.
-            _ => self.tell_digest(from.address),
+            _ => self.send_digest(from.address),
         }
     }
 
@@ -367,14 +367,14 @@
         let member = member_list.members.contains_key(&from.folder);
         if member_list.fleet == fleet && self.watching.is_none() {
             // It counts as a member there, and does not know so.
-            self.tell_digest(from.address);
+            self.send_digest(from.address);
         } else if member_list.fleet == fleet {
             if member {
-                self.heard = Some(now);
-                self.watch.hear(now, data);
+                self.last_seen = Some(now);
+                self.failure_detector.hear(now, data);
             } else {
                 // Either it is gone and has to learn so, or it is new and this member list is old.
-                self.tell_digest(from.address);
+                self.send_digest(from.address);
             }
         }
     }
@@ -382,11 +382,11 @@
     fn halt(&mut self, now: Millis, halt: Halt) {
         if self.halted.is_none() {
             if matches!(halt, Halt::Departed(_)) && self.watching.is_some() {
-                self.watch.leave(now);
-                self.after_watch(now);
+                self.failure_detector.leave(now);
+                self.process_failure_detector(now);
             }
             self.voter = None;
-            self.settle_orders();
+            self.settle_commands();
             self.effects.push(Effect::Halt(halt.clone()));
             self.halted = Some(halt);
         }
@@ -396,10 +396,10 @@
         // What has to come in order goes on a connection; a heartbeat does not.
         let ordered = match &packet {
             Packet::Voter { message, .. } => !matches!(**message, Message::BLE(_)),
-            Packet::Steps { .. } | Packet::Whole(_) | Packet::Again { .. } => true,
+            Packet::Steps { .. } | Packet::FullList(_) | Packet::Resync { .. } => true,
             _ => false,
         };
-        let Some(bytes) = encode(self.hash, self.watch.own(), packet) else { return };
+        let Some(bytes) = encode(self.hash, self.failure_detector.own(), packet) else { return };
         let connection = ordered || bytes.len() > MAX_DATAGRAM_BYTES;
         *(if connection { &mut self.counts.frames } else { &mut self.counts.datagrams }) += 1;
         self.counts.bytes += bytes.len() as u64;
--- a/sender-membership/src/node/observation.rs
+++ b/sender-membership/src/node/observation.rs
@@ -1,25 +1,25 @@
 //! What this sender tells of its fleet: who is announced to, who responds, and the view for operators.
 use super::{Effect, Halt, Node, Notification};
 use crate::Millis;
-use crate::failure_view::{Health, Heard, MemberState, Row, View, ViewDigest};
+use crate::failure_view::{Health, HealthChange, MemberState, Row, View, ViewDigest};
 use crate::member_list::{DepartedMember, Member};
 use crate::wire::{Identity, Packet};
 use rand::RngExt;
 
 /// Members that are not heard are greeted this often, one at a time.
-const GREET: Millis = 2_000;
+const ANNOUNCE_INTERVAL: Millis = 2_000;
 /// The same while some of them are so new here that they could not be heard yet.
-const GREET_FRESH: Millis = 250;
+const FRESH_ANNOUNCE_INTERVAL: Millis = 250;
 /// Former members in a view.
-const GONE_SHOWN: usize = 16;
+const MAX_DEPARTED_SHOWN: usize = 16;
 /// How long the start of SWIM may take until one that was never heard counts as lost, besides the time to object.
-const LISTEN: Millis = 3_000;
+const LISTEN_TIME: Millis = 3_000;
 
 impl Node {
-    pub(super) fn greet(&mut self, now: Millis) {
-        self.next_greet = now + GREET;
+    pub(super) fn announce_to(&mut self, now: Millis) {
+        self.next_announce = now + ANNOUNCE_INTERVAL;
         let Some(member_list) = &self.member_list else { return };
-        let health = self.watch.health();
+        let health = self.failure_detector.health();
         let unheard = |folder: &u64, incarnation: u32| {
             *folder != self.folder
                 && health
@@ -39,40 +39,40 @@
             .collect();
         // Those that have their time still are to be heard in it, however many there are: as after the start of a whole fleet.
         let hurry = lost.iter().any(|id| !health.contains_key(&id.folder) && self.fresh(id.folder, now));
-        self.next_greet = now + if hurry { GREET_FRESH } else { GREET };
+        self.next_announce = now + if hurry { FRESH_ANNOUNCE_INTERVAL } else { ANNOUNCE_INTERVAL };
         if lost.is_empty() {
             return;
         }
         // Those that cannot be reached from here may be known to others, who answer a greeting with whom they hear.
-        let answering: Vec<Identity> = self.watch.answering().copied().collect();
+        let answering: Vec<Identity> = self.failure_detector.answering().copied().collect();
         let ask = !answering.is_empty() && self.rng.random_range(0..2) == 0;
         let among = if ask { &answering } else { &lost };
         let chosen = among[self.rng.random_range(0..among.len())];
-        self.watch.greet(now, chosen);
-        self.after_watch(now);
+        self.failure_detector.announce_to(now, chosen);
+        self.process_failure_detector(now);
     }
 
     /// Sends what the watch wants sent, and tells what changed.
-    pub(super) fn after_watch(&mut self, _now: Millis) {
+    pub(super) fn process_failure_detector(&mut self, _now: Millis) {
         let Some(fleet) = self.member_list.as_ref().map(|member_list| member_list.fleet) else { return };
-        for (to, data) in std::mem::take(&mut self.watch.sends) {
+        for (to, data) in std::mem::take(&mut self.failure_detector.sends) {
             self.send(to.address, Packet::Swim { fleet, data });
         }
-        for change in std::mem::take(&mut self.watch.changes) {
+        for change in std::mem::take(&mut self.failure_detector.changes) {
             let name = |id: &Identity| {
                 let member =
                     self.member_list.as_ref().and_then(|member_list| member_list.members.get(&id.folder));
                 member.map_or_else(|| format!("folder {:016x}", id.folder), |m| m.info.name.clone())
             };
             let (id, now) = match change {
-                Heard::Up(id) => (id, Health::Answers),
-                Heard::Down(id) => (id, Health::Lost),
-                Heard::Returned(id) => {
+                HealthChange::Up(id) => (id, Health::Answers),
+                HealthChange::Down(id) => (id, Health::Lost),
+                HealthChange::Returned(id) => {
                     self.effects.push(Effect::Notify(Notification::Returned(id.returns)));
                     continue;
                 }
             };
-            let before = self.told.insert(id.folder, now).unwrap_or(Health::Unknown);
+            let before = self.notified.insert(id.folder, now).unwrap_or(Health::Unknown);
             let note = Notification::Health { name: name(&id), before, now, incarnation: id.incarnation };
             self.effects.push(Effect::Notify(note));
         }
@@ -82,12 +82,12 @@
     fn fresh(&self, folder: u64, now: Millis) -> bool {
         let listening = self.watching.unwrap_or(self.began);
         let since = self.learned.get(&folder).map_or(listening, |(_, at)| listening.max(*at));
-        now < since + LISTEN + self.settings.suspect
+        now < since + LISTEN_TIME + self.settings.suspect
     }
 
     /// Members in the order of their folders, how each belongs, and whether it answers.
     fn rows(&self, now: Millis) -> impl Iterator<Item = (u64, &Member, MemberState, Health)> {
-        let health = self.watch.health();
+        let health = self.failure_detector.health();
         self.member_list.iter().flat_map(|member_list| &member_list.members).map(move |(folder, member)| {
             let own = *folder == self.folder;
             // Of an earlier process of the member, nothing is believed any more.
@@ -154,7 +154,7 @@
             fleet: member_list.map(|member_list| member_list.fleet),
             epoch: member_list.map_or(0, |member_list| member_list.epoch),
             number: member_list.map_or(0, |member_list| member_list.number),
-            age_ms: self.heard.map(|heard| now.saturating_sub(heard)),
+            age_ms: self.last_seen.map(|heard| now.saturating_sub(heard)),
             voters_answering,
             voters,
             confirmed: self.confirmed(),
@@ -165,6 +165,9 @@
 
     /// The last of those that do not belong any more, the latest first.
     pub fn departed(&self) -> impl Iterator<Item = &DepartedMember> {
-        self.member_list.iter().flat_map(|member_list| member_list.departed.iter().rev()).take(GONE_SHOWN)
+        self.member_list
+            .iter()
+            .flat_map(|member_list| member_list.departed.iter().rev())
+            .take(MAX_DEPARTED_SHOWN)
     }
 }
--- a/sender-membership/src/node/voting.rs
+++ b/sender-membership/src/node/voting.rs
@@ -10,15 +10,16 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-const SETTLED: Millis = 4_000;
+const GROUP_CHANGE_DELAY: Millis = 4_000;
 /// A group of voters that has agreed on so many steps begins anew, with an empty log.
-const MOST_LOG: usize = 256;
+const MAX_GROUP_STEPS: usize = 256;
 /// Steps that may wait for a majority.
-const MOST_WAITING: usize = 64;
+const MAX_PENDING_STEPS: usize = 64;
 
 impl Node {
     pub(super) fn propose_own(&mut self) {
-        let mut changes: Vec<Change> = self.orders.iter().map(|order| order.change.clone()).collect();
+        let mut changes: Vec<Change> =
+            self.pending_commands.iter().map(|command| command.change.clone()).collect();
         if !self.confirmed() && self.member_list.is_some() {
             changes.push(Change::Start {
                 folder: self.folder,
@@ -46,7 +47,7 @@
             .filter(|folder| **folder != self.folder)
             .filter_map(|folder| Some((*folder, member_list.members.get(folder)?.info.address)))
             .collect();
-        let answers = |folder: u64| self.watch.health_of(folder) == Some(Health::Answers);
+        let answers = |folder: u64| self.failure_detector.health_of(folder) == Some(Health::Answers);
         let answering: Vec<_> = voters.iter().filter(|(folder, _)| answers(*folder)).collect();
         if !answering.is_empty() && self.rng.random_range(0..4) > 0 {
             return Some(answering[self.rng.random_range(0..answering.len())].1);
@@ -79,7 +80,7 @@
                 let taken = holder.is_some_and(|holder| {
                     let elsewhere =
                         member_list.members.get(&holder).is_some_and(|m| m.info.address != info.address);
-                    let lost = self.watch.health_of(holder) == Some(Health::Lost);
+                    let lost = self.failure_detector.health_of(holder) == Some(Health::Lost);
                     elsewhere && (holder == self.folder || !lost)
                 });
                 !known && !taken && member_list.departure_of(*folder).is_none()
@@ -91,7 +92,7 @@
         let in_group = member_list.in_group();
         if let Some(voter) = &mut self.voter
             && wanted
-            && voter.waiting(in_group) < MOST_WAITING
+            && voter.waiting(in_group) < MAX_PENDING_STEPS
         {
             voter.propose(change.clone());
         }
@@ -118,12 +119,12 @@
                 .map(|member_list| Effect::Persist(Record::MemberList(Box::new(member_list))));
             self.effects.extend(whole);
             self.member_list_changed(now, None);
-            self.after_voter(now);
+            self.process_voter(now);
         }
     }
 
     /// Writes, steps agreed on, and messages of the voter, in this order.
-    pub(super) fn after_voter(&mut self, now: Millis) {
+    pub(super) fn process_voter(&mut self, now: Millis) {
         loop {
             let Some(voter) = &mut self.voter else { return };
             let group = voter.group;
@@ -166,7 +167,10 @@
         let Some(member_list) = &self.member_list else { return (0, 0) };
         let answers = |folder: &&u64| {
             **folder == self.folder
-                || matches!(self.watch.health_of(**folder), Some(Health::Answers | Health::Suspected))
+                || matches!(
+                    self.failure_detector.health_of(**folder),
+                    Some(Health::Answers | Health::Suspected)
+                )
         };
         (member_list.voters.iter().filter(answers).count(), member_list.voters.len())
     }
@@ -174,7 +178,7 @@
     /// Members that answer and could be voters beside those, the best first: of zones and machines that have none.
     pub(super) fn candidates(&self, beside: &[u64]) -> Vec<u64> {
         let Some(member_list) = &self.member_list else { return Vec::new() };
-        let health = self.watch.health();
+        let health = self.failure_detector.health();
         let answers = |folder: &u64| {
             *folder == self.folder || health.get(folder).is_some_and(|(_, h)| *h == Health::Answers)
         };
@@ -210,7 +214,7 @@
         let lost = |folder: &u64| {
             *folder != self.folder
                 && self
-                    .watch
+                    .failure_detector
                     .lost_since(*folder)
                     .is_some_and(|at| now >= at + self.settings.replace_voter_after)
         };
@@ -255,13 +259,16 @@
         }
     }
 
-    pub(super) fn housekeeping(&mut self, now: Millis) {
-        if now < self.settled_at + SETTLED || !self.voter.as_ref().is_some_and(Voter::leads) {
+    pub(super) fn check_group(&mut self, now: Millis) {
+        if now < self.settled_at + GROUP_CHANGE_DELAY || !self.voter.as_ref().is_some_and(Voter::leads) {
             return;
         }
         if self.settings.injected_faults.removes_the_silent {
             let Some(member_list) = &self.member_list else { return };
-            let silent = member_list.members.keys().find(|folder| self.watch.lost_since(**folder).is_some());
+            let silent = member_list
+                .members
+                .keys()
+                .find(|folder| self.failure_detector.lost_since(**folder).is_some());
             if let (Some(folder), Some(voter)) = (silent.copied(), &mut self.voter) {
                 voter.propose(Change::Departure { folder, why: Departure::Removed });
             }
@@ -270,11 +277,11 @@
         let Some(member_list) = &self.member_list else { return };
         let differs = wanted.iter().any(|folder| !member_list.voters.contains(folder))
             || wanted.len() != member_list.voters.len();
-        let long = member_list.in_group() >= MOST_LOG;
+        let long = member_list.in_group() >= MAX_GROUP_STEPS;
         if wanted.len() >= 2
             && (differs || long)
             && let Some(voter) = &mut self.voter
-            && voter.hand_on(&wanted)
+            && voter.end_group(&wanted)
         {
             self.settled_at = now;
         }
--- a/sender-membership/src/settings.rs
+++ b/sender-membership/src/settings.rs
@@ -4,28 +4,28 @@
 use std::net::SocketAddr;
 
 /// The longest name of a fleet, a sender, a zone or a machine, in bytes.
-const MOST_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 /// The most seeds.
-const MOST_SEEDS: usize = 9;
+const MAX_SEEDS: usize = 9;
 /// The most voters: each one more has to hear each step before it counts.
-const MOST_KEEPERS: usize = 9;
+const MAX_VOTERS: usize = 9;
 
 /// Why settings cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A name is empty, too long, or holds what would break a line of a log.
-    #[error("{0} is {1:?}: a name has 1 to {MOST_NAME} letters, digits, '-', '_', '.' or ':'")]
+    #[error("{0} is {1:?}: a name has 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.' or ':'")]
     Name(&'static str, String),
     /// Fewer seeds than a fleet can be founded on, or more than are asked.
     #[error(
-        "seeds: {0} are named, 2 to {MOST_SEEDS} are needed, the same ones in the same order at every sender"
+        "seeds: {0} are named, 2 to {MAX_SEEDS} are needed, the same ones in the same order at every sender"
     )]
     Seeds(usize),
     /// A seed stands twice.
     #[error("seeds: {0} stands twice")]
     SeedTwice(SocketAddr),
     /// Voters that cannot have a majority.
-    #[error("keepers: {0} is not an odd number from 3 to {MOST_KEEPERS}")]
+    #[error("keepers: {0} is not an odd number from 3 to {MAX_VOTERS}")]
     Voters(usize),
     /// Times that make the living look lost, or the lost living.
     #[error("{0}: {1} ms is not between {2} and {3}")]
@@ -74,7 +74,7 @@
 
 fn named(what: &'static str, name: &str) -> Result<(), SettingsError> {
     let fits = |b: u8| b.is_ascii_alphanumeric() || b"-_.:".contains(&b);
-    if name.is_empty() || name.len() > MOST_NAME || !name.bytes().all(fits) {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(fits) {
         return Err(SettingsError::Name(what, name.to_owned()));
     }
     Ok(())
@@ -108,7 +108,7 @@
             ("version", &self.info.version),
         ];
         faults.extend(names.iter().filter_map(|(what, name)| named(what, name).err()));
-        if !(2..=MOST_SEEDS).contains(&self.seeds.len()) {
+        if !(2..=MAX_SEEDS).contains(&self.seeds.len()) {
             faults.push(SettingsError::Seeds(self.seeds.len()));
         }
         for (at, seed) in self.seeds.iter().enumerate() {
@@ -116,7 +116,7 @@
                 faults.push(SettingsError::SeedTwice(*seed));
             }
         }
-        if self.voters.is_multiple_of(2) || !(3..=MOST_KEEPERS).contains(&self.voters) {
+        if self.voters.is_multiple_of(2) || !(3..=MAX_VOTERS).contains(&self.voters) {
             faults.push(SettingsError::Voters(self.voters));
         }
         let times = [
--- a/sender-membership/src/voter.rs
+++ b/sender-membership/src/voter.rs
@@ -214,7 +214,7 @@
         let sound = from.is_some_and(|at| at as NodeId + 1 == message.get_sender())
             && message.get_receiver() == self.own
             && message.get_sender() != self.own;
-        if sound && let Some(message) = self.counted_once(message) {
+        if sound && let Some(message) = self.without_recounted_stop(message) {
             self.paxos.handle_incoming(message);
         }
         sound
@@ -224,11 +224,11 @@
     /// are there, and then once more: with each telling this voter would say that it has one step more, until the leader
     /// takes steps for agreed that nobody has. So the telling is made to begin where the steps end. None where this voter
     /// knows that the group has ended: it needs no telling.
-    fn counted_once(&self, mut message: Message<Change>) -> Option<Message<Change>> {
+    fn without_recounted_stop(&self, mut message: Message<Change>) -> Option<Message<Change>> {
         let sync: Option<&mut LogSync<Change>> = match &mut message {
             Message::SequencePaxos(paxos) => match &mut paxos.msg {
-                PaxosMsg::AcceptSync(told) => Some(&mut told.log_sync),
-                PaxosMsg::Promise(told) => told.log_sync.as_mut(),
+                PaxosMsg::AcceptSync(sync) => Some(&mut sync.log_sync),
+                PaxosMsg::Promise(promise) => promise.log_sync.as_mut(),
                 _ => None,
             },
             Message::BLE(_) => None,
@@ -266,7 +266,7 @@
     }
 
     /// Ends the group: the next one has these folders.
-    pub(crate) fn hand_on(&mut self, folders: &[u64]) -> bool {
+    pub(crate) fn end_group(&mut self, folders: &[u64]) -> bool {
         let next = ClusterConfig {
             configuration_id: self.group + 1,
             nodes: (1..=folders.len() as NodeId).collect(),
--- a/sender-membership/src/voter/tests.rs
+++ b/sender-membership/src/voter/tests.rs
@@ -71,7 +71,7 @@
     let leading = leader(&mut voters, &mut disks);
     assert!(voters[leading].as_mut().unwrap().propose(depart(9)));
     talk(&mut voters, &mut disks, 10);
-    assert!(voters[leading].as_mut().unwrap().hand_on(&[1, 2, 9]));
+    assert!(voters[leading].as_mut().unwrap().end_group(&[1, 2, 9]));
     let told = voters[leading].as_mut().unwrap().messages();
     for (to, message) in told {
         let follower = voters[to as usize - 1].as_mut().unwrap();
@@ -100,7 +100,7 @@
     let mut disks = vec![VoterState::default(); 3];
     let mut voters: Vec<_> = group.iter().map(|own| Voter::new(1, &group, *own, None)).collect();
     let leading = leader(&mut voters, &mut disks);
-    assert!(voters[leading].as_mut().unwrap().hand_on(&[1, 2, 9]));
+    assert!(voters[leading].as_mut().unwrap().end_group(&[1, 2, 9]));
     talk(&mut voters, &mut disks, 20);
     for voter in voters.iter_mut().flatten() {
         assert_eq!(voter.agreed(0), [Change::Voters { group: 2, folders: vec![1, 2, 9] }]);
--- a/sender-membership/src/wire.rs
+++ b/sender-membership/src/wire.rs
@@ -11,7 +11,7 @@
 /// The longest frame of a connection, in bytes: the record of the largest fleet.
 pub const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
 /// Version, fleet's name, checksum.
-const HEAD: usize = 1 + 8 + 4;
+const HEADER_BYTES: usize = 1 + 8 + 4;
 
 /// A process of a sender, as its peers know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
     /// The steps after a number.
     Steps { fleet: u64, epoch: u32, after: u64, changes: Vec<Change> },
     /// The whole record.
-    Whole(Box<MemberList>),
+    FullList(Box<MemberList>),
     /// A step, for the voters to agree on.
     Propose(Change),
     /// A start is not agreed on: the process that this folder is known by answers, at another address.
@@ -66,7 +66,7 @@
     /// Between voters of one group.
     Voter { fleet: u64, epoch: u32, group: u32, message: Box<Message<Change>> },
     /// What this voter told on a connection may be lost: ask for it anew.
-    Again { group: u32 },
+    Resync { group: u32 },
     /// Whether one lives.
     Swim { fleet: u64, data: Vec<u8> },
 }
@@ -102,21 +102,21 @@
     head.extend([0; 4]);
     let mut bytes = postcard::to_extend(&Envelope { from, packet }, head).ok()?;
     let sum = checksum(&bytes);
-    bytes[HEAD - 4..HEAD].copy_from_slice(&sum.to_le_bytes());
+    bytes[HEADER_BYTES - 4..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
     Some(bytes)
 }
 
 fn checksum(bytes: &[u8]) -> u32 {
     let mut sum = crc32fast::Hasher::new();
-    sum.update(&bytes[..HEAD - 4]);
-    sum.update(&bytes[HEAD..]);
+    sum.update(&bytes[..HEADER_BYTES - 4]);
+    sum.update(&bytes[HEADER_BYTES..]);
     sum.finalize()
 }
 
 /// The packet of some bytes, and who sent it.
 pub(crate) fn decode(fleet: u64, bytes: &[u8]) -> Result<(Identity, Packet), WireError> {
-    let (head, rest) = bytes.split_at_checked(HEAD).ok_or(WireError::Damaged)?;
-    let sum = head[HEAD - 4..].try_into().map(u32::from_le_bytes).map_err(|_| WireError::Damaged)?;
+    let (head, rest) = bytes.split_at_checked(HEADER_BYTES).ok_or(WireError::Damaged)?;
+    let sum = head[HEADER_BYTES - 4..].try_into().map(u32::from_le_bytes).map_err(|_| WireError::Damaged)?;
     if checksum(bytes) != sum {
         return Err(WireError::Damaged);
     }
--- a/sender-membership/src/wire/tests.rs
+++ b/sender-membership/src/wire/tests.rs
@@ -23,7 +23,7 @@
     let mut newer = sound;
     newer[0] = VERSION + 1;
     let sum = checksum(&newer);
-    newer[HEAD - 4..HEAD].copy_from_slice(&sum.to_le_bytes());
+    newer[HEADER_BYTES - 4..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
     assert_eq!(decode(7, &newer).unwrap_err(), WireError::Version(VERSION + 1));
 }
 
@@ -54,11 +54,11 @@
         Packet::Digest { fleet: 6, epoch: 7, number: 8 },
         Packet::Pull { epoch: 9, number: 10 },
         Packet::Steps { fleet: 11, epoch: 12, after: 13, changes: vec![start.clone(), start.clone()] },
-        Packet::Whole(Box::new(MemberList::found(14, 15, vec![(15, 16, 17, info)]))),
+        Packet::FullList(Box::new(MemberList::found(14, 15, vec![(15, 16, 17, info)]))),
         Packet::Propose(start),
         Packet::Refused { boot: 18, incarnation: 19 },
         Packet::Voter { fleet: 20, epoch: 21, group: 22, message: Box::new(message) },
-        Packet::Again { group: 23 },
+        Packet::Resync { group: 23 },
         Packet::Swim { fleet: 24, data: vec![25, 0, 255] },
     ]
 }
