--- a/testbed/src/baseline.rs
+++ b/testbed/src/baseline.rs
@@ -27,15 +27,15 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 /// Pause of the one with fixed pauses, and the first of the one with doubling ones.
-const PAUSE: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 /// Cap of the doubling.
-const MOST_PAUSE: Duration = Duration::from_secs(10);
+const MAX_BACKOFF: Duration = Duration::from_secs(10);
 /// A call is given up after this.
-const CALL_PATIENCE: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between questions for the list.
-const LIST_PAUSE: Duration = Duration::from_secs(2);
+const LIST_POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// Bytes of a body, at the most.
-const MOST_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
 #[derive(Deserialize)]
 struct Config {
@@ -113,7 +113,7 @@
 }
 
 /// How an attempt ended.
-enum Ended {
+enum AttemptOutcome {
     Delivered,
     /// Never ran.
     Refused,
@@ -168,10 +168,10 @@
 impl Plain {
     async fn ask_list(self: Arc<Self>) {
         loop {
-            sleep(LIST_PAUSE).await;
+            sleep(LIST_POLL_INTERVAL).await;
             let uri = format!("http://{}{TARGETS}", self.config.discovery);
             let Ok(request) = Request::get(uri).body(Full::default()) else { return };
-            let asked = timeout(LIST_PAUSE, async {
+            let asked = timeout(LIST_POLL_INTERVAL, async {
                 let answer = self.http.request(request).await.ok()?;
                 answer.into_body().collect().await.ok().map(|body| body.to_bytes())
             });
@@ -188,7 +188,7 @@
             (&Method::GET, READY) => plain(StatusCode::OK),
             (&Method::POST, HAND_IN) => {
                 let (head, body) = request.into_parts();
-                let Ok(body) = Limited::new(body, MOST_BODY).collect().await else {
+                let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
                     return plain(StatusCode::BAD_REQUEST);
                 };
                 let Some(held) = self.read(&head.headers, body.to_bytes()) else {
@@ -222,7 +222,7 @@
     }
 
     async fn deliver(&self, held: Held) {
-        let (mut ran, mut pause): (Option<Instant>, Duration) = (None, PAUSE);
+        let (mut ran, mut pause): (Option<Instant>, Duration) = (None, INITIAL_BACKOFF);
         let most = if self.how == Baseline::OneTry { 1 } else { self.config.settings.limits.max_attempts };
         for _ in 0..most {
             let may = match (held.lane.repeat.as_str(), ran) {
@@ -233,23 +233,23 @@
                 _ => false,
             };
             let Ok(Ok(slot)) = timeout_at(held.due, self.slots.acquire()).await else { break };
-            if !may || Instant::now() + PAUSE >= held.due {
+            if !may || Instant::now() + INITIAL_BACKOFF >= held.due {
                 break;
             }
             let began = Instant::now();
             let ended = self.call(&held).await;
             drop(slot);
             match ended {
-                Ended::Delivered | Ended::Over => return,
-                Ended::Refused => {}
-                Ended::Unsure => drop(ran.get_or_insert(began)),
+                AttemptOutcome::Delivered | AttemptOutcome::Over => return,
+                AttemptOutcome::Refused => {}
+                AttemptOutcome::Unsure => drop(ran.get_or_insert(began)),
             }
             if Instant::now() + pause >= held.due {
                 break;
             }
             sleep(pause).await;
             if self.how == Baseline::Doubling {
-                pause = (pause * 2).min(MOST_PAUSE);
+                pause = (pause * 2).min(MAX_BACKOFF);
             }
         }
         let harmless = ran.is_none() || held.lane.repeat != "fragile";
@@ -257,7 +257,7 @@
         self.notice(&held.id, state).await;
     }
 
-    async fn call(&self, held: &Held) -> Ended {
+    async fn call(&self, held: &Held) -> AttemptOutcome {
         let to = {
             let list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
             let serving =
@@ -266,7 +266,7 @@
             let turn = self.turn.fetch_add(1, Ordering::Relaxed);
             members.get(turn % members.len().max(1)).copied()
         };
-        let Some(to) = to else { return Ended::Refused };
+        let Some(to) = to else { return AttemptOutcome::Refused };
         let left = held.due.saturating_duration_since(Instant::now()).as_secs_f64();
         let mut request = Request::post(format!("http://{to}{HOOK}"))
             .header(HOST, to.to_string())
@@ -275,19 +275,19 @@
         if let Some(key) = &held.key {
             request = request.header(IDEMPOTENCY_KEY, key);
         }
-        let Ok(request) = request.body(Full::new(held.body.clone())) else { return Ended::Over };
-        let until = held.due.min(Instant::now() + CALL_PATIENCE);
+        let Ok(request) = request.body(Full::new(held.body.clone())) else { return AttemptOutcome::Over };
+        let until = held.due.min(Instant::now() + CALL_TIMEOUT);
         match timeout_at(until, self.http.request(request)).await {
-            Err(_) => Ended::Unsure,
-            Ok(Err(e)) if e.is_connect() => Ended::Refused,
-            Ok(Err(_)) => Ended::Unsure,
+            Err(_) => AttemptOutcome::Unsure,
+            Ok(Err(e)) if e.is_connect() => AttemptOutcome::Refused,
+            Ok(Err(_)) => AttemptOutcome::Unsure,
             Ok(Ok(answer)) => match answer.status() {
-                StatusCode::OK => Ended::Delivered,
-                StatusCode::GONE => Ended::Over,
+                StatusCode::OK => AttemptOutcome::Delivered,
+                StatusCode::GONE => AttemptOutcome::Over,
                 StatusCode::TOO_MANY_REQUESTS
                 | StatusCode::SERVICE_UNAVAILABLE
-                | StatusCode::GATEWAY_TIMEOUT => Ended::Refused,
-                _ => Ended::Unsure,
+                | StatusCode::GATEWAY_TIMEOUT => AttemptOutcome::Refused,
+                _ => AttemptOutcome::Unsure,
             },
         }
     }
@@ -300,11 +300,11 @@
         for _ in 0..10 {
             let uri = format!("http://{}{NOTICES}", self.config.discovery);
             let Ok(request) = Request::post(uri).body(Full::new(body.clone())) else { return };
-            let sent = timeout(PAUSE, self.http.request(request)).await;
+            let sent = timeout(INITIAL_BACKOFF, self.http.request(request)).await;
             if matches!(sent, Ok(Ok(answer)) if answer.status().is_success()) {
                 return;
             }
-            sleep(PAUSE / 10).await;
+            sleep(INITIAL_BACKOFF / 10).await;
         }
     }
 }
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -26,7 +26,7 @@
 /// Clients that give up wait this share of the others' patience, at the most.
 const EARLY: f64 = 0.02;
 /// A stranger is owed an error or a close within this.
-const STRANGER_PATIENCE: Duration = Duration::from_secs(3);
+const STRANGER_TIMEOUT: Duration = Duration::from_secs(3);
 /// What strangers send: nothing, no HTTP, half a head, half a body, and a message without what it needs.
 const STRANGERS: [&str; 5] = [
     "",
@@ -50,7 +50,7 @@
             _ => true,
         }
     };
-    let served = timeout(STRANGER_PATIENCE, visit).await.unwrap_or(false);
+    let served = timeout(STRANGER_TIMEOUT, visit).await.unwrap_or(false);
     stage.lock().judge.stranger(served);
 }
 
@@ -73,7 +73,7 @@
 }
 
 /// What a client heard.
-enum Heard {
+enum SubmissionAnswer {
     TakenOn,
     Refused(Option<Micros>),
     Nothing,
@@ -171,8 +171,8 @@
                 inner.returns.insert(first, told);
                 back
             };
-            let told = match self.hand_in(&id, first, sender, &arrival, (due, patience)).await {
-                Heard::TakenOn => {
+            let told = match self.submit(&id, first, sender, &arrival, (due, patience)).await {
+                SubmissionAnswer::TakenOn => {
                     stage.lock().judge.answered(stage.now(), &id, true);
                     tokio::select! {
                         told = back => match told {
@@ -182,11 +182,11 @@
                         () = sleep_until(stage.instant(due)) => return,
                     }
                 }
-                Heard::Refused(after) => {
+                SubmissionAnswer::Refused(after) => {
                     stage.lock().judge.answered(stage.now(), &id, false);
                     after
                 }
-                Heard::Nothing => {
+                SubmissionAnswer::Nothing => {
                     stage.lock().judge.unanswered(&id);
                     if gives_up {
                         return;
@@ -233,14 +233,14 @@
         alive.get(place.min(alive.len().saturating_sub(1))).copied()
     }
 
-    async fn hand_in(
+    async fn submit(
         &self,
         id: &str,
         first: usize,
         sender: usize,
         arrival: &Arrival,
         (due, patience): (Micros, Duration),
-    ) -> Heard {
+    ) -> SubmissionAnswer {
         let class = &self.stage.scenario.classes[arrival.class];
         let address = self.senders[sender].address;
         let left = due.saturating_sub(self.stage.now()) as f64 / 1e6;
@@ -255,20 +255,22 @@
         if class.effect == Effect::Keyed {
             request = request.header(IDEMPOTENCY_KEY, format!("{first:032x}"));
         }
-        let Ok(request) = request.body(Full::new(self.body.clone())) else { return Heard::Nothing };
+        let Ok(request) = request.body(Full::new(self.body.clone())) else {
+            return SubmissionAnswer::Nothing;
+        };
         let Ok(Ok(answer)) = timeout(patience, self.http.request(request)).await else {
-            return Heard::Nothing;
+            return SubmissionAnswer::Nothing;
         };
         match answer.status() {
-            StatusCode::OK | StatusCode::ACCEPTED => Heard::TakenOn,
+            StatusCode::OK | StatusCode::ACCEPTED => SubmissionAnswer::TakenOn,
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 let after =
                     answer.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
-                Heard::Refused(after.filter(|s| s.is_finite()).map(micros))
+                SubmissionAnswer::Refused(after.filter(|s| s.is_finite()).map(micros))
             }
             other => {
                 self.stage.fault(format!("a sender answered {other} to a proper request"));
-                Heard::Nothing
+                SubmissionAnswer::Nothing
             }
         }
     }
--- a/testbed/src/commands/sender_runs.rs
+++ b/testbed/src/commands/sender_runs.rs
@@ -9,7 +9,7 @@
 use testbed::peers::real::Promises;
 use testbed::report::html;
 use testbed::run::{Played, play};
-use testbed::scenario::{MOST_PROCESSES, Scenario, Variant};
+use testbed::scenario::{MAX_PROCESSES, Scenario, Variant};
 use testbed::sim::simulate;
 use testbed::table::table;
 use tokio::sync::watch;
@@ -54,7 +54,7 @@
     brief: bool,
     stop: watch::Receiver<u32>,
 ) -> Result<bool, TestbedError> {
-    if scenario.fleet.senders > MOST_PROCESSES {
+    if scenario.fleet.senders > MAX_PROCESSES {
         return Err(TestbedError::TooMany(scenario.fleet.senders));
     }
     if scenario.peers.as_ref().is_some_and(|peers| peers.heartbeat) {
--- a/testbed/src/directory.rs
+++ b/testbed/src/directory.rs
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 
 /// The longest that a watch may wait.
-const MOST_HOLD: Duration = Duration::from_secs(60);
+const MAX_LONG_POLL: Duration = Duration::from_secs(60);
 /// Bytes of a request with notices, at the most.
-const MOST_NOTICES: usize = 64 * 1024;
+const MAX_NOTICE_BYTES: usize = 64 * 1024;
 /// The first version of the list.
 const FIRST: u64 = 1;
 
@@ -151,7 +151,7 @@
         return Err(Cut);
     }
     if let Some(from) = from {
-        let hold = Duration::from_millis(hold.unwrap_or(0)).min(MOST_HOLD);
+        let hold = Duration::from_millis(hold.unwrap_or(0)).min(MAX_LONG_POLL);
         let mut revision = directory.revision.subscribe();
         tokio::select! {
             _ = down.wait_for(|down| *down) => return Err(Cut),
@@ -165,7 +165,7 @@
 }
 
 async fn notices(stage: &Stage, body: Incoming) -> Response<Full<Bytes>> {
-    let Ok(body) = Limited::new(body, MOST_NOTICES).collect().await else {
+    let Ok(body) = Limited::new(body, MAX_NOTICE_BYTES).collect().await else {
         return plain(StatusCode::BAD_REQUEST);
     };
     let body = body.to_bytes();
--- a/testbed/src/endpoints.rs
+++ b/testbed/src/endpoints.rs
@@ -20,9 +20,9 @@
 use tokio::time::{sleep, sleep_until};
 
 /// Bytes of a body, at the most.
-const MOST_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Pause before an address is tried again that something else has.
-const BIND_PAUSE: Duration = Duration::from_millis(20);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The connection is to break without an answer.
 #[derive(Debug, thiserror::Error)]
@@ -68,7 +68,7 @@
     for _ in 0..50 {
         match TcpListener::bind(address).await {
             Ok(listener) => return Some(listener),
-            Err(_) => sleep(BIND_PAUSE).await,
+            Err(_) => sleep(BIND_RETRY_INTERVAL).await,
         }
     }
     None
@@ -163,7 +163,7 @@
     if head.method != Method::POST || head.uri.path() != HOOK {
         return Ok(plain(StatusCode::NOT_FOUND));
     }
-    if Limited::new(body, MOST_BODY).collect().await.is_err() {
+    if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
         return Ok(plain(StatusCode::BAD_REQUEST));
     }
     let Some(id) = head.headers.get(TXN).and_then(|id| id.to_str().ok()).map(str::to_owned) else {
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -63,12 +63,12 @@
 /// Draws with replacement by which an interval is estimated.
 const RESAMPLES: usize = 2000;
 /// With fewer pairs no interval is told: it would be narrower than what can be known.
-const LEAST_PAIRS: usize = 3;
+const MIN_PAIRS: usize = 3;
 
 /// The interval that holds the mean of the differences in 95 of 100 such experiments, by the bootstrap; none for too
 /// few pairs.
 pub fn interval(differences: &[f64]) -> Option<(f64, f64)> {
-    if differences.len() < LEAST_PAIRS {
+    if differences.len() < MIN_PAIRS {
         return None;
     }
     let mut rng = ChaCha8Rng::seed_from_u64(1);
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -22,13 +22,13 @@
 /// The sender's program.
 const SENDER: &str = "message-sender";
 /// A sender that is not ready by then does not start.
-const START_PATIENCE: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// After SIGTERM a process has so long until SIGKILL.
-const TERM_PATIENCE: Duration = Duration::from_millis(3700);
+const TERMINATION_TIMEOUT: Duration = Duration::from_millis(3700);
 /// Time for the last lines of a sender that has ended to come.
 const LAST_LINES: Duration = Duration::from_millis(200);
 /// Pause between questions whether a sender is ready.
-const ASK_PAUSE: Duration = Duration::from_millis(10);
+const ADMIN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why a fleet cannot be had.
 #[derive(Debug, thiserror::Error)]
@@ -220,12 +220,12 @@
     /// Starts the process on what its folder holds, and waits until it is ready.
     pub async fn start(&mut self) -> Result<(), FleetError> {
         self.spawn()?;
-        let patience = Instant::now() + START_PATIENCE;
+        let patience = Instant::now() + START_TIMEOUT;
         while Instant::now() < patience && !self.ended() {
             if ready(self.address).await {
                 return Ok(());
             }
-            sleep(ASK_PAUSE).await;
+            sleep(ADMIN_RETRY_INTERVAL).await;
         }
         // Its last lines may be on their way.
         sleep(LAST_LINES).await;
@@ -332,7 +332,7 @@
     pub async fn terminate(&mut self) {
         self.signal(Signal::SIGTERM);
         if let Some(child) = self.child.as_mut()
-            && timeout(TERM_PATIENCE, child.wait()).await.is_ok()
+            && timeout(TERMINATION_TIMEOUT, child.wait()).await.is_ok()
         {
             self.child = None;
             return;
--- a/testbed/src/peers/check.rs
+++ b/testbed/src/peers/check.rs
@@ -39,7 +39,7 @@
 /// One is not to be held lost, so long after whatever excused that was over.
 const GRACE: At = 12_000;
 /// One fault loses this share of a sender's datagrams at the most; V2 is promised for 0.2.
-const MOST_LOST: f64 = 0.3;
+const MAX_LOST_SHARE: f64 = 0.3;
 
 #[derive(Clone, Default)]
 struct Sender {
@@ -275,7 +275,8 @@
                 }
             }
         }
-        let heavy = |losses: &BTreeMap<usize, f64>, n: usize| losses.get(&n).is_some_and(|x| *x > MOST_LOST);
+        let heavy =
+            |losses: &BTreeMap<usize, f64>, n: usize| losses.get(&n).is_some_and(|x| *x > MAX_LOST_SHARE);
         let losses: BTreeMap<usize, f64> = arrives.into_iter().map(|(n, share)| (n, 1.0 - share)).collect();
         for sender in 0..self.senders.len() {
             if heavy(&self.losses, sender) && !heavy(&losses, sender) {
@@ -287,7 +288,7 @@
 
     fn excused(&self, at: At, sender: usize) -> bool {
         let s = &self.senders[sender];
-        let lossy = self.losses.get(&sender).is_some_and(|lost| *lost > MOST_LOST);
+        let lossy = self.losses.get(&sender).is_some_and(|lost| *lost > MAX_LOST_SHARE);
         !s.up || s.halted || s.paused || lossy || at < s.excused + GRACE || self.cut_off(sender)
     }
 
--- a/testbed/src/peers/links.rs
+++ b/testbed/src/peers/links.rs
@@ -22,7 +22,7 @@
 /// A connection that is cut for longer than this does not come back.
 const STALLED: Duration = Duration::from_secs(3);
 /// Pause between looks at a cut connection.
-const LOOK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Bytes that are passed on at a time.
 const CHUNK: usize = 16 * 1024;
 
@@ -221,7 +221,7 @@
     async fn carry_connections(self: Arc<Self>, to: usize, listener: TcpListener) {
         loop {
             let Ok((stream, source)) = listener.accept().await else {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
                 continue;
             };
             let Some(from) = self.by_ip.get(&source.ip()).copied() else { continue };
@@ -266,7 +266,7 @@
                 if stalled.elapsed() > STALLED {
                     return broken(&stream, &onward);
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
             let way = self.way(from, to);
             if self.chance(way.reset) {
@@ -295,10 +295,10 @@
             let bytes = garbage(&mut locked(&self.rng));
             let _ = socket.send_to(&bytes, self.own[to]).await;
             if self.chance(0.1)
-                && let Ok(Ok(mut stream)) = timeout(LOOK, TcpStream::connect(self.own[to])).await
+                && let Ok(Ok(mut stream)) = timeout(POLL_INTERVAL, TcpStream::connect(self.own[to])).await
             {
                 if !bytes.is_empty() {
-                    let _ = timeout(LOOK, stream.write_all(&bytes)).await;
+                    let _ = timeout(POLL_INTERVAL, stream.write_all(&bytes)).await;
                 }
                 silent.push(stream);
             }
--- a/testbed/src/peers/links/tests.rs
+++ b/testbed/src/peers/links/tests.rs
@@ -35,7 +35,7 @@
     links.begin(0, met(Kind::Cut, &[0], &[1], 0.0));
     ours.send_to(b"lost", links.told[1]).await.unwrap();
     while links.carried.dropped.load(Ordering::Relaxed) == 0 {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     links.end(0);
     ours.send_to(b"again", links.told[1]).await.unwrap();
--- a/testbed/src/peers/plain.rs
+++ b/testbed/src/peers/plain.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 /// Each is told of this often, in ms.
-const BEAT: u64 = 1_000;
+const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 
 /// Simple senders' liveness.
 pub struct Heartbeat {
@@ -47,7 +47,7 @@
         if now < self.next {
             return;
         }
-        self.next = now + BEAT;
+        self.next = now + HEARTBEAT_INTERVAL_MS;
         let bytes = self.beat();
         for (number, (_, _, to)) in self.peers.iter().enumerate() {
             if number != self.own {
--- a/testbed/src/peers/real.rs
+++ b/testbed/src/peers/real.rs
@@ -24,12 +24,12 @@
 use tokio::time::{Instant, interval, sleep, sleep_until, timeout};
 
 /// Each sender is asked this often, and a little less often for each one there is, as the lab shares their machine.
-const LOOK: Duration = Duration::from_millis(250);
-const LOOK_MORE: Duration = Duration::from_millis(8);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+const FAST_POLL_INTERVAL: Duration = Duration::from_millis(8);
 /// How long an answer is waited for.
 const ASK: Duration = Duration::from_secs(1);
 /// How long staff go on asking for a removal.
-const STAFF: Duration = Duration::from_secs(40);
+const ADMIN_TIMEOUT: Duration = Duration::from_secs(40);
 /// How late the last fault's end may leave a view besides the bound, until the play ends.
 const AFTER: f64 = 1.0;
 /// A starved process runs for so long between two stops.
@@ -37,7 +37,7 @@
 /// The exit code of a sender whose folder another one has a copy of.
 const COPIED: i32 = 3;
 /// Lines of all logs that are kept.
-const MOST_LINES: usize = 400_000;
+const MAX_LOG_LINES: usize = 400_000;
 
 /// What came of the fleet's promises.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -175,7 +175,7 @@
     pub fn line(&self, sender: usize, line: &str) {
         let at = self.now();
         self.with(|record| {
-            if record.lines.len() < MOST_LINES {
+            if record.lines.len() < MAX_LOG_LINES {
                 record.lines.push((at, sender, line.to_owned()));
             }
         });
@@ -219,7 +219,7 @@
 
     /// Asks one sender again and again, and takes down what changed.
     async fn look(self: Arc<Self>, number: usize, node: Shared, all: usize) {
-        let every = LOOK + LOOK_MORE * u32::try_from(all).unwrap_or(0);
+        let every = POLL_INTERVAL + FAST_POLL_INTERVAL * u32::try_from(all).unwrap_or(0);
         sleep(every * u32::try_from(number).unwrap_or(0) / u32::try_from(all).unwrap_or(1)).await;
         let mut ticks = interval(every);
         let mut known: Option<(u32, Marked)> = None;
@@ -493,7 +493,7 @@
 
     /// Staff have some removed, by asking those that run one after the other, until one says that it is done.
     async fn remove(&self, senders: &[usize]) {
-        let given_up = Instant::now() + STAFF;
+        let given_up = Instant::now() + ADMIN_TIMEOUT;
         for sender in senders {
             let name = format!("n{sender}");
             self.rig.tell(What::Asked { name: name.clone() });
@@ -505,10 +505,10 @@
                     if node.running() { node.mgmt } else { None }
                 };
                 let Some(mgmt) = asked else { continue };
-                if ask(mgmt, &format!("fleet remove {name}"), STAFF).await.is_some() {
+                if ask(mgmt, &format!("fleet remove {name}"), ADMIN_TIMEOUT).await.is_some() {
                     break;
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
     }
--- a/testbed/src/peers/sim.rs
+++ b/testbed/src/peers/sim.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 
 /// Views are looked at this often, in ms.
-const LOOK: u64 = 250;
+const POLL_INTERVAL_MS: u64 = 250;
 /// A datagram's way, in ms.
 const WAY: u64 = 1;
 /// How late the last fault's end may leave a view besides the bound, until the play ends.
@@ -216,7 +216,7 @@
         for sender in (0..self.play.senders).filter(|n| !late.contains(n)) {
             self.start(sender);
         }
-        self.at(LOOK, Ev::Look);
+        self.at(POLL_INTERVAL_MS, Ev::Look);
         while let Some(Reverse(next)) = self.queue.pop() {
             if next.at > end {
                 break;
@@ -260,7 +260,7 @@
     fn start(&mut self, sender: usize) {
         if self.processes[sender].full {
             // A start that cannot be written down is none: it is tried again.
-            let at = self.now + LOOK;
+            let at = self.now + POLL_INTERVAL_MS;
             return self.at(at, Ev::Start(sender));
         }
         let peers = self.play.peers;
@@ -352,7 +352,7 @@
             Ev::End(number) => self.end(number),
             Ev::Look => {
                 self.look();
-                let at = self.now + LOOK;
+                let at = self.now + POLL_INTERVAL_MS;
                 self.at(at, Ev::Look);
             }
         }
--- a/testbed/src/plan.rs
+++ b/testbed/src/plan.rs
@@ -75,8 +75,8 @@
 }
 
 /// Smallest room of a sender, whatever its part of the traffic: calls out, and messages held.
-const LEAST_SLOTS: usize = 3;
-const LEAST_HELD: usize = 8;
+const MIN_SLOTS: usize = 3;
+const MIN_PENDING: usize = 8;
 /// In which a clump comes, as a share of the time in which its partner could take it.
 const CLUMP_SPREAD: f64 = 0.2;
 
@@ -94,8 +94,8 @@
             (t.clone(), (0..met).collect())
         });
         Plan {
-            slots: ((busy * scenario.fleet.slots_room).round() as usize).max(LEAST_SLOTS),
-            most_held: ((full * scenario.fleet.hold_s).round() as usize).max(LEAST_HELD),
+            slots: ((busy * scenario.fleet.slots_room).round() as usize).max(MIN_SLOTS),
+            most_held: ((full * scenario.fleet.hold_s).round() as usize).max(MIN_PENDING),
             troubles: troubles.collect(),
             partners,
             arrivals,
--- a/testbed/src/run.rs
+++ b/testbed/src/run.rs
@@ -61,11 +61,11 @@
 }
 
 /// Pause between looks at the processes.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between lines on how it goes.
-const TELL: Duration = Duration::from_secs(2);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 /// How long a play may go on after the last message's time.
-const MOST_AFTER: f64 = 5.0;
+const MAX_SETTLE_S: f64 = 5.0;
 
 type Nodes = Arc<Vec<Arc<Mutex<Node>>>>;
 
@@ -100,18 +100,18 @@
     }
     for (trouble, met) in stage.plan.troubles.clone() {
         let run =
-            make_trouble(stage.clone(), directory.clone(), nodes.clone(), clients.clone(), trouble, met);
+            inject_fault(stage.clone(), directory.clone(), nodes.clone(), clients.clone(), trouble, met);
         parties.spawn(run);
     }
     let crashes = Arc::new(Mutex::new(Vec::new()));
     parties.spawn(watch_nodes(stage.clone(), nodes.clone(), clients.clone(), crashes.clone()));
     parties.spawn(clients.clone().strangers());
     if tell {
-        parties.spawn(tell_progress(stage.clone()));
+        parties.spawn(print_progress(stage.clone()));
     }
     let longest = scenario.classes.iter().map(|c| c.deadline_ms / 1000.0).fold(0.0, f64::max);
     let rig_ends = rig.as_ref().map_or(0.0, |rig| rig.ends_at());
-    let last = stage.instant(micros(rig_ends.max(scenario.seconds + longest) + MOST_AFTER));
+    let last = stage.instant(micros(rig_ends.max(scenario.seconds + longest) + MAX_SETTLE_S));
     let whole = async {
         clients.run().await;
         settle(&stage).await;
@@ -164,7 +164,7 @@
                 return;
             }
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -252,7 +252,7 @@
     Ok(Arc::new((0..nodes.len()).filter_map(|number| nodes.remove(&number)).collect()))
 }
 
-async fn make_trouble(
+async fn inject_fault(
     stage: Arc<Stage>,
     directory: Arc<Directory>,
     nodes: Nodes,
@@ -329,7 +329,7 @@
     clients: Arc<Clients>,
     crashes: Arc<Mutex<Vec<String>>>,
 ) {
-    let mut looks = interval(LOOK);
+    let mut looks = interval(POLL_INTERVAL);
     loop {
         looks.tick().await;
         for (number, node) in nodes.iter().enumerate() {
@@ -351,8 +351,8 @@
     }
 }
 
-async fn tell_progress(stage: Arc<Stage>) {
-    let mut ticks = interval(TELL);
+async fn print_progress(stage: Arc<Stage>) {
+    let mut ticks = interval(PROGRESS_INTERVAL);
     ticks.tick().await;
     let mut told = 0;
     loop {
--- a/testbed/src/scenario.rs
+++ b/testbed/src/scenario.rs
@@ -486,15 +486,15 @@
 }
 
 /// More messages than these are no play on one machine.
-const MOST_MESSAGES: f64 = 200_000.0;
+const MAX_MESSAGES: f64 = 200_000.0;
 /// More strangers a second are no play on one machine.
-const MOST_STRANGERS: f64 = 1000.0;
+const MAX_STRANGERS: f64 = 1000.0;
 /// The longest play, in seconds.
-const MOST_SECONDS: f64 = 3600.0;
+const MAX_SECONDS: f64 = 3600.0;
 /// More senders than these are not simulated ...
-const MOST_SENDERS: usize = 20_000;
+const MAX_SENDERS: usize = 20_000;
 /// ... and more than these not started as processes.
-pub const MOST_PROCESSES: usize = 320;
+pub const MAX_PROCESSES: usize = 320;
 
 impl Scenario {
     /// Reads a file, and checks it whole.
@@ -526,16 +526,16 @@
         };
         let positive = |x: f64| x.is_finite() && x > 0.0;
         let share = |x: f64| (0.0..=1.0).contains(&x);
-        check(positive(self.seconds) && self.seconds <= MOST_SECONDS, format!("seconds = {}", self.seconds));
+        check(positive(self.seconds) && self.seconds <= MAX_SECONDS, format!("seconds = {}", self.seconds));
         check(!self.seeds.is_empty() && self.repeats > 0, "seeds or repeats: nothing is played".to_owned());
         let senders = self.fleet.senders;
-        check((1..=MOST_SENDERS).contains(&senders), format!("fleet.senders = {senders}"));
+        check((1..=MAX_SENDERS).contains(&senders), format!("fleet.senders = {senders}"));
         check(positive(self.fleet.slots_room) && positive(self.fleet.hold_s), "fleet: no room".to_owned());
         check(self.fleet.max_attempts > 0, "fleet.max_attempts = 0".to_owned());
         check(positive(self.fleet.disk_mb), format!("fleet.disk_mb = {}", self.fleet.disk_mb));
         let t = &self.traffic;
         check(
-            positive(t.rate) && t.rate * self.seconds <= MOST_MESSAGES,
+            positive(t.rate) && t.rate * self.seconds <= MAX_MESSAGES,
             format!("traffic.rate = {}", t.rate),
         );
         check(positive(t.load), format!("traffic.load = {}", t.load));
@@ -548,7 +548,7 @@
         check(positive(self.clients.patience_ms), "clients.patience_ms".to_owned());
         check(share(self.clients.give_up), format!("clients.give_up = {}", self.clients.give_up));
         let strangers = self.clients.strangers;
-        check((0.0..=MOST_STRANGERS).contains(&strangers), format!("clients.strangers = {strangers}"));
+        check((0.0..=MAX_STRANGERS).contains(&strangers), format!("clients.strangers = {strangers}"));
         let r = &self.rules;
         let spans = [r.drain_ms, r.warm_s, r.fall_multiple, r.fall_s, r.late_end_ms];
         check(
--- a/testbed/src/serving_tier/checker.rs
+++ b/testbed/src/serving_tier/checker.rs
@@ -28,7 +28,7 @@
 pub type Breaches = BTreeMap<Rule, Vec<String>>;
 
 /// Of the programs, so many in a hundred have to finish.
-pub const LEAST_FINISHED: usize = 90;
+pub const MIN_FINISHED_PERCENT: usize = 90;
 
 /// What a history comes to.
 #[derive(Clone, Debug)]
@@ -44,7 +44,9 @@
 impl Verdict {
     /// Whether no rule was broken and enough programs finished.
     pub fn is_good(&self) -> bool {
-        self.breaches.is_empty() && self.started > 0 && self.finished * 100 >= self.started * LEAST_FINISHED
+        self.breaches.is_empty()
+            && self.started > 0
+            && self.finished * 100 >= self.started * MIN_FINISHED_PERCENT
     }
 }
 
@@ -64,7 +66,7 @@
     (output, count)
 }
 
-struct Judge<'a> {
+struct HistoryChecker<'a> {
     history: &'a History,
     tries: HashMap<&'a str, &'a Try>,
     runs: HashMap<&'a str, Vec<&'a Run>>,
@@ -78,7 +80,7 @@
         runs.entry(&run.attempt).or_default().push(run);
     }
     let tries = history.tries.iter().map(|t| (t.attempt.as_str(), t)).collect();
-    let mut judge = Judge { history, tries, runs, breaches: Breaches::new() };
+    let mut judge = HistoryChecker { history, tries, runs, breaches: Breaches::new() };
     history.runs.iter().for_each(|run| judge.run(run));
     history.tries.iter().for_each(|t| judge.a_try(t));
     judge.budgets();
@@ -90,7 +92,7 @@
     }
 }
 
-impl<'a> Judge<'a> {
+impl<'a> HistoryChecker<'a> {
     fn breach(&mut self, rule: Rule, what: String) {
         self.breaches.entry(rule).or_default().push(what);
     }
--- a/testbed/src/serving_tier/clients.rs
+++ b/testbed/src/serving_tier/clients.rs
@@ -17,7 +17,7 @@
 /// How long a client waits for one request, over all its tries.
 const DEADLINE: Duration = Duration::from_secs(4);
 /// And so much longer until it calls the silence one.
-const SILENCE: Duration = Duration::from_millis(2_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A new connection is given so long.
 const CONNECT: Duration = Duration::from_secs(1);
 /// A turn that failed is sent again from its start so often.
@@ -31,7 +31,7 @@
 /// The budget of a program that loops.
 const LOOP_BUDGET: u64 = 120;
 /// A program that loops is ended by the lab after so many rounds.
-const MOST_ROUNDS: usize = 60;
+const MAX_TURNS: usize = 60;
 
 /// The front: which senders get new connections.
 pub struct Front {
@@ -95,10 +95,10 @@
 }
 
 /// A connection that is kept, to this sender.
-type Kept = (SocketAddr, Connection);
+type IdleConnection = (SocketAddr, Connection);
 
 /// What a client asks for.
-struct Asked<'a> {
+struct PlannedRequest<'a> {
     program: &'a Line,
     kind: Kind,
     previous: Option<&'a str>,
@@ -114,7 +114,7 @@
 }
 
 /// How a request ended, over all its tries.
-enum Ended {
+enum RequestOutcome {
     /// With this attempt's answer.
     Done(String),
     /// With a status after which nothing is tried again.
@@ -125,7 +125,7 @@
 
 /// How a try goes on.
 enum Next {
-    End(Ended),
+    End(RequestOutcome),
     /// It has not run: again, after a pause.
     Again(Duration, String),
     /// It may have run.
@@ -147,13 +147,13 @@
     }
 
     /// One request, with its tries. Lines of turns keep their connection.
-    async fn ask(&self, asked: &Asked<'_>, kept: &mut Option<Kept>) -> Ended {
+    async fn ask(&self, asked: &PlannedRequest<'_>, kept: &mut Option<IdleConnection>) -> RequestOutcome {
         let until = Instant::now() + DEADLINE;
         let mut last = "no time".to_owned();
         loop {
             let left = until.saturating_duration_since(Instant::now());
             if left < Duration::from_millis(50) {
-                return Ended::Failed(last);
+                return RequestOutcome::Failed(last);
             }
             match self.one_try(asked, kept, until).await {
                 Next::End(ended) => return ended,
@@ -165,12 +165,17 @@
                     last = why;
                     sleep(Duration::from_millis(50)).await;
                 }
-                Next::Unknown(why) => return Ended::Failed(why),
+                Next::Unknown(why) => return RequestOutcome::Failed(why),
             }
         }
     }
 
-    async fn one_try(&self, asked: &Asked<'_>, kept: &mut Option<Kept>, until: Instant) -> Next {
+    async fn one_try(
+        &self,
+        asked: &PlannedRequest<'_>,
+        kept: &mut Option<IdleConnection>,
+        until: Instant,
+    ) -> Next {
         let attempt = format!("{:016x}", self.draw());
         let path = match asked.kind {
             Kind::Turn => "/turns/next",
@@ -216,7 +221,7 @@
             history.tries.len() - 1
         };
         let exchange = Connection::exchange(kept_before, address, CONNECT, head, asked.input.clone());
-        let silent = until + SILENCE;
+        let silent = until + IDLE_TIMEOUT;
         let (end, next) = match timeout_at(silent, exchange).await {
             Err(_) => (End::Silent, Next::Unknown("silence".to_owned())),
             Ok(Err(CallError::Reset(e))) => (End::Broken, Next::Unknown(format!("broken: {e}"))),
@@ -241,9 +246,9 @@
                     header(&head.headers, RETRY_AFTER.as_str()).and_then(|text| text.parse::<f64>().ok());
                 let pause = Duration::try_from_secs_f64(pause.unwrap_or(0.05)).unwrap_or(ASK);
                 let next = match (status, whole) {
-                    (200..300, Some(true)) => Next::End(Ended::Done(attempt.clone())),
+                    (200..300, Some(true)) => Next::End(RequestOutcome::Done(attempt.clone())),
                     (200..300, _) => Next::Unknown("broken off".to_owned()),
-                    (400 | 401 | 402 | 403 | 404 | 413 | 431, _) => Next::End(Ended::Denied(status)),
+                    (400 | 401 | 402 | 403 | 404 | 413 | 431, _) => Next::End(RequestOutcome::Denied(status)),
                     (408 | 421 | 429 | 503, _) => Next::Again(pause, status.to_string()),
                     _ => Next::Unknown(status.to_string()),
                 };
@@ -272,13 +277,13 @@
         line: &Line,
         previous: Option<&str>,
         input: String,
-        kept: &mut Option<Kept>,
-    ) -> Ended {
-        let asked = Asked { program: line, kind: Kind::Turn, previous, input: input.into() };
+        kept: &mut Option<IdleConnection>,
+    ) -> RequestOutcome {
+        let asked = PlannedRequest { program: line, kind: Kind::Turn, previous, input: input.into() };
         let mut repeats = 0;
         loop {
             let ended = self.ask(&asked, kept).await;
-            if !matches!(ended, Ended::Failed(_)) || repeats == REPEATS {
+            if !matches!(ended, RequestOutcome::Failed(_)) || repeats == REPEATS {
                 return ended;
             }
             repeats += 1;
@@ -295,11 +300,11 @@
             let kind = if lookup { Kind::Idempotent } else { Kind::NonIdempotent };
             tools.spawn(async move {
                 let input = format!("tool {tool} of {}", line.number).into();
-                let asked = Asked { program: &line, kind, previous: None, input };
+                let asked = PlannedRequest { program: &line, kind, previous: None, input };
                 match clients.ask(&asked, &mut None).await {
-                    Ended::Done(_) => Ok(()),
-                    Ended::Denied(status) => Err(format!("a tool got {status}")),
-                    Ended::Failed(why) => Err(format!("a tool failed: {why}")),
+                    RequestOutcome::Done(_) => Ok(()),
+                    RequestOutcome::Denied(status) => Err(format!("a tool got {status}")),
+                    RequestOutcome::Failed(why) => Err(format!("a tool failed: {why}")),
                 }
             });
         }
@@ -316,9 +321,9 @@
         for turn in 0..3 + draw % 3 {
             let input = format!("turn {turn} of {}: {:x}\n", line.number, self.draw());
             previous = match self.turn(line, previous.as_deref(), input, &mut kept).await {
-                Ended::Done(attempt) => Some(attempt),
-                Ended::Denied(status) => return Err(format!("turn {turn} got {status}")),
-                Ended::Failed(why) => return Err(format!("turn {turn} failed: {why}")),
+                RequestOutcome::Done(attempt) => Some(attempt),
+                RequestOutcome::Denied(status) => return Err(format!("turn {turn} got {status}")),
+                RequestOutcome::Failed(why) => return Err(format!("turn {turn} failed: {why}")),
             };
             if turn == 1 && draw.is_multiple_of(4) {
                 self.side_by_side(line, previous.as_deref()).await?;
@@ -340,10 +345,10 @@
         );
         for ended in [first, second] {
             match ended {
-                Ended::Done(_) => {}
-                Ended::Denied(402) => return Err("402".to_owned()),
-                Ended::Denied(status) => return Err(format!("a sub-agent got {status}")),
-                Ended::Failed(why) => return Err(format!("a sub-agent failed: {why}")),
+                RequestOutcome::Done(_) => {}
+                RequestOutcome::Denied(402) => return Err("402".to_owned()),
+                RequestOutcome::Denied(status) => return Err(format!("a sub-agent got {status}")),
+                RequestOutcome::Failed(why) => return Err(format!("a sub-agent failed: {why}")),
             }
         }
         Ok(())
@@ -352,12 +357,12 @@
     /// A program that starts sub-agents until its budget is spent, and twice more.
     async fn repeat(&self, line: &Line) -> Result<(), String> {
         let (mut kept, mut spent) = (None, 0);
-        for round in 0..MOST_ROUNDS {
+        for round in 0..MAX_TURNS {
             let first = match self.turn(line, None, format!("round {round}\n"), &mut kept).await {
-                Ended::Done(attempt) => self.side_by_side(line, Some(&attempt)).await,
-                Ended::Denied(402) => Err("402".to_owned()),
-                Ended::Denied(status) => Err(format!("a round got {status}")),
-                Ended::Failed(why) => Err(why),
+                RequestOutcome::Done(attempt) => self.side_by_side(line, Some(&attempt)).await,
+                RequestOutcome::Denied(402) => Err("402".to_owned()),
+                RequestOutcome::Denied(status) => Err(format!("a round got {status}")),
+                RequestOutcome::Failed(why) => Err(why),
             };
             match first {
                 Ok(()) => {}
--- a/testbed/src/serving_tier/endpoints.rs
+++ b/testbed/src/serving_tier/endpoints.rs
@@ -23,9 +23,9 @@
 use tokio::time::sleep;
 
 /// Bytes of a request's body, at the most.
-const MOST_BODY: usize = 4 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// Between two events.
-const EVENT_PAUSE: Duration = Duration::from_millis(15);
+const EVENT_INTERVAL: Duration = Duration::from_millis(15);
 /// One in so many streams, and idempotent tools, breaks off.
 const BREAKS: u64 = 25;
 /// Endpoints on a page of the list.
@@ -199,7 +199,7 @@
         let builder = Response::builder().header("Instance-Id", &instance);
         return whole(builder.header("Server-Load", endpoint.load()), "");
     }
-    let Ok(body) = Limited::new(body, MOST_BODY).collect().await else { return Err(Cut) };
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else { return Err(Cut) };
     let body = body.to_bytes();
     let Some(attempt) = header("attempt-id") else {
         return whole(Response::builder().status(400).header("Not-Executed", "1"), "");
@@ -244,7 +244,7 @@
         let _slot = slot;
         let last = if breaks { events.len() / 2 } else { events.len() };
         for event in &events[..last] {
-            sleep(EVENT_PAUSE).await;
+            sleep(EVENT_INTERVAL).await;
             // Chunks are cut anywhere.
             let (first, rest) = (event.slice(..event.len() / 2), event.slice(event.len() / 2..));
             if pieces.send(Ok(first)).await.is_err() || pieces.send(Ok(rest)).await.is_err() {
--- a/testbed/src/serving_tier/machines.rs
+++ b/testbed/src/serving_tier/machines.rs
@@ -24,7 +24,7 @@
 /// Ports are looked for here, below those that the system gives to outgoing connections.
 const PORT_RANGE: std::ops::Range<u16> = 12_000..30_000;
 /// So many places are looked at.
-const MOST_LOOKS: usize = 200;
+const MAX_PORT_SEARCHES: usize = 200;
 
 /// Zones with their region.
 const ZONES: [&str; 3] = ["lab-a", "lab-b", "lab-c"];
@@ -33,9 +33,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// On core machines.
-    ConfigKeeper,
+    ControlNode,
     /// On storage machines.
-    TurnKeeper,
+    StorageNode,
     /// On edge machines, beside each proxy.
     ProxyAgent,
     /// On edge machines.
@@ -46,8 +46,8 @@
     /// Its program's name.
     pub fn program(self) -> &'static str {
         match self {
-            Self::ConfigKeeper => "control-node",
-            Self::TurnKeeper => "storage-node",
+            Self::ControlNode => "control-node",
+            Self::StorageNode => "storage-node",
             Self::ProxyAgent => "proxy-agent",
             Self::RequestProxy => "request-proxy",
         }
@@ -56,8 +56,8 @@
     /// What its program was called before, where a build from then is played beside the present one.
     fn former_program(self) -> &'static str {
         match self {
-            Self::ConfigKeeper => "config-keeper",
-            Self::TurnKeeper => "turn-keeper",
+            Self::ControlNode => "config-keeper",
+            Self::StorageNode => "turn-keeper",
             Self::ProxyAgent => "proxy-agent",
             Self::RequestProxy => "request-proxy",
         }
@@ -72,15 +72,15 @@
 
     fn class(self) -> (&'static str, &'static [&'static str]) {
         match self {
-            Self::ConfigKeeper => ("core", &["control_plane"]),
-            Self::TurnKeeper => ("storage", &["storage"]),
+            Self::ControlNode => ("core", &["control_plane"]),
+            Self::StorageNode => ("storage", &["storage"]),
             Self::ProxyAgent => ("edge", &[]),
             Self::RequestProxy => ("edge", &["edge"]),
         }
     }
 
     fn has_disk(self) -> bool {
-        matches!(self, Self::ConfigKeeper | Self::TurnKeeper)
+        matches!(self, Self::ControlNode | Self::StorageNode)
     }
 }
 
@@ -136,7 +136,7 @@
             core.iter().chain(&storage).chain(&edge).copied().chain([Ipv4Addr::LOCALHOST]).collect();
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ u64::from(std::process::id()));
         let mut bases: Vec<u16> = Vec::new();
-        for _ in 0..MOST_LOOKS {
+        for _ in 0..MAX_PORT_SEARCHES {
             let base = rng.random_range(PORT_RANGE) / PORTS * PORTS;
             if !bases.contains(&base) && is_free(&all, base).await {
                 bases.push(base);
@@ -186,9 +186,9 @@
         };
         let base = if class == "edge" { self.edge_bases[number] } else { self.base };
         let listen = match role {
-            Role::ConfigKeeper => json!({"control_plane": self.control(number)}),
+            Role::ControlNode => json!({"control_plane": self.control(number)}),
             Role::RequestProxy => json!({"front": self.front(number), "readiness": self.readiness(number)}),
-            Role::TurnKeeper | Role::ProxyAgent => json!({}),
+            Role::StorageNode | Role::ProxyAgent => json!({}),
         };
         let seeds: Vec<_> = (0..self.core.len().min(3)).map(|number| self.control(number)).collect();
         let zones: serde_json::Map<_, _> =
@@ -243,7 +243,7 @@
 
 /// The folder with the tier's programs, built if they are not up to date, in the profile of the lab itself.
 pub fn built_programs() -> Result<PathBuf, FleetError> {
-    let roles = [Role::ConfigKeeper, Role::TurnKeeper, Role::ProxyAgent, Role::RequestProxy];
+    let roles = [Role::ControlNode, Role::StorageNode, Role::ProxyAgent, Role::RequestProxy];
     build_folder(&["-p", "system-programs", "--bins"], roles.map(Role::program))
 }
 
--- a/testbed/src/serving_tier/operator.rs
+++ b/testbed/src/serving_tier/operator.rs
@@ -14,7 +14,7 @@
 /// The host of all routes.
 pub const HOST: &str = "tier.example";
 /// Longest time for one call.
-const PATIENCE: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before the next sender is tried.
 const AGAIN: Duration = Duration::from_millis(100);
 
@@ -73,11 +73,11 @@
         };
         let exchange = async {
             let (_kept, response) =
-                Connection::exchange(None, keeper.into(), PATIENCE, head, body.clone()).await.ok()?;
+                Connection::exchange(None, keeper.into(), CALL_TIMEOUT, head, body.clone()).await.ok()?;
             let status = response.status().as_u16();
             Some((status, response.into_body().collect().await.ok()?.to_bytes()))
         };
-        timeout(PATIENCE, exchange).await.ok().flatten()
+        timeout(CALL_TIMEOUT, exchange).await.ok().flatten()
     }
 
     /// Sends a configuration on top of version `on` to one keeper after another, until it is acknowledged or `patience`
--- a/testbed/src/serving_tier/run.rs
+++ b/testbed/src/serving_tier/run.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// The tier is ready within this, or it does not start.
-const START_PATIENCE: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Between two programs that start.
 const PROGRAMS: Duration = Duration::from_millis(120);
 /// One program in so many loops until its budget is spent.
@@ -34,7 +34,7 @@
 /// How long the platform refuses to tell the list.
 const LIMITED: Duration = Duration::from_secs(1);
 /// How long a killed storage machine is away.
-const AWAY: Duration = Duration::from_millis(300);
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 /// What is played.
 #[derive(Clone, Debug)]
@@ -99,8 +99,8 @@
     ) -> Result<Self, FleetError> {
         let folder = tempfile::tempdir().map_err(io("making a folder"))?;
         let roles = [
-            (Role::ConfigKeeper, addresses.core.len()),
-            (Role::TurnKeeper, addresses.storage.len()),
+            (Role::ControlNode, addresses.core.len()),
+            (Role::StorageNode, addresses.storage.len()),
             (Role::ProxyAgent, addresses.edge.len()),
             (Role::RequestProxy, addresses.edge.len()),
         ];
@@ -293,26 +293,26 @@
     async fn raise(&self) -> Result<(), FleetError> {
         self.tier.start_all().await?;
         let ready = async {
-            while !self.operator.put(4, 0, configuration(4, false), START_PATIENCE).await {}
+            while !self.operator.put(4, 0, configuration(4, false), START_TIMEOUT).await {}
             while self.front.ready() < 2 {
                 sleep(Duration::from_millis(50)).await;
             }
         };
-        if timeout(START_PATIENCE, ready).await.is_err() {
+        if timeout(START_TIMEOUT, ready).await.is_err() {
             return Err(FleetError::NotReady { sender: self.front.ready(), log: self.tier.logs().await });
         }
         self.recorder.event("both proxies are ready");
-        self.clients.clone().run(0, false, START_PATIENCE).await;
+        self.clients.clone().run(0, false, START_TIMEOUT).await;
         Ok(())
     }
 
     async fn lose_a_disk(&self, at: Instant) -> Result<(), FleetError> {
         sleep_until(at).await;
-        let mut machine = self.tier.machine(Role::TurnKeeper, 1).lock().await;
+        let mut machine = self.tier.machine(Role::StorageNode, 1).lock().await;
         machine.kill().await;
         machine.wipe().await?;
         self.recorder.event(format!("{} was killed and lost its disk", machine.name));
-        sleep(AWAY).await;
+        sleep(RESTART_DELAY).await;
         self.tier.start(&mut machine).await?;
         self.recorder.event(format!("{} starts on an empty disk", machine.name));
         Ok(())
--- a/testbed/src/serving_tier/table.rs
+++ b/testbed/src/serving_tier/table.rs
@@ -1,17 +1,17 @@
 //! The table that a play of the tier ends with.
-use super::checker::LEAST_FINISHED;
+use super::checker::MIN_FINISHED_PERCENT;
 use super::history::{End, Kind, Try};
 use super::run::Played;
 use std::fmt::Write;
 
-/// Breaches of one rule, and unfinished programs, that are told.
-const MOST_TOLD: usize = 5;
+/// Breaches of one rule, and unfinished programs, that are describe_request.
+const MAX_REPORTED_BREACHES: usize = 5;
 
-/// Last tries that are told of a program that did not finish.
-const MOST_ENDS: usize = 5;
+/// Last tries that are describe_request of a program that did not finish.
+const MAX_REPORTED_OUTCOMES: usize = 5;
 
 /// A try's end, when it began, how long it took and the sender.
-fn told(of: &Try) -> String {
+fn describe_request(of: &Try) -> String {
     let end = match &of.end {
         End::Answered { status, whole: true, .. } => status.to_string(),
         End::Answered { status, whole: false, .. } => format!("{status} cut"),
@@ -33,7 +33,7 @@
     let tries = |kind: Kind| history.tries.iter().filter(move |t| t.kind == kind);
     let count = |of: fn(&Try) -> bool| history.tries.iter().filter(|t| of(t)).count().to_string();
     row("programs started", verdict.started.to_string());
-    row(&format!("  finished (at least {LEAST_FINISHED} in 100)"), verdict.finished.to_string());
+    row(&format!("  finished (at least {MIN_FINISHED_PERCENT} in 100)"), verdict.finished.to_string());
     row("tries of turns", tries(Kind::Turn).count().to_string());
     row("tries of tools that run once", tries(Kind::NonIdempotent).count().to_string());
     row("tries of tools that may run again", tries(Kind::Idempotent).count().to_string());
@@ -54,14 +54,15 @@
     row("configurations acknowledged", versions.join(", "));
     row("rules broken", verdict.breaches.len().to_string());
     let unfinished = history.programs.iter().filter_map(|p| Some((p.number, p.end.as_ref().err()?)));
-    for (number, why) in unfinished.take(MOST_TOLD) {
-        let ends: Vec<_> = history.tries.iter().filter(|t| t.program == number).map(told).collect();
-        let last = ends[ends.len().saturating_sub(MOST_ENDS)..].join(", ");
+    for (number, why) in unfinished.take(MAX_REPORTED_BREACHES) {
+        let ends: Vec<_> =
+            history.tries.iter().filter(|t| t.program == number).map(describe_request).collect();
+        let last = ends[ends.len().saturating_sub(MAX_REPORTED_OUTCOMES)..].join(", ");
         let _ = writeln!(text, "not finished: program {number}, {why}; its last tries: {last}");
     }
-    for (rule, told) in &verdict.breaches {
-        let _ = writeln!(text, "\nRULE BROKEN: {rule:?}, {} times", told.len());
-        for what in told.iter().take(MOST_TOLD) {
+    for (rule, describe_request) in &verdict.breaches {
+        let _ = writeln!(text, "\nRULE BROKEN: {rule:?}, {} times", describe_request.len());
+        for what in describe_request.iter().take(MAX_REPORTED_BREACHES) {
             let _ = writeln!(text, "  {what}");
         }
     }
--- a/testbed/src/sim.rs
+++ b/testbed/src/sim.rs
@@ -25,7 +25,7 @@
 /// For how long an endpoint keeps an idle connection.
 const IDLE: Micros = 5_000_000;
 /// News of the list reaches each sender by chance within these, in seconds.
-const NEWS_S: [f64; 2] = [0.5, 4.7];
+const LIST_DELAY_S: [f64; 2] = [0.5, 4.7];
 /// How long a process takes from its start until it is ready.
 const START: Micros = 200_000;
 
@@ -252,7 +252,7 @@
 
     fn happens(&mut self, happening: Happening) {
         match happening {
-            Happening::HandIn { arrival, first, tries } => self.hand_in(arrival, first, tries),
+            Happening::HandIn { arrival, first, tries } => self.submit(arrival, first, tries),
             Happening::Step(sender) => self.step(sender),
             Happening::Reaches(call) => self.reaches(call),
             Happening::Ends(call, outcome) => self.ends(call, outcome),
@@ -267,7 +267,7 @@
 
     // ---- clients -------------------------------------------------------------------------------------
 
-    fn hand_in(&mut self, arrival: usize, first: Option<usize>, tries: u32) {
+    fn submit(&mut self, arrival: usize, first: Option<usize>, tries: u32) {
         let plan = self.plan.arrivals[arrival].clone();
         let deadline = micros(self.scenario.classes[plan.class].deadline_ms / 1000.0);
         let first = first.unwrap_or_else(|| self.judge.wants(self.now, plan.class));
@@ -559,7 +559,7 @@
     fn drain(&mut self, partner: usize, serves: bool) {
         let Some(last) = self.endpoints.iter().rposition(|(of, _)| *of == partner) else { return };
         for sender in 0..self.nodes.len() {
-            let [least, most] = NEWS_S;
+            let [least, most] = LIST_DELAY_S;
             let late = micros(least + (most - least) * self.rng.random::<f64>());
             self.at(self.now + late, Happening::Told { sender, endpoint: last as u32, serves });
         }
--- a/testbed/src/system/bounds.rs
+++ b/testbed/src/system/bounds.rs
@@ -25,7 +25,7 @@
 pub const ACK_MS: u64 = 4_000;
 
 /// A disturbance of one machine.
-struct Trouble {
+struct FaultPeriod {
     machine: usize,
     how: Disturbance,
     since: u64,
@@ -50,7 +50,7 @@
 }
 
 /// An order, from its first sending to its first clear answer.
-struct Asked {
+struct RequestRecord {
     begun: u64,
     clear_at: Option<u64>,
     number: u64,
@@ -59,7 +59,7 @@
 #[derive(Default)]
 struct Timeline {
     classes: Vec<Class>,
-    troubles: Vec<Trouble>,
+    troubles: Vec<FaultPeriod>,
     cuts: Vec<Cut>,
     lossy: Vec<(u64, u64)>,
     begun: Vec<(u64, usize)>,
@@ -68,7 +68,7 @@
     known: BTreeMap<usize, Vec<Known>>,
     acknowledged: Vec<(u64, u64)>,
     lists: Vec<(u64, u64)>,
-    asked: BTreeMap<u64, Asked>,
+    asked: BTreeMap<u64, RequestRecord>,
     end: u64,
 }
 
@@ -86,7 +86,7 @@
         match fact {
             Fact::Fleet { classes } => self.classes = classes.clone(),
             Fact::Disturbed { machine, how, until } => {
-                self.troubles.push(Trouble { machine: *machine, how: *how, since: at, until: *until });
+                self.troubles.push(FaultPeriod { machine: *machine, how: *how, since: at, until: *until });
             }
             Fact::PathCut { from, to, until } => {
                 self.cuts.push(Cut { from: *from, to: *to, since: at, until: *until });
@@ -111,7 +111,7 @@
             Fact::Acknowledged { version, .. } => self.acknowledged.push((at, *version)),
             Fact::Platform { list } => self.lists.push((at, *list)),
             Fact::Ordered { order, number, begun, answer, .. } => {
-                let asked = Asked { begun: *begun, clear_at: None, number: *number };
+                let asked = RequestRecord { begun: *begun, clear_at: None, number: *number };
                 let asked = self.asked.entry(*order).or_insert(asked);
                 asked.begun = asked.begun.min(*begun);
                 if *answer != OrderAnswer::Unclear {
@@ -157,7 +157,7 @@
 impl Tick {
     fn of(line: &Timeline, tick: u64) -> Self {
         let mut now = Self::default();
-        let is_core = |machine: usize| line.is(machine, Class::Keeper);
+        let is_core = |machine: usize| line.is(machine, Class::ControlNode);
         let counts = |machine: usize| is_core(machine) || line.is(machine, Class::Store);
         for trouble in line.troubles.iter().filter(|other| overlaps(other.since, other.until, tick)) {
             now.troubled.insert(trouble.machine);
@@ -280,7 +280,7 @@
         walk.step(&line, &now, tick);
         let stable = walk.is_stable(tick);
         for (node, known) in &line.known {
-            judge_process(&line, &walk, &now, tick, *node, known, broken);
+            check_process(&line, &walk, &now, tick, *node, known, broken);
         }
         match (stable, stable_since) {
             (true, None) => stable_since = Some(tick),
@@ -292,10 +292,10 @@
         }
     }
     stretches.extend(stable_since.map(|since| (since, line.end)));
-    judge_answers(&line, &stretches, broken);
+    check_answers(&line, &stretches, broken);
 }
 
-fn judge_process(
+fn check_process(
     line: &Timeline,
     walk: &Walk,
     now: &Tick,
@@ -325,7 +325,7 @@
 }
 
 /// In a stretch in which the core was stable each order has a clear answer in time.
-fn judge_answers(line: &Timeline, stretches: &[(u64, u64)], broken: &mut Vec<Broken>) {
+fn check_answers(line: &Timeline, stretches: &[(u64, u64)], broken: &mut Vec<Broken>) {
     for asked in line.asked.values() {
         let due = asked.begun + ACK_MS;
         let within = |stretch: &&(u64, u64)| stretch.0 <= asked.begun && due < stretch.1;
--- a/testbed/src/system/check.rs
+++ b/testbed/src/system/check.rs
@@ -9,7 +9,7 @@
 /// A control node that is back knows what was chosen by then within this.
 const CATCH_UP_MS: u64 = 4_100;
 /// So many versions a value remembers.
-const MOST_TAKEN: usize = 512;
+const MAX_COMMITTED_VERSIONS: usize = 512;
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -153,7 +153,8 @@
     }
     if let Some((_, (at, last, _))) = values.last() {
         // Only so many are remembered.
-        let oldest = if last.len() < MOST_TAKEN { 0 } else { last.first().copied().unwrap_or_default() };
+        let oldest =
+            if last.len() < MAX_COMMITTED_VERSIONS { 0 } else { last.first().copied().unwrap_or_default() };
         for (_, version) in acknowledged {
             if version >= oldest && !last.contains(&version) {
                 let what = format!("{version} was acknowledged and is not in the last value");
@@ -166,7 +167,7 @@
 /// Whether the versions that a value remembers are those of an earlier one and further ones: only the oldest are forgotten, and
 /// only when there are too many.
 fn continues(before: &[u64], after: &[u64]) -> bool {
-    if after.len() < MOST_TAKEN {
+    if after.len() < MAX_COMMITTED_VERSIONS {
         return after.starts_with(before);
     }
     let Some(newest) = before.last() else { return true };
--- a/testbed/src/system/control.rs
+++ b/testbed/src/system/control.rs
@@ -24,11 +24,11 @@
     host: Host,
 }
 
-/// Keepers by their process.
-pub type Keepers = BTreeMap<usize, Rc<Keeper>>;
+/// ControlNodes by their process.
+pub type ControlNodes = BTreeMap<usize, Rc<SimulatedControlNode>>;
 
 /// A keeper's life.
-pub struct Keeper {
+pub struct SimulatedControlNode {
     host: Host,
     node: Rc<ControlNode<Host, Backend>>,
     /// What it knows and passes on.
@@ -49,7 +49,7 @@
     }
 }
 
-impl Keeper {
+impl SimulatedControlNode {
     /// Starts a life. `first`: its machine never ran before, and the whole system starts.
     pub fn start(host: &Host, first: bool) -> Rc<Self> {
         let feed = Feed::new(host.clone());
--- a/testbed/src/system/edge.rs
+++ b/testbed/src/system/edge.rs
@@ -18,7 +18,7 @@
     merge_reservations,
 };
 
-const PATIENCE: u64 = 300;
+const CALL_TIMEOUT_MS: u64 = 300;
 const DOWN: u64 = 1_500;
 const HEDGE: u64 = 70;
 const GRACE: u64 = 6;
@@ -259,7 +259,7 @@
     ) -> Option<(BTreeMap<u64, u32>, bool)> {
         let mut calls: FuturesUnordered<_> = holders
             .all()
-            .map(|store| async { (store.disk, self.ask(store, call(store), PATIENCE).await) })
+            .map(|store| async { (store.disk, self.ask(store, call(store), CALL_TIMEOUT_MS).await) })
             .collect();
         let (mut account, mut answered) = (BTreeMap::new(), BTreeSet::new());
         loop {
@@ -337,7 +337,7 @@
         let zone = &self.host.machine.zone;
         let (near, far): (Vec<&StorageNode>, Vec<&StorageNode>) =
             stores.into_iter().partition(|store| store.zone == *zone && !self.is_down(store));
-        for (stores, patience) in [(near, HEDGE), (far, PATIENCE)] {
+        for (stores, patience) in [(near, HEDGE), (far, CALL_TIMEOUT_MS)] {
             let mut calls: FuturesUnordered<_> = stores
                 .into_iter()
                 .map(|store| async { (store.disk, self.ask(store, call(), patience).await) })
@@ -372,7 +372,7 @@
         let keep = async |store: &StorageNode, holders: Vec<u64>| {
             let call =
                 Call::StoreTurn { epoch: roster.epoch, turn: Turn { replicas: holders, ..turn.clone() } };
-            (store.disk, self.ask(store, call, PATIENCE).await)
+            (store.disk, self.ask(store, call, CALL_TIMEOUT_MS).await)
         };
         let mut waiting = stores.iter().copied();
         let mut calls: FuturesUnordered<_> =
@@ -419,7 +419,7 @@
                 let epoch = state.roster.epoch;
                 let call = |_: &StorageNode| Call::Settle { epoch, program: program.clone(), reservation };
                 let calls: FuturesUnordered<_> =
-                    holders.all().map(|store| proxy.ask(store, call(store), PATIENCE)).collect();
+                    holders.all().map(|store| proxy.ask(store, call(store), CALL_TIMEOUT_MS)).collect();
                 let answers: Vec<_> = calls.collect().await;
                 if answers.iter().all(|answer| matches!(answer, Some(Answer::Done | Answer::Account(_)))) {
                     return;
--- a/testbed/src/system/executor.rs
+++ b/testbed/src/system/executor.rs
@@ -14,13 +14,13 @@
 type Ready = Arc<Mutex<VecDeque<u64>>>;
 
 /// More than are ever due at one moment.
-const MOST_POLLS: u64 = 1_000_000;
+const MAX_POLLS: u64 = 1_000_000;
 
 /// Names a process; each life of one has another.
 pub type ProcessId = u64;
 
 /// Whether a process runs. One that is not known has ended.
-enum Standing {
+enum TaskState {
     Running,
     /// These of its tasks have something to do.
     Frozen(Vec<u64>),
@@ -57,7 +57,7 @@
     last_task: Cell<u64>,
     last_process: Cell<ProcessId>,
     timers: RefCell<Timers>,
-    processes: RefCell<BTreeMap<ProcessId, Standing>>,
+    processes: RefCell<BTreeMap<ProcessId, TaskState>>,
 }
 
 impl Executor {
@@ -77,7 +77,7 @@
     pub fn begin(&self) -> ProcessId {
         let process = self.0.last_process.get() + 1;
         self.0.last_process.set(process);
-        self.0.processes.borrow_mut().insert(process, Standing::Running);
+        self.0.processes.borrow_mut().insert(process, TaskState::Running);
         process
     }
 
@@ -101,8 +101,8 @@
 
     /// Its tasks stand still until it is thawed.
     pub fn freeze(&self, process: ProcessId) {
-        if let Some(standing @ Standing::Running) = self.0.processes.borrow_mut().get_mut(&process) {
-            *standing = Standing::Frozen(Vec::new());
+        if let Some(standing @ TaskState::Running) = self.0.processes.borrow_mut().get_mut(&process) {
+            *standing = TaskState::Frozen(Vec::new());
         }
     }
 
@@ -110,7 +110,7 @@
     pub fn thaw(&self, process: ProcessId) {
         let mut processes = self.0.processes.borrow_mut();
         let Some(standing) = processes.get_mut(&process) else { return };
-        if let Standing::Frozen(waiting) = std::mem::replace(standing, Standing::Running) {
+        if let TaskState::Frozen(waiting) = std::mem::replace(standing, TaskState::Running) {
             self.0.ready.lock().unwrap_or_else(PoisonError::into_inner).extend(waiting);
         }
     }
@@ -139,7 +139,7 @@
             while let Some(task) = self.next_ready() {
                 self.poll(task);
                 polls += 1;
-                assert!(polls < MOST_POLLS, "tasks run on and on, and no time passes");
+                assert!(polls < MAX_POLLS, "tasks run on and on, and no time passes");
             }
             let next = self.0.timers.borrow().due.peek().map(|Reverse((at, _))| *at);
             let Some(at) = next.filter(|at| *at <= end) else { break };
@@ -166,8 +166,8 @@
             let Some((process, work)) = tasks.get_mut(&task) else { return };
             let mut processes = self.0.processes.borrow_mut();
             match processes.get_mut(process) {
-                Some(Standing::Running) => work.take(),
-                Some(Standing::Frozen(waiting)) => {
+                Some(TaskState::Running) => work.take(),
+                Some(TaskState::Frozen(waiting)) => {
                     waiting.push(task);
                     None
                 }
--- a/testbed/src/system/mod.rs
+++ b/testbed/src/system/mod.rs
@@ -27,7 +27,7 @@
 pub use history::{Disturbance, Fact, History, OrderAnswer, Told};
 pub use measure::{Isolated, Measured};
 pub use play::{SETTLED_MS, play};
-pub use scenario::{Case, CaseEnded, SCENARIOS, Scenario, thousand_changes};
+pub use scenario::{Case, CaseResult, SCENARIOS, Scenario, thousand_changes};
 pub use schedule::{
     Class, Fault, ISOLATIONS, Isolation, Machine, MembershipStep, Schedule, Target, Trouble, Victim,
 };
--- a/testbed/src/system/operators.rs
+++ b/testbed/src/system/operators.rs
@@ -2,7 +2,7 @@
 //! sent again as it was, to other machines, and what was taken long ago comes once more.
 
 use super::Mutation;
-use super::control::Keeper;
+use super::control::SimulatedControlNode;
 use super::history::{Fact, OrderAnswer};
 use super::play::Stage;
 use bytes::Bytes;
@@ -45,7 +45,7 @@
     last_number: Cell<u64>,
     last_order: Cell<u64>,
     confirmed: RefCell<Vec<Order>>,
-    /// Orders seen in force, so that each is told once: number and name.
+    /// Orders seen in force, so that each is order_answer once: number and name.
     seen: RefCell<Vec<(u64, u64)>>,
 }
 
@@ -86,7 +86,7 @@
     }
 
     /// Sends an order to a core machine's process; what came of it stands in the history.
-    async fn send(self: &Rc<Self>, order: &Order, keeper: Rc<Keeper>) -> OrderAnswer {
+    async fn send(self: &Rc<Self>, order: &Order, keeper: Rc<SimulatedControlNode>) -> OrderAnswer {
         let host = keeper.host().clone();
         let machine = self.world.machine_number(host.node);
         let begun = self.world.elapsed_ms();
@@ -119,7 +119,11 @@
     }
 
     /// Sends an order to one machine after another until the answer is clear; at times to several at once.
-    async fn send_until_clear(self: &Rc<Self>, order: &Order, first: Option<Rc<Keeper>>) -> OrderAnswer {
+    async fn send_until_clear(
+        self: &Rc<Self>,
+        order: &Order,
+        first: Option<Rc<SimulatedControlNode>>,
+    ) -> OrderAnswer {
         let mut next = first;
         let mut last = None;
         loop {
@@ -140,7 +144,7 @@
     }
 
     /// A control node other than the one that was asked last, if there is one.
-    fn another(&self, last: Option<usize>) -> Option<Rc<Keeper>> {
+    fn another(&self, last: Option<usize>) -> Option<Rc<SimulatedControlNode>> {
         let keepers = self.keepers.borrow();
         let others: Vec<_> = keepers.iter().filter(|(node, _)| Some(**node) != last).collect();
         let chosen = if others.is_empty() { keepers.iter().next() } else { None };
@@ -148,7 +152,7 @@
         chosen.or_else(|| others.get(place).copied()).map(|(_, keeper)| keeper.clone())
     }
 
-    async fn send_to_several(self: &Rc<Self>, order: &Order, first: Rc<Keeper>) -> OrderAnswer {
+    async fn send_to_several(self: &Rc<Self>, order: &Order, first: Rc<SimulatedControlNode>) -> OrderAnswer {
         let others = (0..2).filter_map(|_| self.some(&self.keepers));
         let answers =
             join_all([first].into_iter().chain(others).map(|keeper| self.send(order, keeper))).await;
@@ -156,7 +160,7 @@
         clear.unwrap_or(OrderAnswer::Unclear)
     }
 
-    async fn read(&self, keeper: Rc<Keeper>) -> Option<u64> {
+    async fn read(&self, keeper: Rc<SimulatedControlNode>) -> Option<u64> {
         let host = keeper.host().clone();
         let machine = self.world.machine_number(host.node);
         let begun = self.world.elapsed_ms();
@@ -185,7 +189,7 @@
     }
 
     /// Something that was confirmed once comes again.
-    async fn send_again(self: &Rc<Self>, keeper: Rc<Keeper>) {
+    async fn send_again(self: &Rc<Self>, keeper: Rc<SimulatedControlNode>) {
         let former = {
             let confirmed = self.operators.confirmed.borrow();
             let place = self.world.draw(confirmed.len() as u64) as usize;
@@ -197,11 +201,11 @@
     }
 
     /// One change on top of the newest known version, sent until the answer is clear; the newest version known then.
-    async fn change(self: &Rc<Self>, newest: u64, first: Option<Rc<Keeper>>) -> u64 {
+    async fn change(self: &Rc<Self>, newest: u64, first: Option<Rc<SimulatedControlNode>>) -> u64 {
         self.try_change(newest, first).await.newest
     }
 
-    async fn try_change(self: &Rc<Self>, newest: u64, first: Option<Rc<Keeper>>) -> Changed {
+    async fn try_change(self: &Rc<Self>, newest: u64, first: Option<Rc<SimulatedControlNode>>) -> Changed {
         let order = self.new_order(newest);
         let answer = self.send_until_clear(&order, first).await;
         let newest = match answer {
@@ -276,8 +280,9 @@
         loop {
             if let Some(keeper) = self.some(&self.keepers) {
                 let (host, name) = (keeper.host().clone(), name.clone());
-                let told = self.at(&host, PATIENCE_MS, async move { keeper.retire(&name).await }).await;
-                if told.flatten().is_some() {
+                let order_answer =
+                    self.at(&host, PATIENCE_MS, async move { keeper.retire(&name).await }).await;
+                if order_answer.flatten().is_some() {
                     return;
                 }
             }
@@ -285,17 +290,17 @@
         }
     }
 
-    /// Asks until a retire is told to be completed.
+    /// Asks until a retire is order_answer to be completed.
     pub(super) async fn retire_completed(&self, machine: usize) {
         let name = self.schedule.machines[machine].name.clone();
         loop {
             if let Some(keeper) = self.some(&self.keepers) {
                 let (host, name, mutation) = (keeper.host().clone(), name.clone(), self.world.mutation);
-                let told = async move {
+                let order_answer = async move {
                     keeper.version().await?;
                     Some(controllers::retire_status(&keeper.feed.state(), &name))
                 };
-                let verdict = self.at(&host, PATIENCE_MS, told).await.flatten();
+                let verdict = self.at(&host, PATIENCE_MS, order_answer).await.flatten();
                 // Broken on purpose: what is only agreed counts as completed.
                 let early = mutation == Some(Mutation::CompletedEarly);
                 if verdict == Some(RetireVerdict::Completed)
@@ -310,14 +315,14 @@
 }
 
 /// What a control node answers to an order; mutations change what its crates say.
-async fn answered(keeper: &Keeper, order: &Order, mutation: Option<Mutation>) -> OrderAnswer {
+async fn answered(keeper: &SimulatedControlNode, order: &Order, mutation: Option<Mutation>) -> OrderAnswer {
     if mutation == Some(Mutation::AnsweredAlone) {
         // Broken on purpose: by its own replicated state, without a majority.
         let taken = CommittedVersion { version: order.number, digest: operator_config::digest(&order.body) };
         let state = keeper.feed.state();
         let (_, verdict) = controllers::put_config(&state, order.on, &taken, &order.body);
         if verdict != ConfigVerdict::Committed {
-            return told(Some(verdict));
+            return order_answer(Some(verdict));
         }
     }
     let verdict = keeper.put_config(order.on, order.body.clone()).await;
@@ -327,11 +332,11 @@
         (Some(Mutation::TakenForgotten), Some(ConfigVerdict::Committed)) if current != order.number => {
             OrderAnswer::OtherVersion(current)
         }
-        _ => told(verdict),
+        _ => order_answer(verdict),
     }
 }
 
-fn told(verdict: Option<ConfigVerdict>) -> OrderAnswer {
+fn order_answer(verdict: Option<ConfigVerdict>) -> OrderAnswer {
     match verdict {
         Some(ConfigVerdict::Committed) => OrderAnswer::Confirmed,
         Some(ConfigVerdict::VersionMismatch(current)) => OrderAnswer::OtherVersion(current),
@@ -340,7 +345,7 @@
     }
 }
 
-async fn version_of(keeper: &Keeper, mutation: Option<Mutation>) -> Option<u64> {
+async fn version_of(keeper: &SimulatedControlNode, mutation: Option<Mutation>) -> Option<u64> {
     match mutation {
         // Broken on purpose: without a quorum read.
         Some(Mutation::FreshnessNotChecked) => Some(keeper.feed.state().version()),
--- a/testbed/src/system/orders.rs
+++ b/testbed/src/system/orders.rs
@@ -66,7 +66,7 @@
                     orders.cuts.push(Cut { from: *from, to: *to, since: *at, until: *until });
                 }
                 Fact::Fleet { classes } => {
-                    let is_core = |machine: &usize| classes[*machine] == Class::Keeper;
+                    let is_core = |machine: &usize| classes[*machine] == Class::ControlNode;
                     orders.core = (0..classes.len()).filter(is_core).collect();
                 }
                 _ => {}
--- a/testbed/src/system/play.rs
+++ b/testbed/src/system/play.rs
@@ -2,7 +2,7 @@
 //! last one all is to be as it should be again.
 
 use super::Mutation;
-use super::control::{Keeper, Keepers};
+use super::control::{ControlNodes, SimulatedControlNode};
 use super::disk::{ACCEPTOR_RECORD, ACCEPTOR_SPACE};
 use super::edge::{MOST, Proxy, TurnEnd, Wish, start_agent};
 use super::history::{Disturbance, Fact, History, Told};
@@ -23,7 +23,7 @@
 /// What a process knows is to be no older than this then.
 const FRESH: Duration = Duration::from_millis(2_000);
 /// Between two looks at what is in force.
-const LOOK_MS: u64 = 50;
+const CHECK_INTERVAL_MS: u64 = 50;
 const OPERATORS: usize = 2;
 const PROGRAMS: usize = 3;
 const BRANCHES: usize = 2;
@@ -33,7 +33,7 @@
 pub(super) struct Stage {
     pub(super) world: Rc<World>,
     pub(super) schedule: Schedule,
-    pub(super) keepers: RefCell<Keepers>,
+    pub(super) keepers: RefCell<ControlNodes>,
     pub(super) operators: Operators,
     stores: RefCell<BTreeMap<usize, Rc<TurnKeeper>>>,
     agents: RefCell<BTreeMap<usize, (Host, Rc<Feed>)>>,
@@ -129,7 +129,7 @@
         let stage = self.clone();
         self.world.executor.spawn(driver, async move {
             loop {
-                stage.pause(LOOK_MS).await;
+                stage.pause(CHECK_INTERVAL_MS).await;
                 stage.note_in_force();
             }
         });
@@ -153,7 +153,9 @@
     fn start_process(&self, node: usize) {
         let Some((host, first)) = self.world.begin(node) else { return };
         match host.class {
-            Class::Keeper => drop(self.keepers.borrow_mut().insert(node, Keeper::start(&host, first))),
+            Class::ControlNode => {
+                drop(self.keepers.borrow_mut().insert(node, SimulatedControlNode::start(&host, first)))
+            }
             Class::Store => drop(self.stores.borrow_mut().insert(node, TurnKeeper::start(&host))),
             Class::Agent => {
                 let feed = start_agent(&host);
@@ -267,7 +269,7 @@
             }
             Trouble::Burst { orders } => self.act(self.clone().burst(orders)),
             Trouble::KillCore { back_ms } => {
-                for machine in self.machines_of(Class::Keeper) {
+                for machine in self.machines_of(Class::ControlNode) {
                     if self.is_up(machine) {
                         self.down(machine, false, false, back_ms + self.world.draw(300));
                     }
@@ -311,7 +313,7 @@
         self.world.note(Fact::Isolated { machine, until: self.world.elapsed_ms() + for_ms });
         self.later(for_ms, move |stage| stage.watch_return(machine));
         let everybody: Vec<usize> = (0..self.schedule.machines.len()).collect();
-        let core = self.machines_of(Class::Keeper);
+        let core = self.machines_of(Class::ControlNode);
         match how {
             Isolation::Cut => self.cut_paths(machine, &everybody, true, true, for_ms),
             Isolation::CutIncoming => self.cut_paths(machine, &everybody, true, false, for_ms),
@@ -322,7 +324,7 @@
             Isolation::Frozen => self.freeze(machine, for_ms),
             Isolation::Slow => self.world.slow_down(machine, for_ms),
         }
-        if self.schedule.machines[machine].class == Class::Keeper {
+        if self.schedule.machines[machine].class == Class::ControlNode {
             for node in self.world.nodes_of(machine) {
                 self.act(self.clone().insist(node, for_ms));
                 self.act(self.clone().send_on_return(node, for_ms));
--- a/testbed/src/system/returns.rs
+++ b/testbed/src/system/returns.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 /// Between two looks.
-const LOOK_MS: u64 = 10;
+const CHECK_INTERVAL_MS: u64 = 10;
 /// Who knows it later has not caught up.
 const GIVEN_UP_MS: u64 = 10_000;
 
@@ -52,7 +52,7 @@
                 let missed = version.saturating_sub(own);
                 return self.world.note(Fact::CaughtUp { node, missed, after });
             }
-            self.pause(LOOK_MS).await;
+            self.pause(CHECK_INTERVAL_MS).await;
         }
     }
 }
--- a/testbed/src/system/scenario.rs
+++ b/testbed/src/system/scenario.rs
@@ -45,7 +45,7 @@
 
 /// What came of a case.
 #[derive(Clone, Debug)]
-pub struct CaseEnded {
+pub struct CaseResult {
     /// What it is about.
     pub name: String,
     /// What was done and seen, and the rules that it broke.
@@ -56,10 +56,10 @@
 
 impl Case {
     /// Plays it.
-    pub fn play(&self, mutation: Option<Mutation>) -> CaseEnded {
+    pub fn play(&self, mutation: Option<Mutation>) -> CaseResult {
         let played = super::play_one(&self.schedule, mutation);
         let measured = Measured::of(&played.history);
-        CaseEnded { name: self.name.clone(), played, measured }
+        CaseResult { name: self.name.clone(), played, measured }
     }
 }
 
@@ -104,7 +104,7 @@
     }
 
     fn core(&self, place: usize) -> usize {
-        self.schedule.machines_of(Class::Keeper)[place]
+        self.schedule.machines_of(Class::ControlNode)[place]
     }
 
     fn store(&self, place: usize) -> usize {
@@ -171,7 +171,7 @@
                 }
                 "and voters replaced" => {
                     for place in 0..2 {
-                        let (old, new) = (writing.core(place), writing.newcomer(Class::Keeper, None));
+                        let (old, new) = (writing.core(place), writing.newcomer(Class::ControlNode, None));
                         let at = BEGIN_MS + 1_000 + 9_000 * place as u64;
                         writing.at(at, Trouble::Replace { old, new, starts_ms: 1_000, ends_ms: 0 });
                     }
@@ -225,7 +225,7 @@
     for tolerance in [1, 2] {
         cases.extend([1, 2, 3].map(|seed| retired_and_wiped(seed, tolerance)));
         cases.push(in_turn(tolerance, Class::Store));
-        cases.push(in_turn(tolerance, Class::Keeper));
+        cases.push(in_turn(tolerance, Class::ControlNode));
         cases.push(one_name(tolerance));
     }
     cases
@@ -286,7 +286,7 @@
         for victim in [Victim::Newcomer, Victim::Source, Victim::Oldest] {
             let name = format!("core, {step:?}: {victim:?}, {tolerance} may be lost");
             let mut writing = Writing::new(name, cases.len() as u64 + 1, tolerance, 2 * tolerance + 1, 3);
-            let new = writing.newcomer(Class::Keeper, None);
+            let new = writing.newcomer(Class::ControlNode, None);
             let old = writing.core(1);
             let at = BEGIN_MS + 1_000;
             writing.at(at - 100, Trouble::LossAtStep { step, victim, wiped: true, back_ms: 600 });
@@ -352,7 +352,7 @@
 pub fn thousand_changes(seed: u64, orders: u64) -> Case {
     let mut writing = Writing::new(format!("{orders} changes, {seed}"), seed, 2, 5, 3);
     let (away, cut, wiped, replaced) = (writing.core(0), writing.core(1), writing.core(2), writing.core(3));
-    let new = writing.newcomer(Class::Keeper, None);
+    let new = writing.newcomer(Class::ControlNode, None);
     let begins = BEGIN_MS;
     let cut_at = begins + 11_000;
     let killed_at = cut_at + ISOLATED_MS + CAUGHT_UP_MS;
--- a/testbed/src/system/schedule.rs
+++ b/testbed/src/system/schedule.rs
@@ -11,7 +11,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum Class {
     /// A core machine: a voter of the register.
-    Keeper,
+    #[serde(rename = "keeper")]
+    ControlNode,
     /// A storage machine.
     Store,
     /// An edge machine, and its agent.
@@ -250,7 +251,7 @@
     /// A fleet without faults, whose machines are spread over the zones.
     pub fn fleet(seed: u64, tolerance: usize, stores: usize, edges: usize) -> Self {
         let mut schedule = Self { seed, tolerance, machines: Vec::new(), faults: Vec::new(), calm_ms: BEGIN };
-        let counts = [(Class::Keeper, 2 * tolerance + 1), (Class::Store, stores), (Class::Agent, edges)];
+        let counts = [(Class::ControlNode, 2 * tolerance + 1), (Class::Store, stores), (Class::Agent, edges)];
         for (class, count) in counts {
             for place in 0..count {
                 schedule.add_machine(class, None, place % ZONES, true);
@@ -263,7 +264,7 @@
     pub fn add_machine(&mut self, class: Class, name: Option<String>, zone: usize, first: bool) -> usize {
         let number = self.machines.len();
         let (letter, net) = match class {
-            Class::Keeper => ("k", 0),
+            Class::ControlNode => ("k", 0),
             Class::Store => ("s", 2),
             Class::Agent | Class::Proxy => ("e", 1),
         };
@@ -314,7 +315,7 @@
     fn play(&mut self) {
         let tolerance = self.schedule.tolerance;
         for _ in 0..2 * tolerance + 1 {
-            let number = self.machine(Class::Keeper, None, true);
+            let number = self.machine(Class::ControlNode, None, true);
             self.keepers.push((number, 0));
         }
         let stores = 2 * tolerance as u64 + 1 + self.below(3);
@@ -583,7 +584,7 @@
                 None => now,
             },
             7 => {
-                let new = self.machine(Class::Keeper, None, false);
+                let new = self.machine(Class::ControlNode, None, false);
                 let starts_ms = self.between(500, 2_000);
                 let over = now + starts_ms;
                 self.add(now, Trouble::Replace { old: machine, new, starts_ms, ends_ms: 0 }, over);
@@ -593,7 +594,7 @@
                 free
             }
             8 if self.keepers.len() < 2 * self.schedule.tolerance + 3 => {
-                let new = self.machine(Class::Keeper, None, false);
+                let new = self.machine(Class::ControlNode, None, false);
                 self.add(now, Trouble::Add { machine: new }, now + 500);
                 self.keepers.push((new, now + self.catch_up));
                 now + self.catch_up
--- a/testbed/src/system/second_loss.rs
+++ b/testbed/src/system/second_loss.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 /// Between two looks.
-const LOOK_MS: u64 = 5;
+const CHECK_INTERVAL_MS: u64 = 5;
 /// A change that does not come to the step in this time has none.
 pub const STEP_WITHIN_MS: u64 = 4_000;
 /// So long after a set is agreed its members are in the midst of catching up.
@@ -97,7 +97,7 @@
             if self.world.elapsed_ms() > until {
                 return;
             }
-            self.pause(LOOK_MS).await;
+            self.pause(CHECK_INTERVAL_MS).await;
         }
         match step {
             MembershipStep::Filling => self.pause(FILLING_FOR_MS).await,
--- a/testbed/src/system/store.rs
+++ b/testbed/src/system/store.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 use turn_store::{Backfill, Durability, ReplicaState, Write};
 
-const PATIENCE: u64 = 600;
+const CALL_TIMEOUT_MS: u64 = 600;
 const SOURCE_GONE: u64 = 1_200;
 
 /// A storage machine's life.
@@ -66,7 +66,7 @@
         self.host.disk().write_lazily(&self.host, writes);
     }
 
-    async fn tell_core(&self, call: Call) -> bool {
+    async fn notify_control_nodes(&self, call: Call) -> bool {
         let mut ips = self.feed.value().voters.clone();
         ips.extend(self.host.world().iter().flat_map(|world| world.seeds.clone()));
         ips.sort();
@@ -92,7 +92,7 @@
             let placed = has(roster.next.as_ref().unwrap_or(&roster.current));
             let known = self.feed.confirmed_at().is_some();
             if known && !placed && !roster.retiring.contains(&self.me.name) {
-                self.tell_core(Call::JoinStorage { store: self.me.clone() }).await;
+                self.notify_control_nodes(Call::JoinStorage { store: self.me.clone() }).await;
             }
             let filling = self.state.borrow().backfill();
             if let Some(filling) = filling {
@@ -101,7 +101,7 @@
             let full = self.state.borrow().is_in_sync_for_next();
             if full && !roster.in_sync.contains(&self.me.disk) && roster.epoch == self.state.borrow().epoch()
             {
-                self.tell_core(Call::InSync { disk: self.me.disk, epoch: roster.epoch }).await;
+                self.notify_control_nodes(Call::InSync { disk: self.me.disk, epoch: roster.epoch }).await;
             }
             let filling = self.state.borrow().backfill().is_some();
             let pause = if placed && !full && !filling { 2_000 } else { 120 };
@@ -123,7 +123,7 @@
         self.synced(Vec::new()).await;
         let told = filling.drained().map(|source| async {
             let call = Call::BackfillDone { epoch, disk: self.me.disk };
-            let _ = self.host.call(source.ip, call, PATIENCE).await;
+            let _ = self.host.call(source.ip, call, CALL_TIMEOUT_MS).await;
         });
         join_all(told).await;
         let writes = self.state.borrow_mut().mark_in_sync(&filling);
@@ -150,7 +150,7 @@
                 filling.borrow_mut().page_applied(source.disk, None);
                 return;
             }
-            let asked = pin!(self.host.call(source.ip, call, PATIENCE));
+            let asked = pin!(self.host.call(source.ip, call, CALL_TIMEOUT_MS));
             let Either::Left((answer, _)) = select(asked, pin!(enough.notified())).await else { return };
             match answer {
                 Some(Answer::Records { turns, accounts, cursor }) => {
--- a/testbed/src/system/world.rs
+++ b/testbed/src/system/world.rs
@@ -98,7 +98,7 @@
     pub fn new(seed: u64, tolerance: usize, machines: Vec<Machine>, mutation: Option<Mutation>) -> Rc<Self> {
         let executor = Executor::new(START_US);
         let driver = executor.begin();
-        let first = |machine: &&Machine| machine.first && machine.class == Class::Keeper;
+        let first = |machine: &&Machine| machine.first && machine.class == Class::ControlNode;
         let seeds = machines.iter().filter(first).map(|machine| machine.ip).take(SEEDS).collect();
         let world = Rc::new(Self {
             executor,
@@ -124,7 +124,7 @@
         for (number, machine) in world.machines.iter().enumerate() {
             let classes: &[Class] = match machine.class {
                 Class::Agent => &[Class::Agent, Class::Proxy],
-                Class::Keeper => &[Class::Keeper],
+                Class::ControlNode => &[Class::ControlNode],
                 Class::Store => &[Class::Store],
                 Class::Proxy => &[],
             };
--- a/testbed/tests/system_rules.rs
+++ b/testbed/tests/system_rules.rs
@@ -10,7 +10,8 @@
 const PROXY: usize = 5;
 
 fn fleet() -> (u64, Fact) {
-    let classes = vec![Class::Keeper, Class::Keeper, Class::Keeper, Class::Store, Class::Agent];
+    let classes =
+        vec![Class::ControlNode, Class::ControlNode, Class::ControlNode, Class::Store, Class::Agent];
     (0, Fact::Fleet { classes })
 }
 
