--- a/sender-membership/src/node/effect.rs
+++ b/sender-membership/src/node/effect.rs
@@ -21,7 +21,7 @@
     },
     /// A line for the log.
     Notify(Notification),
-    /// The disk took no record, and may again: try it, and tell what it holds by [`Node::reloaded`].
+    /// The disk took no record, and may again: try it, and tell what it holds by [`Node::reloaded`](super::Node::reloaded).
     Reload,
     /// This sender takes no part any more.
     Halt(Halt),
--- a/src/net/admin_endpoint.rs
+++ b/src/net/admin_endpoint.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 /// Maximum concurrent connections. Beyond it the oldest one that has not sent its request line is evicted, after
-/// [`EVICTION_GRACE`].
+/// `EVICTION_GRACE`.
 pub const MAX_CONNECTIONS: usize = 16;
 /// Maximum length of a request line: a word and an id.
 const MAX_LINE_BYTES: usize = 512;
--- a/src/net/journal.rs
+++ b/src/net/journal.rs
@@ -1,7 +1,7 @@
 //! The write-ahead journal `messages.wal`: which messages were accepted, and the progress of each.
 //!
 //! It lies in a folder that outlives the process. Its records are framed and checksummed by [`super::wal`]; the order
-//! of the variants of [`Record`] and of all fields in them is the format on disk. `write` suffices, without a sync:
+//! of the variants of `Record` and of all fields in them is the format on disk. `write` suffices, without a sync:
 //! the folder is lost only with the machine, and then its messages are submitted to other senders.
 pub use super::wal::Damage;
 use super::wal::{self, HEADER, frame};
--- a/testbed/src/peers/history.rs
+++ b/testbed/src/peers/history.rs
@@ -24,7 +24,7 @@
     pub health: SeenHealth,
 }
 
-/// As [`Standing`].
+/// As [`MemberState`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SeenStanding {
