--- a/system/request-forwarding/src/body_collection.rs
+++ b/system/request-forwarding/src/body_collection.rs
@@ -21,31 +21,31 @@
         return Err(too_large());
     }
     let read = async {
-        let mut pieces = ChunkBuffer::default();
+        let mut chunks = ChunkBuffer::default();
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return Err(LocalResponse::closing(StatusCode::BAD_REQUEST)) };
             let data = frame.into_data().unwrap_or_default();
-            if pieces.len() + data.len() > most {
+            if chunks.len() + data.len() > most {
                 return Err(too_large());
             }
-            pieces.add(data);
+            chunks.add(data);
         }
-        Ok(pieces.whole())
+        Ok(chunks.whole())
     };
     timeout_at(until, read).await.unwrap_or_else(|_| Err(LocalResponse::closing(StatusCode::REQUEST_TIMEOUT)))
 }
 
 /// A whole answer, if it is that and not too large.
 pub(crate) async fn read_whole(mut body: Incoming) -> Option<Bytes> {
-    let mut pieces = ChunkBuffer::default();
+    let mut chunks = ChunkBuffer::default();
     while let Some(frame) = body.frame().await {
         let data = frame.ok()?.into_data().unwrap_or_default();
-        if pieces.len() + data.len() > MOST_UNTOLD {
+        if chunks.len() + data.len() > MOST_UNTOLD {
             return None;
         }
-        pieces.add(data);
+        chunks.add(data);
     }
-    Some(pieces.whole())
+    Some(chunks.whole())
 }
 
 /// A body as it comes; one that comes in one piece is not copied.
--- a/system/request-forwarding/src/complete_events.rs
+++ b/system/request-forwarding/src/complete_events.rs
@@ -1,15 +1,15 @@
-//! Cuts a stream into whole events, so that another endpoint can go on after the last one that was passed on.
+//! Cuts a stream into complete events, so that it can be resumed at another endpoint after the last one forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is held back until it is whole; a stream with a longer one cannot be resumed.
-const MOST_HELD: usize = 256 * 1024;
+/// Longest event that is buffered until it is complete; a stream with a longer one cannot be resumed.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
 /// Bytes of a stream that have come, up to the end of its last whole event.
 #[derive(Default)]
 pub(crate) struct CompleteEvents {
-    held: BytesMut,
-    /// How much of `held` has been looked through.
+    buffer: BytesMut,
+    /// How much of `buffer` has been looked through.
     seen: usize,
     /// Where the line begins that has not ended.
     line_start: usize,
@@ -24,35 +24,35 @@
 impl CompleteEvents {
     /// Takes the next bytes; returns those of the events that are whole now.
     pub(crate) fn take(&mut self, data: &[u8]) -> Bytes {
-        self.held.extend_from_slice(data);
-        let mut whole_until = 0;
-        while self.seen < self.held.len() {
-            let byte = self.held[self.seen];
+        self.buffer.extend_from_slice(data);
+        let mut complete_until = 0;
+        while self.seen < self.buffer.len() {
+            let byte = self.buffer[self.seen];
             self.seen += 1;
             let follows_return = std::mem::replace(&mut self.after_return, byte == b'\r');
             match byte {
                 // The second half of a line's end belongs to the event that the first half ended.
                 b'\n' if follows_return => {
-                    whole_until += usize::from(whole_until + 1 == self.seen);
+                    complete_until += usize::from(complete_until + 1 == self.seen);
                     self.line_start = self.seen;
                 }
-                b'\n' | b'\r' => whole_until = self.end_line().unwrap_or(whole_until),
+                b'\n' | b'\r' => complete_until = self.end_line().unwrap_or(complete_until),
                 _ => {}
             }
         }
-        let whole = self.held.split_to(whole_until).freeze();
-        self.seen -= whole_until;
-        self.line_start -= whole_until;
-        if self.held.len() > MOST_HELD {
+        let complete = self.buffer.split_to(complete_until).freeze();
+        self.seen -= complete_until;
+        self.line_start -= complete_until;
+        if self.buffer.len() > MAX_BUFFERED_BYTES {
             self.too_long = true;
-            return self.rest_after(whole);
+            return self.rest_after(complete);
         }
-        whole
+        complete
     }
 
     /// Ends a line; where it ended an event, up to where that reaches.
     fn end_line(&mut self) -> Option<usize> {
-        let line = &self.held[self.line_start..self.seen - 1];
+        let line = &self.buffer[self.line_start..self.seen - 1];
         let is_blank = line.is_empty();
         if let Some(id) = id_of(line) {
             self.pending_id = Some(Bytes::copy_from_slice(id));
@@ -64,8 +64,8 @@
         is_blank.then_some(self.seen)
     }
 
-    fn rest_after(&mut self, whole: Bytes) -> Bytes {
-        let mut all = BytesMut::from(whole.as_ref());
+    fn rest_after(&mut self, complete: Bytes) -> Bytes {
+        let mut all = BytesMut::from(complete.as_ref());
         all.extend_from_slice(&self.rest());
         all.freeze()
     }
@@ -74,7 +74,7 @@
     pub(crate) fn rest(&mut self) -> Bytes {
         (self.seen, self.line_start, self.after_return) = (0, 0, false);
         self.pending_id = None;
-        self.held.split().freeze()
+        self.buffer.split().freeze()
     }
 
     /// The id after which another endpoint is to go on; none if no whole event told one.
--- a/system/request-forwarding/src/complete_events/tests.rs
+++ b/system/request-forwarding/src/complete_events/tests.rs
@@ -47,7 +47,7 @@
 fn an_event_that_is_too_long_is_passed_on_and_ends_resumption() {
     let mut events = CompleteEvents::default();
     assert!(!events.take(b"id: 1\n\n").is_empty());
-    let long = vec![b'x'; MOST_HELD + 1];
+    let long = vec![b'x'; MAX_BUFFERED_BYTES + 1];
     assert_eq!(events.take(&long).len(), long.len());
     assert!(events.last_id().is_none());
 }
--- a/system/request-forwarding/src/delivery.rs
+++ b/system/request-forwarding/src/delivery.rs
@@ -1,4 +1,4 @@
-//! One request on its way from endpoint to endpoint, until one answers or it is given up.
+//! Delivery of one request: attempts at one endpoint after another, until one responds or the request is given up.
 
 use crate::endpoint_attempt::AttemptResult;
 use crate::outbound_request::OutboundRequest;
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// So long does a request wait for a connection where no more may be opened.
-const CONNECTION_WAIT: Span = Span(10_000);
+/// Delay before the next attempt where no connection is free and none may be opened.
+const CONNECTION_RETRY_DELAY: Span = Span(10_000);
 
-/// A request, and what it has been through.
+/// A request and its attempts so far.
 pub(crate) struct Delivery {
     core: Rc<SharedState>,
     pub(crate) outgoing: OutboundRequest,
@@ -25,7 +25,7 @@
     rank: Rank,
 }
 
-/// The head of an endpoint's answer, and the call that brought it.
+/// The head of an endpoint's response, and its call.
 pub(crate) struct EndpointResponse {
     pub(crate) response: Response<Incoming>,
     pub(crate) connection: EndpointConnection,
@@ -42,12 +42,12 @@
         Self { core, outgoing, routing_request, history: AttemptHistory::default(), sends: 0, rank }
     }
 
-    /// Sends until an endpoint answers.
+    /// Sends until an endpoint responds.
     pub(crate) async fn answer(&mut self) -> Result<EndpointResponse, GiveUp> {
         loop {
             let target = self
                 .core
-                .place(&self.routing_request, &self.history, self.rank, self.outgoing.deadline)
+                .wait_for_slot(&self.routing_request, &self.history, self.rank, self.outgoing.deadline)
                 .await?;
             let key = target.key;
             let mut call = CallInFlight::new(self.core.clone(), key, self.routing_request.clone());
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A call ended without an answer to pass on. An error says that the request does not go again.
+    /// Records a call without a response to forward. An error means that the request is not retried.
     pub(crate) fn failed(&mut self, call: CallInFlight, outcome: Outcome) -> Result<(), GiveUp> {
         self.core.count(|metrics| match outcome {
             Outcome::Full(_) => metrics.full += 1,
@@ -100,9 +100,9 @@
         if !self.history.avoided.contains(&key) {
             self.history.avoided.push(key);
         }
-        let wait = self.core.now().after(CONNECTION_WAIT.0 as f64);
+        let wait = self.core.now().after(CONNECTION_RETRY_DELAY.0 as f64);
         self.history.not_before = self.history.not_before.max(wait);
-        tokio::time::sleep(Duration::from_micros(CONNECTION_WAIT.0)).await;
+        tokio::time::sleep(Duration::from_micros(CONNECTION_RETRY_DELAY.0)).await;
     }
 
     /// Whether there is time left.
--- a/system/request-forwarding/src/forwarder.rs
+++ b/system/request-forwarding/src/forwarder.rs
@@ -3,7 +3,7 @@
 use crate::active_turn::ActiveTurn;
 use crate::body_collection::read_body;
 use crate::headers::{self, ATTEMPT_ID, DEADLINE_REMAINING, PRIORITY};
-use crate::local_response::{LocalResponse, RETRY};
+use crate::local_response::{DEFAULT_RETRY_AFTER, LocalResponse};
 use crate::metrics::ForwardingMetrics;
 use crate::outbound_request::OutboundRequest;
 use crate::pool::SharedState;
@@ -158,7 +158,10 @@
         let Some(config) = &config else {
             // Without a configuration nothing can be denied, whatever became of the body.
             self.core.count(|metrics| metrics.requests += 1);
-            return Err(LocalResponse { close: input.is_err(), ..LocalResponse::refused(RETRY) });
+            return Err(LocalResponse {
+                close: input.is_err(),
+                ..LocalResponse::refused(DEFAULT_RETRY_AFTER)
+            });
         };
         let input = input?;
         self.core.count(|metrics| metrics.requests += 1);
--- a/system/request-forwarding/src/local_response.rs
+++ b/system/request-forwarding/src/local_response.rs
@@ -1,4 +1,4 @@
-//! Answers of our own.
+//! Responses that the proxy generates itself.
 
 use crate::headers::ATTEMPT_ID;
 use crate::response_body::ResponseBody;
@@ -8,10 +8,10 @@
 use request_routing::{AttemptHistory, GiveUp};
 use tokio::time::Instant;
 
-/// What a client is told to wait where nothing better is known.
-pub(crate) const RETRY: Span = Span(250_000);
+/// `Retry-After` where no better estimate is known.
+pub(crate) const DEFAULT_RETRY_AFTER: Span = Span(250_000);
 
-/// An answer of our own.
+/// A response that the proxy generates itself.
 pub(crate) struct LocalResponse {
     pub(crate) status: StatusCode,
     pub(crate) retry_after: Option<Span>,
@@ -23,12 +23,12 @@
         Self { status, retry_after: None, close: false }
     }
 
-    /// One after which the connection cannot go on.
+    /// A response after which the connection must be closed.
     pub(crate) fn closing(status: StatusCode) -> Self {
         Self { close: true, ..Self::new(status) }
     }
 
-    /// A promise that the request has not run and never will.
+    /// A guarantee that the request has not executed and never will.
     pub(crate) fn refused(retry_after: Span) -> Self {
         Self { retry_after: Some(retry_after), ..Self::new(StatusCode::SERVICE_UNAVAILABLE) }
     }
@@ -54,7 +54,7 @@
     }
 }
 
-/// The end of a request that no endpoint answered.
+/// The response to a request that was given up.
 pub(crate) fn response_after_give_up(
     give_up: GiveUp,
     history: &AttemptHistory,
@@ -64,7 +64,9 @@
         GiveUp::Refused { retry_after } if history.execution.guarantees_not_executed() => {
             LocalResponse::refused(retry_after)
         }
-        GiveUp::Failed if history.execution.guarantees_not_executed() => LocalResponse::refused(RETRY),
+        GiveUp::Failed if history.execution.guarantees_not_executed() => {
+            LocalResponse::refused(DEFAULT_RETRY_AFTER)
+        }
         _ if Instant::now() >= deadline => LocalResponse::new(StatusCode::GATEWAY_TIMEOUT),
         _ => LocalResponse::new(StatusCode::BAD_GATEWAY),
     }
--- a/system/request-forwarding/src/response_body.rs
+++ b/system/request-forwarding/src/response_body.rs
@@ -17,7 +17,7 @@
 
 enum Kind {
     Whole(Option<Bytes>),
-    Passed { pieces: mpsc::Receiver<BodyChunk>, length: Option<u64>, over: bool },
+    Passed { chunks: mpsc::Receiver<BodyChunk>, length: Option<u64>, over: bool },
 }
 
 /// The body of an answer; `guard` is dropped with it.
@@ -31,8 +31,8 @@
         Self { kind: Kind::Whole(Some(bytes.into()).filter(|bytes: &Bytes| !bytes.is_empty())), guard: None }
     }
 
-    pub(crate) fn passed(pieces: mpsc::Receiver<BodyChunk>, length: Option<u64>) -> Self {
-        Self { kind: Kind::Passed { pieces, length, over: false }, guard: None }
+    pub(crate) fn passed(chunks: mpsc::Receiver<BodyChunk>, length: Option<u64>) -> Self {
+        Self { kind: Kind::Passed { chunks, length, over: false }, guard: None }
     }
 
     pub(crate) fn guarded(mut self, guard: impl std::any::Any) -> Self {
@@ -52,7 +52,7 @@
         match &mut self.kind {
             Kind::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Kind::Passed { over: true, .. } => Poll::Ready(None),
-            Kind::Passed { pieces, over, .. } => pieces.poll_recv(cx).map(|piece| match piece {
+            Kind::Passed { chunks, over, .. } => chunks.poll_recv(cx).map(|piece| match piece {
                 Some(BodyChunk::Data(bytes)) => Some(Ok(Frame::data(bytes))),
                 Some(BodyChunk::End) => {
                     *over = true;
--- a/system/request-forwarding/src/response_forwarding.rs
+++ b/system/request-forwarding/src/response_forwarding.rs
@@ -1,4 +1,4 @@
-//! An answer that is passed on as it comes.
+//! Forwarding of a response body as it arrives, with resumption of event streams at another endpoint.
 
 use crate::active_turn::ActiveTurn;
 use crate::complete_events::CompleteEvents;
@@ -53,10 +53,10 @@
         mut self,
         answer: UpstreamResponse,
         first: Option<Bytes>,
-        pieces: mpsc::Sender<BodyChunk>,
+        chunks: mpsc::Sender<BodyChunk>,
         turn: ActiveTurn<T>,
     ) {
-        let whole = self.carry(answer, first, &pieces, turn).await;
+        let whole = self.carry(answer, first, &chunks, turn).await;
         self.core.count(|metrics| match whole {
             true => metrics.streams_ended += 1,
             false => metrics.streams_broken += 1,
@@ -68,19 +68,19 @@
         &mut self,
         mut answer: UpstreamResponse,
         mut first: Option<Bytes>,
-        pieces: &mpsc::Sender<BodyChunk>,
+        chunks: &mpsc::Sender<BodyChunk>,
         mut turn: ActiveTurn<T>,
     ) -> bool {
         let mut scan = EventScan::new(turn.to_store.is_some());
         loop {
             let read = match first.take() {
                 Some(data) => Ok(Some(data)),
-                None => self.read(&mut answer.body, pieces).await,
+                None => self.read(&mut answer.body, chunks).await,
             };
             let data = match read {
-                Ok(Some(data)) => self.whole_events_of(data),
+                Ok(Some(data)) => self.complete_events_of(data),
                 Ok(None) => break,
-                Err(outcome) => match self.resume(answer.call, outcome, pieces).await {
+                Err(outcome) => match self.resume(answer.call, outcome, chunks).await {
                     Some(resumed) => {
                         answer = resumed;
                         continue;
@@ -88,13 +88,13 @@
                     None => return false,
                 },
             };
-            if let Err(outcome) = self.hand_on(data, &mut scan, &mut turn, pieces).await {
+            if let Err(outcome) = self.forward_chunk(data, &mut scan, &mut turn, chunks).await {
                 answer.call.complete(outcome);
                 return false;
             }
         }
         let rest = self.resumption.as_mut().map(|resumption| resumption.events.rest()).unwrap_or_default();
-        if let Err(outcome) = self.hand_on(rest, &mut scan, &mut turn, pieces).await {
+        if let Err(outcome) = self.forward_chunk(rest, &mut scan, &mut turn, chunks).await {
             answer.call.complete(outcome);
             return false;
         }
@@ -102,18 +102,18 @@
         drop(body);
         self.core.check_in(connection, &self.headers);
         call.complete(Outcome::Success);
-        self.end(scan, turn, pieces).await
+        self.end(scan, turn, chunks).await
     }
 
     /// The next bytes of the endpoint's answer; none at its end.
     async fn read(
         &self,
         body: &mut Incoming,
-        pieces: &mpsc::Sender<BodyChunk>,
+        chunks: &mpsc::Sender<BodyChunk>,
     ) -> Result<Option<Bytes>, Outcome> {
         let frame = tokio::select! {
             biased;
-            () = pieces.closed() => return Err(Outcome::Cancelled),
+            () = chunks.closed() => return Err(Outcome::Cancelled),
             frame = timeout_at(self.end, body.frame()) => frame,
         };
         match frame {
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Of a stream that may be resumed, only whole events are passed on.
-    fn whole_events_of(&mut self, data: Bytes) -> Bytes {
+    /// Of a resumable stream, only complete events are forwarded.
+    fn complete_events_of(&mut self, data: Bytes) -> Bytes {
         match &mut self.resumption {
             Some(resumption) => resumption.events.take(&data),
             None => data,
@@ -133,12 +133,12 @@
     }
 
     /// Passes bytes on to the client.
-    async fn hand_on(
+    async fn forward_chunk(
         &self,
         data: Bytes,
         scan: &mut EventScan,
         turn: &mut ActiveTurn<T>,
-        pieces: &mpsc::Sender<BodyChunk>,
+        chunks: &mpsc::Sender<BodyChunk>,
     ) -> Result<(), Outcome> {
         if data.is_empty() {
             return Ok(());
@@ -149,7 +149,7 @@
                 reservation.handed = scan.handed().saturating_mul(turn.tokens_per_event);
             }
         }
-        match timeout_at(self.end, pieces.send(BodyChunk::Data(data))).await {
+        match timeout_at(self.end, chunks.send(BodyChunk::Data(data))).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) => Err(Outcome::Cancelled),
             Err(_) => Err(Outcome::TimedOut),
@@ -161,7 +161,7 @@
         &mut self,
         call: CallInFlight,
         outcome: Outcome,
-        pieces: &mpsc::Sender<BodyChunk>,
+        chunks: &mpsc::Sender<BodyChunk>,
     ) -> Option<UpstreamResponse> {
         let resumption = self.resumption.as_mut().filter(|_| outcome == Outcome::Reset);
         let last_id = resumption.as_ref().and_then(|resumption| resumption.events.last_id());
@@ -176,7 +176,7 @@
         resumption.delivery.failed(call, outcome).ok()?;
         let answered = tokio::select! {
             biased;
-            () = pieces.closed() => return None,
+            () = chunks.closed() => return None,
             answered = resumption.delivery.answer() => answered.ok()?,
         };
         let EndpointResponse { response, connection, call } = answered;
@@ -191,7 +191,7 @@
     }
 
     /// Keeps the turn, if it is to be kept, and ends the answer.
-    async fn end(&self, scan: EventScan, mut turn: ActiveTurn<T>, pieces: &mpsc::Sender<BodyChunk>) -> bool {
+    async fn end(&self, scan: EventScan, mut turn: ActiveTurn<T>, chunks: &mpsc::Sender<BodyChunk>) -> bool {
         if let Some(mut kept) = turn.to_store.take() {
             if !scan.between_events() {
                 return false;
@@ -202,7 +202,7 @@
             let is_kept = tokio::select! {
                 biased;
                 kept = keep => kept.unwrap_or(false),
-                () = pieces.closed() => return false,
+                () = chunks.closed() => return false,
             };
             if !is_kept {
                 self.core.count(|metrics| metrics.turns_unkept += 1);
@@ -210,6 +210,6 @@
             }
             turn.forget_reservation();
         }
-        matches!(timeout_at(self.end, pieces.send(BodyChunk::End)).await, Ok(Ok(())))
+        matches!(timeout_at(self.end, chunks.send(BodyChunk::End)).await, Ok(Ok(())))
     }
 }
--- a/system/request-forwarding/src/slot_wait.rs
+++ b/system/request-forwarding/src/slot_wait.rs
@@ -1,6 +1,6 @@
-//! Waiting for a place at an endpoint, in turn.
+//! Waiting for a slot at an endpoint, in the order of the wait queue.
 
-use crate::local_response::RETRY;
+use crate::local_response::DEFAULT_RETRY_AFTER;
 use crate::pool::SharedState;
 use crate::wait_queue::Rank;
 use message_sender::{Span, Time};
@@ -8,16 +8,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Whoever finds others waiting for its service waits so long before it looks by itself.
-const BEHIND_WAIT: Span = Span(5_000);
-/// Those far behind in the queue look at least so often, once they have waited for a quarter of their aim.
-const FAR_BEHIND_WAIT: Span = Span(50_000);
-/// The shortest wait between two looks.
-const LEAST_WAIT: Span = Span(1_000);
+/// A request that finds others of its service waiting waits this long before it first asks the router.
+const INITIAL_WAIT_BEHIND_OTHERS: Span = Span(5_000);
+/// Requests behind the queue's head ask the router at this interval once a quarter of their latency target is over.
+const MIN_WAIT_BEHIND_HEAD: Span = Span(50_000);
+/// Lower bound of the interval between two decisions.
+const MIN_POLL_INTERVAL: Span = Span(1_000);
 
 impl SharedState {
-    /// Waits for a place in its turn.
-    pub(crate) async fn place(
+    /// Waits for a slot in the order of the queue.
+    pub(crate) async fn wait_for_slot(
         &self,
         routing_request: &RoutingRequest,
         history: &AttemptHistory,
@@ -28,33 +28,35 @@
         let mut waiter = None;
         loop {
             if Instant::now() >= deadline {
-                return Err(GiveUp::Refused { retry_after: RETRY });
+                return Err(GiveUp::Refused { retry_after: DEFAULT_RETRY_AFTER });
             }
             let wait = if std::mem::take(&mut behind) {
-                BEHIND_WAIT
+                INITIAL_WAIT_BEHIND_OTHERS
             } else {
                 let pick = self.router.borrow_mut().pick(self.now(), routing_request, history);
                 match pick {
                     RoutingDecision::Send(target) => return Ok(target),
                     RoutingDecision::GiveUp(give_up) => return Err(give_up),
-                    RoutingDecision::Wait(wait) => wait.max(LEAST_WAIT),
+                    RoutingDecision::Wait(wait) => wait.max(MIN_POLL_INTERVAL),
                 }
             };
             if waiter.is_none() {
                 waiter = self.queue.enter(&routing_request.service, rank);
             }
-            let Some(waiter) = &waiter else { return Err(GiveUp::Refused { retry_after: RETRY }) };
-            let wait = if waiter.is_ahead() {
+            let Some(waiter) = &waiter else {
+                return Err(GiveUp::Refused { retry_after: DEFAULT_RETRY_AFTER });
+            };
+            let wait = if waiter.is_near_head() {
                 wait
             } else {
                 let quarter =
                     Time(routing_request.arrived_at.0.saturating_add(routing_request.latency_target.0 / 4))
                         .since(self.now());
-                wait.max(Span(quarter)).max(FAR_BEHIND_WAIT)
+                wait.max(Span(quarter)).max(MIN_WAIT_BEHIND_HEAD)
             };
             let until = (Instant::now() + Duration::from_micros(wait.0)).min(deadline);
-            // Woken or not, it looks again.
-            let _ = timeout_at(until, waiter.woken()).await;
+            // Notified or not, the router is asked again.
+            let _ = timeout_at(until, waiter.notified()).await;
         }
     }
 }
--- a/system/request-forwarding/src/stream_preparation.rs
+++ b/system/request-forwarding/src/stream_preparation.rs
@@ -3,7 +3,7 @@
 use crate::active_turn::{ActiveTurn, Reservation};
 use crate::forwarder::Forwarder;
 use crate::headers;
-use crate::local_response::{LocalResponse, RETRY};
+use crate::local_response::{DEFAULT_RETRY_AFTER, LocalResponse};
 use crate::turn_storage::{ChainLookup, CompletedTurn, ReserveOutcome, TurnStorage};
 use bytes::{Bytes, BytesMut};
 use hyper::StatusCode;
@@ -49,7 +49,7 @@
         };
         let reservation_and_chain = async { tokio::join!(reserve, chain) };
         let Ok((reserved, chain)) = timeout_at(deadline, reservation_and_chain).await else {
-            return Err(LocalResponse::refused(RETRY));
+            return Err(LocalResponse::refused(DEFAULT_RETRY_AFTER));
         };
         match reserved {
             ReserveOutcome::Granted => {}
@@ -57,12 +57,12 @@
                 turn.forget_reservation();
                 return Err(LocalResponse::new(StatusCode::PAYMENT_REQUIRED));
             }
-            ReserveOutcome::Unavailable => return Err(LocalResponse::refused(RETRY)),
+            ReserveOutcome::Unavailable => return Err(LocalResponse::refused(DEFAULT_RETRY_AFTER)),
         }
         let text = match chain {
             ChainLookup::Text(text) => text,
             ChainLookup::NotFound => return Err(LocalResponse::new(StatusCode::NOT_FOUND)),
-            ChainLookup::Unavailable => return Err(LocalResponse::refused(RETRY)),
+            ChainLookup::Unavailable => return Err(LocalResponse::refused(DEFAULT_RETRY_AFTER)),
         };
         if route.retained {
             turn.to_store = Some(CompletedTurn {
--- a/system/request-forwarding/src/wait_queue.rs
+++ b/system/request-forwarding/src/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a place.
+//! The wait queue: requests that wait for a slot, by service and rank.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -9,23 +9,23 @@
 /// whoever has waited for long goes before any who come now.
 pub(crate) type Rank = (u64, u64);
 
-/// So much later does a class of lower urgency count as arrived, in microseconds.
-const STEP: u64 = 250_000;
-/// So many of a service look for a place by themselves; those behind are woken when their turn comes.
-const HEADS: usize = 4;
+/// Rank penalty of each lower priority: it counts as having arrived this much later, in microseconds.
+const PRIORITY_STEP_MICROS: u64 = 250_000;
+/// Number of a service's first waiters that poll the router; those behind are notified in order.
+const POLLING_WAITERS: usize = 4;
 
 /// Those who wait for one service.
 type Waiters = BTreeMap<Rank, Rc<Notify>>;
 
 /// Waiters by service and rank.
 pub(crate) struct WaitQueue {
-    most: usize,
+    max_waiting: usize,
     waiting: Cell<usize>,
     next: Cell<u64>,
     services: RefCell<HashMap<Rc<str>, Waiters>>,
 }
 
-/// A place in the queue, left when it is dropped.
+/// A position in the queue, left when it is dropped.
 pub(crate) struct Waiter {
     queue: Rc<WaitQueue>,
     service: Rc<str>,
@@ -34,9 +34,9 @@
 }
 
 impl WaitQueue {
-    pub(crate) fn new(most: usize) -> Rc<Self> {
+    pub(crate) fn new(max_waiting: usize) -> Rc<Self> {
         Rc::new(Self {
-            most,
+            max_waiting,
             waiting: Cell::new(0),
             next: Cell::new(0),
             services: RefCell::new(HashMap::new()),
@@ -45,7 +45,7 @@
 
     pub(crate) fn rank(&self, arrived: u64, priority: u8) -> Rank {
         self.next.set(self.next.get() + 1);
-        (arrived.saturating_add(STEP * u64::from(priority)), self.next.get())
+        (arrived.saturating_add(PRIORITY_STEP_MICROS * u64::from(priority)), self.next.get())
     }
 
     /// Whether one of the service waits that goes before `rank`.
@@ -55,9 +55,9 @@
         first.is_some_and(|(first, _)| *first < rank)
     }
 
-    /// A place; none if too many wait.
+    /// Enters the queue; none if it is full.
     pub(crate) fn enter(self: &Rc<Self>, service: &str, rank: Rank) -> Option<Waiter> {
-        if self.waiting.get() >= self.most {
+        if self.waiting.get() >= self.max_waiting {
             return None;
         }
         self.waiting.set(self.waiting.get() + 1);
@@ -67,7 +67,7 @@
         Some(Waiter { queue: self.clone(), service, rank, notify })
     }
 
-    /// A place of the service may have come free.
+    /// Notifies the first waiter of a service: a slot may have become free.
     pub(crate) fn wake_first(&self, service: &str) {
         if let Some(waiters) = self.services.borrow().get(service)
             && let Some((_, first)) = waiters.first_key_value()
@@ -76,10 +76,10 @@
         }
     }
 
-    /// Anything may have changed.
+    /// Notifies the first waiters of all services.
     pub(crate) fn wake_all(&self) {
         for waiters in self.services.borrow().values() {
-            waiters.values().take(HEADS).for_each(|waiter| waiter.notify_one());
+            waiters.values().take(POLLING_WAITERS).for_each(|waiter| waiter.notify_one());
         }
     }
 
@@ -90,14 +90,14 @@
 
 impl Waiter {
     /// Whether it is among the first of its service.
-    pub(crate) fn is_ahead(&self) -> bool {
+    pub(crate) fn is_near_head(&self) -> bool {
         let services = self.queue.services.borrow();
         services
             .get(&self.service)
-            .is_some_and(|waiters| waiters.keys().take(HEADS).any(|rank| *rank == self.rank))
+            .is_some_and(|waiters| waiters.keys().take(POLLING_WAITERS).any(|rank| *rank == self.rank))
     }
 
-    pub(crate) async fn woken(&self) {
+    pub(crate) async fn notified(&self) {
         self.notify.notified().await;
     }
 }
@@ -109,7 +109,7 @@
         if let Some(waiters) = services.get_mut(&self.service) {
             waiters.remove(&self.rank);
             match waiters.first_key_value() {
-                // There may be room for more than the one that leaves.
+                // There may be free slots for more than the one that leaves.
                 Some((_, first)) => first.notify_one(),
                 None => drop(services.remove(&self.service)),
             }
--- a/system/request-forwarding/src/wait_queue/tests.rs
+++ b/system/request-forwarding/src/wait_queue/tests.rs
@@ -7,10 +7,10 @@
     let late = queue.enter("a", queue.rank(0, 2)).unwrap();
     let urgent = queue.enter("a", queue.rank(100, 0)).unwrap();
     queue.wake_first("a");
-    assert!(urgent.woken().now_or_never().is_some());
-    assert!(late.woken().now_or_never().is_none());
+    assert!(urgent.notified().now_or_never().is_some());
+    assert!(late.notified().now_or_never().is_none());
     drop(urgent);
-    assert!(late.woken().now_or_never().is_some());
+    assert!(late.notified().now_or_never().is_some());
 }
 
 #[test]
