--- a/testbed/src/checker.rs
+++ b/testbed/src/checker.rs
@@ -12,7 +12,7 @@
 mod submissions;
 mod verdict;
 
-pub use verdict::{Latency, PERCENTILES, Verdict, Worth};
+pub use verdict::{Latency, PERCENTILES, ServiceValue, Verdict};
 
 /// A rule of the operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptEnd {
     /// 200.
     Delivered,
     /// An error.
@@ -78,7 +78,7 @@
     partner: usize,
     /// When its time is up.
     due: Micros,
-    taken_on: bool,
+    accepted: bool,
     end: Option<End>,
     out: usize,
     attempts: u32,
@@ -163,11 +163,14 @@
     /// Messages that clients wanted sent.
     pub wanted: u64,
     /// Handings in, repeats among them.
-    pub handed_in: u64,
+    #[serde(rename = "handed_in")]
+    pub submitted: u64,
     /// Of those, taken on.
-    pub taken_on: u64,
+    #[serde(rename = "taken_on")]
+    pub accepted: u64,
     /// Refused at the door.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected: u64,
     /// Without an answer in time.
     pub unanswered: u64,
     /// Messages delivered.
@@ -247,19 +250,19 @@
     }
 
     fn breach(&mut self, rule: Rule, now: Micros, what: String) {
-        let (count, told) = self.breaches.entry(rule).or_default();
+        let (count, examples) = self.breaches.entry(rule).or_default();
         *count += 1;
-        if told.len() < MAX_REPORTED_BREACHES {
-            told.push(Breach { rule, at_s: now as f64 / 1e6, what });
+        if examples.len() < MAX_REPORTED_BREACHES {
+            examples.push(Breach { rule, at_s: now as f64 / 1e6, what });
         }
     }
 
     fn span(&mut self, now: Micros) -> &mut Span {
-        let place = (now / SPAN) as usize;
-        if place >= self.spans.len() {
-            self.spans.resize(place + 1, Span::default());
+        let index = (now / SPAN) as usize;
+        if index >= self.spans.len() {
+            self.spans.resize(index + 1, Span::default());
         }
-        &mut self.spans[place]
+        &mut self.spans[index]
     }
 
     /// Notes something for the report's time line.
--- a/testbed/src/checker/attempts.rs
+++ b/testbed/src/checker/attempts.rs
@@ -1,6 +1,6 @@
 //! What endpoints see: the begin, the effect and the end of each call, with the rules on attempts.
 
-use super::{Admission, End, Ended, Rule, RuleChecker, SOCKET_SLACK, WAIT_SLACK};
+use super::{Admission, AttemptEnd, End, Rule, RuleChecker, SOCKET_SLACK, WAIT_SLACK};
 use crate::plan::{Micros, micros};
 use crate::scenario::Effect;
 
@@ -61,7 +61,8 @@
 
     fn check_drain(&mut self, now: Micros, id: &str, sender: usize, partner: usize, endpoint: usize) {
         let grace = micros(self.scenario.rules.drain_ms / 1000.0) + SOCKET_SLACK;
-        if self.drained.get(&(sender, partner, endpoint)).is_some_and(|told| now > told + grace) {
+        if self.drained.get(&(sender, partner, endpoint)).is_some_and(|reported_at| now > reported_at + grace)
+        {
             self.breach(
                 Rule::Drain,
                 now,
@@ -71,8 +72,8 @@
     }
 
     fn check_wait(&mut self, now: Micros, id: &str, sender: usize, partner: usize) {
-        if let Some((told, until)) = self.waits.get(&(sender, partner))
-            && now > told + WAIT_SLACK
+        if let Some((reported_at, until)) = self.waits.get(&(sender, partner))
+            && now > reported_at + WAIT_SLACK
             && now + SOCKET_SLACK < *until
         {
             let early = (until - now) as f64 / 1e6;
@@ -111,23 +112,23 @@
     }
 
     /// A call that was let through has its end.
-    pub fn ends(&mut self, now: Micros, id: &str, began: Micros, ended: Ended) {
+    pub fn ends(&mut self, now: Micros, id: &str, began: Micros, end: AttemptEnd) {
         let Some(submission) = self.submissions.get_mut(id) else { return };
         submission.out = submission.out.saturating_sub(1);
         let (sender, partner, first, class) =
             (submission.sender, submission.partner, submission.first, submission.class);
-        if matches!(ended, Ended::Refused(_)) && submission.may_have_run == Some(began) {
+        if matches!(end, AttemptEnd::Refused(_)) && submission.may_have_run == Some(began) {
             submission.may_have_run = None;
         }
         self.out[sender] = self.out[sender].saturating_sub(1);
-        match ended {
-            Ended::Delivered if submission.end.is_none() => {
+        match end {
+            AttemptEnd::Delivered if submission.end.is_none() => {
                 submission.end = Some(End::Delivered);
-                if submission.taken_on {
+                if submission.accepted {
                     self.delivered(now, first, class);
                 }
             }
-            Ended::Refused(until) => {
+            AttemptEnd::Refused(until) => {
                 self.counts.calls_refused += 1;
                 self.span(now).calls_refused += 1;
                 if let Some(until) = until {
--- a/testbed/src/checker/final_answers.rs
+++ b/testbed/src/checker/final_answers.rs
@@ -12,11 +12,11 @@
             return None;
         }
         submission.end = Some(if returned { End::Returned } else { End::Failed });
-        let (first, due, sender, taken_on) =
-            (submission.first, submission.due, submission.sender, submission.taken_on);
+        let (first, due, sender, accepted) =
+            (submission.first, submission.due, submission.sender, submission.accepted);
         let unsure = submission.may_have_run.is_some()
             && self.scenario.classes[submission.class].effect == Effect::Unsafe;
-        if !taken_on {
+        if !accepted {
             return None;
         }
         if returned && unsure {
--- a/testbed/src/checker/fleet_events.rs
+++ b/testbed/src/checker/fleet_events.rs
@@ -5,7 +5,14 @@
 
 impl RuleChecker {
     /// A sender was told that an endpoint drains or is gone, or that it serves again.
-    pub fn told(&mut self, now: Micros, sender: usize, partner: usize, endpoint: usize, serves: bool) {
+    pub fn endpoint_reported(
+        &mut self,
+        now: Micros,
+        sender: usize,
+        partner: usize,
+        endpoint: usize,
+        serves: bool,
+    ) {
         if serves {
             self.drained.remove(&(sender, partner, endpoint));
         } else {
--- a/testbed/src/checker/submissions.rs
+++ b/testbed/src/checker/submissions.rs
@@ -22,8 +22,8 @@
     }
 
     /// A client hands a message in, whose time is up at `due`.
-    pub fn handed_in(&mut self, id: &str, first: usize, sender: usize, partner: usize, due: Micros) {
-        self.counts.handed_in += 1;
+    pub fn submitted(&mut self, id: &str, first: usize, sender: usize, partner: usize, due: Micros) {
+        self.counts.submitted += 1;
         let class = self.wanted[first].class;
         let submission = Submission {
             first,
@@ -31,7 +31,7 @@
             class,
             partner,
             due,
-            taken_on: false,
+            accepted: false,
             end: None,
             out: 0,
             attempts: 0,
@@ -42,18 +42,18 @@
     }
 
     /// The client had its answer: whether the message was taken on.
-    pub fn answered(&mut self, now: Micros, id: &str, taken_on: bool) {
+    pub fn answered(&mut self, now: Micros, id: &str, accepted: bool) {
         let Some(submission) = self.submissions.get_mut(id) else { return };
-        submission.taken_on = taken_on;
+        submission.accepted = accepted;
         let (first, class, end) = (submission.first, submission.class, submission.end);
-        if taken_on {
-            self.counts.taken_on += 1;
+        if accepted {
+            self.counts.accepted += 1;
             (self.wanted[first].refused, self.wanted[first].failed) = (false, false);
             if end == Some(End::Delivered) {
                 self.delivered(now, first, class);
             }
         } else {
-            self.counts.turned_away += 1;
+            self.counts.rejected += 1;
             self.wanted[first].refused = true;
             self.span(now).refused += 1;
         }
@@ -70,7 +70,7 @@
 
     /// Whether a client may hand a message in again that came back, or had no answer: what may have taken effect
     /// comes again as its class permits, a keyed one only inside its window.
-    pub fn may_come_again(&self, now: Micros, first: usize) -> bool {
+    pub fn may_resubmit(&self, now: Micros, first: usize) -> bool {
         let wanted = &self.wanted[first];
         let class = &self.scenario.classes[wanted.class];
         let ran = wanted.ids.iter().filter_map(|id| self.submissions.get(id)?.may_have_run).min();
--- a/testbed/src/checker/verdict.rs
+++ b/testbed/src/checker/verdict.rs
@@ -9,9 +9,10 @@
 
 /// Service, as the operators count it, from 0 to 1.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Worth {
+pub struct ServiceValue {
     /// Worth served over worth asked for, over the whole play.
-    pub whole: f64,
+    #[serde(rename = "whole")]
+    pub overall: f64,
     /// The same over the worst ten seconds.
     pub worst_stretch: f64,
     /// The same by class.
@@ -39,7 +40,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Verdict {
     /// Service.
-    pub worth: Worth,
+    #[serde(rename = "worth")]
+    pub value: ServiceValue,
     /// Plain counts.
     pub counts: Counts,
     /// Times to delivery.
@@ -61,18 +63,18 @@
 
     /// Messages taken on that have no end yet.
     pub fn open(&self) -> usize {
-        self.submissions.values().filter(|h| h.taken_on && h.end.is_none()).count()
+        self.submissions.values().filter(|h| h.accepted && h.end.is_none()).count()
     }
 
     /// Whether nothing can come any more: each message taken on has its end, or should have had it.
     pub fn settled(&self, now: Micros) -> bool {
         let slack = self.end_slack();
-        !self.submissions.values().any(|h| h.taken_on && h.end.is_none() && now <= h.due + slack)
+        !self.submissions.values().any(|h| h.accepted && h.end.is_none() && now <= h.due + slack)
     }
 
     /// The result, once nothing more happens.
     pub fn verdict(mut self, now: Micros) -> Verdict {
-        let open = self.submissions.iter().filter(|(_, h)| h.taken_on && h.end.is_none());
+        let open = self.submissions.iter().filter(|(_, h)| h.accepted && h.end.is_none());
         let slack = self.end_slack();
         let lost: Vec<_> = open
             .filter(|(_, h)| now > h.due + slack && !self.excused(h.sender, h.due, now))
@@ -81,7 +83,7 @@
         for id in lost {
             self.lost(now, id, "no end at all");
         }
-        let worth = self.worth();
+        let value = self.value();
         let classes = self.scenario.classes.iter().zip(&self.latencies).map(|(class, latencies)| Latency {
             class: class.name.clone(),
             delivered: latencies.len(),
@@ -91,10 +93,10 @@
                 .collect(),
         });
         Verdict {
-            worth,
+            value,
             latencies: classes.collect(),
             breaches: (self.breaches.iter())
-                .map(|(rule, (count, told))| (*rule, *count, told.clone()))
+                .map(|(rule, (count, examples))| (*rule, *count, examples.clone()))
                 .collect(),
             spans: self.spans,
             events: self.events,
@@ -103,19 +105,19 @@
     }
 
     /// Counts what became of each message, and weighs it.
-    fn worth(&mut self) -> Worth {
-        let mut worth = Worth::default();
+    fn value(&mut self) -> ServiceValue {
+        let mut value = ServiceValue::default();
         let last = (micros(self.scenario.seconds) / SPAN) as usize + 1;
         let mut by_span = vec![(0.0, 0.0); last];
         let mut by_class = vec![(0.0, 0.0); self.scenario.classes.len()];
         for wanted in &self.wanted {
             let class = &self.scenario.classes[wanted.class];
             let served = wanted.delivered.map_or(0.0, |at| {
-                let late = (at.saturating_sub(wanted.at)) as f64 / 1000.0 - class.aim_ms;
-                let left = 0.5f64.powf(late.max(0.0) / class.aim_ms).max(class.late_worth);
+                let late = (at.saturating_sub(wanted.at)) as f64 / 1000.0 - class.latency_target_ms;
+                let left = 0.5f64.powf(late.max(0.0) / class.latency_target_ms).max(class.late_value);
                 self.counts.delivered += 1;
                 self.counts.late += u64::from(late > 0.0);
-                class.worth * left
+                class.value * left
             });
             if wanted.delivered.is_none() {
                 self.counts.refused += u64::from(wanted.refused && !wanted.failed);
@@ -124,7 +126,7 @@
             }
             let span = ((wanted.at / SPAN) as usize).min(last - 1);
             for (asked, got) in [&mut by_span[span], &mut by_class[wanted.class]] {
-                *asked += class.worth;
+                *asked += class.value;
                 *got += served;
             }
         }
@@ -132,17 +134,17 @@
             let (asked, got) = of.iter().fold((0.0, 0.0), |sum, x| (sum.0 + x.0, sum.1 + x.1));
             if asked > 0.0 { got / asked } else { 1.0 }
         };
-        worth.whole = share(&by_span);
+        value.overall = share(&by_span);
         let stretches = by_span.windows(WORST_SPANS.min(by_span.len()));
-        worth.worst_stretch = stretches.map(share).min_by(f64::total_cmp).unwrap_or(worth.whole);
-        worth.by_class = by_class.iter().map(|class| share(std::slice::from_ref(class))).collect();
-        let worst_class = worth.by_class.iter().copied().min_by(f64::total_cmp).unwrap_or(worth.whole);
+        value.worst_stretch = stretches.map(share).min_by(f64::total_cmp).unwrap_or(value.overall);
+        value.by_class = by_class.iter().map(|class| share(std::slice::from_ref(class))).collect();
+        let worst_class = value.by_class.iter().copied().min_by(f64::total_cmp).unwrap_or(value.overall);
         let asked = self.counts.wanted.max(1) as f64;
-        worth.price = 0.06 * (self.counts.connections as f64 / asked).min(1.0)
+        value.price = 0.06 * (self.counts.connections as f64 / asked).min(1.0)
             + 0.05 * (self.counts.wasted as f64 / asked).min(1.0)
             + 0.03 * (self.counts.calls_refused as f64 / asked).min(1.0)
             + 0.3 * self.counts.strangers_left as f64 / self.counts.strangers.max(1) as f64;
-        worth.result = 0.5 * worth.whole + 0.3 * worth.worst_stretch + 0.2 * worst_class - worth.price;
-        worth
+        value.result = 0.5 * value.overall + 0.3 * value.worst_stretch + 0.2 * worst_class - value.price;
+        value
     }
 }
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -51,7 +51,7 @@
         }
     };
     let served = timeout(STRANGER_TIMEOUT, visit).await.unwrap_or(false);
-    stage.lock().judge.stranger(served);
+    stage.lock().checker.stranger(served);
 }
 
 /// What the front knows of a sender.
@@ -74,7 +74,7 @@
 
 /// What a client heard.
 enum SubmissionAnswer {
-    TakenOn,
+    Accepted,
     Refused(Option<Micros>),
     Nothing,
 }
@@ -101,9 +101,9 @@
     }
 
     /// A sender has died: the front notices later, by chance.
-    pub fn died(&self, sender: usize, chance: f64) {
-        let [least, most] = self.stage.scenario.clients.notice_s;
-        let noticed = self.stage.now() + micros(least + (most - least) * chance);
+    pub fn died(&self, sender: usize, random: f64) {
+        let [min, max] = self.stage.scenario.clients.notice_s;
+        let noticed = self.stage.now() + micros(min + (max - min) * random);
         let (from, until) = &self.senders[sender].dead;
         from.store(noticed, Ordering::Relaxed);
         until.store(Micros::MAX, Ordering::Relaxed);
@@ -149,33 +149,34 @@
         let first = {
             let mut inner = stage.lock();
             inner.works.push(arrival.work);
-            inner.judge.wants(came, arrival.class)
+            inner.checker.wants(came, arrival.class)
         };
         let honours = rng.random::<f64>() < scenario.clients.honour;
         let gives_up = rng.random::<f64>() < scenario.clients.give_up;
-        let whole = micros(scenario.clients.patience_ms / 1000.0) as f64;
-        let patience =
-            Duration::from_micros((whole * if gives_up { EARLY * rng.random::<f64>() } else { 1.0 }) as u64);
+        let full_wait = micros(scenario.clients.response_timeout_ms / 1000.0) as f64;
+        let max_wait = Duration::from_micros(
+            (full_wait * if gives_up { EARLY * rng.random::<f64>() } else { 1.0 }) as u64,
+        );
         for try_number in 0..=scenario.clients.retries {
             let now = stage.now();
             if now >= due {
                 return;
             }
-            let chance = if try_number == 0 { arrival.chance } else { rng.random() };
-            let Some(sender) = self.pick(now, chance) else { return };
+            let random = if try_number == 0 { arrival.random } else { rng.random() };
+            let Some(sender) = self.pick(now, random) else { return };
             let id = format!("{:016x}", self.next_id.fetch_add(1, Ordering::Relaxed));
             let back = {
                 let mut inner = stage.lock();
-                inner.judge.handed_in(&id, first, sender, arrival.partner, due);
-                let (told, back) = oneshot::channel();
-                inner.returns.insert(first, told);
+                inner.checker.submitted(&id, first, sender, arrival.partner, due);
+                let (advised_delay, back) = oneshot::channel();
+                inner.returns.insert(first, advised_delay);
                 back
             };
-            let told = match self.submit(&id, first, sender, &arrival, (due, patience)).await {
-                SubmissionAnswer::TakenOn => {
-                    stage.lock().judge.answered(stage.now(), &id, true);
+            let advised_delay = match self.submit(&id, first, sender, &arrival, (due, max_wait)).await {
+                SubmissionAnswer::Accepted => {
+                    stage.lock().checker.answered(stage.now(), &id, true);
                     tokio::select! {
-                        told = back => match told {
+                        advised_delay = back => match advised_delay {
                             Ok(after_ms) => after_ms.map(|ms| ms * 1000),
                             Err(_) => return,
                         },
@@ -183,22 +184,22 @@
                     }
                 }
                 SubmissionAnswer::Refused(after) => {
-                    stage.lock().judge.answered(stage.now(), &id, false);
+                    stage.lock().checker.answered(stage.now(), &id, false);
                     after
                 }
                 SubmissionAnswer::Nothing => {
-                    stage.lock().judge.unanswered(&id);
+                    stage.lock().checker.unanswered(&id);
                     if gives_up {
                         return;
                     }
                     None
                 }
             };
-            let [least, most] = scenario.clients.again_ms;
-            let own = (least + (most - least) * rng.random::<f64>()) * f64::from(1 << try_number.min(10));
-            let wait = told.filter(|_| honours).unwrap_or(micros(own / 1000.0));
+            let [min, max] = scenario.clients.resubmit_delay_ms;
+            let own = (min + (max - min) * rng.random::<f64>()) * f64::from(1 << try_number.min(10));
+            let wait = advised_delay.filter(|_| honours).unwrap_or(micros(own / 1000.0));
             sleep_until(stage.instant(stage.now() + wait)).await;
-            if !stage.lock().judge.may_come_again(stage.now(), first) {
+            if !stage.lock().checker.may_resubmit(stage.now(), first) {
                 return;
             }
         }
@@ -212,8 +213,8 @@
         let mut at = gap.sample(&mut rng);
         while at < self.stage.scenario.seconds {
             sleep_until(self.stage.instant(micros(at))).await;
-            let (chance, kind) = (rng.random(), rng.random_range(0..STRANGERS.len()));
-            if let Some(sender) = self.pick(self.stage.now(), chance) {
+            let (random, kind) = (rng.random(), rng.random_range(0..STRANGERS.len()));
+            if let Some(sender) = self.pick(self.stage.now(), random) {
                 visits.spawn(stranger(self.stage.clone(), self.senders[sender].address, STRANGERS[kind]));
             }
             while visits.try_join_next().is_some() {}
@@ -223,14 +224,14 @@
     }
 
     /// A sender by chance, of those that the front takes for alive.
-    fn pick(&self, now: Micros, chance: f64) -> Option<usize> {
+    fn pick(&self, now: Micros, random: f64) -> Option<usize> {
         let alive = |entry: &FrontEntry| {
             let (from, until) = (entry.dead.0.load(Ordering::Relaxed), entry.dead.1.load(Ordering::Relaxed));
             !(from..until).contains(&now)
         };
         let alive: Vec<usize> = (0..self.senders.len()).filter(|s| alive(&self.senders[*s])).collect();
-        let place = (chance * alive.len() as f64) as usize;
-        alive.get(place.min(alive.len().saturating_sub(1))).copied()
+        let index = (random * alive.len() as f64) as usize;
+        alive.get(index.min(alive.len().saturating_sub(1))).copied()
     }
 
     async fn submit(
@@ -239,7 +240,7 @@
         first: usize,
         sender: usize,
         arrival: &Arrival,
-        (due, patience): (Micros, Duration),
+        (due, max_wait): (Micros, Duration),
     ) -> SubmissionAnswer {
         let class = &self.stage.scenario.classes[arrival.class];
         let address = self.senders[sender].address;
@@ -258,18 +259,18 @@
         let Ok(request) = request.body(Full::new(self.body.clone())) else {
             return SubmissionAnswer::Nothing;
         };
-        let Ok(Ok(answer)) = timeout(patience, self.http.request(request)).await else {
+        let Ok(Ok(answer)) = timeout(max_wait, self.http.request(request)).await else {
             return SubmissionAnswer::Nothing;
         };
         match answer.status() {
-            StatusCode::OK | StatusCode::ACCEPTED => SubmissionAnswer::TakenOn,
+            StatusCode::OK | StatusCode::ACCEPTED => SubmissionAnswer::Accepted,
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 let after =
                     answer.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
                 SubmissionAnswer::Refused(after.filter(|s| s.is_finite()).map(micros))
             }
             other => {
-                self.stage.fault(format!("a sender answered {other} to a proper request"));
+                self.stage.record_testbed_fault(format!("a sender answered {other} to a proper request"));
                 SubmissionAnswer::Nothing
             }
         }
--- a/testbed/src/commands/sender_membership.rs
+++ b/testbed/src/commands/sender_membership.rs
@@ -12,7 +12,7 @@
 use testbed::peers::schedule::Fault;
 use testbed::peers::shrink::smallest;
 use testbed::peers::sim::Cost;
-use testbed::run::play;
+use testbed::run::run_scenario;
 use testbed::scenario::Scenario;
 use tokio::sync::watch;
 
@@ -25,7 +25,7 @@
 ) -> Result<bool, TestbedError> {
     let began = Instant::now();
     let count = AtomicU64::new(0);
-    let played = campaign::many(scenario, seeds, how, &stop, |seed| {
+    let results = campaign::many(scenario, seeds, how, &stop, |seed| {
         for broken in &seed.verdict.broken {
             println!("seed {}: {broken}", seed.seed);
         }
@@ -36,15 +36,15 @@
     });
     let seconds = began.elapsed().as_secs_f64();
     let failed: Vec<u64> =
-        played.iter().filter(|seed| !seed.verdict.broken.is_empty()).map(|seed| seed.seed).collect();
-    let mut settled: Vec<u64> = played.iter().filter_map(|seed| seed.verdict.settled_ms).collect();
+        results.iter().filter(|seed| !seed.verdict.broken.is_empty()).map(|seed| seed.seed).collect();
+    let mut settled: Vec<u64> = results.iter().filter_map(|seed| seed.verdict.settled_ms).collect();
     settled.sort_unstable();
-    let sum = |of: fn(&Cost) -> u64| played.iter().map(|seed| of(&seed.cost)).sum::<u64>();
+    let sum = |of: fn(&Cost) -> u64| results.iter().map(|seed| of(&seed.cost)).sum::<u64>();
     let sender_s = (sum(|c| c.simulated_ms) as f64 / 1e3 * scenario.fleet.senders as f64).max(1.0);
     println!(
         "{}: {} seeds of {} senders in {seconds:.1} s; {} broke a promise",
         scenario.name,
-        played.len(),
+        results.len(),
         scenario.fleet.senders,
         failed.len()
     );
@@ -61,13 +61,13 @@
         sum(|c| c.bytes) as f64 / sender_s
     );
     if let Some(path) = history
-        && let Some(seed) = failed.first().copied().or_else(|| played.first().map(|seed| seed.seed))
+        && let Some(seed) = failed.first().copied().or_else(|| results.first().map(|seed| seed.seed))
         && let Some((events, _)) = campaign::one(scenario, seed, how)
     {
         history::write(&path, &events)?;
         println!("history of seed {seed}: {}", path.display());
     }
-    Ok(failed.is_empty() && !played.is_empty())
+    Ok(failed.is_empty() && !results.is_empty())
 }
 
 /// How often a schedule is played on processes before it counts as one that breaks nothing.
@@ -81,12 +81,12 @@
 ) -> Result<bool, TestbedError> {
     let events = history::read(history)?;
     let first = events.first().map(|event| &event.what);
-    let Some(What::Play { seed, faults, simulated, broken, played, .. }) = first else {
+    let Some(What::RunStarted { seed, faults, simulated, broken, full_scenario, .. }) = first else {
         return Err(TestbedError::NoHistory(history.to_owned()));
     };
     let (seed, simulated, broken) = (*seed, *simulated, *broken);
-    let mut scenario: Scenario = serde_json::from_value(played.clone())
-        .map_err(|source| TestbedError::NoPlay { path: history.to_owned(), source })?;
+    let mut scenario: Scenario = serde_json::from_value(full_scenario.clone())
+        .map_err(|source| TestbedError::NotARun { path: history.to_owned(), source })?;
     let Some(promise) = check::check(&events).broken.first().map(|broken| broken.promise.clone()) else {
         println!("no promise is broken in this history: there is nothing to shrink");
         return Ok(false);
@@ -117,8 +117,8 @@
             let verdict = match &program {
                 None => campaign::one(&fewer, seed, broken).map(|(_, seed)| seed.verdict),
                 Some(program) => {
-                    match play(&fewer, &variant, seed, program, stop.clone(), false, &again).await {
-                        Ok(played) => played.promises.map(|promises| promises.verdict),
+                    match run_scenario(&fewer, &variant, seed, program, stop.clone(), false, &again).await {
+                        Ok(result) => result.promises.map(|promises| promises.verdict),
                         Err(e) => {
                             fault = Some(e);
                             None
--- a/testbed/src/commands/sender_runs.rs
+++ b/testbed/src/commands/sender_runs.rs
@@ -8,22 +8,22 @@
 use testbed::fleet::{Program, built_sender};
 use testbed::peers::real::Promises;
 use testbed::report::html;
-use testbed::run::{Played, play};
+use testbed::run::{RunResult, run_scenario};
 use testbed::scenario::{MAX_PROCESSES, Scenario, Variant};
 use testbed::sim::simulate;
 use testbed::table::table;
 use tokio::sync::watch;
 
 /// The scenario of a file, as the command line changes it.
-pub(crate) fn selected_scenario(plays: &RunOptions) -> Result<Scenario, TestbedError> {
-    let mut scenario = Scenario::read(&plays.file)?;
-    if let Some(name) = &plays.variant {
+pub(crate) fn selected_scenario(options: &RunOptions) -> Result<Scenario, TestbedError> {
+    let mut scenario = Scenario::read(&options.file)?;
+    if let Some(name) = &options.variant {
         scenario.variants.retain(|variant| variant.name == *name);
         if scenario.variants.is_empty() {
             return Err(TestbedError::NoVariant(name.clone()));
         }
     }
-    if let Some(senders) = plays.senders {
+    if let Some(senders) = options.senders {
         scenario = scenario.with_senders(senders)?;
     }
     Ok(scenario)
@@ -36,11 +36,11 @@
     scenario.variants.clone()
 }
 
-fn variants_of(plays: &[Played]) -> Vec<Variant> {
+fn variants_of(results: &[RunResult]) -> Vec<Variant> {
     let mut variants: Vec<Variant> = Vec::new();
-    for played in plays {
-        if !variants.iter().any(|v| v.name == played.variant) {
-            variants.push(Variant { name: played.variant.clone(), ..Variant::default() });
+    for result in results {
+        if !variants.iter().any(|v| v.name == result.variant) {
+            variants.push(Variant { name: result.variant.clone(), ..Variant::default() });
         }
     }
     variants
@@ -66,7 +66,7 @@
         Some(path) => path,
         None => built_sender()?,
     };
-    let mut plays = Vec::new();
+    let mut results = Vec::new();
     for (seed, variant) in order(&scenario.seeds, scenario.repeats, &variants) {
         let variant = &variants[variant];
         let program = match (&variant.baseline, &variant.binary) {
@@ -81,15 +81,15 @@
         }
         let name = format!("{}-{}-{seed}.jsonl", scenario.name.replace(' ', "-"), variant.name);
         let history = folder.join(name);
-        let played = play(&scenario, variant, seed, &program, stop.clone(), !brief, &history).await?;
-        print_run(&played, began.elapsed().as_secs_f64(), brief);
-        write_run(out.as_deref(), plays.len(), &played)?;
-        plays.push(played);
+        let result = run_scenario(&scenario, variant, seed, &program, stop.clone(), !brief, &history).await?;
+        print_run(&result, began.elapsed().as_secs_f64(), brief);
+        write_run(out.as_deref(), results.len(), &result)?;
+        results.push(result);
         if *stop.borrow() > 0 {
             break;
         }
     }
-    finish(&scenario, out.as_deref(), plays, &variants)
+    finish(&scenario, out.as_deref(), results, &variants)
 }
 
 pub(crate) fn simulate_all(
@@ -101,7 +101,7 @@
     scenario.seeds = seed.map_or(scenario.seeds, |seed| vec![seed]);
     let mut variants = variants(&scenario);
     variants.retain(|v| v.baseline.is_none() && v.binary.is_none());
-    let mut plays = Vec::new();
+    let mut results = Vec::new();
     // The same seed gives the same play here: once is enough.
     for (seed, variant) in order(&scenario.seeds, 1, &variants) {
         let variant = &variants[variant];
@@ -110,33 +110,33 @@
             scenario.name, variant.name, scenario.fleet.senders
         );
         let began = Instant::now();
-        let (played, cost) = simulate(&scenario, variant, seed)?;
+        let (result, cost) = simulate(&scenario, variant, seed)?;
         let seconds = began.elapsed().as_secs_f64();
-        print_run(&played, seconds, false);
+        print_run(&result, seconds, false);
         println!("{:.0} simulated seconds, {} steps of the module\n", cost.simulated_s, cost.steps);
-        write_run(out.as_deref(), plays.len(), &played)?;
-        plays.push(played);
+        write_run(out.as_deref(), results.len(), &result)?;
+        results.push(result);
         if *stop.borrow() > 0 {
             break;
         }
     }
-    finish(&scenario, out.as_deref(), plays, &variants)
+    finish(&scenario, out.as_deref(), results, &variants)
 }
 
 /// The comparison and the report of all plays; whether all were clean.
 fn finish(
     scenario: &Scenario,
     out: Option<&Path>,
-    plays: Vec<Played>,
+    results: Vec<RunResult>,
     variants: &[Variant],
 ) -> Result<bool, TestbedError> {
     if variants.len() > 1 {
-        println!("{}", comparison(&plays, variants));
+        println!("{}", comparison(&results, variants));
     }
     if let Some(folder) = out {
-        write_report(folder, &scenario.name, &plays, variants)?;
+        write_report(folder, &scenario.name, &results, variants)?;
     }
-    Ok(plays.iter().all(|p| p.clean() && !p.cut_short))
+    Ok(results.iter().all(|p| p.clean() && !p.cut_short))
 }
 
 /// Tells what came of the promises on the fleet.
@@ -153,29 +153,29 @@
     println!("history: {}, all senders' logs beside it", promises.history.display());
 }
 
-fn print_run(played: &Played, seconds: f64, brief: bool) {
-    if let Some(promises) = &played.promises {
+fn print_run(result: &RunResult, seconds: f64, brief: bool) {
+    if let Some(promises) = &result.promises {
         print_promises(promises);
     }
     if !brief {
-        println!("\n{}", table(played));
+        println!("\n{}", table(result));
     }
-    let word = if played.clean() { "all rules kept" } else { "NOT clean" };
-    println!("{word}, service {:.3}; {seconds:.0} s in all", played.verdict.worth.result);
+    let word = if result.clean() { "all rules kept" } else { "NOT clean" };
+    println!("{word}, service {:.3}; {seconds:.0} s in all", result.verdict.value.result);
 }
 
 /// Keeps a play's figures as soon as it has ended: what follows may be cut short.
-fn write_run(out: Option<&Path>, number: usize, played: &Played) -> Result<(), TestbedError> {
+fn write_run(out: Option<&Path>, number: usize, result: &RunResult) -> Result<(), TestbedError> {
     let Some(folder) = out else { return Ok(()) };
     let path = folder.join(format!("play-{number:03}.json"));
     let error = |source| TestbedError::Out { path: path.clone(), source };
     std::fs::create_dir_all(folder).map_err(error)?;
-    let text = serde_json::to_vec(played).map_err(|e| error(e.into()))?;
+    let text = serde_json::to_vec(result).map_err(|e| error(e.into()))?;
     std::fs::write(&path, text).map_err(error)
 }
 
 /// The plays that a folder holds, in their order.
-fn read_runs(folder: &Path) -> Result<Vec<Played>, TestbedError> {
+fn read_runs(folder: &Path) -> Result<Vec<RunResult>, TestbedError> {
     let error = |source| TestbedError::Out { path: folder.to_owned(), source };
     let mut paths = Vec::new();
     for entry in std::fs::read_dir(folder).map_err(error)? {
@@ -188,7 +188,7 @@
     paths.sort();
     let read = |path: PathBuf| {
         let text = std::fs::read(&path).map_err(|source| TestbedError::Out { path: path.clone(), source })?;
-        serde_json::from_slice(&text).map_err(|source| TestbedError::NoPlay { path, source })
+        serde_json::from_slice(&text).map_err(|source| TestbedError::NotARun { path, source })
     };
     paths.into_iter().map(read).collect()
 }
@@ -196,10 +196,10 @@
 fn write_report(
     folder: &Path,
     title: &str,
-    plays: &[Played],
+    results: &[RunResult],
     variants: &[Variant],
 ) -> Result<(), TestbedError> {
-    let page = html(title, plays, variants)?;
+    let page = html(title, results, variants)?;
     let path = folder.join("report.html");
     std::fs::create_dir_all(folder)
         .and_then(|()| std::fs::write(&path, page))
@@ -210,8 +210,8 @@
 
 /// Writes the report of a folder's runs anew.
 pub(crate) fn report(folder: &Path) -> Result<bool, TestbedError> {
-    let plays = read_runs(folder)?;
-    let (title, variants) = (plays.first().map_or("", |p| &p.scenario).to_owned(), variants_of(&plays));
-    write_report(folder, &title, &plays, &variants)?;
+    let results = read_runs(folder)?;
+    let (title, variants) = (results.first().map_or("", |p| &p.scenario).to_owned(), variants_of(&results));
+    write_report(folder, &title, &results, &variants)?;
     Ok(true)
 }
--- a/testbed/src/directory.rs
+++ b/testbed/src/directory.rs
@@ -83,15 +83,15 @@
     }
 
     /// Tells the judge what a sender is told by that list.
-    fn note(&self, stage: &Stage, sender: usize, told: &Targets) {
+    fn note(&self, stage: &Stage, sender: usize, targets: &Targets) {
         let now = stage.now();
         let entries = self.entries();
         let mut inner = stage.lock();
         for entry in entries.iter() {
-            let named = told.members.iter().find(|m| m.id == entry.member.id);
-            if named.is_some() || told.complete {
+            let named = targets.members.iter().find(|m| m.id == entry.member.id);
+            if named.is_some() || targets.complete {
                 let serves = named.is_some_and(|m| m.phase == Phase::Serving);
-                inner.judge.told(now, sender, entry.partner, entry.endpoint, serves);
+                inner.checker.endpoint_reported(now, sender, entry.partner, entry.endpoint, serves);
             }
         }
     }
@@ -158,9 +158,9 @@
             _ = timeout(hold, revision.wait_for(|now| *now != from)) => {}
         }
     }
-    let told = directory.list(from);
-    let Ok(body) = serde_json::to_vec(&told) else { return Err(Cut) };
-    directory.note(stage, sender, &told);
+    let targets = directory.list(from);
+    let Ok(body) = serde_json::to_vec(&targets) else { return Err(Cut) };
+    directory.note(stage, sender, &targets);
     Ok(Response::new(Full::new(body.into())))
 }
 
@@ -175,7 +175,7 @@
     let now = stage.now();
     let mut inner = stage.lock();
     for line in read {
-        let back = inner.judge.noticed(now, &line.id, line.state == NoticeState::Returned);
+        let back = inner.checker.noticed(now, &line.id, line.state == NoticeState::Returned);
         let client = back.and_then(|first| inner.returns.remove(&first));
         if let Some(client) = client.filter(|_| line.state == NoticeState::Returned) {
             // One whose client has gone has nobody to come again.
@@ -190,8 +190,8 @@
     serde_json::json!({
         "answer_slack": (rules.late_end_ms * 1000.0) as u64,
         "drain_grace": (rules.drain_ms * 1000.0) as u64,
-        "cold_share": rules.cold_share,
-        "ramp_time": (rules.warm_s * 1e6) as u64,
+        "cold_share": rules.initial_capacity_share,
+        "ramp_time": (rules.warm_up_s * 1e6) as u64,
         "overload_factor": rules.fall_multiple,
         "fall": (rules.fall_s * 1e6) as u64,
         "must_ask_in": 10_000_000,
--- a/testbed/src/endpoints.rs
+++ b/testbed/src/endpoints.rs
@@ -1,5 +1,5 @@
 //! Partners' endpoints on real sockets: what a model says of a call becomes an answer, silence or a broken connection.
-use crate::checker::{Admission, Ended};
+use crate::checker::{Admission, AttemptEnd};
 use crate::environment::Stage;
 use crate::model::Fate;
 use crate::plan::Micros;
@@ -49,9 +49,9 @@
         tokio::select! {
             _ = over.wait_for(|over| *over) => return,
             changed = open.changed() => if changed.is_err() { return },
-            Some(ended) = connections.join_next() => {
-                if let Err(e) = ended && e.is_panic() {
-                    stage.fault(format!("the model of partner {partner} panicked"));
+            Some(connection) = connections.join_next() => {
+                if let Err(e) = connection && e.is_panic() {
+                    stage.record_testbed_fault(format!("the model of partner {partner} panicked"));
                 }
             }
             accepted = accept(listener.as_ref()) => {
@@ -90,7 +90,7 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.stage.lock().partners[self.partner].gone(self.endpoint);
+        self.stage.lock().partners[self.partner].disconnected(self.endpoint);
     }
 }
 
@@ -99,7 +99,7 @@
     let now = stage.now();
     let room = {
         let mut inner = stage.lock();
-        inner.judge.connected(now);
+        inner.checker.connected(now);
         inner.partners[partner].connected(endpoint)
     };
     let _place = Place { stage: stage.clone(), partner, endpoint };
@@ -120,28 +120,28 @@
     partner: usize,
     sender: usize,
     first: usize,
-    ended: bool,
+    completed: bool,
 }
 
 impl Out {
-    fn end(&mut self, ended: Ended) {
-        if !std::mem::replace(&mut self.ended, true) {
+    fn end(&mut self, outcome: AttemptEnd) {
+        if !std::mem::replace(&mut self.completed, true) {
             let now = self.stage.now();
             let mut inner = self.stage.lock();
-            if ended == Ended::Delivered {
+            if outcome == AttemptEnd::Delivered {
                 // Its client waits for nothing more.
                 inner.returns.remove(&self.first);
             } else {
                 inner.partners[self.partner].witnessed(self.sender);
             }
-            inner.judge.ends(now, &self.id, self.began, ended);
+            inner.checker.ends(now, &self.id, self.began, outcome);
         }
     }
 }
 
 impl Drop for Out {
     fn drop(&mut self) {
-        self.end(Ended::Cut);
+        self.end(AttemptEnd::Cut);
     }
 }
 
@@ -178,7 +178,7 @@
     let (fate, sender, first, open) = {
         let mut guard = stage.lock();
         let inner = &mut *guard;
-        let (sender, first) = match inner.judge.begins(began, &id, partner, endpoint) {
+        let (sender, first) = match inner.checker.begins(began, &id, partner, endpoint) {
             Admission::Through { sender, first } => (sender, first),
             Admission::Unknown => return Ok(plain(StatusCode::BAD_REQUEST)),
             Admission::Over => return Ok(plain(StatusCode::GONE)),
@@ -192,32 +192,32 @@
         let work = inner.works.get(first).copied().unwrap_or(1);
         let (fate, fall) = inner.partners[partner].arrive(began, endpoint, sender, work);
         if fate.runs() {
-            inner.judge.runs(began, &id);
+            inner.checker.runs(began, &id);
         }
         if let Some(fall) = fall {
-            inner.judge.fell(began, partner, fall.by_witnesses);
+            inner.checker.fell(began, partner, fall.by_witnesses);
         }
         (fate, sender, first, fall.is_none())
     };
-    let mut out = Out { stage: stage.clone(), id, began, partner, sender, first, ended: false };
+    let mut out = Out { stage: stage.clone(), id, began, partner, sender, first, completed: false };
     if !open {
         stage.open[partner].send_replace(false);
     }
     match fate {
         Fate::Refused(Some(wait)) => {
-            out.end(Ended::Refused(Some(stage.now() + wait)));
+            out.end(AttemptEnd::Refused(Some(stage.now() + wait)));
             let mut refused = plain(StatusCode::TOO_MANY_REQUESTS);
             let seconds = HeaderValue::from_str(&format!("{:.3}", wait as f64 / 1e6)).map_err(|_| Cut)?;
             refused.headers_mut().insert(RETRY_AFTER, seconds);
             Ok(refused)
         }
         Fate::Refused(None) => {
-            out.end(Ended::Refused(None));
+            out.end(AttemptEnd::Refused(None));
             Ok(plain(StatusCode::SERVICE_UNAVAILABLE))
         }
         Fate::Answered { at, ok } => {
             sleep_until(stage.instant(at)).await;
-            out.end(if ok { Ended::Delivered } else { Ended::Error });
+            out.end(if ok { AttemptEnd::Delivered } else { AttemptEnd::Error });
             Ok(plain(if ok { StatusCode::OK } else { StatusCode::INTERNAL_SERVER_ERROR }))
         }
         Fate::Silent { .. } => pending().await,
--- a/testbed/src/environment.rs
+++ b/testbed/src/environment.rs
@@ -2,7 +2,7 @@
 use crate::checker::RuleChecker;
 use crate::model::{Condition, Partner};
 use crate::plan::{Micros, Plan};
-use crate::scenario::{Scenario, Trouble};
+use crate::scenario::{Scenario, ScheduledFault};
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError, RwLock};
 use tokio::sync::{oneshot, watch};
@@ -25,7 +25,7 @@
 /// What is changed under the lock.
 pub struct Inner {
     /// The judge.
-    pub judge: RuleChecker,
+    pub checker: RuleChecker,
     /// The partners.
     pub partners: Vec<Partner>,
     /// Work of each message, by the judge's number.
@@ -43,7 +43,7 @@
         Self {
             open: partners.iter().map(|_| watch::Sender::new(true)).collect(),
             inner: Mutex::new(Inner {
-                judge: RuleChecker::new(&scenario, &plan),
+                checker: RuleChecker::new(&scenario, &plan),
                 partners,
                 works: Vec::new(),
                 returns: HashMap::new(),
@@ -81,17 +81,17 @@
     }
 
     /// A trouble begins or ends at a partner.
-    pub fn afflict(&self, partner: usize, trouble: &Trouble, begins: bool) {
+    pub fn apply_fault(&self, partner: usize, fault: &ScheduledFault, begins: bool) {
         let now = self.now();
         let mut inner = self.lock();
-        inner.partners[partner].afflict(now, trouble, begins);
+        inner.partners[partner].apply_fault(now, fault, begins);
         let open = inner.partners[partner].condition(0) != Condition::Down;
         drop(inner);
         self.open[partner].send_replace(open);
     }
 
     /// Notes a fault of the lab's own: its play proves nothing.
-    pub fn fault(&self, what: String) {
+    pub fn record_testbed_fault(&self, what: String) {
         self.lock().faults.push(what);
     }
 
@@ -99,6 +99,6 @@
     pub fn finish(&self) -> (RuleChecker, Vec<String>) {
         let mut inner = self.lock();
         let fresh = RuleChecker::new(&self.scenario, &self.plan);
-        (std::mem::replace(&mut inner.judge, fresh), std::mem::take(&mut inner.faults))
+        (std::mem::replace(&mut inner.checker, fresh), std::mem::take(&mut inner.faults))
     }
 }
--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -25,7 +25,7 @@
     #[error("{path}: {source}")]
     Out { path: PathBuf, source: std::io::Error },
     #[error("{path} holds no play: {source}")]
-    NoPlay { path: PathBuf, source: serde_json::Error },
+    NotARun { path: PathBuf, source: serde_json::Error },
     #[error("{0} senders are more processes than are started here; `sim` takes them")]
     TooMany(usize),
     #[error("peers.heartbeat: the plain heartbeat is simulated only, by `sim-fleet`")]
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -1,5 +1,5 @@
 //! Variants of one scenario, played in turn, and what can be said of their difference.
-use crate::run::Played;
+use crate::run::RunResult;
 use crate::scenario::Variant;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,21 +10,21 @@
     /// What tables call it.
     pub name: &'static str,
     /// Reads it.
-    pub of: fn(&Played) -> f64,
+    pub of: fn(&RunResult) -> f64,
 }
 
-fn share(part: u64, whole: u64) -> f64 {
-    part as f64 / whole.max(1) as f64
+fn share(part: u64, overall: u64) -> f64 {
+    part as f64 / overall.max(1) as f64
 }
 
 /// The figures that are compared, in the order of the tables.
 pub const MEASURES: [Measure; 9] = [
-    Measure { name: "service", of: |p| p.verdict.worth.result },
+    Measure { name: "service", of: |p| p.verdict.value.result },
     Measure { name: "delivered", of: |p| share(p.verdict.counts.delivered, p.verdict.counts.wanted) },
     Measure { name: "late", of: |p| share(p.verdict.counts.late, p.verdict.counts.wanted) },
     Measure { name: "refused", of: |p| share(p.verdict.counts.refused, p.verdict.counts.wanted) },
     Measure { name: "failed", of: |p| share(p.verdict.counts.failed, p.verdict.counts.wanted) },
-    Measure { name: "attempts", of: |p| share(p.verdict.counts.calls, p.verdict.counts.taken_on) },
+    Measure { name: "attempts", of: |p| share(p.verdict.counts.calls, p.verdict.counts.accepted) },
     Measure { name: "calls refused", of: |p| share(p.verdict.counts.calls_refused, p.verdict.counts.calls) },
     Measure { name: "connections", of: |p| share(p.verdict.counts.connections, p.verdict.counts.calls) },
     Measure {
@@ -36,17 +36,17 @@
 /// Plays in their order: each seed so often, each time all variants, every second time in the other order, so that
 /// what drifts with the machine meets all of them alike.
 pub fn order(seeds: &[u64], repeats: u32, variants: &[Variant]) -> Vec<(u64, usize)> {
-    let mut plays = Vec::new();
+    let mut runs = Vec::new();
     for repeat in 0..repeats {
         for (place, seed) in seeds.iter().enumerate() {
             let mut turn: Vec<_> = (0..variants.len()).map(|variant| (*seed, variant)).collect();
             if (repeat as usize + place) % 2 == 1 {
                 turn.reverse();
             }
-            plays.extend(turn);
+            runs.extend(turn);
         }
     }
-    plays
+    runs
 }
 
 /// The median of some figures; not a number where there are none.
@@ -83,9 +83,9 @@
 
 /// Differences of a measure between the plays of a variant and those of the first one, pair by pair: the nth play of
 /// a seed with the nth of the same seed.
-pub fn differences(plays: &[Played], first: &str, other: &str, of: fn(&Played) -> f64) -> Vec<f64> {
+pub fn differences(runs: &[RunResult], first: &str, other: &str, of: fn(&RunResult) -> f64) -> Vec<f64> {
     let named =
-        |name: &str| plays.iter().filter(move |p| p.variant == name && !p.cut_short).collect::<Vec<_>>();
+        |name: &str| runs.iter().filter(move |p| p.variant == name && !p.cut_short).collect::<Vec<_>>();
     let (base, others) = (named(first), named(other));
     let mut seeds: Vec<u64> = base.iter().map(|p| p.seed).collect();
     seeds.sort_unstable();
@@ -99,7 +99,7 @@
 }
 
 /// One table for all variants: medians with least and most, rules broken, and differences from the first.
-pub fn comparison(plays: &[Played], variants: &[Variant]) -> String {
+pub fn comparison(runs: &[RunResult], variants: &[Variant]) -> String {
     let mut text = String::new();
     let _ = write!(text, "{:<16}", "median (range)");
     for variant in variants {
@@ -108,7 +108,7 @@
     for measure in &MEASURES {
         let _ = write!(text, "\n{:<16}", measure.name);
         for variant in variants {
-            let own: Vec<f64> = plays.iter().filter(|p| p.variant == variant.name).map(measure.of).collect();
+            let own: Vec<f64> = runs.iter().filter(|p| p.variant == variant.name).map(measure.of).collect();
             let least = own.iter().copied().fold(f64::INFINITY, f64::min);
             let most = own.iter().copied().fold(f64::NEG_INFINITY, f64::max);
             let _ = write!(text, " {:>26}", format!("{:.3} ({least:.3} to {most:.3})", median(&own)));
@@ -116,7 +116,7 @@
     }
     let _ = write!(text, "\n{:<16}", "rules broken");
     for variant in variants {
-        let own = plays.iter().filter(|p| p.variant == variant.name);
+        let own = runs.iter().filter(|p| p.variant == variant.name);
         let broken: usize = own.flat_map(|p| p.verdict.breaches.iter().map(|b| b.1)).sum();
         let _ = write!(text, " {broken:>26}");
     }
@@ -124,7 +124,7 @@
     for other in rest {
         let _ = write!(text, "\n\n{} less {}, pair by pair (mean's 95% interval):", other.name, first.name);
         for measure in &MEASURES {
-            let differences = differences(plays, &first.name, &other.name, measure.of);
+            let differences = differences(runs, &first.name, &other.name, measure.of);
             let told = match interval(&differences) {
                 Some((low, high)) if low > 0.0 || high < 0.0 => format!("{low:+.3} to {high:+.3}"),
                 Some((low, high)) => format!("{low:+.3} to {high:+.3}, cannot be told from 0"),
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -141,8 +141,8 @@
             Effect::Unsafe => ("fragile", None),
         };
         let us = |ms: f64| (ms * 1000.0) as u64;
-        json!({"name": c.name, "aim": us(c.aim_ms), "hard_limit": us(c.deadline_ms), "worth": c.worth,
-            "late_value": c.late_worth, "repeat": repeat, "group": group,
+        json!({"name": c.name, "aim": us(c.latency_target_ms), "hard_limit": us(c.deadline_ms), "worth": c.value,
+            "late_value": c.late_value, "repeat": repeat, "group": group,
             "key_ttl": (c.effect == Effect::Keyed).then(|| us(c.window_ms)), "fifo_by_key": false})
     };
     let f = &scenario.fleet;
@@ -156,7 +156,7 @@
             "kinds": scenario.partners.iter().map(|k| k.name.as_str()).collect::<Vec<_>>(),
             "lanes": scenario.classes.iter().map(lane).collect::<Vec<_>>(),
             "limits": {"cancel": true, "connect_timeout": 1_000_000, "conn_idle": 5_000_000,
-                "max_attempts": f.max_attempts, "most_held": plan.most_held, "probes": false},
+                "max_attempts": f.max_attempts, "most_held": plan.max_pending, "probes": false},
             "invariants": invariants(&scenario.rules),
             "specifics": {"decay": "by_half", "max_calls": plan.slots},
             "period": 5000, "report": {"how": "none", "names": []}, "weights": "nominal"
@@ -220,8 +220,8 @@
     /// Starts the process on what its folder holds, and waits until it is ready.
     pub async fn start(&mut self) -> Result<(), FleetError> {
         self.spawn()?;
-        let patience = Instant::now() + START_TIMEOUT;
-        while Instant::now() < patience && !self.ended() {
+        let deadline = Instant::now() + START_TIMEOUT;
+        while Instant::now() < deadline && !self.has_exited() {
             if ready(self.address).await {
                 return Ok(());
             }
@@ -283,7 +283,7 @@
 
     /// Whether a process of it runs.
     pub fn running(&mut self) -> bool {
-        !self.ended()
+        !self.has_exited()
     }
 
     /// The code that its process ended with by itself.
@@ -309,7 +309,7 @@
     }
 
     /// Whether its process has ended, by itself or not.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.child.as_mut().is_none_or(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
--- a/testbed/src/model.rs
+++ b/testbed/src/model.rs
@@ -1,7 +1,7 @@
 //! Partners as the operators describe theirs: limits, waits, queues, few connections, outages and cold returns. Pure:
 //! all time comes from outside, so that plays on sockets and in simulated time meet the same partners.
 use crate::plan::{Micros, PartnerPlan, Plan, micros};
-use crate::scenario::{Kind, Rules, Scenario, Trouble, TroubleKind};
+use crate::scenario::{FaultKind, Kind, Rules, Scenario, ScheduledFault};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeSet, VecDeque};
@@ -95,8 +95,8 @@
         if now >= self.span + self.window {
             (self.span, self.used) = (now - now % self.window, 0.0);
         }
-        let most = (rate * self.window as f64 / 1e6).floor().max(1.0);
-        if self.used + 1.0 <= most {
+        let max = (rate * self.window as f64 / 1e6).floor().max(1.0);
+        if self.used + 1.0 <= max {
             self.used += 1.0;
             return Ok(());
         }
@@ -193,21 +193,21 @@
     }
 
     /// A trouble of the partners' begins or ends here.
-    pub fn afflict(&mut self, now: Micros, trouble: &Trouble, begins: bool) {
-        let factor = if begins { trouble.size } else { 1.0 };
-        let share = if begins { trouble.size } else { 0.0 };
-        let until = micros(trouble.at_s + trouble.for_s);
-        let condition = match trouble.kind {
-            TroubleKind::Slow => return self.slow = factor,
-            TroubleKind::Limit => return self.limit.factor = factor,
-            TroubleKind::Lost => return self.lost = share,
-            TroubleKind::Resets => return self.resets = share,
-            TroubleKind::Down => Condition::Down,
-            TroubleKind::Hung => Condition::Hung,
-            TroubleKind::Shut => Condition::Shut(until),
-            TroubleKind::Errors => Condition::Errors,
+    pub fn apply_fault(&mut self, now: Micros, fault: &ScheduledFault, begins: bool) {
+        let factor = if begins { fault.size } else { 1.0 };
+        let share = if begins { fault.size } else { 0.0 };
+        let until = micros(fault.at_s + fault.for_s);
+        let condition = match fault.kind {
+            FaultKind::Slow => return self.slow = factor,
+            FaultKind::Limit => return self.limit.factor = factor,
+            FaultKind::Lost => return self.lost = share,
+            FaultKind::Resets => return self.resets = share,
+            FaultKind::Down => Condition::Down,
+            FaultKind::Hung => Condition::Hung,
+            FaultKind::Shut => Condition::Shut(until),
+            FaultKind::Errors => Condition::Errors,
             // Not the partners'.
-            TroubleKind::Drain | TroubleKind::Kill | TroubleKind::Restart | TroubleKind::Directory => return,
+            FaultKind::Drain | FaultKind::Kill | FaultKind::Restart | FaultKind::Directory => return,
         };
         self.set(now, if begins { condition } else { Condition::Up });
     }
@@ -257,7 +257,7 @@
     }
 
     /// A connection is gone.
-    pub fn gone(&mut self, endpoint: usize) {
+    pub fn disconnected(&mut self, endpoint: usize) {
         let at = &mut self.endpoints[endpoint];
         at.connections = at.connections.saturating_sub(1);
     }
@@ -265,8 +265,8 @@
     /// Its present capacity as a share of all of it.
     fn warmth(&self, now: Micros) -> f64 {
         let Some(returned) = self.returned else { return 1.0 };
-        let warm = (now.saturating_sub(returned)) as f64 / 1e6 / self.rules.warm_s;
-        (self.rules.cold_share + (1.0 - self.rules.cold_share) * warm).min(1.0)
+        let warm = (now.saturating_sub(returned)) as f64 / 1e6 / self.rules.warm_up_s;
+        (self.rules.initial_capacity_share + (1.0 - self.rules.initial_capacity_share) * warm).min(1.0)
     }
 
     /// A call that weighs on a cold partner: a fall, if it is the one too many.
@@ -278,8 +278,8 @@
         }
         let warmth = self.warmth(now);
         // A little slack for chance, as any count of calls has it.
-        let most = self.plan.capacity * warmth * self.rules.fall_multiple * self.rules.fall_s;
-        if warmth >= 1.0 || self.in_outage || (self.recent.len() as f64) <= most + most.sqrt() {
+        let max = self.plan.capacity * warmth * self.rules.fall_multiple * self.rules.fall_s;
+        if warmth >= 1.0 || self.in_outage || (self.recent.len() as f64) <= max + max.sqrt() {
             return None;
         }
         let witnesses = self.recent.iter().filter(|(_, sender)| self.witnesses.contains(sender)).count();
@@ -302,24 +302,24 @@
             Condition::Down => Fate::Broken { at: now },
             Condition::Hung => Fate::Silent { runs: false },
             Condition::Errors => Fate::Answered { at: now + ERROR_TAKES, ok: false },
-            Condition::Shut(until) => Fate::Refused(self.tell(until.saturating_sub(now))),
+            Condition::Shut(until) => Fate::Refused(self.advise_wait(until.saturating_sub(now))),
             Condition::Up => self.serve(now, endpoint, work),
         };
         (fate, fall)
     }
 
     /// Tells a wait, or not.
-    fn tell(&mut self, wait: Micros) -> Option<Micros> {
-        let tells = self.rng.random::<f64>() < self.plan.tells_wait;
+    fn advise_wait(&mut self, wait: Micros) -> Option<Micros> {
+        let tells = self.rng.random::<f64>() < self.plan.retry_after_share;
         tells.then_some(wait.max(1000))
     }
 
     fn serve(&mut self, now: Micros, endpoint: usize, work: Micros) -> Fate {
-        if let Err(room_in) = self.limit.take(now, self.kind.refused_count) {
-            let [least, most] = self.kind.wait_ms;
-            let drawn = micros((least + (most - least) * self.rng.random::<f64>()) / 1000.0);
-            let wait = if self.plan.window == 0 { room_in.max(drawn) } else { room_in };
-            return Fate::Refused(self.tell(wait));
+        if let Err(retry_in) = self.limit.take(now, self.kind.refused_count) {
+            let [min, max] = self.kind.wait_ms;
+            let drawn = micros((min + (max - min) * self.rng.random::<f64>()) / 1000.0);
+            let wait = if self.plan.window == 0 { retry_in.max(drawn) } else { retry_in };
+            return Fate::Refused(self.advise_wait(wait));
         }
         let (warmth, queue) = (self.warmth(now), self.plan.queue);
         let at = &mut self.endpoints[endpoint];
@@ -336,9 +336,9 @@
         }
         let end = begins + takes;
         match self.rng.random::<f64>() {
-            chance if chance < self.lost => Fate::Silent { runs: true },
-            chance if chance < self.lost + self.resets => Fate::Broken { at: begins + takes / 2 },
-            chance if chance > 1.0 - self.kind.errors => Fate::Answered { at: end, ok: false },
+            random if random < self.lost => Fate::Silent { runs: true },
+            random if random < self.lost + self.resets => Fate::Broken { at: begins + takes / 2 },
+            random if random > 1.0 - self.kind.errors => Fate::Answered { at: end, ok: false },
             _ => Fate::Answered { at: end, ok: true },
         }
     }
--- a/testbed/src/model/tests.rs
+++ b/testbed/src/model/tests.rs
@@ -17,7 +17,7 @@
         connections: 8,
         capacity: 16.0,
         speed: 1.0,
-        tells_wait: 1.0,
+        retry_after_share: 1.0,
     };
     change(&mut plan, &mut kind);
     Partner::new(&plan, &kind, &s.rules, 1)
@@ -75,8 +75,8 @@
     let mut p = partner(|_, _| {});
     assert!((0..8).all(|_| p.connected(0)));
     assert!(!p.connected(0));
-    p.gone(0);
-    p.gone(0);
+    p.disconnected(0);
+    p.disconnected(0);
     assert!(p.connected(0));
 }
 
--- a/testbed/src/peers/campaign.rs
+++ b/testbed/src/peers/campaign.rs
@@ -1,7 +1,7 @@
 //! Many seeds of one fleet scenario in simulated time, on all cores.
 use super::check::{Verdict, check};
 use super::history::Event;
-use super::sim::{Cost, Play, play};
+use super::sim::{Cost, Simulation, simulate};
 use crate::scenario::Scenario;
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
@@ -38,14 +38,14 @@
 /// Plays one seed.
 pub fn one(scenario: &Scenario, seed: u64, how: Option<Break>) -> Option<(Vec<Event>, Seed)> {
     let peers = scenario.peers.as_ref()?;
-    let (history, cost) = play(&Play {
+    let (history, cost) = simulate(&Simulation {
         name: &scenario.name,
         peers,
         senders: scenario.fleet.senders,
         seconds: scenario.seconds,
         seed,
         how,
-        played: serde_json::to_value(scenario).unwrap_or_default(),
+        full_scenario: serde_json::to_value(scenario).unwrap_or_default(),
     });
     let verdict = check(&history);
     Some((history, Seed { seed, verdict, cost }))
@@ -60,7 +60,7 @@
     each: impl Fn(&Seed) + Sync,
 ) -> Vec<Seed> {
     let next = AtomicU64::new(seeds.start);
-    let played = Mutex::new(Vec::new());
+    let results = Mutex::new(Vec::new());
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
         for _ in 0..threads {
@@ -72,12 +72,12 @@
                     }
                     let Some((_, seed)) = one(scenario, seed, how) else { return };
                     each(&seed);
-                    played.lock().unwrap_or_else(PoisonError::into_inner).push(seed);
+                    results.lock().unwrap_or_else(PoisonError::into_inner).push(seed);
                 }
             });
         }
     });
-    let mut played = played.into_inner().unwrap_or_else(PoisonError::into_inner);
-    played.sort_by_key(|seed| seed.seed);
-    played
+    let mut results = results.into_inner().unwrap_or_else(PoisonError::into_inner);
+    results.sort_by_key(|seed| seed.seed);
+    results
 }
--- a/testbed/src/peers/check.rs
+++ b/testbed/src/peers/check.rs
@@ -134,7 +134,7 @@
 
     fn event(&mut self, at: At, what: &What) {
         match what {
-            What::Play { senders, settle_ms, faults, .. } => {
+            What::RunStarted { senders, settle_ms, faults, .. } => {
                 self.names = senders.clone();
                 self.schedule = faults.clone();
                 self.settle = *settle_ms;
--- a/testbed/src/peers/history.rs
+++ b/testbed/src/peers/history.rs
@@ -78,8 +78,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum What {
-    /// The play, first of all.
-    Play {
+    /// The run, first of all.
+    #[serde(rename = "play")]
+    RunStarted {
         /// The scenario.
         scenario: String,
         /// The seed.
@@ -94,8 +95,9 @@
         simulated: bool,
         /// How the senders are broken on purpose, if they are.
         broken: Option<Break>,
-        /// The whole scenario, to play it again by.
-        played: serde_json::Value,
+        /// The complete scenario, to run it again.
+        #[serde(rename = "played")]
+        full_scenario: serde_json::Value,
     },
     /// A process started.
     Up {
--- a/testbed/src/peers/real.rs
+++ b/testbed/src/peers/real.rs
@@ -187,7 +187,7 @@
         let copies = self.copies();
         let named =
             |n: usize| format!("n{}", n.checked_sub(scenario.fleet.senders).map_or(n, |at| copies[at]));
-        self.tell(What::Play {
+        self.tell(What::RunStarted {
             scenario: scenario.name.clone(),
             seed: self.seed,
             senders: (0..nodes.len()).map(named).collect(),
@@ -195,7 +195,7 @@
             faults: self.schedule.iter().map(Met::fixed).collect(),
             simulated: false,
             broken: None,
-            played: serde_json::to_value(scenario).unwrap_or_default(),
+            full_scenario: serde_json::to_value(scenario).unwrap_or_default(),
         });
         let late = self.late();
         for sender in 0..scenario.fleet.senders {
@@ -311,7 +311,7 @@
         sleep_until(at(met.fault.at_s)).await;
         let over = at(met.fault.at_s + met.fault.for_s);
         let text = met.fault.to_string();
-        stage.lock().judge.event(stage.now(), format!("fault {number}: {text}"));
+        stage.lock().checker.event(stage.now(), format!("fault {number}: {text}"));
         rig.tell(What::Fault { number, text, begins: true });
         let kind = met.fault.kind;
         match kind {
@@ -381,7 +381,7 @@
         node.hand.down += 1;
         if node.running() {
             rig.tell(What::Down { sender });
-            stage.lock().judge.sender_down(stage.now(), sender);
+            stage.lock().checker.sender_down(stage.now(), sender);
             if in_order {
                 self.clients.died(sender, 0.0);
                 node.terminate().await;
@@ -401,7 +401,7 @@
             let emptied =
                 std::fs::remove_dir_all(node.state()).and_then(|()| std::fs::create_dir(node.state()));
             if let Err(e) = emptied {
-                stage.fault(format!("emptying a folder: {e}"));
+                stage.record_testbed_fault(format!("emptying a folder: {e}"));
             }
         }
         if node.hand.down > 0 || node.hand.gone {
@@ -412,7 +412,7 @@
         match node.start().await {
             Ok(()) => {
                 rig.tell(What::Up { sender, blank, copy_of: None });
-                stage.lock().judge.sender_ready(stage.now(), sender);
+                stage.lock().checker.sender_ready(stage.now(), sender);
                 self.clients.ready(sender);
                 if node.hand.full {
                     limit(&node, Some(0));
@@ -423,7 +423,7 @@
                 rig.tell(What::Up { sender, blank, copy_of: None });
                 node.hand.gone = true;
             }
-            Err(e) => stage.fault(e.to_string()),
+            Err(e) => stage.record_testbed_fault(e.to_string()),
         }
     }
 
@@ -433,11 +433,11 @@
         if begins && node.running() {
             node.signal(Signal::SIGSTOP);
             node.hand.paused = true;
-            stage.lock().judge.sender_down(stage.now(), sender);
+            stage.lock().checker.sender_down(stage.now(), sender);
             rig.tell(What::Paused { sender });
         } else if !begins && std::mem::take(&mut node.hand.paused) && node.running() {
             node.signal(Signal::SIGCONT);
-            stage.lock().judge.sender_ready(stage.now(), sender);
+            stage.lock().checker.sender_ready(stage.now(), sender);
             rig.tell(What::Resumed { sender });
         }
     }
@@ -486,7 +486,7 @@
         if let Err(e) =
             copied.map_err(|e| e.to_string()).and_then(|()| node.spawn().map_err(|e| e.to_string()))
         {
-            return self.rig.stage.fault(format!("starting a copy: {e}"));
+            return self.rig.stage.record_testbed_fault(format!("starting a copy: {e}"));
         }
         self.rig.tell(What::Up { sender: copy, blank: false, copy_of: Some(original) });
     }
--- a/testbed/src/peers/sim.rs
+++ b/testbed/src/peers/sim.rs
@@ -21,7 +21,7 @@
 const AFTER: u64 = 1_000;
 
 /// What is simulated.
-pub struct Play<'a> {
+pub struct Simulation<'a> {
     /// The scenario's name.
     pub name: &'a str,
     /// The fleet.
@@ -35,7 +35,7 @@
     /// A way to break the senders on purpose.
     pub how: Option<Break>,
     /// The whole scenario, for the history.
-    pub played: serde_json::Value,
+    pub full_scenario: serde_json::Value,
 }
 
 /// What a play cost.
@@ -109,7 +109,7 @@
 }
 
 struct World<'a> {
-    play: &'a Play<'a>,
+    simulation: &'a Simulation<'a>,
     now: u64,
     order: u64,
     queue: BinaryHeap<Reverse<Queued>>,
@@ -142,10 +142,10 @@
 }
 
 /// Plays a seed; the history, and what it cost.
-pub fn play(play: &Play<'_>) -> (Vec<Event>, Cost) {
-    let schedule = play.peers.schedule(play.senders, play.seconds, play.seed);
+pub fn simulate(simulation: &Simulation<'_>) -> (Vec<Event>, Cost) {
+    let schedule = simulation.peers.schedule(simulation.senders, simulation.seconds, simulation.seed);
     let copies = schedule.iter().filter(|met| met.fault.kind == Kind::Copy).count();
-    let all = play.senders + copies;
+    let all = simulation.senders + copies;
     let process = |copy_of| Process {
         node: None,
         disk: State::default(),
@@ -163,16 +163,18 @@
     };
     let mut copied = schedule.iter().filter(|met| met.fault.kind == Kind::Copy).map(|met| met.senders[0]);
     let mut world = World {
-        play,
+        simulation,
         now: 0,
         order: 0,
         queue: BinaryHeap::new(),
-        processes: (0..all).map(|n| process((n >= play.senders).then(|| copied.next()).flatten())).collect(),
+        processes: (0..all)
+            .map(|n| process((n >= simulation.senders).then(|| copied.next()).flatten()))
+            .collect(),
         by_address: (0..all).map(|n| (address(n), n)).collect(),
         links: Vec::new(),
         fifo: HashMap::new(),
         torn: HashMap::new(),
-        rng: ChaCha8Rng::seed_from_u64(play.seed),
+        rng: ChaCha8Rng::seed_from_u64(simulation.seed),
         history: Vec::new(),
         cost: Cost::default(),
         schedule,
@@ -183,12 +185,13 @@
 
 impl World<'_> {
     fn run(&mut self, all: usize) {
-        let settle_ms = (self.play.peers.settle_s * 1e3) as u64;
+        let settle_ms = (self.simulation.peers.settle_s * 1e3) as u64;
         let names = (0..all).map(|n| self.info(n).name).collect();
-        let scenario = self.play.name.to_owned();
+        let scenario = self.simulation.name.to_owned();
         let faults = self.schedule.iter().map(Met::fixed).collect();
-        let (seed, broken, played) = (self.play.seed, self.play.how, self.play.played.clone());
-        self.tell(What::Play {
+        let (seed, broken, full_scenario) =
+            (self.simulation.seed, self.simulation.how, self.simulation.full_scenario.clone());
+        self.tell(What::RunStarted {
             scenario,
             seed,
             senders: names,
@@ -196,9 +199,9 @@
             faults,
             simulated: true,
             broken,
-            played,
+            full_scenario,
         });
-        let mut end = (self.play.seconds * 1e3) as u64;
+        let mut end = (self.simulation.seconds * 1e3) as u64;
         let late: Vec<usize> = self
             .schedule
             .iter()
@@ -213,7 +216,7 @@
             self.at(over, Ev::End(number));
         }
         end += settle_ms + AFTER;
-        for sender in (0..self.play.senders).filter(|n| !late.contains(n)) {
+        for sender in (0..self.simulation.senders).filter(|n| !late.contains(n)) {
             self.start(sender);
         }
         self.at(POLL_INTERVAL_MS, Ev::Look);
@@ -247,7 +250,7 @@
 
     fn info(&self, sender: usize) -> Info {
         let like = self.processes[sender].copy_of.unwrap_or(sender);
-        let peers = self.play.peers;
+        let peers = self.simulation.peers;
         Info {
             name: format!("n{like}"),
             zone: peers.zone(like).to_owned(),
@@ -263,18 +266,18 @@
             let at = self.now + POLL_INTERVAL_MS;
             return self.at(at, Ev::Start(sender));
         }
-        let peers = self.play.peers;
+        let peers = self.simulation.peers;
         let seeds = (0..peers.seeds).map(address).collect();
         let mut settings = Settings::new("lab", self.info(sender), seeds);
         settings.voters = peers.keepers;
         settings.suspect = peers.suspect_ms;
-        if self.play.how == Some(Break::NoSuspicion) {
+        if self.simulation.how == Some(Break::NoSuspicion) {
             (settings.suspect, settings.confirm) = (1, 0);
         }
         settings.injected_faults = InjectedFaults {
-            removes_the_silent: self.play.how == Some(Break::RemovalBySilence),
-            forgets_incarnation: self.play.how == Some(Break::IncarnationLost),
-            tells_before_disk: self.play.how == Some(Break::TellsBeforeDisk),
+            removes_the_silent: self.simulation.how == Some(Break::RemovalBySilence),
+            forgets_incarnation: self.simulation.how == Some(Break::IncarnationLost),
+            tells_before_disk: self.simulation.how == Some(Break::TellsBeforeDisk),
         };
         let seed = self.rng.random();
         let now = self.now;
@@ -295,7 +298,7 @@
         process.node = Some(if peers.heartbeat {
             // The same time as the fleet's machines take for one that does not object.
             let lost_after = settings.suspect + settings.confirm;
-            let all = 0..self.play.senders;
+            let all = 0..self.simulation.senders;
             let others = all.map(|n| (format!("n{n}"), peers.zone(n).to_owned(), address(n))).collect();
             Machine::Plain(Heartbeat::new(sender, process.start, others, lost_after, now))
         } else {
@@ -562,7 +565,7 @@
             Kind::Copy => {
                 let original = met.senders[0];
                 let earlier = self.schedule[..number].iter().filter(|m| m.fault.kind == Kind::Copy).count();
-                let copy = self.play.senders + earlier;
+                let copy = self.simulation.senders + earlier;
                 self.processes[copy].disk = self.processes[original].disk.clone();
                 self.start(copy);
             }
@@ -642,7 +645,9 @@
 
     /// Staff have some removed, by asking one that runs.
     fn remove(&mut self, senders: &[usize]) {
-        let Some(asked) = (0..self.play.senders).find(|n| self.processes[*n].node.is_some()) else { return };
+        let Some(asked) = (0..self.simulation.senders).find(|n| self.processes[*n].node.is_some()) else {
+            return;
+        };
         for sender in senders {
             let name = self.info(*sender).name;
             self.tell(What::Asked { name: name.clone() });
--- a/testbed/src/plan.rs
+++ b/testbed/src/plan.rs
@@ -1,6 +1,6 @@
 //! What is drawn before a play: partners with their limits, and every message with its time. The same scenario and
 //! seed give the same plan, on any machine.
-use crate::scenario::{Drawn, Scenario, Trouble};
+use crate::scenario::{Drawn, Scenario, ScheduledFault};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal, weighted::WeightedIndex};
@@ -25,7 +25,7 @@
     /// What it takes at a partner of usual pace.
     pub work: Micros,
     /// Chance for which sender gets it, and for the client's waits: from 0 to 1.
-    pub chance: f64,
+    pub random: f64,
 }
 
 /// A partner as it was drawn.
@@ -52,7 +52,7 @@
     /// Its pace: work takes its time divided by this.
     pub speed: f64,
     /// Share of its refusals that tell a wait.
-    pub tells_wait: f64,
+    pub retry_after_share: f64,
 }
 
 /// All that is drawn before a play.
@@ -65,9 +65,9 @@
     /// Slots of each sender.
     pub slots: usize,
     /// Messages that each sender holds, at the most.
-    pub most_held: usize,
+    pub max_pending: usize,
     /// Troubles and whom each meets, by number.
-    pub troubles: Vec<(Trouble, Vec<usize>)>,
+    pub scheduled_faults: Vec<(ScheduledFault, Vec<usize>)>,
 }
 
 fn draw(rng: &mut ChaCha8Rng, range: Drawn) -> f64 {
@@ -88,15 +88,15 @@
         let arrivals = draw_arrivals(scenario, &partners, &mut rng);
         let full = scenario.traffic.rate / scenario.traffic.load / scenario.fleet.senders as f64;
         let busy = full * mean_work(scenario) / partners.iter().map(|p| p.part * p.speed).sum::<f64>();
-        let troubles = scenario.troubles.iter().map(|t| {
+        let scheduled_faults = scenario.scheduled_faults.iter().map(|t| {
             let of = if t.kind.meets_partners() { partners.len() } else { scenario.fleet.senders };
             let met = ((of as f64 * t.part).round() as usize).clamp(1, of);
             (t.clone(), (0..met).collect())
         });
         Plan {
-            slots: ((busy * scenario.fleet.slots_room).round() as usize).max(MIN_SLOTS),
-            most_held: ((full * scenario.fleet.hold_s).round() as usize).max(MIN_PENDING),
-            troubles: troubles.collect(),
+            slots: ((busy * scenario.fleet.slot_headroom).round() as usize).max(MIN_SLOTS),
+            max_pending: ((full * scenario.fleet.pending_s).round() as usize).max(MIN_PENDING),
+            scheduled_faults: scheduled_faults.collect(),
             partners,
             arrivals,
         }
@@ -117,19 +117,19 @@
 
 fn draw_partners(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<PartnerPlan> {
     let kinds = scenario.partner_kinds();
-    let weight = |place: usize| (place as f64 + 1.0).powf(-scenario.traffic.zipf);
+    let weight = |index: usize| (index as f64 + 1.0).powf(-scenario.traffic.zipf);
     let all: f64 = (0..kinds.len()).map(weight).sum();
     let full = scenario.traffic.rate / scenario.traffic.load;
     let work = mean_work(scenario);
-    let partner = |(place, kind): (usize, usize)| {
-        let (k, part) = (&scenario.partners[kind], weight(place) / all);
-        let limit = (full * part * draw(rng, k.headroom)).max(draw(rng, k.least_rate));
-        let capacity = limit * draw(rng, k.spare);
+    let partner = |(index, kind): (usize, usize)| {
+        let (k, part) = (&scenario.partners[kind], weight(index) / all);
+        let limit = (full * part * draw(rng, k.headroom)).max(draw(rng, k.min_rate));
+        let capacity = limit * draw(rng, k.capacity_over_limit);
         let speed = draw(rng, k.speed);
         let endpoints = (draw(rng, k.endpoints).round() as usize).max(1);
         let each = capacity / endpoints as f64;
         let at_once = ((each * work / speed).ceil() as usize).max(1);
-        let connections = (k.connections * at_once as f64).max(k.least_connections).round() as usize;
+        let connections = (k.connections * at_once as f64).max(k.min_connections).round() as usize;
         PartnerPlan {
             kind,
             part,
@@ -141,7 +141,7 @@
             connections: if k.connections > 0.0 { connections } else { 0 },
             capacity,
             speed,
-            tells_wait: draw(rng, k.tells_wait),
+            retry_after_share: draw(rng, k.retry_after_share),
         }
     };
     kinds.into_iter().enumerate().map(partner).collect()
@@ -166,7 +166,7 @@
                 class,
                 partner,
                 work: micros(work).max(1),
-                chance: rng.random(),
+                random: rng.random(),
             });
         }
     };
--- a/testbed/src/plan/tests.rs
+++ b/testbed/src/plan/tests.rs
@@ -10,7 +10,7 @@
     let s = scenario("[[trouble]]\nkind = \"down\"\nat_s = 1.0\nfor_s = 2.0\npart = 0.2");
     assert_eq!(Plan::draw(&s, 7), Plan::draw(&s, 7));
     assert_ne!(Plan::draw(&s, 7).arrivals, Plan::draw(&s, 8).arrivals);
-    assert_eq!(Plan::draw(&s, 7).troubles[0].1, [0, 1, 2], "a fifth of sixteen partners");
+    assert_eq!(Plan::draw(&s, 7).scheduled_faults[0].1, [0, 1, 2], "a fifth of sixteen partners");
 }
 
 /// The operators' figures: 50 a second, 42, 35 and 23% of the classes, in the mean 180 to 320 and 110 to 190 ms.
@@ -38,8 +38,8 @@
     for p in &Plan::draw(&s, 5).partners {
         let k = &s.partners[p.kind];
         let (least, most) = (k.headroom[0] * full * p.part, k.headroom[1] * full * p.part);
-        assert!(p.limit >= least && p.limit <= most.max(k.least_rate[1]), "{p:?}");
-        assert!(p.capacity >= p.limit * k.spare[0] && p.at_once >= 1, "{p:?}");
+        assert!(p.limit >= least && p.limit <= most.max(k.min_rate[1]), "{p:?}");
+        assert!(p.capacity >= p.limit * k.capacity_over_limit[0] && p.at_once >= 1, "{p:?}");
     }
 }
 
--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -1,7 +1,7 @@
 //! One self-contained HTML page for the plays of a scenario: tables, time lines and distributions, no scripts.
 use crate::checker::Span;
 use crate::experiment::comparison;
-use crate::run::Played;
+use crate::run::RunResult;
 use crate::scenario::Variant;
 use crate::table::table;
 use plotters::prelude::*;
@@ -73,7 +73,7 @@
 }
 
 /// The page. Plays that were cut short are marked as such.
-pub fn html(title: &str, plays: &[Played], variants: &[Variant]) -> Result<String, ReportError> {
+pub fn html(title: &str, results: &[RunResult], variants: &[Variant]) -> Result<String, ReportError> {
     let mut page = String::new();
     let title = escaped(title);
     let _ = write!(
@@ -83,29 +83,29 @@
          pre{{background:#f4f4f4;padding:.8em;overflow-x:auto}}.cut{{color:#b00;font-weight:bold}}\
          svg{{max-width:100%;height:auto}}</style><h1>{title}</h1>"
     );
-    let cut = plays.iter().filter(|p| p.cut_short).count();
+    let cut = results.iter().filter(|p| p.cut_short).count();
     if cut > 0 {
         let _ = write!(page, "<p class=\"cut\">Partial report: {cut} of these plays were cut short.</p>");
     }
-    let _ = write!(page, "<p>{} plays.</p>", plays.len());
+    let _ = write!(page, "<p>{} plays.</p>", results.len());
     if variants.len() > 1 {
-        let table = escaped(&comparison(plays, variants));
+        let table = escaped(&comparison(results, variants));
         let _ = write!(page, "<h2>Variants</h2><pre>{table}</pre>");
     }
-    let firsts = variants.iter().filter_map(|v| plays.iter().find(|p| p.variant == v.name));
-    let firsts: Vec<&Played> = firsts.collect();
+    let firsts = variants.iter().filter_map(|v| results.iter().find(|p| p.variant == v.name));
+    let firsts: Vec<&RunResult> = firsts.collect();
     let classes = firsts.first().map_or(0, |p| p.verdict.latencies.len());
     let _ = write!(page, "<h2>Time to delivery</h2>");
     for class in 0..classes {
         let of =
-            |p: &&Played| p.verdict.latencies.get(class).map(|l| (p.variant.clone(), swapped(&l.points)));
+            |p: &&RunResult| p.verdict.latencies.get(class).map(|l| (p.variant.clone(), swapped(&l.points)));
         let lines: Vec<_> = firsts.iter().filter_map(of).collect();
         let name = firsts.first().map_or(String::new(), |p| p.verdict.latencies[class].class.clone());
         page.push_str(&plot(&name, ("seconds", "share delivered by then"), &lines, Some(1.0))?);
     }
-    for played in firsts {
-        let (spans, name) = (&played.verdict.spans, escaped(&played.variant));
-        let _ = write!(page, "<h2>{name}, seed {}</h2>", played.seed);
+    for result in firsts {
+        let (spans, name) = (&result.verdict.spans, escaped(&result.variant));
+        let _ = write!(page, "<h2>{name}, seed {}</h2>", result.seed);
         let served = [
             line("wanted", spans, |s| s.wanted),
             line("delivered", spans, |s| s.delivered),
@@ -119,8 +119,8 @@
             line("connections made", spans, |s| s.connections),
         ];
         page.push_str(&plot("at the partners", ("second of the play", "a second"), &calls, None)?);
-        let _ = write!(page, "<pre>{}</pre><ul>", escaped(&table(played)));
-        for (at, what) in &played.verdict.events {
+        let _ = write!(page, "<pre>{}</pre><ul>", escaped(&table(result)));
+        for (at, what) in &result.verdict.events {
             let _ = write!(page, "<li>{at:.1} s: {}</li>", escaped(what));
         }
         page.push_str("</ul>");
--- a/testbed/src/run.rs
+++ b/testbed/src/run.rs
@@ -7,7 +7,7 @@
 use crate::fleet::{FleetError, Node, Program, configuration, free_address};
 use crate::peers::real::{Promises, Rig};
 use crate::plan::{Plan, micros};
-use crate::scenario::{Scenario, Trouble, TroubleKind, Variant};
+use crate::scenario::{FaultKind, Scenario, ScheduledFault, Variant};
 use message_sender::wire::{Member, Phase};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -21,7 +21,7 @@
 
 /// What came of a play.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Played {
+pub struct RunResult {
     /// The scenario's name.
     pub scenario: String,
     /// The variant's.
@@ -43,11 +43,15 @@
     pub promises: Option<Promises>,
 }
 
-impl Played {
+impl RunResult {
     /// Whether all rules were kept, by senders that lived, in a play without a fault.
     pub fn clean(&self) -> bool {
-        let kept = self.promises.as_ref().is_none_or(|promises| promises.verdict.broken.is_empty());
-        self.charged().next().is_none() && self.crashes.is_empty() && self.faults.is_empty() && kept
+        let fleet_promises_held =
+            self.promises.as_ref().is_none_or(|promises| promises.verdict.broken.is_empty());
+        self.charged().next().is_none()
+            && self.crashes.is_empty()
+            && self.faults.is_empty()
+            && fleet_promises_held
     }
 
     /// Broken rules that count, and how often: a schedule that empties or copies folders loses and doubles messages by its
@@ -69,16 +73,16 @@
 
 type Nodes = Arc<Vec<Arc<Mutex<Node>>>>;
 
-/// Plays a scenario once; `stop`, once over 0, ends it early, `tell` has lines on how it goes printed.
-pub async fn play(
+/// Plays a scenario once; `stop`, once over 0, ends it early, `verbose` has its progress printed.
+pub async fn run_scenario(
     scenario: &Scenario,
     variant: &Variant,
     seed: u64,
     program: &Program,
     mut stop: watch::Receiver<u32>,
-    tell: bool,
+    verbose: bool,
     history: &Path,
-) -> Result<Played, FleetError> {
+) -> Result<RunResult, FleetError> {
     let plan = Plan::draw(scenario, seed);
     let planned = plan.arrivals.len();
     let stage = Arc::new(Stage::new(scenario.clone(), plan, seed));
@@ -98,31 +102,30 @@
     if let Some(rig) = &rig {
         parties.spawn(rig.clone().run(all.to_vec(), clients.clone()));
     }
-    for (trouble, met) in stage.plan.troubles.clone() {
-        let run =
-            inject_fault(stage.clone(), directory.clone(), nodes.clone(), clients.clone(), trouble, met);
+    for (fault, met) in stage.plan.scheduled_faults.clone() {
+        let run = inject_fault(stage.clone(), directory.clone(), nodes.clone(), clients.clone(), fault, met);
         parties.spawn(run);
     }
     let crashes = Arc::new(Mutex::new(Vec::new()));
     parties.spawn(watch_nodes(stage.clone(), nodes.clone(), clients.clone(), crashes.clone()));
     parties.spawn(clients.clone().strangers());
-    if tell {
+    if verbose {
         parties.spawn(print_progress(stage.clone()));
     }
     let longest = scenario.classes.iter().map(|c| c.deadline_ms / 1000.0).fold(0.0, f64::max);
     let rig_ends = rig.as_ref().map_or(0.0, |rig| rig.ends_at());
     let last = stage.instant(micros(rig_ends.max(scenario.seconds + longest) + MAX_SETTLE_S));
-    let whole = async {
+    let overall = async {
         clients.run().await;
         settle(&stage).await;
         sleep_until(stage.instant(micros(rig_ends))).await;
     };
     let cut_short = tokio::select! {
-        () = whole => false,
+        () = overall => false,
         _ = stop.wait_for(|count| *count > 0) => true,
         () = sleep_until(last) => false,
     };
-    let ended = stage.now();
+    let finished_at = stage.now();
     stage.over.send_replace(true);
     parties.shutdown().await;
     let promises = match &rig {
@@ -132,14 +135,14 @@
     for node in all.iter() {
         node.lock().await.kill().await;
     }
-    let (judge, faults) = stage.finish();
+    let (checker, faults) = stage.finish();
     let crashes = std::mem::take(&mut *crashes.lock().await);
-    Ok(Played {
+    Ok(RunResult {
         scenario: scenario.name.clone(),
         variant: variant.name.clone(),
         seed,
         planned,
-        verdict: judge.verdict(ended),
+        verdict: checker.verdict(finished_at),
         crashes,
         faults,
         cut_short,
@@ -160,7 +163,7 @@
     loop {
         {
             let inner = stage.lock();
-            if inner.judge.open() == 0 || inner.judge.settled(stage.now()) {
+            if inner.checker.open() == 0 || inner.checker.settled(stage.now()) {
                 return;
             }
         }
@@ -220,14 +223,16 @@
     for number in 0..own + copies.len() {
         let like = number.checked_sub(own).map_or(number, |at| copies[at]);
         let listener = listen().await?;
-        let told = listener.local_addr().map_err(|source| FleetError::Io { what: "listening", source })?;
+        let advertised =
+            listener.local_addr().map_err(|source| FleetError::Io { what: "listening", source })?;
         parties.spawn(directory::serve(stage.clone(), directory.clone(), like, listener));
         let address = match senders.rig {
             Some(rig) => rig.free(number).await?,
             None => free_address().await?,
         };
         let seed = senders.seed;
-        let mut config = configuration(&stage.scenario, &stage.plan, like, (address, told), &known, seed);
+        let mut config =
+            configuration(&stage.scenario, &stage.plan, like, (address, advertised), &known, seed);
         if let Some(rig) = senders.rig {
             rig.configure(number, like, rig.free(number).await?, &mut config);
         }
@@ -257,20 +262,20 @@
     directory: Arc<Directory>,
     nodes: Nodes,
     clients: Arc<Clients>,
-    trouble: Trouble,
+    fault: ScheduledFault,
     met: Vec<usize>,
 ) {
-    sleep_until(stage.instant(micros(trouble.at_s))).await;
-    let until = stage.instant(micros(trouble.at_s + trouble.for_s));
-    stage.lock().judge.event(stage.now(), format!("{:?} begins: {} met", trouble.kind, met.len()));
-    match trouble.kind {
-        TroubleKind::Kill => {
+    sleep_until(stage.instant(micros(fault.at_s))).await;
+    let until = stage.instant(micros(fault.at_s + fault.for_s));
+    stage.lock().checker.event(stage.now(), format!("{:?} begins: {} met", fault.kind, met.len()));
+    match fault.kind {
+        FaultKind::Kill => {
             let mut down = JoinSet::new();
             for number in met {
                 let (stage, nodes, clients) = (stage.clone(), nodes.clone(), clients.clone());
                 down.spawn(async move {
                     let mut node = nodes[number].lock().await;
-                    stage.lock().judge.sender_down(stage.now(), number);
+                    stage.lock().checker.sender_down(stage.now(), number);
                     node.kill().await;
                     clients.died(number, 0.5);
                     sleep_until(until).await;
@@ -279,12 +284,12 @@
             }
             while down.join_next().await.is_some() {}
         }
-        TroubleKind::Restart => {
-            let gap = Duration::from_secs_f64(trouble.for_s / met.len() as f64);
-            let mut next = stage.instant(micros(trouble.at_s));
+        FaultKind::Restart => {
+            let gap = Duration::from_secs_f64(fault.for_s / met.len() as f64);
+            let mut next = stage.instant(micros(fault.at_s));
             for number in met {
                 let mut node = nodes[number].lock().await;
-                stage.lock().judge.sender_down(stage.now(), number);
+                stage.lock().checker.sender_down(stage.now(), number);
                 clients.died(number, 0.0);
                 node.terminate().await;
                 begin_again(&stage, &clients, &mut node).await;
@@ -292,33 +297,33 @@
                 sleep_until(next).await;
             }
         }
-        TroubleKind::Directory => {
+        FaultKind::Directory => {
             directory.set_down(true);
             sleep_until(until).await;
             directory.set_down(false);
         }
-        TroubleKind::Drain => {
+        FaultKind::Drain => {
             let last: Vec<_> = met.iter().map(|p| (*p, stage.plan.partners[*p].endpoints - 1)).collect();
             last.iter().for_each(|(p, e)| directory.set(*p, *e, Phase::Draining));
             sleep_until(until).await;
             last.iter().for_each(|(p, e)| directory.set(*p, *e, Phase::Serving));
         }
         _ => {
-            met.iter().for_each(|partner| stage.afflict(*partner, &trouble, true));
+            met.iter().for_each(|partner| stage.apply_fault(*partner, &fault, true));
             sleep_until(until).await;
-            met.iter().for_each(|partner| stage.afflict(*partner, &trouble, false));
+            met.iter().for_each(|partner| stage.apply_fault(*partner, &fault, false));
         }
     }
-    stage.lock().judge.event(stage.now(), format!("{:?} ends", trouble.kind));
+    stage.lock().checker.event(stage.now(), format!("{:?} ends", fault.kind));
 }
 
 async fn begin_again(stage: &Stage, clients: &Clients, node: &mut Node) {
     match node.start().await {
         Ok(()) => {
-            stage.lock().judge.sender_ready(stage.now(), node.number);
+            stage.lock().checker.sender_ready(stage.now(), node.number);
             clients.ready(node.number);
         }
-        Err(e) => stage.fault(e.to_string()),
+        Err(e) => stage.record_testbed_fault(e.to_string()),
     }
 }
 
@@ -338,12 +343,12 @@
             if node.hand.down > 0 || node.hand.gone {
                 continue;
             }
-            if node.ended() {
+            if node.has_exited() {
                 let now = stage.now();
                 let at = now as f64 / 1e6;
                 let what = format!("sender {number} at {at:.1} s: {}", node.last_lines(3));
                 crashes.lock().await.push(what);
-                stage.lock().judge.sender_down(now, number);
+                stage.lock().checker.sender_down(now, number);
                 clients.died(number, 0.5);
                 begin_again(&stage, &clients, &mut node).await;
             }
@@ -354,21 +359,21 @@
 async fn print_progress(stage: Arc<Stage>) {
     let mut ticks = interval(PROGRESS_INTERVAL);
     ticks.tick().await;
-    let mut told = 0;
+    let mut reported = 0;
     loop {
         ticks.tick().await;
         let now = stage.now() as f64 / 1e6;
         let (so_far, open, events) = {
             let inner = stage.lock();
-            (inner.judge.so_far(), inner.judge.open(), inner.judge.events()[told..].to_vec())
+            (inner.checker.so_far(), inner.checker.open(), inner.checker.events()[reported..].to_vec())
         };
-        told += events.len();
+        reported += events.len();
         for (at, what) in events {
             println!("  {at:5.1} s  {what}");
         }
-        let [wanted, delivered, ended] = so_far;
+        let [wanted, delivered, unsuccessful] = so_far;
         println!(
-            "  {now:5.1} s  wanted {wanted}, delivered {delivered}, refused or failed {ended}, under way {open}"
+            "  {now:5.1} s  wanted {wanted}, delivered {delivered}, refused or failed {unsuccessful}, under way {open}"
         );
     }
 }
--- a/testbed/src/scenario.rs
+++ b/testbed/src/scenario.rs
@@ -42,7 +42,7 @@
     pub classes: Vec<Class>,
     /// What goes wrong, and when.
     #[serde(default, rename = "trouble")]
-    pub troubles: Vec<Trouble>,
+    pub scheduled_faults: Vec<ScheduledFault>,
     /// The senders know one another, and what goes wrong among them; without it they share nothing.
     #[serde(default)]
     pub peers: Option<Peers>,
@@ -58,9 +58,11 @@
     /// How many processes.
     pub senders: usize,
     /// Slots of a sender over what its part of the full load keeps busy.
-    pub slots_room: f64,
+    #[serde(rename = "slots_room")]
+    pub slot_headroom: f64,
     /// Messages that a sender holds, in seconds of its part of the full load.
-    pub hold_s: f64,
+    #[serde(rename = "hold_s")]
+    pub pending_s: f64,
     /// Attempts for one message at most.
     pub max_attempts: u32,
     /// Memory of a sender, in MB, as its configuration tells it.
@@ -75,8 +77,8 @@
     fn default() -> Self {
         Self {
             senders: 2,
-            slots_room: 2.2,
-            hold_s: 8.0,
+            slot_headroom: 2.2,
+            pending_s: 8.0,
             max_attempts: 8,
             memory_mb: 64,
             sockets: 512,
@@ -116,11 +118,13 @@
     /// How often a refused message is handed in again.
     pub retries: u32,
     /// Wait before that, in ms; doubled each time.
-    pub again_ms: Drawn,
+    #[serde(rename = "again_ms")]
+    pub resubmit_delay_ms: Drawn,
     /// Share of the clients that come when a refusal tells them to.
     pub honour: f64,
     /// How long a client waits for the answer, in ms.
-    pub patience_ms: f64,
+    #[serde(rename = "patience_ms")]
+    pub response_timeout_ms: f64,
     /// How long clients go on using a sender that has died, in seconds.
     pub notice_s: Drawn,
     /// Share of the clients that go before the answer can come, and do not come again.
@@ -133,9 +137,9 @@
     fn default() -> Self {
         Self {
             retries: 2,
-            again_ms: [470.0, 1100.0],
+            resubmit_delay_ms: [470.0, 1100.0],
             honour: 0.66,
-            patience_ms: 400.0,
+            response_timeout_ms: 400.0,
             notice_s: [0.84, 2.7],
             give_up: 0.0,
             strangers: 0.0,
@@ -150,9 +154,11 @@
     /// New calls to an endpoint that drains end within this, in ms.
     pub drain_ms: f64,
     /// Share of its capacity with which a partner returns from an outage.
-    pub cold_share: f64,
+    #[serde(rename = "cold_share")]
+    pub initial_capacity_share: f64,
     /// Until it has all of it, in seconds.
-    pub warm_s: f64,
+    #[serde(rename = "warm_s")]
+    pub warm_up_s: f64,
     /// Sent more than this multiple of its present capacity ...
     pub fall_multiple: f64,
     /// ... for this long, in seconds, a cold partner falls over.
@@ -165,8 +171,8 @@
     fn default() -> Self {
         Self {
             drain_ms: 250.0,
-            cold_share: 0.17,
-            warm_s: 14.0,
+            initial_capacity_share: 0.17,
+            warm_up_s: 14.0,
             fall_multiple: 2.5,
             fall_s: 2.0,
             late_end_ms: 300.0,
@@ -189,17 +195,20 @@
     #[serde(default = "headroom")]
     pub headroom: Drawn,
     /// ... and at least so many a second.
-    #[serde(default = "least_rate")]
-    pub least_rate: Drawn,
+    #[serde(default = "min_rate")]
+    #[serde(rename = "least_rate")]
+    pub min_rate: Drawn,
     /// Length of the span in which calls are counted, in ms; 0 for a plain rate.
     #[serde(default)]
     pub window_ms: Drawn,
     /// What it could do, over its limit.
-    #[serde(default = "spare")]
-    pub spare: Drawn,
+    #[serde(default = "capacity_over_limit")]
+    #[serde(rename = "spare")]
+    pub capacity_over_limit: Drawn,
     /// Share of its refusals that tell how long to wait.
-    #[serde(default = "tells_wait")]
-    pub tells_wait: Drawn,
+    #[serde(default = "retry_after_share")]
+    #[serde(rename = "tells_wait")]
+    pub retry_after_share: Drawn,
     /// What is told under a plain rate, in ms.
     #[serde(default = "wait_ms")]
     pub wait_ms: Drawn,
@@ -213,8 +222,9 @@
     #[serde(default)]
     pub connections: f64,
     /// And at least so many.
-    #[serde(default = "least_connections")]
-    pub least_connections: f64,
+    #[serde(default = "min_connections")]
+    #[serde(rename = "least_connections")]
+    pub min_connections: f64,
     /// Its pace: 1 is usual, 2 takes half the time.
     #[serde(default = "speed")]
     pub speed: Drawn,
@@ -236,13 +246,16 @@
     /// Coefficient of variation of that.
     pub cv: f64,
     /// Wanted within this, in ms.
-    pub aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    pub latency_target_ms: f64,
     /// Given up after this, in ms.
     pub deadline_ms: f64,
     /// Worth of one, in time.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
     /// Share of it that is left at the end.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_value: f64,
     /// What a repeat does.
     pub effect: Effect,
     /// For how long a repeat is dropped, in ms, where it is keyed.
@@ -265,9 +278,9 @@
 /// One trouble.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct ScheduledFault {
     /// What goes wrong.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// When it begins, in seconds.
     pub at_s: f64,
     /// For how long, in seconds.
@@ -283,7 +296,7 @@
 /// Kinds of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Partners refuse connections.
     Down,
     /// Partners take calls and never answer.
@@ -310,10 +323,10 @@
     Directory,
 }
 
-impl TroubleKind {
+impl FaultKind {
     /// Whether it meets partners, and not senders or the directory.
     pub fn meets_partners(self) -> bool {
-        !matches!(self, TroubleKind::Kill | TroubleKind::Restart | TroubleKind::Directory)
+        !matches!(self, FaultKind::Kill | FaultKind::Restart | FaultKind::Directory)
     }
 }
 
@@ -379,15 +392,15 @@
     [1.1, 2.0]
 }
 
-fn least_rate() -> Drawn {
+fn min_rate() -> Drawn {
     [1.7, 4.9]
 }
 
-fn spare() -> Drawn {
+fn capacity_over_limit() -> Drawn {
     [1.2, 1.6]
 }
 
-fn tells_wait() -> Drawn {
+fn retry_after_share() -> Drawn {
     [0.2, 0.7]
 }
 
@@ -399,7 +412,7 @@
     [0.4, 1.0]
 }
 
-fn least_connections() -> f64 {
+fn min_connections() -> f64 {
     7.0
 }
 
@@ -413,24 +426,24 @@
         count,
         endpoints: endpoints(),
         headroom: headroom(),
-        least_rate: least_rate(),
+        min_rate: min_rate(),
         window_ms: [1000.0, 2000.0],
-        spare: spare(),
-        tells_wait: [0.02, 0.58],
+        capacity_over_limit: capacity_over_limit(),
+        retry_after_share: [0.02, 0.58],
         wait_ms: wait_ms(),
         refused_count: false,
         depth_s: depth_s(),
         connections: 3.0,
-        least_connections: least_connections(),
+        min_connections: min_connections(),
         speed: speed(),
         errors: 0.001,
     };
     let hub = Kind {
         headroom: [1.2, 2.2],
-        least_rate: [2.7, 4.8],
+        min_rate: [2.7, 4.8],
         window_ms: [0.0, 0.0],
-        spare: [1.2, 1.5],
-        tells_wait: [0.55, 0.83],
+        capacity_over_limit: [1.2, 1.5],
+        retry_after_share: [0.55, 0.83],
         connections: 0.0,
         speed: [0.59, 0.8],
         errors: 0.005,
@@ -440,15 +453,15 @@
 }
 
 fn classes() -> Vec<Class> {
-    let class = |name: &str, share, work_ms, worth, effect| Class {
+    let class = |name: &str, share, work_ms, value, effect| Class {
         name: name.to_owned(),
         share,
         work_ms,
         cv: 1.0,
-        aim_ms: 4000.0,
+        latency_target_ms: 4000.0,
         deadline_ms: 20_000.0,
-        worth,
-        late_worth: 0.4,
+        value,
+        late_value: 0.4,
         effect,
         window_ms: 8000.0,
     };
@@ -456,8 +469,8 @@
     let claim = class("scheme-claim", 0.23, 150.0, 4.0, Effect::Unsafe);
     vec![
         class("repeat-order", 0.42, 250.0, 1.0, Effect::Keyed),
-        Class { deadline_ms: 28_000.0, late_worth: 0.5, ..status },
-        Class { aim_ms: 2500.0, deadline_ms: 24_000.0, late_worth: 0.3, ..claim },
+        Class { deadline_ms: 28_000.0, late_value: 0.5, ..status },
+        Class { latency_target_ms: 2500.0, deadline_ms: 24_000.0, late_value: 0.3, ..claim },
     ]
 }
 
@@ -530,7 +543,10 @@
         check(!self.seeds.is_empty() && self.repeats > 0, "seeds or repeats: nothing is played".to_owned());
         let senders = self.fleet.senders;
         check((1..=MAX_SENDERS).contains(&senders), format!("fleet.senders = {senders}"));
-        check(positive(self.fleet.slots_room) && positive(self.fleet.hold_s), "fleet: no room".to_owned());
+        check(
+            positive(self.fleet.slot_headroom) && positive(self.fleet.pending_s),
+            "fleet: no room".to_owned(),
+        );
         check(self.fleet.max_attempts > 0, "fleet.max_attempts = 0".to_owned());
         check(positive(self.fleet.disk_mb), format!("fleet.disk_mb = {}", self.fleet.disk_mb));
         let t = &self.traffic;
@@ -543,16 +559,21 @@
         check(share(t.clumps) && positive(t.clump_s), "traffic.clumps or clump_s".to_owned());
         check((1..=64 * 1024).contains(&t.body), format!("traffic.body = {}", t.body));
         let drawn = |d: Drawn| d[0].is_finite() && d[1].is_finite() && 0.0 <= d[0] && d[0] <= d[1];
-        check(drawn(self.clients.again_ms) && drawn(self.clients.notice_s), "clients: a range".to_owned());
+        check(
+            drawn(self.clients.resubmit_delay_ms) && drawn(self.clients.notice_s),
+            "clients: a range".to_owned(),
+        );
         check(share(self.clients.honour), format!("clients.honour = {}", self.clients.honour));
-        check(positive(self.clients.patience_ms), "clients.patience_ms".to_owned());
+        check(positive(self.clients.response_timeout_ms), "clients.patience_ms".to_owned());
         check(share(self.clients.give_up), format!("clients.give_up = {}", self.clients.give_up));
         let strangers = self.clients.strangers;
         check((0.0..=MAX_STRANGERS).contains(&strangers), format!("clients.strangers = {strangers}"));
         let r = &self.rules;
-        let spans = [r.drain_ms, r.warm_s, r.fall_multiple, r.fall_s, r.late_end_ms];
+        let spans = [r.drain_ms, r.warm_up_s, r.fall_multiple, r.fall_s, r.late_end_ms];
         check(
-            spans.into_iter().all(positive) && positive(r.cold_share) && share(r.cold_share),
+            spans.into_iter().all(positive)
+                && positive(r.initial_capacity_share)
+                && share(r.initial_capacity_share),
             "rules".to_owned(),
         );
         check(self.partners.iter().any(|k| k.count > 0), "partner: none".to_owned());
@@ -560,10 +581,10 @@
             let all = [
                 ("endpoints", k.endpoints),
                 ("headroom", k.headroom),
-                ("least_rate", k.least_rate),
+                ("least_rate", k.min_rate),
                 ("window_ms", k.window_ms),
-                ("spare", k.spare),
-                ("tells_wait", k.tells_wait),
+                ("spare", k.capacity_over_limit),
+                ("tells_wait", k.retry_after_share),
                 ("wait_ms", k.wait_ms),
                 ("depth_s", k.depth_s),
                 ("speed", k.speed),
@@ -574,26 +595,26 @@
                 let ok = drawn(range) && (zero_ok || range[0] > 0.0);
                 check(ok, format!("partner[{i}].{name} = {range:?}"));
             }
-            check(k.tells_wait[1] <= 1.0 && share(k.errors), format!("partner[{i}]: a share over 1"));
+            check(k.retry_after_share[1] <= 1.0 && share(k.errors), format!("partner[{i}]: a share over 1"));
             check(k.connections.is_finite() && k.connections >= 0.0, format!("partner[{i}].connections"));
         }
         check(!self.classes.is_empty(), "class: none".to_owned());
         for (i, c) in self.classes.iter().enumerate() {
-            let times = [c.share, c.work_ms, c.aim_ms, c.deadline_ms, c.worth];
+            let times = [c.share, c.work_ms, c.latency_target_ms, c.deadline_ms, c.value];
             check(times.into_iter().all(positive), format!("class[{i}]: a figure that is not over 0"));
             check(c.cv.is_finite() && c.cv >= 0.0, format!("class[{i}].cv = {}", c.cv));
-            check(share(c.late_worth), format!("class[{i}].late_worth = {}", c.late_worth));
+            check(share(c.late_value), format!("class[{i}].late_worth = {}", c.late_value));
             check(c.effect != Effect::Keyed || positive(c.window_ms), format!("class[{i}].window_ms"));
             let again = self.classes[..i].iter().any(|other| other.name == c.name);
             check(!again, format!("class[{i}].name {:?} comes again", c.name));
         }
-        for (i, t) in self.troubles.iter().enumerate() {
+        for (i, t) in self.scheduled_faults.iter().enumerate() {
             check(
                 t.at_s.is_finite() && t.at_s >= 0.0 && positive(t.for_s),
                 format!("trouble[{i}]: its time"),
             );
             check(share(t.part), format!("trouble[{i}].part = {}", t.part));
-            let is_share = matches!(t.kind, TroubleKind::Lost | TroubleKind::Resets);
+            let is_share = matches!(t.kind, FaultKind::Lost | FaultKind::Resets);
             check(
                 positive(t.size) && (!is_share || share(t.size)),
                 format!("trouble[{i}].size = {}", t.size),
--- a/testbed/src/sim.rs
+++ b/testbed/src/sim.rs
@@ -1,11 +1,11 @@
 //! The decision module alone in simulated time: thousands of senders against the same partners, clients and judge, in
 //! one thread. No sockets and no journal: what a kill takes is what an unbroken journal would give back.
-use crate::checker::{Admission, Ended, RuleChecker};
+use crate::checker::{Admission, AttemptEnd, RuleChecker};
 use crate::fleet::{FleetError, apply, configuration};
 use crate::model::{Condition, Fate, Partner};
 use crate::plan::{Micros, Plan, micros};
-use crate::run::Played;
-use crate::scenario::{Scenario, Trouble, TroubleKind, Variant};
+use crate::run::RunResult;
+use crate::scenario::{FaultKind, Scenario, ScheduledFault, Variant};
 use message_sender::profile::Profile;
 use message_sender::{
     Action, Class, ClassId, DestinationId, EndpointId, Entry, Event, KindId, Listing, Message, MessageId,
@@ -19,15 +19,15 @@
 use std::net::SocketAddr;
 
 /// One way from a sender to an endpoint, or from a client to a sender.
-const WAY: Micros = 10_000;
+const ONE_WAY_DELAY_US: Micros = 10_000;
 /// The module's clock at the start of a play: it is a wall clock in service.
 const EPOCH: u64 = 1_000_000_000;
 /// For how long an endpoint keeps an idle connection.
-const IDLE: Micros = 5_000_000;
+const IDLE_TIMEOUT_US: Micros = 5_000_000;
 /// News of the list reaches each sender by chance within these, in seconds.
 const LIST_DELAY_S: [f64; 2] = [0.5, 4.7];
 /// How long a process takes from its start until it is ready.
-const START: Micros = 200_000;
+const START_DURATION_US: Micros = 200_000;
 
 /// Why a simulated play cannot be begun.
 #[derive(Debug, thiserror::Error)]
@@ -44,9 +44,9 @@
 }
 
 /// What happens, and when.
-enum Happening {
+enum SimEvent {
     /// A client hands a message in.
-    HandIn { arrival: usize, first: Option<usize>, tries: u32 },
+    Submit { arrival: usize, first: Option<usize>, retries: u32 },
     /// A sender is due.
     Step(usize),
     /// A call reaches its endpoint whole; or not, where there is no connection.
@@ -58,13 +58,13 @@
     /// An idle connection is closed by its endpoint.
     Closes { sender: usize, endpoint: u32, since: Micros },
     /// A trouble begins or ends.
-    Trouble(usize, bool),
+    ScheduledFault(usize, bool),
     /// A sender is killed.
     Dies(usize),
     /// A sender is ready again.
     Ready(usize),
     /// The list's news reaches a sender.
-    Told { sender: usize, endpoint: u32, serves: bool },
+    ListUpdate { sender: usize, endpoint: u32, serves: bool },
 }
 
 /// One attempt.
@@ -72,7 +72,7 @@
 struct CallAt {
     sender: usize,
     /// Which process of the sender: calls of one that was killed tell nobody.
-    life: u32,
+    incarnation: u32,
     message: u32,
     attempt: u32,
     endpoint: u32,
@@ -80,11 +80,11 @@
 }
 
 /// A message that a sender holds.
-struct Holds {
+struct InFlightMessage {
     id: String,
     arrival: usize,
     first: usize,
-    tries: u32,
+    retries: u32,
     due: Micros,
     attempts: u32,
     ran: Option<Time>,
@@ -95,12 +95,12 @@
 
 struct Node {
     sender: Sender,
-    life: u32,
+    incarnation: u32,
     down: bool,
     pending: Vec<Event>,
     next_step: Option<Micros>,
     last_step: Micros,
-    held: BTreeMap<u32, Holds>,
+    in_flight: BTreeMap<u32, InFlightMessage>,
     next_message: u32,
     idle: HashMap<u32, Vec<Micros>>,
     seed: u64,
@@ -115,9 +115,9 @@
     classes: Vec<Class>,
     now: Micros,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
-    happenings: HashMap<u64, Happening>,
-    next_happening: u64,
-    judge: RuleChecker,
+    events_by_number: HashMap<u64, SimEvent>,
+    next_event: u64,
+    checker: RuleChecker,
     partners: Vec<Partner>,
     /// By the number that all senders give them: partner and place there.
     endpoints: Vec<(usize, usize)>,
@@ -137,18 +137,18 @@
 }
 
 /// Plays a scenario in simulated time.
-pub fn simulate(scenario: &Scenario, variant: &Variant, seed: u64) -> Result<(Played, Cost), SimError> {
+pub fn simulate(scenario: &Scenario, variant: &Variant, seed: u64) -> Result<(RunResult, Cost), SimError> {
     if variant.baseline.is_some() || variant.binary.is_some() {
         return Err(SimError::Variant(variant.name.clone()));
     }
     let mut world = World::new(scenario, variant, seed)?;
     let planned = world.plan.arrivals.len();
     for (number, arrival) in world.plan.arrivals.clone().iter().enumerate() {
-        world.at(arrival.at, Happening::HandIn { arrival: number, first: None, tries: 0 });
+        world.schedule_at(arrival.at, SimEvent::Submit { arrival: number, first: None, retries: 0 });
     }
-    for (number, (trouble, _)) in world.plan.troubles.clone().iter().enumerate() {
-        world.at(micros(trouble.at_s), Happening::Trouble(number, true));
-        world.at(micros(trouble.at_s + trouble.for_s), Happening::Trouble(number, false));
+    for (number, (fault, _)) in world.plan.scheduled_faults.clone().iter().enumerate() {
+        world.schedule_at(micros(fault.at_s), SimEvent::ScheduledFault(number, true));
+        world.schedule_at(micros(fault.at_s + fault.for_s), SimEvent::ScheduledFault(number, false));
     }
     let longest = scenario.classes.iter().map(|c| c.deadline_ms / 1000.0).fold(0.0, f64::max);
     let last = micros(scenario.seconds + longest + 1.0);
@@ -157,15 +157,15 @@
             break;
         }
         world.now = at;
-        if let Some(happening) = world.happenings.remove(&number) {
-            world.happens(happening);
+        if let Some(event) = world.events_by_number.remove(&number) {
+            world.handle(event);
         }
     }
     let cost = Cost { steps: world.steps, simulated_s: world.now as f64 / 1e6 };
-    let verdict = world.judge.verdict(last);
+    let verdict = world.checker.verdict(last);
     let (crashes, faults) = (Vec::new(), Vec::new());
     let (name, variant) = (scenario.name.clone(), variant.name.clone());
-    let played = Played {
+    let result = RunResult {
         scenario: name,
         variant,
         seed,
@@ -176,7 +176,7 @@
         cut_short: false,
         promises: None,
     };
-    Ok((played, cost))
+    Ok((result, cost))
 }
 
 fn entry(plan: &Plan, number: usize, partner: usize, listing: Listing) -> Entry {
@@ -212,12 +212,12 @@
             sender.step(Time(EPOCH), &[Event::FullList(entries.clone())], &mut Vec::new());
             nodes.push(Node {
                 sender,
-                life: 0,
+                incarnation: 0,
                 down: false,
                 pending: Vec::new(),
                 next_step: None,
                 last_step: 0,
-                held: BTreeMap::new(),
+                in_flight: BTreeMap::new(),
                 next_message: 0,
                 idle: HashMap::new(),
                 seed: own,
@@ -229,9 +229,9 @@
             settings,
             now: 0,
             queue: BinaryHeap::new(),
-            happenings: HashMap::new(),
-            next_happening: 0,
-            judge: RuleChecker::new(scenario, &plan),
+            events_by_number: HashMap::new(),
+            next_event: 0,
+            checker: RuleChecker::new(scenario, &plan),
             partners: Partner::all(&plan, scenario, seed),
             endpoints,
             nodes,
@@ -243,61 +243,70 @@
         })
     }
 
-    fn at(&mut self, when: Micros, happening: Happening) {
-        let number = self.next_happening;
-        self.next_happening += 1;
-        self.happenings.insert(number, happening);
+    fn schedule_at(&mut self, when: Micros, event: SimEvent) {
+        let number = self.next_event;
+        self.next_event += 1;
+        self.events_by_number.insert(number, event);
         self.queue.push(Reverse((when.max(self.now), number)));
     }
 
-    fn happens(&mut self, happening: Happening) {
-        match happening {
-            Happening::HandIn { arrival, first, tries } => self.submit(arrival, first, tries),
-            Happening::Step(sender) => self.step(sender),
-            Happening::Reaches(call) => self.reaches(call),
-            Happening::Ends(call, outcome) => self.ends(call, outcome),
-            Happening::Expires(call) => self.expires(call),
-            Happening::Closes { sender, endpoint, since } => self.closes(sender, endpoint, since),
-            Happening::Trouble(number, begins) => self.trouble(number, begins),
-            Happening::Dies(sender) => self.kill(sender),
-            Happening::Ready(sender) => self.ready(sender),
-            Happening::Told { sender, endpoint, serves } => self.told(sender, endpoint, serves),
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Submit { arrival, first, retries } => self.submit(arrival, first, retries),
+            SimEvent::Step(sender) => self.step(sender),
+            SimEvent::Reaches(call) => self.reaches(call),
+            SimEvent::Ends(call, outcome) => self.ends(call, outcome),
+            SimEvent::Expires(call) => self.expires(call),
+            SimEvent::Closes { sender, endpoint, since } => self.closes(sender, endpoint, since),
+            SimEvent::ScheduledFault(number, begins) => self.begin_or_end_fault(number, begins),
+            SimEvent::Dies(sender) => self.kill(sender),
+            SimEvent::Ready(sender) => self.ready(sender),
+            SimEvent::ListUpdate { sender, endpoint, serves } => self.list_update(sender, endpoint, serves),
         }
     }
 
     // ---- clients -------------------------------------------------------------------------------------
 
-    fn submit(&mut self, arrival: usize, first: Option<usize>, tries: u32) {
+    fn submit(&mut self, arrival: usize, first: Option<usize>, retries: u32) {
         let plan = self.plan.arrivals[arrival].clone();
         let deadline = micros(self.scenario.classes[plan.class].deadline_ms / 1000.0);
-        let first = first.unwrap_or_else(|| self.judge.wants(self.now, plan.class));
+        let first = first.unwrap_or_else(|| self.checker.wants(self.now, plan.class));
         let due = plan.at + deadline;
-        if self.now >= due || (tries > 0 && !self.judge.may_come_again(self.now, first)) {
+        if self.now >= due || (retries > 0 && !self.checker.may_resubmit(self.now, first)) {
             return;
         }
         let alive: Vec<usize> =
             (0..self.nodes.len()).filter(|s| self.now < self.nodes[*s].shunned_from).collect();
-        let chance = if tries == 0 { plan.chance } else { self.rng.random() };
-        let place = ((chance * alive.len() as f64) as usize).min(alive.len().saturating_sub(1));
-        let Some(sender) = alive.get(place).copied() else { return };
+        let random = if retries == 0 { plan.random } else { self.rng.random() };
+        let index = ((random * alive.len() as f64) as usize).min(alive.len().saturating_sub(1));
+        let Some(sender) = alive.get(index).copied() else { return };
         let id = format!("m{}", self.next_id);
         self.next_id += 1;
-        self.judge.handed_in(&id, first, sender, plan.partner, due);
+        self.checker.submitted(&id, first, sender, plan.partner, due);
         let node = &mut self.nodes[sender];
         if node.down {
-            self.judge.unanswered(&id);
-            return self.come_again(arrival, first, tries, None);
+            self.checker.unanswered(&id);
+            return self.resubmit(arrival, first, retries, None);
         }
-        let takes = node.sender.admits(Time(EPOCH + self.now), node.held.len());
-        self.judge.answered(self.now, &id, takes);
-        if !takes {
-            return self.come_again(arrival, first, tries, None);
+        let accepts = node.sender.admits(Time(EPOCH + self.now), node.in_flight.len());
+        self.checker.answered(self.now, &id, accepts);
+        if !accepts {
+            return self.resubmit(arrival, first, retries, None);
         }
         let number = node.next_message;
         node.next_message += 1;
-        let holds =
-            Holds { id, arrival, first, tries, due, attempts: 0, ran: None, out: None, admitted: None };
-        node.held.insert(number, holds);
+        let in_flight_message = InFlightMessage {
+            id,
+            arrival,
+            first,
+            retries,
+            due,
+            attempts: 0,
+            ran: None,
+            out: None,
+            admitted: None,
+        };
+        node.in_flight.insert(number, in_flight_message);
         let budget = Span(due - self.now);
         let class = self.classes[ClassId(plan.class).0];
         let destination = DestinationId(plan.partner as u64);
@@ -307,16 +316,19 @@
     }
 
     /// A client that was refused comes again, if it has a try left.
-    fn come_again(&mut self, arrival: usize, first: usize, tries: u32, told: Option<Micros>) {
+    fn resubmit(&mut self, arrival: usize, first: usize, retries: u32, advised_delay: Option<Micros>) {
         let clients = &self.scenario.clients;
-        if tries >= clients.retries {
+        if retries >= clients.retries {
             return;
         }
-        let [least, most] = clients.again_ms;
+        let [min, max] = clients.resubmit_delay_ms;
         let honours = self.rng.random::<f64>() < clients.honour;
-        let own = micros((least + (most - least) * self.rng.random::<f64>()) / 1000.0) << tries.min(10);
-        let wait = told.filter(|_| honours).unwrap_or(own);
-        self.at(self.now + wait, Happening::HandIn { arrival, first: Some(first), tries: tries + 1 });
+        let own = micros((min + (max - min) * self.rng.random::<f64>()) / 1000.0) << retries.min(10);
+        let wait = advised_delay.filter(|_| honours).unwrap_or(own);
+        self.schedule_at(
+            self.now + wait,
+            SimEvent::Submit { arrival, first: Some(first), retries: retries + 1 },
+        );
     }
 
     // ---- senders -------------------------------------------------------------------------------------
@@ -327,7 +339,7 @@
         let at = at.max(node.last_step + self.settings.period.0).max(self.now);
         if node.next_step.is_none_or(|set| at < set || set < self.now) {
             node.next_step = Some(at);
-            self.at(at, Happening::Step(sender));
+            self.schedule_at(at, SimEvent::Step(sender));
         }
     }
 
@@ -356,12 +368,12 @@
             Action::Fail(message) => self.over(sender, message.0, None),
             Action::WakeIn(span) => self.wake(sender, self.now + span.0),
             Action::CloseIdle(endpoint) => {
-                let gone = self.nodes[sender].idle.remove(&endpoint.0).map_or(0, |idle| idle.len());
-                let (partner, place) = self.endpoints[endpoint.0 as usize];
-                (0..gone).for_each(|_| self.partners[partner].gone(place));
+                let closed = self.nodes[sender].idle.remove(&endpoint.0).map_or(0, |idle| idle.len());
+                let (partner, index) = self.endpoints[endpoint.0 as usize];
+                (0..closed).for_each(|_| self.partners[partner].disconnected(index));
             }
             Action::Cancel { message, .. } => {
-                let out = self.nodes[sender].held.get(&message.0).and_then(|h| h.out);
+                let out = self.nodes[sender].in_flight.get(&message.0).and_then(|h| h.out);
                 if let Some(call) = out {
                     self.ends(call, Outcome::Cancelled);
                 }
@@ -373,76 +385,90 @@
 
     /// A message ends undelivered: returned, with the advice to its client, or failed.
     fn over(&mut self, sender: usize, message: u32, returned: Option<Option<Micros>>) {
-        let Some(holds) = self.nodes[sender].held.remove(&message) else { return };
-        let known = self.judge.noticed(self.now, &holds.id, returned.is_some()).is_some();
+        let Some(in_flight_message) = self.nodes[sender].in_flight.remove(&message) else { return };
+        let known = self.checker.noticed(self.now, &in_flight_message.id, returned.is_some()).is_some();
         if let Some(after) = returned.filter(|_| known) {
-            self.come_again(holds.arrival, holds.first, holds.tries, after);
+            self.resubmit(
+                in_flight_message.arrival,
+                in_flight_message.first,
+                in_flight_message.retries,
+                after,
+            );
         }
     }
 
     fn send(&mut self, sender: usize, message: u32, endpoint: u32, expires: Micros) {
-        let (partner, place) = self.endpoints[endpoint as usize];
+        let (partner, index) = self.endpoints[endpoint as usize];
         let node = &mut self.nodes[sender];
-        let Some(holds) = node.held.get_mut(&message) else { return };
-        let attempt = holds.attempts;
-        holds.attempts += 1;
-        let call = CallAt { sender, life: node.life, message, attempt, endpoint, began: self.now };
-        (holds.out, holds.admitted) = (Some(call), None);
-        holds.ran.get_or_insert(Time(EPOCH + self.now));
-        let kept = node.idle.get_mut(&endpoint).and_then(Vec::pop).is_some();
-        if kept {
-            self.at(self.now + WAY, Happening::Reaches(call));
-        } else if self.partners[partner].condition(place) == Condition::Down {
-            self.at(self.now + 2 * WAY, Happening::Ends(call, Outcome::ConnectFailed));
+        let Some(in_flight_message) = node.in_flight.get_mut(&message) else { return };
+        let attempt = in_flight_message.attempts;
+        in_flight_message.attempts += 1;
+        let call =
+            CallAt { sender, incarnation: node.incarnation, message, attempt, endpoint, began: self.now };
+        (in_flight_message.out, in_flight_message.admitted) = (Some(call), None);
+        in_flight_message.ran.get_or_insert(Time(EPOCH + self.now));
+        let reused = node.idle.get_mut(&endpoint).and_then(Vec::pop).is_some();
+        if reused {
+            self.schedule_at(self.now + ONE_WAY_DELAY_US, SimEvent::Reaches(call));
+        } else if self.partners[partner].condition(index) == Condition::Down {
+            self.schedule_at(self.now + 2 * ONE_WAY_DELAY_US, SimEvent::Ends(call, Outcome::ConnectFailed));
         } else {
-            self.judge.connected(self.now);
-            if self.partners[partner].connected(place) {
-                self.at(self.now + 3 * WAY, Happening::Reaches(call));
+            self.checker.connected(self.now);
+            if self.partners[partner].connected(index) {
+                self.schedule_at(self.now + 3 * ONE_WAY_DELAY_US, SimEvent::Reaches(call));
             } else {
-                self.partners[partner].gone(place);
-                self.at(self.now + 4 * WAY, Happening::Ends(call, Outcome::NoRoom));
+                self.partners[partner].disconnected(index);
+                self.schedule_at(self.now + 4 * ONE_WAY_DELAY_US, SimEvent::Ends(call, Outcome::NoRoom));
             }
         }
-        self.at(expires, Happening::Expires(call));
+        self.schedule_at(expires, SimEvent::Expires(call));
     }
 
     /// Whether the attempt is still out, as far as its sender knows.
     fn is_out(&self, call: CallAt) -> bool {
         let node = &self.nodes[call.sender];
-        node.life == call.life && node.held.get(&call.message).is_some_and(|h| h.out == Some(call))
+        node.incarnation == call.incarnation
+            && node.in_flight.get(&call.message).is_some_and(|h| h.out == Some(call))
     }
 
     fn reaches(&mut self, call: CallAt) {
         if !self.is_out(call) {
             return;
         }
-        let (partner, place) = self.endpoints[call.endpoint as usize];
-        let Some(holds) = self.nodes[call.sender].held.get_mut(&call.message) else { return };
-        let id = holds.id.clone();
-        if self.partners[partner].condition(place) == Condition::Down {
+        let (partner, index) = self.endpoints[call.endpoint as usize];
+        let Some(in_flight_message) = self.nodes[call.sender].in_flight.get_mut(&call.message) else {
+            return;
+        };
+        let id = in_flight_message.id.clone();
+        if self.partners[partner].condition(index) == Condition::Down {
             return self.ends(call, Outcome::ConnectFailed);
         }
-        match self.judge.begins(self.now, &id, partner, place) {
-            Admission::Through { .. } => holds.admitted = Some(self.now),
+        match self.checker.begins(self.now, &id, partner, index) {
+            Admission::Through { .. } => in_flight_message.admitted = Some(self.now),
             _ => return self.ends(call, Outcome::Void),
         }
-        let work = self.plan.arrivals[holds.arrival].work;
-        let (fate, fall) = self.partners[partner].arrive(self.now, place, call.sender, work);
+        let work = self.plan.arrivals[in_flight_message.arrival].work;
+        let (fate, fall) = self.partners[partner].arrive(self.now, index, call.sender, work);
         if fate.runs() {
-            self.judge.runs(self.now, &id);
+            self.checker.runs(self.now, &id);
         }
         if let Some(fall) = fall {
-            self.judge.fell(self.now, partner, fall.by_witnesses);
+            self.checker.fell(self.now, partner, fall.by_witnesses);
         }
         match fate {
             Fate::Refused(wait) => {
-                self.at(self.now + WAY, Happening::Ends(call, Outcome::Full(wait.map(Span))));
+                self.schedule_at(
+                    self.now + ONE_WAY_DELAY_US,
+                    SimEvent::Ends(call, Outcome::Full(wait.map(Span))),
+                );
             }
             Fate::Answered { at, ok } => {
                 let outcome = if ok { Outcome::Success } else { Outcome::Failure };
-                self.at(at + WAY, Happening::Ends(call, outcome));
+                self.schedule_at(at + ONE_WAY_DELAY_US, SimEvent::Ends(call, outcome));
+            }
+            Fate::Broken { at } => {
+                self.schedule_at(at + ONE_WAY_DELAY_US, SimEvent::Ends(call, Outcome::Reset))
             }
-            Fate::Broken { at } => self.at(at + WAY, Happening::Ends(call, Outcome::Reset)),
             Fate::Silent { .. } => {}
         }
     }
@@ -457,32 +483,32 @@
         if !self.is_out(call) {
             return;
         }
-        let (partner, place) = self.endpoints[call.endpoint as usize];
+        let (partner, index) = self.endpoints[call.endpoint as usize];
         let node = &mut self.nodes[call.sender];
-        let Some(holds) = node.held.get_mut(&call.message) else { return };
-        holds.out = None;
+        let Some(in_flight_message) = node.in_flight.get_mut(&call.message) else { return };
+        in_flight_message.out = None;
         if !outcome.may_have_executed()
             && outcome != Outcome::Success
-            && holds.ran == Some(Time(EPOCH + call.began))
+            && in_flight_message.ran == Some(Time(EPOCH + call.began))
         {
-            holds.ran = None;
+            in_flight_message.ran = None;
         }
-        let (id, admitted) = (holds.id.clone(), holds.admitted);
+        let (id, admitted) = (in_flight_message.id.clone(), in_flight_message.admitted);
         let last = outcome == Outcome::Success;
-        let ended = match outcome {
-            Outcome::Success => Ended::Delivered,
-            Outcome::Failure => Ended::Error,
-            Outcome::Full(wait) => Ended::Refused(wait.map(|w| self.now + w.0)),
-            _ => Ended::Cut,
+        let attempt_end = match outcome {
+            Outcome::Success => AttemptEnd::Delivered,
+            Outcome::Failure => AttemptEnd::Error,
+            Outcome::Full(wait) => AttemptEnd::Refused(wait.map(|w| self.now + w.0)),
+            _ => AttemptEnd::Cut,
         };
         if let Some(began) = admitted {
-            self.judge.ends(self.now, &id, began, ended);
+            self.checker.ends(self.now, &id, began, attempt_end);
         }
         if outcome != Outcome::Success {
             self.partners[partner].witnessed(call.sender);
         }
         if last {
-            node.held.remove(&call.message);
+            node.in_flight.remove(&call.message);
         }
         let elapsed = Span(self.now - call.began);
         let message = MessageId(call.message);
@@ -498,59 +524,59 @@
             Outcome::Success | Outcome::Failure | Outcome::Full(_) | Outcome::Void => {
                 node.idle.entry(call.endpoint).or_default().push(self.now);
                 let closes =
-                    Happening::Closes { sender: call.sender, endpoint: call.endpoint, since: self.now };
-                self.at(self.now + IDLE, closes);
+                    SimEvent::Closes { sender: call.sender, endpoint: call.endpoint, since: self.now };
+                self.schedule_at(self.now + IDLE_TIMEOUT_US, closes);
             }
             Outcome::ConnectFailed | Outcome::NoRoom => {}
-            _ => self.partners[partner].gone(place),
+            _ => self.partners[partner].disconnected(index),
         }
         self.wake(call.sender, self.now);
     }
 
     fn closes(&mut self, sender: usize, endpoint: u32, since: Micros) {
         let Some(idle) = self.nodes[sender].idle.get_mut(&endpoint) else { return };
-        if let Some(place) = idle.iter().position(|at| *at == since) {
-            idle.remove(place);
-            let (partner, place) = self.endpoints[endpoint as usize];
-            self.partners[partner].gone(place);
+        if let Some(index) = idle.iter().position(|at| *at == since) {
+            idle.remove(index);
+            let (partner, index) = self.endpoints[endpoint as usize];
+            self.partners[partner].disconnected(index);
         }
     }
 
     // ---- troubles ------------------------------------------------------------------------------------
 
-    fn trouble(&mut self, number: usize, begins: bool) {
-        let (trouble, met) = self.plan.troubles[number].clone();
+    fn begin_or_end_fault(&mut self, number: usize, begins: bool) {
+        let (fault, met) = self.plan.scheduled_faults[number].clone();
         let word = if begins { "begins" } else { "ends" };
-        self.judge.event(self.now, format!("{:?} {word}: {} met", trouble.kind, met.len()));
-        let gap = micros(trouble.for_s / met.len() as f64);
-        for (place, who) in met.into_iter().enumerate() {
-            match trouble.kind {
-                TroubleKind::Kill if begins => self.kill(who),
-                TroubleKind::Kill => self.at(self.now + START, Happening::Ready(who)),
+        self.checker.event(self.now, format!("{:?} {word}: {} met", fault.kind, met.len()));
+        let gap = micros(fault.for_s / met.len() as f64);
+        for (index, who) in met.into_iter().enumerate() {
+            match fault.kind {
+                FaultKind::Kill if begins => self.kill(who),
+                FaultKind::Kill => self.schedule_at(self.now + START_DURATION_US, SimEvent::Ready(who)),
                 // One after the other, each down for as long as a start takes.
-                TroubleKind::Restart if begins => {
-                    let at = self.now + place as u64 * gap;
-                    self.at(at, Happening::Dies(who));
-                    self.at(at + START, Happening::Ready(who));
+                FaultKind::Restart if begins => {
+                    let at = self.now + index as u64 * gap;
+                    self.schedule_at(at, SimEvent::Dies(who));
+                    self.schedule_at(at + START_DURATION_US, SimEvent::Ready(who));
                 }
-                TroubleKind::Restart => {}
-                TroubleKind::Directory => {}
-                TroubleKind::Drain => self.drain(who, !begins),
-                _ => self.afflict(who, &trouble, begins),
+                FaultKind::Restart => {}
+                FaultKind::Directory => {}
+                FaultKind::Drain => self.drain(who, !begins),
+                _ => self.apply_fault(who, &fault, begins),
             }
         }
     }
 
-    fn afflict(&mut self, partner: usize, trouble: &Trouble, begins: bool) {
-        self.partners[partner].afflict(self.now, trouble, begins);
+    fn apply_fault(&mut self, partner: usize, fault: &ScheduledFault, begins: bool) {
+        self.partners[partner].apply_fault(self.now, fault, begins);
         if self.partners[partner].condition(0) == Condition::Down {
             // Idle connections are reset with it.
-            for (number, (of, place)) in
+            for (number, (of, index)) in
                 self.endpoints.iter().enumerate().filter(|(_, (of, _))| *of == partner)
             {
                 for node in &mut self.nodes {
-                    let gone = node.idle.remove(&(number as u32)).map_or(0, |idle| idle.len());
-                    (0..gone).for_each(|_| self.partners[*of].gone(*place));
+                    let closed = node.idle.remove(&(number as u32)).map_or(0, |idle| idle.len());
+                    (0..closed).for_each(|_| self.partners[*of].disconnected(*index));
                 }
             }
         }
@@ -559,18 +585,18 @@
     fn drain(&mut self, partner: usize, serves: bool) {
         let Some(last) = self.endpoints.iter().rposition(|(of, _)| *of == partner) else { return };
         for sender in 0..self.nodes.len() {
-            let [least, most] = LIST_DELAY_S;
-            let late = micros(least + (most - least) * self.rng.random::<f64>());
-            self.at(self.now + late, Happening::Told { sender, endpoint: last as u32, serves });
+            let [min, max] = LIST_DELAY_S;
+            let late = micros(min + (max - min) * self.rng.random::<f64>());
+            self.schedule_at(self.now + late, SimEvent::ListUpdate { sender, endpoint: last as u32, serves });
         }
     }
 
-    fn told(&mut self, sender: usize, endpoint: u32, serves: bool) {
+    fn list_update(&mut self, sender: usize, endpoint: u32, serves: bool) {
         if self.nodes[sender].down {
             return;
         }
-        let (partner, place) = self.endpoints[endpoint as usize];
-        self.judge.told(self.now, sender, partner, place, serves);
+        let (partner, index) = self.endpoints[endpoint as usize];
+        self.checker.endpoint_reported(self.now, sender, partner, index, serves);
         let listing = if serves { Listing::Active } else { Listing::Draining };
         let change = entry(&self.plan, endpoint as usize, partner, listing);
         self.nodes[sender].pending.push(Event::ListChanges(vec![change]));
@@ -578,17 +604,17 @@
     }
 
     fn kill(&mut self, sender: usize) {
-        let [least, most] = self.scenario.clients.notice_s;
-        let noticed = self.now + micros(least + (most - least) * self.rng.random::<f64>());
-        self.judge.sender_down(self.now, sender);
+        let [min, max] = self.scenario.clients.notice_s;
+        let noticed = self.now + micros(min + (max - min) * self.rng.random::<f64>());
+        self.checker.sender_down(self.now, sender);
         let (outs, idle) = {
             let node = &mut self.nodes[sender];
             (node.down, node.shunned_from) = (true, noticed);
-            node.life += 1;
+            node.incarnation += 1;
             node.pending.clear();
             node.next_step = None;
             let outs: Vec<_> = node
-                .held
+                .in_flight
                 .values_mut()
                 .filter_map(|h| Some((h.out.take()?, h.id.clone(), h.admitted)))
                 .collect();
@@ -596,14 +622,14 @@
         };
         for (call, id, admitted) in outs {
             if let Some(began) = admitted {
-                self.judge.ends(self.now, &id, began, Ended::Cut);
+                self.checker.ends(self.now, &id, began, AttemptEnd::Cut);
             }
-            let (partner, place) = self.endpoints[call.endpoint as usize];
-            self.partners[partner].gone(place);
+            let (partner, index) = self.endpoints[call.endpoint as usize];
+            self.partners[partner].disconnected(index);
         }
         for (endpoint, idle) in idle {
-            let (partner, place) = self.endpoints[endpoint as usize];
-            idle.iter().for_each(|_| self.partners[partner].gone(place));
+            let (partner, index) = self.endpoints[endpoint as usize];
+            idle.iter().for_each(|_| self.partners[partner].disconnected(index));
         }
     }
 
@@ -615,21 +641,21 @@
         let Ok(fresh) = Sender::new(self.settings.clone(), node.seed) else { return };
         node.sender = fresh;
         node.pending.push(Event::FullList(entries));
-        for (number, holds) in &node.held {
-            let plan = &self.plan.arrivals[holds.arrival];
+        for (number, in_flight_message) in &node.in_flight {
+            let plan = &self.plan.arrivals[in_flight_message.arrival];
             let message = Message {
                 id: MessageId(*number),
                 class: self.classes[plan.class],
                 tenant: None,
                 key: None,
                 destination: DestinationId(plan.partner as u64),
-                budget: Span(holds.due.saturating_sub(self.now)),
+                budget: Span(in_flight_message.due.saturating_sub(self.now)),
             };
-            let ran = holds.ran.map(|at| (at, ZoneId(0)));
-            let resumed = Resumed { message, attempts: holds.attempts, ran, ended: false };
+            let ran = in_flight_message.ran.map(|at| (at, ZoneId(0)));
+            let resumed = Resumed { message, attempts: in_flight_message.attempts, ran, ended: false };
             node.pending.push(Event::Resumed(resumed));
         }
-        self.judge.sender_ready(self.now, sender);
+        self.checker.sender_ready(self.now, sender);
         self.wake(sender, self.now);
     }
 }
--- a/testbed/src/sim/tests.rs
+++ b/testbed/src/sim/tests.rs
@@ -23,14 +23,14 @@
     assert!(first.verdict.breaches.is_empty(), "{:?}", first.verdict.breaches);
     let c = &first.verdict.counts;
     assert_eq!(c.delivered + c.refused + c.failed + c.unknown, c.wanted, "{c:?}");
-    assert!(c.delivered > c.wanted / 2 && cost.steps > c.taken_on, "{c:?}");
+    assert!(c.delivered > c.wanted / 2 && cost.steps > c.accepted, "{c:?}");
 }
 
 #[test]
 fn a_quiet_day_is_delivered_nearly_whole() {
     let s = scenario("[traffic]\nload = 0.4\nclumps = 0.0\n[fleet]\nsenders = 3");
-    let (played, _) = simulate(&s, &variant(), 2).unwrap();
-    assert!(played.verdict.worth.whole > 0.97, "{:?}", played.verdict.worth);
+    let (result, _) = simulate(&s, &variant(), 2).unwrap();
+    assert!(result.verdict.value.overall > 0.97, "{:?}", result.verdict.value);
 }
 
 #[test]
@@ -38,9 +38,9 @@
     let s = scenario(OUTAGE);
     let set = |key: &str| {
         let set = [(key.to_owned(), toml::Value::Integer(1))].into_iter().collect();
-        simulate(&s, &Variant { set, ..variant() }, 4).map(|(played, _)| played.verdict.counts)
+        simulate(&s, &Variant { set, ..variant() }, 4).map(|(result, _)| result.verdict.counts)
     };
     let once = set("settings.limits.max_attempts").unwrap();
-    assert!(once.calls <= once.taken_on, "one attempt each: {once:?}");
+    assert!(once.calls <= once.accepted, "one attempt each: {once:?}");
     assert!(set("settings.nothing.here").unwrap_err().to_string().contains("settings.nothing.here"));
 }
--- a/testbed/src/table.rs
+++ b/testbed/src/table.rs
@@ -1,17 +1,17 @@
 //! The table that a play ends with.
-use crate::run::Played;
+use crate::run::RunResult;
 use std::fmt::Write;
 
 /// A play's figures, for a terminal.
-pub fn table(played: &Played) -> String {
-    let (v, c) = (&played.verdict, &played.verdict.counts);
+pub fn table(result: &RunResult) -> String {
+    let (v, c) = (&result.verdict, &result.verdict.counts);
     let mut text = String::new();
     let mut row = |name: &str, value: String| {
         let _ = writeln!(text, "{name:<28} {value:>12}");
     };
     row("wanted by clients", c.wanted.to_string());
-    row("handed in (with repeats)", c.handed_in.to_string());
-    row("taken on", c.taken_on.to_string());
+    row("handed in (with repeats)", c.submitted.to_string());
+    row("taken on", c.accepted.to_string());
     row("delivered", c.delivered.to_string());
     row("  of these late", c.late.to_string());
     row("refused in the end", c.refused.to_string());
@@ -20,13 +20,13 @@
     row("doubled (must be 0)", c.doubled.to_string());
     row("doubled by clients", c.doubled_by_clients.to_string());
     row("lost (must be 0)", c.lost.to_string());
-    row("attempts a message taken on", format!("{:.2}", c.calls as f64 / c.taken_on.max(1) as f64));
+    row("attempts a message taken on", format!("{:.2}", c.calls as f64 / c.accepted.max(1) as f64));
     row("calls refused by partners", c.calls_refused.to_string());
     row("connections made", c.connections.to_string());
     if c.strangers > 0 {
         row("strangers left unanswered", format!("{} of {}", c.strangers_left, c.strangers));
     }
-    row("service, less prices", format!("{:.3}", v.worth.result));
+    row("service, less prices", format!("{:.3}", v.value.result));
     let _ = writeln!(
         text,
         "\n{:<16}{:>9}{:>9}{:>9}{:>9}{:>9}",
@@ -39,21 +39,21 @@
         }
         text.push('\n');
     }
-    for (rule, count, told) in &v.breaches {
-        let charged = played.charged().any(|(other, ..)| other == rule);
+    for (rule, count, examples) in &v.breaches {
+        let charged = result.charged().any(|(other, ..)| other == rule);
         let word = if charged { "RULE BROKEN" } else { "by emptied or copied folders, not charged" };
         let _ = writeln!(text, "\n{word}: {rule:?}, {count} times");
-        for breach in told {
+        for breach in examples {
             let _ = writeln!(text, "  {:6.2} s  {}", breach.at_s, breach.what);
         }
     }
-    for crash in &played.crashes {
+    for crash in &result.crashes {
         let _ = writeln!(text, "\nSENDER ENDED BY ITSELF: {crash}");
     }
-    for fault in &played.faults {
+    for fault in &result.faults {
         let _ = writeln!(text, "\nFAULT OF THE LAB: {fault}");
     }
-    if played.cut_short {
+    if result.cut_short {
         text.push_str("\nThe play was cut short: these figures are of a part of it.\n");
     }
     text
--- a/testbed/tests/rig.rs
+++ b/testbed/tests/rig.rs
@@ -3,7 +3,7 @@
 use testbed::fleet::{Program, built_sender};
 use testbed::peers::check::check;
 use testbed::peers::history::{self, What};
-use testbed::run::play;
+use testbed::run::run_scenario;
 use testbed::scenario::{Scenario, Variant};
 use tokio::sync::watch;
 
@@ -68,10 +68,11 @@
     let path = folder.path().join("history.jsonl");
     let program = Program::Sender(built_sender().unwrap());
     let (_stop, stopped) = watch::channel(0);
-    let played = play(&scenario, &Variant::default(), 5, &program, stopped, false, &path).await.unwrap();
-    let promises = played.promises.clone().unwrap();
+    let result =
+        run_scenario(&scenario, &Variant::default(), 5, &program, stopped, false, &path).await.unwrap();
+    let promises = result.promises.clone().unwrap();
     let log = std::fs::read_to_string(path.with_extension("log")).unwrap();
-    assert!(played.clean(), "{:?}\n{:?}\n{:?}\n{log}", promises.verdict, played.crashes, played.faults);
+    assert!(result.clean(), "{:?}\n{:?}\n{:?}\n{log}", promises.verdict, result.crashes, result.faults);
     assert!(promises.verdict.settled_ms.is_some(), "{:?}", promises.verdict);
     let events = history::read(&path).unwrap();
     assert_eq!(check(&events), promises.verdict, "the history alone tells it");
--- a/testbed/tests/run.rs
+++ b/testbed/tests/run.rs
@@ -2,32 +2,32 @@
 use std::path::{Path, PathBuf};
 use testbed::checker::Rule;
 use testbed::fleet::{FleetError, Program, built_sender};
-use testbed::run::{Played, play};
+use testbed::run::{RunResult, run_scenario};
 use testbed::scenario::{Scenario, Variant};
 use tokio::sync::watch;
 
 const SHORT: &str =
     "name = \"short\"\nseconds = 3.0\n[traffic]\nrate = 30.0\n[clients]\npatience_ms = 5000.0\n";
 
-async fn played(more: &str, program: Program) -> Result<Played, FleetError> {
+async fn result(more: &str, program: Program) -> Result<RunResult, FleetError> {
     let scenario = Scenario::parse(&format!("{SHORT}{more}")).unwrap();
     let (_stop, stopped) = watch::channel(0);
     let variant = Variant { name: "sender".to_owned(), ..Variant::default() };
-    play(&scenario, &variant, 3, &program, stopped, false, Path::new("")).await
+    run_scenario(&scenario, &variant, 3, &program, stopped, false, Path::new("")).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_sender_killed_in_a_play_loses_and_doubles_nothing() {
     let sender = Program::Sender(built_sender().unwrap());
     let killed = "[[trouble]]\nkind = \"kill\"\nat_s = 1.0\nfor_s = 0.5\npart = 0.5\n";
-    let played = played(killed, sender).await.unwrap();
-    let (v, c) = (&played.verdict, &played.verdict.counts);
-    assert!(played.faults.is_empty() && played.crashes.is_empty(), "{played:?}");
+    let result = result(killed, sender).await.unwrap();
+    let (v, c) = (&result.verdict, &result.verdict.counts);
+    assert!(result.faults.is_empty() && result.crashes.is_empty(), "{result:?}");
     let certain = [Rule::Doubled, Rule::Resent, Rule::Overlap, Rule::Astray];
     assert!(!v.breaches.iter().any(|(rule, ..)| certain.contains(rule)), "{:?}", v.breaches);
-    assert_eq!(c.wanted as usize, played.planned);
+    assert_eq!(c.wanted as usize, result.planned);
     assert_eq!(c.delivered + c.refused + c.failed + c.unknown, c.wanted, "each has its end: {c:?}");
-    assert!(c.delivered * 2 > c.wanted && c.taken_on >= c.delivered, "{c:?}");
+    assert!(c.delivered * 2 > c.wanted && c.accepted >= c.delivered, "{c:?}");
     assert!(v.events.iter().any(|(_, what)| what.starts_with("Kill")), "{:?}", v.events);
 }
 
@@ -37,20 +37,20 @@
     let scenario = Scenario::parse(&SHORT.replace("3.0", "600.0")).unwrap();
     let (stop, stopped) = watch::channel(0);
     let variant = Variant { name: "sender".to_owned(), ..Variant::default() };
-    let running = play(&scenario, &variant, 3, &sender, stopped, false, Path::new(""));
+    let running = run_scenario(&scenario, &variant, 3, &sender, stopped, false, Path::new(""));
     let stopping = async {
         tokio::time::sleep(std::time::Duration::from_secs(3)).await;
         stop.send_replace(1);
     };
-    let (played, ()) = tokio::join!(running, stopping);
-    let played = played.unwrap();
-    assert!(played.cut_short && (played.verdict.counts.wanted as usize) < played.planned, "{played:?}");
+    let (result, ()) = tokio::join!(running, stopping);
+    let result = result.unwrap();
+    assert!(result.cut_short && (result.verdict.counts.wanted as usize) < result.planned, "{result:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_program_that_is_no_sender_is_an_error() {
-    let error = played("", Program::Sender(PathBuf::from("/bin/false"))).await.unwrap_err();
+    let error = result("", Program::Sender(PathBuf::from("/bin/false"))).await.unwrap_err();
     assert!(matches!(error, FleetError::NotReady { .. }), "{error}");
-    let error = played("", Program::Sender(PathBuf::from("/nowhere"))).await.unwrap_err();
+    let error = result("", Program::Sender(PathBuf::from("/nowhere"))).await.unwrap_err();
     assert!(matches!(error, FleetError::Io { .. }), "{error}");
 }
