--- a/testbed/src/baseline.rs
+++ b/testbed/src/baseline.rs
@@ -62,7 +62,8 @@
 #[derive(Deserialize)]
 struct Limits {
     max_attempts: u32,
-    most_held: usize,
+    #[serde(rename = "most_held")]
+    max_pending: usize,
 }
 
 #[derive(Deserialize)]
@@ -98,12 +99,12 @@
     http: Client<HttpConnector, Full<Bytes>>,
     list: Mutex<Targets>,
     slots: Semaphore,
-    room: Arc<Semaphore>,
+    capacity: Arc<Semaphore>,
     turn: AtomicUsize,
 }
 
 /// A message under way.
-struct Held {
+struct PendingMessage {
     id: String,
     key: Option<String>,
     lane: Lane,
@@ -146,7 +147,7 @@
         http,
         list: Mutex::new(known),
         slots: Semaphore::new(config.settings.specifics.max_calls),
-        room: Arc::new(Semaphore::new(config.settings.limits.most_held)),
+        capacity: Arc::new(Semaphore::new(config.settings.limits.max_pending)),
         turn: AtomicUsize::new(0),
         config,
     });
@@ -171,11 +172,11 @@
             sleep(LIST_POLL_INTERVAL).await;
             let uri = format!("http://{}{TARGETS}", self.config.discovery);
             let Ok(request) = Request::get(uri).body(Full::default()) else { return };
-            let asked = timeout(LIST_POLL_INTERVAL, async {
+            let response = timeout(LIST_POLL_INTERVAL, async {
                 let answer = self.http.request(request).await.ok()?;
                 answer.into_body().collect().await.ok().map(|body| body.to_bytes())
             });
-            if let Ok(Some(body)) = asked.await
+            if let Ok(Some(body)) = response.await
                 && let Ok(list) = serde_json::from_slice(&body)
             {
                 *self.list.lock().unwrap_or_else(PoisonError::into_inner) = list;
@@ -191,15 +192,15 @@
                 let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
                     return plain(StatusCode::BAD_REQUEST);
                 };
-                let Some(held) = self.read(&head.headers, body.to_bytes()) else {
+                let Some(message) = self.read(&head.headers, body.to_bytes()) else {
                     return plain(StatusCode::BAD_REQUEST);
                 };
-                let Ok(place) = self.room.clone().try_acquire_owned() else {
+                let Ok(permit) = self.capacity.clone().try_acquire_owned() else {
                     return plain(StatusCode::SERVICE_UNAVAILABLE);
                 };
                 tokio::spawn(async move {
-                    self.deliver(held).await;
-                    drop(place);
+                    self.deliver(message).await;
+                    drop(permit);
                 });
                 plain(StatusCode::ACCEPTED)
             }
@@ -207,11 +208,11 @@
         }
     }
 
-    fn read(&self, headers: &HeaderMap, body: Bytes) -> Option<Held> {
+    fn read(&self, headers: &HeaderMap, body: Bytes) -> Option<PendingMessage> {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
         let left: f64 = text(REMAINING)?.parse().ok().filter(|left| (0.0..1e6).contains(left))?;
         let name = text(LANE)?;
-        Some(Held {
+        Some(PendingMessage {
             id: text(TXN)?,
             key: text(IDEMPOTENCY_KEY),
             lane: self.config.settings.lanes.iter().find(|lane| lane.name == name)?.clone(),
@@ -221,62 +222,62 @@
         })
     }
 
-    async fn deliver(&self, held: Held) {
-        let (mut ran, mut pause): (Option<Instant>, Duration) = (None, INITIAL_BACKOFF);
+    async fn deliver(&self, message: PendingMessage) {
+        let (mut ran, mut backoff): (Option<Instant>, Duration) = (None, INITIAL_BACKOFF);
         let most = if self.how == Baseline::OneTry { 1 } else { self.config.settings.limits.max_attempts };
         for _ in 0..most {
-            let may = match (held.lane.repeat.as_str(), ran) {
+            let may = match (message.lane.repeat.as_str(), ran) {
                 (_, None) | ("retryable", _) => true,
                 ("dedup", Some(ran)) => {
-                    ran.elapsed() < Duration::from_micros(held.lane.key_ttl.unwrap_or(0)).mul_f64(0.9)
+                    ran.elapsed() < Duration::from_micros(message.lane.key_ttl.unwrap_or(0)).mul_f64(0.9)
                 }
                 _ => false,
             };
-            let Ok(Ok(slot)) = timeout_at(held.due, self.slots.acquire()).await else { break };
-            if !may || Instant::now() + INITIAL_BACKOFF >= held.due {
+            let Ok(Ok(slot)) = timeout_at(message.due, self.slots.acquire()).await else { break };
+            if !may || Instant::now() + INITIAL_BACKOFF >= message.due {
                 break;
             }
             let began = Instant::now();
-            let ended = self.call(&held).await;
+            let outcome = self.call(&message).await;
             drop(slot);
-            match ended {
+            match outcome {
                 AttemptOutcome::Delivered | AttemptOutcome::Over => return,
                 AttemptOutcome::Refused => {}
                 AttemptOutcome::Unsure => drop(ran.get_or_insert(began)),
             }
-            if Instant::now() + pause >= held.due {
+            if Instant::now() + backoff >= message.due {
                 break;
             }
-            sleep(pause).await;
+            sleep(backoff).await;
             if self.how == Baseline::Doubling {
-                pause = (pause * 2).min(MAX_BACKOFF);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
-        let harmless = ran.is_none() || held.lane.repeat != "fragile";
+        let harmless = ran.is_none() || message.lane.repeat != "fragile";
         let state = if harmless { NoticeState::Returned } else { NoticeState::Failed };
-        self.notice(&held.id, state).await;
+        self.notice(&message.id, state).await;
     }
 
-    async fn call(&self, held: &Held) -> AttemptOutcome {
+    async fn call(&self, message: &PendingMessage) -> AttemptOutcome {
         let to = {
             let list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
             let serving =
-                |m: &&message_sender::wire::Member| m.cell == held.dest && m.phase == Phase::Serving;
+                |m: &&message_sender::wire::Member| m.cell == message.dest && m.phase == Phase::Serving;
             let members: Vec<_> = list.members.iter().filter(serving).map(|m| m.host_port).collect();
             let turn = self.turn.fetch_add(1, Ordering::Relaxed);
             members.get(turn % members.len().max(1)).copied()
         };
         let Some(to) = to else { return AttemptOutcome::Refused };
-        let left = held.due.saturating_duration_since(Instant::now()).as_secs_f64();
+        let left = message.due.saturating_duration_since(Instant::now()).as_secs_f64();
         let mut request = Request::post(format!("http://{to}{HOOK}"))
             .header(HOST, to.to_string())
-            .header(TXN, &held.id)
+            .header(TXN, &message.id)
             .header(REMAINING, format!("{left:.3}"));
-        if let Some(key) = &held.key {
+        if let Some(key) = &message.key {
             request = request.header(IDEMPOTENCY_KEY, key);
         }
-        let Ok(request) = request.body(Full::new(held.body.clone())) else { return AttemptOutcome::Over };
-        let until = held.due.min(Instant::now() + CALL_TIMEOUT);
+        let Ok(request) = request.body(Full::new(message.body.clone())) else { return AttemptOutcome::Over };
+        let until = message.due.min(Instant::now() + CALL_TIMEOUT);
         match timeout_at(until, self.http.request(request)).await {
             Err(_) => AttemptOutcome::Unsure,
             Ok(Err(e)) if e.is_connect() => AttemptOutcome::Refused,
--- a/testbed/src/commands/serving_tier.rs
+++ b/testbed/src/commands/serving_tier.rs
@@ -3,7 +3,7 @@
 use crate::error::TestbedError;
 use std::path::PathBuf;
 use testbed::serving_tier::machines::{Older, built_programs};
-use testbed::serving_tier::run::{Plan, play};
+use testbed::serving_tier::run::{Plan, run_tier};
 use testbed::serving_tier::table::table;
 use tokio::sync::watch;
 
@@ -24,9 +24,9 @@
         let which = if older.is_first { "first" } else { "second" };
         println!("every other machine, from the {which} on, starts from {}", older.programs.display());
     }
-    let plan = Plan { seconds, seed, grace_s: GRACE_S, tell: true, older };
-    let played = play(plan, &programs, stop).await?;
-    println!("\n{}", table(&played));
-    println!("{}", if played.is_good() { "all rules kept" } else { "NOT clean" });
-    Ok(played.is_good())
+    let plan = Plan { seconds, seed, grace_s: GRACE_S, verbose: true, older };
+    let result = run_tier(plan, &programs, stop).await?;
+    println!("\n{}", table(&result));
+    println!("{}", if result.is_good() { "all rules kept" } else { "NOT clean" });
+    Ok(result.is_good())
 }
--- a/testbed/src/endpoints.rs
+++ b/testbed/src/endpoints.rs
@@ -97,7 +97,7 @@
 async fn connection(stage: Arc<Stage>, partner: usize, endpoint: usize, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let now = stage.now();
-    let room = {
+    let has_connection_capacity = {
         let mut inner = stage.lock();
         inner.checker.connected(now);
         inner.partners[partner].connected(endpoint)
@@ -105,7 +105,7 @@
     let _place = Place { stage: stage.clone(), partner, endpoint };
     let service = service_fn(move |request| {
         let stage = stage.clone();
-        async move { call(stage, partner, endpoint, room, request).await }
+        async move { call(stage, partner, endpoint, has_connection_capacity, request).await }
     });
     let http = hyper::server::conn::http1::Builder::new();
     // A sender that gives up closes its connection: the call ends with it.
@@ -156,7 +156,7 @@
     stage: Arc<Stage>,
     partner: usize,
     endpoint: usize,
-    room: bool,
+    has_connection_capacity: bool,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Cut> {
     let (head, body) = request.into_parts();
@@ -169,7 +169,7 @@
     let Some(id) = head.headers.get(TXN).and_then(|id| id.to_str().ok()).map(str::to_owned) else {
         return Ok(plain(StatusCode::BAD_REQUEST));
     };
-    if !room {
+    if !has_connection_capacity {
         let mut full = plain(StatusCode::SERVICE_UNAVAILABLE);
         full.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         return Ok(full);
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -38,9 +38,9 @@
 pub fn order(seeds: &[u64], repeats: u32, variants: &[Variant]) -> Vec<(u64, usize)> {
     let mut runs = Vec::new();
     for repeat in 0..repeats {
-        for (place, seed) in seeds.iter().enumerate() {
+        for (seed_index, seed) in seeds.iter().enumerate() {
             let mut turn: Vec<_> = (0..variants.len()).map(|variant| (*seed, variant)).collect();
-            if (repeat as usize + place) % 2 == 1 {
+            if (repeat as usize + seed_index) % 2 == 1 {
                 turn.reverse();
             }
             runs.extend(turn);
@@ -125,12 +125,13 @@
         let _ = write!(text, "\n\n{} less {}, pair by pair (mean's 95% interval):", other.name, first.name);
         for measure in &MEASURES {
             let differences = differences(runs, &first.name, &other.name, measure.of);
-            let told = match interval(&differences) {
+            let conclusion = match interval(&differences) {
                 Some((low, high)) if low > 0.0 || high < 0.0 => format!("{low:+.3} to {high:+.3}"),
                 Some((low, high)) => format!("{low:+.3} to {high:+.3}, cannot be told from 0"),
                 None => format!("{} pairs are too few to tell", differences.len()),
             };
-            let _ = write!(text, "\n  {:<14} median {:+.3}; {told}", measure.name, median(&differences));
+            let _ =
+                write!(text, "\n  {:<14} median {:+.3}; {conclusion}", measure.name, median(&differences));
         }
     }
     text.push('\n');
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -91,7 +91,7 @@
     /// So many keep it down.
     pub down: usize,
     /// It does not come back.
-    pub gone: bool,
+    pub departed: bool,
     /// It gets no processor time.
     pub paused: bool,
     /// Its disk takes nothing.
@@ -208,7 +208,7 @@
     }
 
     /// Hands on its log line by line; else it goes to a file alone.
-    pub fn tell(&mut self, sink: Sink) {
+    pub fn set_log_sink(&mut self, sink: Sink) {
         self.sink = Some(sink);
     }
 
--- a/testbed/src/peers/check.rs
+++ b/testbed/src/peers/check.rs
@@ -1,5 +1,5 @@
 //! The promises of the view, V1 to V6 of `docs/fleet.md`, checked on a history alone.
-use super::history::{At, Event, SeenHealth, SeenMember, SeenStanding, What};
+use super::history::{At, Event, SeenHealth, SeenMember, SeenState, What};
 use super::schedule::{Fault, Kind};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -66,7 +66,7 @@
     names: Vec<String>,
     settle: At,
     senders: Vec<Sender>,
-    cuts: BTreeMap<usize, (Vec<usize>, Vec<usize>)>,
+    partitions: BTreeMap<usize, (Vec<usize>, Vec<usize>)>,
     /// Faults of links and disks that are on.
     faults: BTreeSet<usize>,
     /// All faults, by number.
@@ -78,8 +78,8 @@
     settled: Option<At>,
     digests: BTreeMap<(u64, u32, u64), (u32, usize)>,
     /// Names whose going is no surprise.
-    asked: BTreeSet<String>,
-    told: BTreeSet<(String, Vec<usize>)>,
+    removal_requested: BTreeSet<String>,
+    reported: BTreeSet<(String, Vec<usize>)>,
     started: BTreeSet<usize>,
     /// Starts of senders whose folder's copy was started as well.
     copied: BTreeSet<usize>,
@@ -92,15 +92,15 @@
         names: Vec::new(),
         settle: 0,
         senders: Vec::new(),
-        cuts: BTreeMap::new(),
+        partitions: BTreeMap::new(),
         faults: BTreeSet::new(),
         schedule: Vec::new(),
         losses: BTreeMap::new(),
         calm: 0,
         settled: None,
         digests: BTreeMap::new(),
-        asked: BTreeSet::new(),
-        told: BTreeSet::new(),
+        removal_requested: BTreeSet::new(),
+        reported: BTreeSet::new(),
         started: BTreeSet::new(),
         copied: BTreeSet::new(),
         verdict: Verdict::default(),
@@ -127,7 +127,7 @@
 
 impl Checker {
     fn broken(&mut self, promise: &str, at: At, senders: Vec<usize>, what: String) {
-        if self.told.insert((promise.to_owned(), senders.clone())) {
+        if self.reported.insert((promise.to_owned(), senders.clone())) {
             self.verdict.broken.push(Broken { promise: promise.to_owned(), at, senders, what });
         }
     }
@@ -141,21 +141,24 @@
                 self.senders = vec![Sender::default(); senders.len()];
                 return;
             }
-            What::Up { sender, blank, copy_of } => {
+            What::Up { sender, empty_disk, copy_of } => {
                 let name = self.names.get(*sender).cloned().unwrap_or_default();
                 // One that was there before comes back as another.
-                if *blank && self.started.contains(sender) {
-                    self.asked.insert(name);
+                if *empty_disk && self.started.contains(sender) {
+                    self.removal_requested.insert(name);
                 }
                 self.started.insert(*sender);
                 if let Some(original) = copy_of {
                     self.copied.extend([*original, *sender]);
                 }
-                let (blank, copy_of) = (*blank, *copy_of);
+                let (empty_disk, copy_of) = (*empty_disk, *copy_of);
                 self.with(*sender, |s| {
                     // An empty folder remembers no member either.
-                    let (names, number) =
-                        if blank { Default::default() } else { (std::mem::take(&mut s.names), s.number) };
+                    let (names, number) = if empty_disk {
+                        Default::default()
+                    } else {
+                        (std::mem::take(&mut s.names), s.number)
+                    };
                     *s = Sender { up: true, copy_of, excused: at, names, number, ..Sender::default() };
                 });
                 self.disturbed(at);
@@ -182,16 +185,16 @@
                 self.disturbed(at);
             }
             What::Cut { number, from, to } => {
-                self.cuts.insert(*number, (from.clone(), to.clone()));
+                self.partitions.insert(*number, (from.clone(), to.clone()));
                 self.disturbed(at);
             }
             What::Healed { number } => {
                 self.excuse_cut_off(at);
-                self.cuts.remove(number);
+                self.partitions.remove(number);
                 self.disturbed(at);
             }
-            What::Asked { name } => {
-                self.asked.insert(name.clone());
+            What::RemovalRequested { name } => {
+                self.removal_requested.insert(name.clone());
             }
             What::Roster { sender, fleet, epoch, number, digest } => {
                 let known = *self.digests.entry((*fleet, *epoch, *number)).or_insert((*digest, *sender));
@@ -213,7 +216,7 @@
                     self.broken("V4", at, vec![*sender], what);
                 }
                 let name = self.names.get(*sender).cloned().unwrap_or_default();
-                if !*copied && !self.asked.contains(&name) {
+                if !*copied && !self.removal_requested.contains(&name) {
                     self.broken("V3", at, vec![*sender], format!("nobody asked for its going: {why}"));
                 }
                 self.with(*sender, |s| s.halted = true);
@@ -221,7 +224,7 @@
             }
             What::End => self.end(at),
         }
-        self.look(at);
+        self.check_views(at);
     }
 
     fn with(&mut self, sender: usize, change: impl FnOnce(&mut Sender)) {
@@ -245,7 +248,7 @@
     /// Whether two can talk, both ways.
     fn linked(&self, a: usize, b: usize) -> bool {
         let cut = |from: usize, to: usize| {
-            self.cuts.values().any(|(froms, tos)| froms.contains(&from) && tos.contains(&to))
+            self.partitions.values().any(|(froms, tos)| froms.contains(&from) && tos.contains(&to))
         };
         !cut(a, b) && !cut(b, a)
     }
@@ -315,7 +318,7 @@
             .filter(|(other, m)| self.present(*other, m))
             .map(|(other, _)| other)
             .collect();
-        if !self.cuts.is_empty() {
+        if !self.partitions.is_empty() {
             self.excuse_cut_off(at);
         }
         if !self.excused(at, sender) {
@@ -330,9 +333,9 @@
         // A process that starts on what a full disk took knows an older roster than the one before it did, or none yet.
         if view.number >= self.senders[sender].number {
             let present: BTreeSet<String> = view.members.iter().map(|m| m.name.clone()).collect();
-            let gone: Vec<String> = self.senders[sender].names.difference(&present).cloned().collect();
-            for name in gone {
-                if !self.asked.contains(&name) {
+            let departed: Vec<String> = self.senders[sender].names.difference(&present).cloned().collect();
+            for name in departed {
+                if !self.removal_requested.contains(&name) {
                     let what = format!("{name} does not belong any more, and nobody asked for that");
                     self.broken("V3", at, vec![sender], what);
                 }
@@ -349,7 +352,7 @@
             .filter(|n| self.senders[*n].copy_of.is_none())
             .map(|n| self.names[n].as_str())
             .collect();
-        let belongs = |m: &SeenMember| m.standing == SeenStanding::In;
+        let belongs = |m: &SeenMember| m.state == SeenState::In;
         view.confirmed
             && running.iter().all(|name| view.members.iter().any(|m| m.name == *name && belongs(m)))
             && view.members.iter().all(|m| {
@@ -359,7 +362,7 @@
     }
 
     /// V1: whether all have the same, right view by now.
-    fn look(&mut self, at: At) {
+    fn check_views(&mut self, at: At) {
         if self.settled.is_some() || self.senders.iter().any(|s| s.paused && s.up) || !self.faults.is_empty()
         {
             return;
@@ -374,7 +377,7 @@
     }
 
     fn end(&mut self, at: At) {
-        self.look(at);
+        self.check_views(at);
         let late = self.settled.is_none_or(|settled| settled > self.calm + self.settle);
         if late && at >= self.calm + self.settle {
             self.verdict.settled_ms = self.settled.map(|settled| settled - self.calm);
@@ -408,8 +411,8 @@
         let odd: Vec<String> = view
             .members
             .iter()
-            .filter(|m| m.health != SeenHealth::Answers || m.standing != SeenStanding::In)
-            .map(|m| format!("{} {:?} {:?}", m.name, m.standing, m.health))
+            .filter(|m| m.health != SeenHealth::Answers || m.state != SeenState::In)
+            .map(|m| format!("{} {:?} {:?}", m.name, m.state, m.health))
             .collect();
         let sure = if view.confirmed { "" } else { ", not confirmed" };
         format!("{name} number {}, {} members{sure} [{}]", view.number, view.members.len(), odd.join(", "))
--- a/testbed/src/peers/history.rs
+++ b/testbed/src/peers/history.rs
@@ -19,7 +19,8 @@
     /// Its incarnation.
     pub incarnation: u32,
     /// How it belonged.
-    pub standing: SeenStanding,
+    #[serde(rename = "standing")]
+    pub state: SeenState,
     /// Whether it answered.
     pub health: SeenHealth,
 }
@@ -27,7 +28,7 @@
 /// As [`MemberState`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum SeenStanding {
+pub enum SeenState {
     /// Asked, not agreed.
     Joining,
     /// Belongs.
@@ -38,9 +39,9 @@
     Gone,
 }
 
-impl From<MemberState> for SeenStanding {
-    fn from(standing: MemberState) -> Self {
-        match standing {
+impl From<MemberState> for SeenState {
+    fn from(state: MemberState) -> Self {
+        match state {
             MemberState::Joining => Self::Joining,
             MemberState::Active => Self::In,
             MemberState::Leaving => Self::Leaving,
@@ -104,7 +105,8 @@
         /// Which.
         sender: usize,
         /// Whether its folder was empty.
-        blank: bool,
+        #[serde(rename = "blank")]
+        empty_disk: bool,
         /// Whose folder it runs on a copy of.
         copy_of: Option<usize>,
     },
@@ -147,7 +149,8 @@
         number: usize,
     },
     /// Staff asked for a member's removal, or it was told to leave.
-    Asked {
+    #[serde(rename = "asked")]
+    RemovalRequested {
         /// Its name.
         name: String,
     },
--- a/testbed/src/peers/links.rs
+++ b/testbed/src/peers/links.rs
@@ -28,7 +28,7 @@
 
 /// What meets something on its way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct LinkState {
     /// It does not arrive, nor anything behind it.
     pub cut: bool,
     /// Chance that a datagram is lost.
@@ -65,7 +65,7 @@
     /// Where each sender listens in truth.
     own: Vec<SocketAddr>,
     /// Where its peers are told that it does.
-    pub told: Vec<SocketAddr>,
+    pub advertised: Vec<SocketAddr>,
     by_ip: HashMap<IpAddr, usize>,
     faults: Mutex<BTreeMap<usize, Met>>,
     rng: Mutex<ChaCha8Rng>,
@@ -108,10 +108,11 @@
 impl Links {
     /// Links for so many senders, and their sockets, which [`Links::carry`] has to be run for.
     pub async fn new(senders: usize, seed: u64) -> io::Result<(Arc<Self>, Vec<Ends>)> {
-        let (mut own, mut told, mut ends, mut by_ip) = (Vec::new(), Vec::new(), Vec::new(), HashMap::new());
+        let (mut own, mut advertised, mut ends, mut by_ip) =
+            (Vec::new(), Vec::new(), Vec::new(), HashMap::new());
         for to in 0..senders {
             let (datagrams, listener) = both(ip(to, false)).await?;
-            told.push(datagrams.local_addr()?);
+            advertised.push(datagrams.local_addr()?);
             ends.push(Ends { to, datagrams: Arc::new(datagrams), listener });
             // Free a moment ago, at an address that nothing else has.
             let (theirs, _) = both(ip(to, true)).await?;
@@ -120,7 +121,7 @@
         }
         let (faults, rng) = (Mutex::default(), Mutex::new(ChaCha8Rng::seed_from_u64(seed ^ 0x11_2c)));
         let (given, carried) = (Mutex::new(own.iter().copied().collect()), Carried::default());
-        Ok((Arc::new(Self { own, told, by_ip, faults, rng, given, carried }), ends))
+        Ok((Arc::new(Self { own, advertised, by_ip, faults, rng, given, carried }), ends))
     }
 
     /// An address for something else of a sender's, where no other process of the play or beside it listens or calls from.
@@ -150,27 +151,29 @@
     }
 
     /// What meets something sent from one to the other now.
-    pub fn way(&self, from: usize, to: usize) -> Way {
-        let mut way = Way::default();
+    pub fn link_state(&self, from: usize, to: usize) -> LinkState {
+        let mut link_state = LinkState::default();
         let both = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         for met in locked(&self.faults).values().filter(|met| met.meets(from, to)) {
             let size = met.fault.size;
             match met.fault.kind {
-                Kind::Cut | Kind::Part => way.cut = true,
-                Kind::Lossy => way.lost = both(way.lost, size),
-                Kind::Twice => way.twice = both(way.twice, size),
-                Kind::Flip => way.flipped = both(way.flipped, size),
-                Kind::Reset => way.reset = both(way.reset, size),
-                Kind::Delay => way.delay += size,
-                Kind::Throttle if way.throttle > 0.0 => way.throttle = way.throttle.min(size),
-                Kind::Throttle => way.throttle = size,
+                Kind::Cut | Kind::Part => link_state.cut = true,
+                Kind::Lossy => link_state.lost = both(link_state.lost, size),
+                Kind::Twice => link_state.twice = both(link_state.twice, size),
+                Kind::Flip => link_state.flipped = both(link_state.flipped, size),
+                Kind::Reset => link_state.reset = both(link_state.reset, size),
+                Kind::Delay => link_state.delay += size,
+                Kind::Throttle if link_state.throttle > 0.0 => {
+                    link_state.throttle = link_state.throttle.min(size)
+                }
+                Kind::Throttle => link_state.throttle = size,
                 _ => {}
             }
         }
-        way
+        link_state
     }
 
-    fn chance(&self, share: f64) -> bool {
+    fn random_bool(&self, share: f64) -> bool {
         share > 0.0 && locked(&self.rng).random_bool(share.min(1.0))
     }
 
@@ -190,23 +193,23 @@
             // An error is that of an earlier datagram, to one that is gone.
             let Ok((length, source)) = socket.recv_from(&mut buffer).await else { continue };
             let Some(from) = self.by_ip.get(&source.ip()).copied() else { continue };
-            let way = self.way(from, to);
-            if way.cut || self.chance(way.lost) {
+            let link_state = self.link_state(from, to);
+            if link_state.cut || self.random_bool(link_state.lost) {
                 self.carried.dropped.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
             let mut bytes = buffer[..length].to_vec();
-            if self.chance(way.flipped) && length > 0 {
+            if self.random_bool(link_state.flipped) && length > 0 {
                 let mut rng = locked(&self.rng);
                 let at = rng.random_range(0..length);
                 bytes[at] ^= 1 << rng.random_range(0..8);
             }
-            for _ in 0..1 + usize::from(self.chance(way.twice)) {
+            for _ in 0..1 + usize::from(self.random_bool(link_state.twice)) {
                 self.carried.datagrams.fetch_add(1, Ordering::Relaxed);
                 self.carried.datagram_bytes.fetch_add(length as u64, Ordering::Relaxed);
-                if way.delay > 0.0 {
+                if link_state.delay > 0.0 {
                     let (socket, own, bytes) = (socket.clone(), self.own[to], bytes.clone());
-                    let later = self.some(way.delay);
+                    let later = self.some(link_state.delay);
                     tokio::spawn(async move {
                         sleep(later).await;
                         let _ = socket.send_to(&bytes, own).await;
@@ -232,7 +235,7 @@
 
     /// One connection. Frames go one way only; the other way there is its end alone.
     async fn carry_connection(self: Arc<Self>, from: usize, to: usize, mut stream: TcpStream) {
-        let cut = || self.way(from, to).cut || self.way(to, from).cut;
+        let cut = || self.link_state(from, to).cut || self.link_state(to, from).cut;
         if cut() {
             sleep(NO_ANSWER).await;
             let _ = stream.set_zero_linger();
@@ -268,15 +271,15 @@
                 }
                 sleep(POLL_INTERVAL).await;
             }
-            let way = self.way(from, to);
-            if self.chance(way.reset) {
+            let link_state = self.link_state(from, to);
+            if self.random_bool(link_state.reset) {
                 return broken(&stream, &onward);
             }
-            if way.delay > 0.0 {
-                sleep(self.some(way.delay)).await;
+            if link_state.delay > 0.0 {
+                sleep(self.some(link_state.delay)).await;
             }
-            if way.throttle > 0.0 {
-                sleep(Duration::from_secs_f64(length as f64 / 1e3 / way.throttle)).await;
+            if link_state.throttle > 0.0 {
+                sleep(Duration::from_secs_f64(length as f64 / 1e3 / link_state.throttle)).await;
             }
             // One that takes nothing, being paused, holds its peer up, as in service.
             if onward.write_all(&chunk[..length]).await.is_err() {
@@ -289,12 +292,12 @@
     /// Strangers at a sender's own address until `until`: chance bytes, and connections that say nothing or nonsense.
     pub async fn strangers(self: Arc<Self>, to: usize, a_second: f64, until: Instant) {
         let Ok(socket) = UdpSocket::bind("127.0.0.1:0").await else { return };
-        let pause = Duration::from_secs_f64(1.0 / a_second.max(1.0));
+        let interval = Duration::from_secs_f64(1.0 / a_second.max(1.0));
         let mut silent = Vec::new();
         while Instant::now() < until {
             let bytes = garbage(&mut locked(&self.rng));
             let _ = socket.send_to(&bytes, self.own[to]).await;
-            if self.chance(0.1)
+            if self.random_bool(0.1)
                 && let Ok(Ok(mut stream)) = timeout(POLL_INTERVAL, TcpStream::connect(self.own[to])).await
             {
                 if !bytes.is_empty() {
@@ -302,7 +305,7 @@
                 }
                 silent.push(stream);
             }
-            sleep(pause).await;
+            sleep(interval).await;
         }
     }
 }
--- a/testbed/src/peers/plain.rs
+++ b/testbed/src/peers/plain.rs
@@ -16,7 +16,7 @@
     /// All senders: name, zone and address.
     peers: Vec<(String, String, SocketAddr)>,
     /// Start and time of the latest beat of each.
-    heard: Vec<Option<(u32, u64)>>,
+    last_heartbeats: Vec<Option<(u32, u64)>>,
     lost_after: u64,
     next: u64,
     effects: Vec<Effect>,
@@ -33,11 +33,20 @@
         now: u64,
     ) -> Self {
         // All have their whole time from the start on.
-        let heard = vec![Some((0, now)); peers.len()];
-        Self { own, start, peers, heard, lost_after, next: now, effects: vec![], counts: Counts::default() }
+        let last_heartbeats = vec![Some((0, now)); peers.len()];
+        Self {
+            own,
+            start,
+            peers,
+            last_heartbeats,
+            lost_after,
+            next: now,
+            effects: vec![],
+            counts: Counts::default(),
+        }
     }
 
-    fn beat(&self) -> Vec<u8> {
+    fn heartbeat_datagram(&self) -> Vec<u8> {
         let number = u32::try_from(self.own).unwrap_or(u32::MAX);
         let words = [number, self.start, !number, !self.start];
         words.iter().flat_map(|word| word.to_le_bytes()).collect()
@@ -48,7 +57,7 @@
             return;
         }
         self.next = now + HEARTBEAT_INTERVAL_MS;
-        let bytes = self.beat();
+        let bytes = self.heartbeat_datagram();
         for (number, (_, _, to)) in self.peers.iter().enumerate() {
             if number != self.own {
                 self.counts.datagrams += 1;
@@ -64,22 +73,26 @@
         if bytes.len() != 16 || number != !not_number || start != !not_start {
             return Err(WireError::Damaged);
         }
-        if let Some(heard) = self.heard.get_mut(number as usize) {
-            *heard = Some((start, now));
+        if let Some(last_heartbeats) = self.last_heartbeats.get_mut(number as usize) {
+            *last_heartbeats = Some((start, now));
         }
         Ok(())
     }
 
     fn view(&self, now: u64) -> View {
         let row = |(number, (name, zone, address)): (usize, &(String, String, SocketAddr))| {
-            let heard = self.heard[number].filter(|(_, at)| now < at + self.lost_after);
+            let last_heartbeats = self.last_heartbeats[number].filter(|(_, at)| now < at + self.lost_after);
             let own = number == self.own;
             Row {
                 name: name.clone(),
                 number: number as u32 + 1,
-                incarnation: if own { self.start } else { self.heard[number].map_or(0, |(start, _)| start) },
+                incarnation: if own {
+                    self.start
+                } else {
+                    self.last_heartbeats[number].map_or(0, |(start, _)| start)
+                },
                 state: MemberState::Active,
-                health: if own || heard.is_some() { Health::Answers } else { Health::Lost },
+                health: if own || last_heartbeats.is_some() { Health::Answers } else { Health::Lost },
                 voter: false,
                 zone: zone.clone(),
                 machine: name.clone(),
@@ -120,10 +133,10 @@
 
 /// Calls one or the other.
 macro_rules! either {
-    ($self:ident, $node:ident => $fleet:expr, $beat:ident => $plain:expr) => {
+    ($self:ident, $node:ident => $fleet:expr, $heartbeat_datagram:ident => $plain:expr) => {
         match $self {
             Machine::Fleet($node) => $fleet,
-            Machine::Plain($beat) => $plain,
+            Machine::Plain($heartbeat_datagram) => $plain,
         }
     };
 }
@@ -131,22 +144,22 @@
 impl Machine {
     /// See [`Node::next_tick`].
     pub fn next(&self) -> Option<u64> {
-        either!(self, node => node.next_tick(), beat => Some(beat.next))
+        either!(self, node => node.next_tick(), heartbeat_datagram => Some(heartbeat_datagram.next))
     }
 
     /// See [`Node::tick`].
     pub fn tick(&mut self, now: u64) {
-        either!(self, node => node.tick(now), beat => beat.tick(now));
+        either!(self, node => node.tick(now), heartbeat_datagram => heartbeat_datagram.tick(now));
     }
 
     /// See [`Node::receive`].
     pub fn hear(&mut self, now: u64, bytes: &[u8]) -> Result<(), WireError> {
-        either!(self, node => node.receive(now, bytes), beat => beat.hear(now, bytes))
+        either!(self, node => node.receive(now, bytes), heartbeat_datagram => heartbeat_datagram.hear(now, bytes))
     }
 
     /// See [`Node::take_effects`].
     pub fn effects(&mut self) -> Vec<Effect> {
-        either!(self, node => node.take_effects(), beat => std::mem::take(&mut beat.effects))
+        either!(self, node => node.take_effects(), heartbeat_datagram => std::mem::take(&mut heartbeat_datagram.effects))
     }
 
     /// See [`Node::connection_broken`].
@@ -160,8 +173,8 @@
     }
 
     /// See [`Node::reloaded`].
-    pub fn reloaded(&mut self, now: u64, keeper: Option<VoterState>) {
-        either!(self, node => node.reloaded(now, keeper), _beat => ());
+    pub fn reloaded(&mut self, now: u64, voter: Option<VoterState>) {
+        either!(self, node => node.reloaded(now, voter), _beat => ());
     }
 
     /// See [`Node::execute`].
@@ -181,16 +194,16 @@
 
     /// See [`Node::view_digest`].
     pub fn mark(&self, now: u64) -> ViewDigest {
-        either!(self, node => node.view_digest(now), beat => beat.mark(now))
+        either!(self, node => node.view_digest(now), heartbeat_datagram => heartbeat_datagram.mark(now))
     }
 
     /// See [`Node::view`].
     pub fn view(&self, now: u64) -> View {
-        either!(self, node => node.view(now), beat => beat.view(now))
+        either!(self, node => node.view(now), heartbeat_datagram => heartbeat_datagram.view(now))
     }
 
     /// See [`Node::counts`].
     pub fn counts(&self) -> Counts {
-        either!(self, node => node.counts(), beat => beat.counts)
+        either!(self, node => node.counts(), heartbeat_datagram => heartbeat_datagram.counts)
     }
 }
--- a/testbed/src/peers/real.rs
+++ b/testbed/src/peers/real.rs
@@ -27,15 +27,15 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 const FAST_POLL_INTERVAL: Duration = Duration::from_millis(8);
 /// How long an answer is waited for.
-const ASK: Duration = Duration::from_secs(1);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long staff go on asking for a removal.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(40);
 /// How late the last fault's end may leave a view besides the bound, until the play ends.
-const AFTER: f64 = 1.0;
+const SETTLE_MARGIN_S: f64 = 1.0;
 /// A starved process runs for so long between two stops.
-const SPELL: Duration = Duration::from_millis(30);
+const STARVED_RUN_TIME: Duration = Duration::from_millis(30);
 /// The exit code of a sender whose folder another one has a copy of.
-const COPIED: i32 = 3;
+const COPIED_FOLDER_EXIT_CODE: i32 = 3;
 /// Lines of all logs that are kept.
 const MAX_LOG_LINES: usize = 400_000;
 
@@ -94,7 +94,7 @@
 }
 
 /// The answer of a sender to a call at its second address; none while it has none.
-async fn ask(mgmt: SocketAddr, call: &str, patience: Duration) -> Option<String> {
+async fn query(mgmt: SocketAddr, call: &str, max_wait: Duration) -> Option<String> {
     let asking = async {
         let mut stream = TcpStream::connect(mgmt).await.ok()?;
         stream.write_all(format!("{call}\n").as_bytes()).await.ok()?;
@@ -102,7 +102,7 @@
         stream.read_to_string(&mut answer).await.ok()?;
         answer.strip_prefix("done").map(|rest| rest.trim().to_owned())
     };
-    timeout(patience, asking).await.ok().flatten()
+    timeout(max_wait, asking).await.ok().flatten()
 }
 
 impl Rig {
@@ -147,15 +147,15 @@
     pub fn configure(&self, number: usize, like: usize, mgmt: SocketAddr, config: &mut Value) {
         config["mgmt"] = json!(mgmt);
         config["fleet"] = json!({"name": "lab", "member": format!("n{like}"), "listen": self.links.own(number),
-            "advertise": self.links.told[number], "seeds": self.links.told[..self.peers.seeds],
-            "zone": self.peers.zone(like), "machine": self.peers.machine(like), "keepers": self.peers.keepers,
+            "advertise": self.links.advertised[number], "seeds": self.links.advertised[..self.peers.seeds],
+            "zone": self.peers.zone(like), "machine": self.peers.machine(like), "keepers": self.peers.voters,
             "suspect_ms": self.peers.suspect_ms});
     }
 
     /// When all faults are over and all have had their time to agree, in seconds of the play.
     pub fn ends_at(&self) -> f64 {
         let last = self.schedule.iter().map(|met| met.fault.at_s + met.fault.for_s).fold(0.0, f64::max);
-        last.max(self.stage.scenario.seconds) + self.peers.settle_s + AFTER
+        last.max(self.stage.scenario.seconds) + self.peers.settle_s + SETTLE_MARGIN_S
     }
 
     fn with<T>(&self, change: impl FnOnce(&mut Record) -> T) -> T {
@@ -166,7 +166,7 @@
         self.stage.now() / 1_000
     }
 
-    fn tell(&self, what: What) {
+    fn record(&self, what: What) {
         let at = self.now();
         self.with(|record| record.events.push(Event { at, what }));
     }
@@ -187,7 +187,7 @@
         let copies = self.copies();
         let named =
             |n: usize| format!("n{}", n.checked_sub(scenario.fleet.senders).map_or(n, |at| copies[at]));
-        self.tell(What::RunStarted {
+        self.record(What::RunStarted {
             scenario: scenario.name.clone(),
             seed: self.seed,
             senders: (0..nodes.len()).map(named).collect(),
@@ -202,7 +202,7 @@
             if late.contains(&sender) {
                 clients.absent(sender);
             } else {
-                self.tell(What::Up { sender, blank: true, copy_of: None });
+                self.record(What::Up { sender, empty_disk: true, copy_of: None });
             }
         }
         let all = Arc::new(nodes);
@@ -212,13 +212,13 @@
             work.spawn(hands.fault(number, met));
         }
         for number in 0..all.len() {
-            work.spawn(self.clone().look(number, all[number].clone(), all.len()));
+            work.spawn(self.clone().poll_views(number, all[number].clone(), all.len()));
         }
         while work.join_next().await.is_some() {}
     }
 
     /// Asks one sender again and again, and takes down what changed.
-    async fn look(self: Arc<Self>, number: usize, node: Shared, all: usize) {
+    async fn poll_views(self: Arc<Self>, number: usize, node: Shared, all: usize) {
         let every = POLL_INTERVAL + FAST_POLL_INTERVAL * u32::try_from(all).unwrap_or(0);
         sleep(every * u32::try_from(number).unwrap_or(0) / u32::try_from(all).unwrap_or(1)).await;
         let mut ticks = interval(every);
@@ -228,10 +228,10 @@
             ticks.tick().await;
             let (mgmt, start) = {
                 let mut node = node.lock().await;
-                if node.exit_code() == Some(COPIED) && halted != Some(node.starts) {
+                if node.exit_code() == Some(COPIED_FOLDER_EXIT_CODE) && halted != Some(node.starts) {
                     halted = Some(node.starts);
                     let why = node.last_lines(1);
-                    self.tell(What::Halted { sender: number, why, copied: true });
+                    self.record(What::Halted { sender: number, why, copied: true });
                 }
                 let there = node.running() && !node.hand.paused;
                 match node.mgmt {
@@ -239,12 +239,12 @@
                     _ => continue,
                 }
             };
-            let Some(text) = ask(mgmt, "fleet mark", ASK).await else { continue };
+            let Some(text) = query(mgmt, "fleet mark", QUERY_TIMEOUT).await else { continue };
             let Ok(mark) = serde_json::from_str::<Marked>(&text) else { continue };
             if known.as_ref().is_some_and(|(of, before)| *of == start && *before == mark) {
                 continue;
             }
-            let Some(text) = ask(mgmt, "fleet view", ASK).await else { continue };
+            let Some(text) = query(mgmt, "fleet view", QUERY_TIMEOUT).await else { continue };
             let Ok(view) = serde_json::from_str::<Viewed>(&text) else { continue };
             let mut node = node.lock().await;
             if node.starts != start || !node.running() {
@@ -253,15 +253,15 @@
             let hex = |text: &Option<String>| text.as_deref().and_then(|t| u64::from_str_radix(t, 16).ok());
             if let (Some(fleet), Some(digest)) = (hex(&mark.fleet), hex(&mark.digest)) {
                 let (epoch, digest) = (mark.epoch, u32::try_from(digest).unwrap_or_default());
-                self.tell(What::Roster { sender: number, fleet, epoch, number: mark.number, digest });
+                self.record(What::Roster { sender: number, fleet, epoch, number: mark.number, digest });
             }
             let (of, confirmed, members) = (view.number, view.confirmed, view.members);
-            self.tell(What::Seen { sender: number, number: of, confirmed, members });
+            self.record(What::Seen { sender: number, number: of, confirmed, members });
             if let Some(why) = view.halted
                 && halted != Some(start)
             {
                 halted = Some(start);
-                self.tell(What::Halted { sender: number, why, copied: false });
+                self.record(What::Halted { sender: number, why, copied: false });
             }
             known = Some((start, mark));
         }
@@ -269,7 +269,7 @@
 
     /// The end: what the checker says, with history and logs on disk.
     pub fn finish(&self, history: &Path) -> Result<Promises, HistoryError> {
-        self.tell(What::End);
+        self.record(What::End);
         let (events, mut lines) =
             self.with(|record| (std::mem::take(&mut record.events), std::mem::take(&mut record.lines)));
         history::write(history, &events)?;
@@ -312,7 +312,7 @@
         let over = at(met.fault.at_s + met.fault.for_s);
         let text = met.fault.to_string();
         stage.lock().checker.event(stage.now(), format!("fault {number}: {text}"));
-        rig.tell(What::Fault { number, text, begins: true });
+        rig.record(What::Fault { number, text, begins: true });
         let kind = met.fault.kind;
         match kind {
             Kind::Kill | Kind::Term | Kind::Empty | Kind::Lose | Kind::Remove => {
@@ -324,9 +324,9 @@
                 }
             }
             Kind::Pause => {
-                self.each(&met.senders, |hands, n| hands.pause(n, true)).await;
+                self.each(&met.senders, |hands, n| hands.set_paused(n, true)).await;
                 sleep_until(over).await;
-                self.each(&met.senders, |hands, n| hands.pause(n, false)).await;
+                self.each(&met.senders, |hands, n| hands.set_paused(n, false)).await;
             }
             Kind::Starve => {
                 let most = met.fault.size;
@@ -344,10 +344,10 @@
             }
             Kind::Cut | Kind::Part => {
                 rig.links.begin(number, met.clone());
-                rig.tell(What::Cut { number, from: met.senders, to: met.to });
+                rig.record(What::Cut { number, from: met.senders, to: met.to });
                 sleep_until(over).await;
                 rig.links.end(number);
-                rig.tell(What::Healed { number });
+                rig.record(What::Healed { number });
             }
             Kind::Lossy | Kind::Delay | Kind::Twice | Kind::Flip | Kind::Reset | Kind::Throttle => {
                 rig.links.begin(number, met);
@@ -360,7 +360,7 @@
                     .await;
             }
         }
-        rig.tell(What::Fault { number, text: String::new(), begins: false });
+        rig.record(What::Fault { number, text: String::new(), begins: false });
     }
 
     /// Does one thing to several at once.
@@ -380,7 +380,7 @@
         let mut node = self.nodes[sender].lock().await;
         node.hand.down += 1;
         if node.running() {
-            rig.tell(What::Down { sender });
+            rig.record(What::Down { sender });
             stage.lock().checker.sender_down(stage.now(), sender);
             if in_order {
                 self.clients.died(sender, 0.0);
@@ -396,22 +396,22 @@
         let (rig, stage) = (&self.rig, &self.rig.stage);
         let mut node = self.nodes[sender].lock().await;
         node.hand.down = node.hand.down.saturating_sub(1);
-        node.hand.gone |= matches!(kind, Kind::Lose | Kind::Remove);
-        if kind == Kind::Empty || node.hand.gone {
+        node.hand.departed |= matches!(kind, Kind::Lose | Kind::Remove);
+        if kind == Kind::Empty || node.hand.departed {
             let emptied =
                 std::fs::remove_dir_all(node.state()).and_then(|()| std::fs::create_dir(node.state()));
             if let Err(e) = emptied {
                 stage.record_testbed_fault(format!("emptying a folder: {e}"));
             }
         }
-        if node.hand.down > 0 || node.hand.gone {
+        if node.hand.down > 0 || node.hand.departed {
             return;
         }
-        let blank = !node.state().join("fleet.wal").exists();
+        let empty_disk = !node.state().join("fleet.wal").exists();
         node.hand.paused = false;
         match node.start().await {
             Ok(()) => {
-                rig.tell(What::Up { sender, blank, copy_of: None });
+                rig.record(What::Up { sender, empty_disk, copy_of: None });
                 stage.lock().checker.sender_ready(stage.now(), sender);
                 self.clients.ready(sender);
                 if node.hand.full {
@@ -419,26 +419,26 @@
                 }
             }
             // One that ran on a copied folder, and lost to the copy, stops for good.
-            Err(_) if node.exit_code() == Some(COPIED) => {
-                rig.tell(What::Up { sender, blank, copy_of: None });
-                node.hand.gone = true;
+            Err(_) if node.exit_code() == Some(COPIED_FOLDER_EXIT_CODE) => {
+                rig.record(What::Up { sender, empty_disk, copy_of: None });
+                node.hand.departed = true;
             }
             Err(e) => stage.record_testbed_fault(e.to_string()),
         }
     }
 
-    async fn pause(self, sender: usize, begins: bool) {
+    async fn set_paused(self, sender: usize, begins: bool) {
         let (rig, stage) = (&self.rig, &self.rig.stage);
         let mut node = self.nodes[sender].lock().await;
         if begins && node.running() {
             node.signal(Signal::SIGSTOP);
             node.hand.paused = true;
             stage.lock().checker.sender_down(stage.now(), sender);
-            rig.tell(What::Paused { sender });
+            rig.record(What::Paused { sender });
         } else if !begins && std::mem::take(&mut node.hand.paused) && node.running() {
             node.signal(Signal::SIGCONT);
             stage.lock().checker.sender_ready(stage.now(), sender);
-            rig.tell(What::Resumed { sender });
+            rig.record(What::Resumed { sender });
         }
     }
 
@@ -459,7 +459,7 @@
                 node.signal(Signal::SIGCONT);
             }
             drop(node);
-            sleep(SPELL).await;
+            sleep(STARVED_RUN_TIME).await;
         }
     }
 
@@ -488,7 +488,7 @@
         {
             return self.rig.stage.record_testbed_fault(format!("starting a copy: {e}"));
         }
-        self.rig.tell(What::Up { sender: copy, blank: false, copy_of: Some(original) });
+        self.rig.record(What::Up { sender: copy, empty_disk: false, copy_of: Some(original) });
     }
 
     /// Staff have some removed, by asking those that run one after the other, until one says that it is done.
@@ -496,16 +496,16 @@
         let given_up = Instant::now() + ADMIN_TIMEOUT;
         for sender in senders {
             let name = format!("n{sender}");
-            self.rig.tell(What::Asked { name: name.clone() });
+            self.rig.record(What::RemovalRequested { name: name.clone() });
             let mut turn = 0;
             while Instant::now() < given_up {
                 turn += 1;
-                let asked = {
+                let admin_address = {
                     let mut node = self.nodes[turn % self.nodes.len()].lock().await;
                     if node.running() { node.mgmt } else { None }
                 };
-                let Some(mgmt) = asked else { continue };
-                if ask(mgmt, &format!("fleet remove {name}"), ADMIN_TIMEOUT).await.is_some() {
+                let Some(mgmt) = admin_address else { continue };
+                if query(mgmt, &format!("fleet remove {name}"), ADMIN_TIMEOUT).await.is_some() {
                     break;
                 }
                 sleep(POLL_INTERVAL).await;
--- a/testbed/src/peers/schedule.rs
+++ b/testbed/src/peers/schedule.rs
@@ -15,7 +15,8 @@
     /// The first so many senders are the seeds.
     pub seeds: usize,
     /// Keepers, once there are so many senders.
-    pub keepers: usize,
+    #[serde(rename = "keepers")]
+    pub voters: usize,
     /// Within how many seconds after the last fault all have to have the same view.
     pub settle_s: f64,
     /// How long one that is suspected has to object, in ms.
@@ -35,7 +36,7 @@
             zones: ["a", "b", "c"].map(str::to_owned).to_vec(),
             machines: 6,
             seeds: 3,
-            keepers: 5,
+            voters: 5,
             settle_s: 12.0,
             suspect_ms: 4_000,
             heartbeat: false,
@@ -187,9 +188,14 @@
 
     /// The same fault with its senders named by number: it is drawn alike from any seed.
     pub fn fixed(&self) -> Fault {
-        let words = |numbers: &[usize]| numbers.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
-        let cuts = matches!(self.fault.kind, Kind::Cut | Kind::Part) && !self.to.is_empty();
-        Fault { senders: words(&self.senders), to: cuts.then(|| words(&self.to)), ..self.fault.clone() }
+        let selector_text =
+            |numbers: &[usize]| numbers.iter().map(ToString::to_string).collect::<Vec<_>>().join(",");
+        let is_partition = matches!(self.fault.kind, Kind::Cut | Kind::Part) && !self.to.is_empty();
+        Fault {
+            senders: selector_text(&self.senders),
+            to: is_partition.then(|| selector_text(&self.to)),
+            ..self.fault.clone()
+        }
     }
 }
 
@@ -218,10 +224,10 @@
     }
 
     /// The numbers that a word for a set stands for.
-    pub fn set(&self, word: &str, senders: usize, rng: &mut ChaCha8Rng) -> Result<Vec<usize>, String> {
+    pub fn set(&self, selector: &str, senders: usize, rng: &mut ChaCha8Rng) -> Result<Vec<usize>, String> {
         let all = 0..senders;
-        let wrong = || format!("{word:?} names no set of senders");
-        let set: Vec<usize> = match word.split_once(':') {
+        let wrong = || format!("{selector:?} names no set of senders");
+        let set: Vec<usize> = match selector.split_once(':') {
             Some(("zone", zone)) => all.filter(|n| self.zone(*n) == zone).collect(),
             Some(("machine", machine)) => all.filter(|n| self.machine(*n) == machine).collect(),
             Some(("share", share)) => {
@@ -236,10 +242,10 @@
                 drawn
             }
             Some(_) => return Err(wrong()),
-            None if word == "all" => all.collect(),
+            None if selector == "all" => all.collect(),
             None => {
                 let mut set = Vec::new();
-                for part in word.split(',') {
+                for part in selector.split(',') {
                     let (first, last) = part.split_once('-').unwrap_or((part, part));
                     let number = |text: &str| text.trim().parse::<usize>().map_err(|_| wrong());
                     set.extend(number(first)?..=number(last)?);
@@ -265,8 +271,8 @@
         if !(2..=9).contains(&self.seeds) || self.seeds > senders {
             wrong.push(format!("peers.seeds = {}", self.seeds));
         }
-        if self.keepers < 3 || self.keepers.is_multiple_of(2) {
-            wrong.push(format!("peers.keepers = {}", self.keepers));
+        if self.voters < 3 || self.voters.is_multiple_of(2) {
+            wrong.push(format!("peers.keepers = {}", self.voters));
         }
         let time = |x: f64| x.is_finite() && (0.0..=3_600.0).contains(&x);
         if !time(self.settle_s) || self.settle_s == 0.0 {
@@ -280,8 +286,8 @@
             if !(0.0..=60_000.0).contains(&fault.size) {
                 wrong.push(format!("peers.fault[{at}].size = {}", fault.size));
             }
-            for word in [Some(&fault.senders), fault.to.as_ref()].into_iter().flatten() {
-                if let Err(e) = self.set(word, senders, &mut rng) {
+            for selector in [Some(&fault.senders), fault.to.as_ref()].into_iter().flatten() {
+                if let Err(e) = self.set(selector, senders, &mut rng) {
                     wrong.push(format!("peers.fault[{at}]: {e}"));
                 }
             }
@@ -306,7 +312,7 @@
         for fault in faults {
             let Ok(met) = self.set(&fault.senders, senders, &mut rng) else { continue };
             let to = match &fault.to {
-                Some(word) => self.set(word, senders, &mut rng).unwrap_or_default(),
+                Some(selector) => self.set(selector, senders, &mut rng).unwrap_or_default(),
                 None => (0..senders).filter(|n| !met.contains(n)).collect(),
             };
             schedule.push(Met { fault, senders: met, to });
--- a/testbed/src/peers/shrink/tests.rs
+++ b/testbed/src/peers/shrink/tests.rs
@@ -10,12 +10,12 @@
 #[tokio::test]
 async fn what_is_not_needed_is_left_out() {
     let all: Vec<Fault> = (0..20).map(|n| fault(f64::from(n))).collect();
-    let mut plays = 0;
+    let mut runs = 0;
     let left = smallest(all.clone(), async |faults: &[Fault]| {
-        plays += 1;
+        runs += 1;
         faults.contains(&fault(3.0)) && faults.contains(&fault(17.0))
     });
     assert_eq!(left.await, [fault(3.0), fault(17.0)]);
-    assert!(plays < 60, "{plays} plays");
+    assert!(runs < 60, "{runs} plays");
     assert_eq!(smallest(all, async |_: &[Fault]| true).await, [], "one that needs no fault at all");
 }
--- a/testbed/src/peers/sim.rs
+++ b/testbed/src/peers/sim.rs
@@ -16,9 +16,9 @@
 /// Views are looked at this often, in ms.
 const POLL_INTERVAL_MS: u64 = 250;
 /// A datagram's way, in ms.
-const WAY: u64 = 1;
+const LINK_DELAY_MS: u64 = 1;
 /// How late the last fault's end may leave a view besides the bound, until the play ends.
-const AFTER: u64 = 1_000;
+const SETTLE_MARGIN_MS: u64 = 1_000;
 
 /// What is simulated.
 pub struct Simulation<'a> {
@@ -53,20 +53,20 @@
     pub bytes: u64,
 }
 
-enum Ev {
+enum SimEvent {
     Wake(usize, u32),
     Deliver { to: usize, bytes: Vec<u8>, from: usize, connection: bool },
     Broke { at: usize, peer: usize },
     Start(usize),
     Begin(usize),
     End(usize),
-    Look,
+    PollViews,
 }
 
 struct Queued {
     at: u64,
     order: u64,
-    ev: Ev,
+    ev: SimEvent,
 }
 
 impl PartialEq for Queued {
@@ -191,7 +191,7 @@
         let faults = self.schedule.iter().map(Met::fixed).collect();
         let (seed, broken, full_scenario) =
             (self.simulation.seed, self.simulation.how, self.simulation.full_scenario.clone());
-        self.tell(What::RunStarted {
+        self.record(What::RunStarted {
             scenario,
             seed,
             senders: names,
@@ -212,14 +212,14 @@
             let fault = &self.schedule[number].fault;
             let (begin, over) = ((fault.at_s * 1e3) as u64, ((fault.at_s + fault.for_s) * 1e3) as u64);
             end = end.max(over);
-            self.at(begin, Ev::Begin(number));
-            self.at(over, Ev::End(number));
+            self.at(begin, SimEvent::Begin(number));
+            self.at(over, SimEvent::End(number));
         }
-        end += settle_ms + AFTER;
+        end += settle_ms + SETTLE_MARGIN_MS;
         for sender in (0..self.simulation.senders).filter(|n| !late.contains(n)) {
             self.start(sender);
         }
-        self.at(POLL_INTERVAL_MS, Ev::Look);
+        self.at(POLL_INTERVAL_MS, SimEvent::PollViews);
         while let Some(Reverse(next)) = self.queue.pop() {
             if next.at > end {
                 break;
@@ -228,8 +228,8 @@
             self.happen(next.ev);
         }
         self.now = end;
-        self.look();
-        self.tell(What::End);
+        self.poll_views();
+        self.record(What::End);
         self.cost.simulated_ms = end;
         for node in self.processes.iter().filter_map(|p| p.node.as_ref()) {
             let counts = node.counts();
@@ -239,12 +239,12 @@
         }
     }
 
-    fn at(&mut self, at: u64, ev: Ev) {
+    fn at(&mut self, at: u64, ev: SimEvent) {
         self.order += 1;
         self.queue.push(Reverse(Queued { at, order: self.order, ev }));
     }
 
-    fn tell(&mut self, what: What) {
+    fn record(&mut self, what: What) {
         self.history.push(Event { at: self.now, what });
     }
 
@@ -264,12 +264,12 @@
         if self.processes[sender].full {
             // A start that cannot be written down is none: it is tried again.
             let at = self.now + POLL_INTERVAL_MS;
-            return self.at(at, Ev::Start(sender));
+            return self.at(at, SimEvent::Start(sender));
         }
         let peers = self.simulation.peers;
         let seeds = (0..peers.seeds).map(address).collect();
         let mut settings = Settings::new("lab", self.info(sender), seeds);
-        settings.voters = peers.keepers;
+        settings.voters = peers.voters;
         settings.suspect = peers.suspect_ms;
         if self.simulation.how == Some(Break::NoSuspicion) {
             (settings.suspect, settings.confirm) = (1, 0);
@@ -293,7 +293,7 @@
         process.marked = None;
         process.number = None;
         process.woken_at = None;
-        let blank = process.disk.folder == 0;
+        let empty_disk = process.disk.folder == 0;
         let copy_of = process.copy_of;
         process.node = Some(if peers.heartbeat {
             // The same time as the fleet's machines take for one that does not object.
@@ -304,7 +304,7 @@
         } else {
             Machine::Fleet(Box::new(Node::new(settings, process.disk.clone(), seed, now)))
         });
-        self.tell(What::Up { sender, blank, copy_of });
+        self.record(What::Up { sender, empty_disk, copy_of });
         self.carry_out(sender);
     }
 
@@ -312,51 +312,51 @@
         let process = &mut self.processes[sender];
         if process.node.take().is_some() {
             process.inbox.clear();
-            self.tell(What::Down { sender });
+            self.record(What::Down { sender });
             // Its peers' connections are reset.
             for peer in 0..self.processes.len() {
                 if self.fifo.remove(&(peer, sender)).is_some() {
-                    let at = self.now + WAY;
-                    self.at(at, Ev::Broke { at: peer, peer: sender });
+                    let at = self.now + LINK_DELAY_MS;
+                    self.at(at, SimEvent::Broke { at: peer, peer: sender });
                 }
                 self.fifo.remove(&(sender, peer));
             }
         }
     }
 
-    fn happen(&mut self, ev: Ev) {
+    fn happen(&mut self, ev: SimEvent) {
         match ev {
-            Ev::Wake(sender, start) => {
+            SimEvent::Wake(sender, start) => {
                 if self.processes[sender].start == start && !self.defer(sender, None) {
                     self.processes[sender].woken_at = None;
                     self.work(sender);
                 }
             }
-            Ev::Deliver { to, bytes, from, connection } => {
+            SimEvent::Deliver { to, bytes, from, connection } => {
                 if self.processes[to].node.is_none() {
                     if connection {
-                        let at = self.now + WAY;
-                        self.at(at, Ev::Broke { at: from, peer: to });
+                        let at = self.now + LINK_DELAY_MS;
+                        self.at(at, SimEvent::Broke { at: from, peer: to });
                     }
                 } else if !self.defer(to, Some((from, &bytes))) {
                     self.hear(to, &bytes);
                     self.carry_out(to);
                 }
             }
-            Ev::Broke { at, peer } => {
+            SimEvent::Broke { at, peer } => {
                 if let Some(node) = &mut self.processes[at].node {
                     node.broke(address(peer));
                     self.carry_out(at);
                 }
             }
-            Ev::Start(sender) if self.processes[sender].node.is_none() => self.start(sender),
-            Ev::Start(_) => {}
-            Ev::Begin(number) => self.begin(number),
-            Ev::End(number) => self.end(number),
-            Ev::Look => {
-                self.look();
+            SimEvent::Start(sender) if self.processes[sender].node.is_none() => self.start(sender),
+            SimEvent::Start(_) => {}
+            SimEvent::Begin(number) => self.begin(number),
+            SimEvent::End(number) => self.end(number),
+            SimEvent::PollViews => {
+                self.poll_views();
                 let at = self.now + POLL_INTERVAL_MS;
-                self.at(at, Ev::Look);
+                self.at(at, SimEvent::PollViews);
             }
         }
     }
@@ -373,7 +373,7 @@
             }
             if !process.paused {
                 let (at, start) = (process.free_at, process.start);
-                self.at(at, Ev::Wake(sender, start));
+                self.at(at, SimEvent::Wake(sender, start));
             }
         } else if let Some(late) = process.starved {
             process.free_at = self.now + self.rng.random_range(0..=late);
@@ -428,7 +428,7 @@
         if process.woken_at.is_none_or(|at| next < at) {
             process.woken_at = Some(next);
             let start = process.start;
-            self.at(next, Ev::Wake(sender, start));
+            self.at(next, SimEvent::Wake(sender, start));
         }
         self.note_number(sender);
     }
@@ -458,7 +458,7 @@
             }
             Effect::Halt(halt) => {
                 let copied = matches!(halt, Halt::Copied { .. });
-                self.tell(What::Halted { sender, why: halt.to_string(), copied });
+                self.record(What::Halted { sender, why: halt.to_string(), copied });
             }
             Effect::Notify(Notification::MemberList { .. }) => self.note_number(sender),
             Effect::Notify(_) | Effect::Answer(..) => {}
@@ -472,13 +472,13 @@
         if process.number != Some(roster.age()) {
             process.number = Some(roster.age());
             let (fleet, (epoch, number), digest) = (roster.fleet, roster.age(), roster.digest());
-            self.tell(What::Roster { sender, fleet, epoch, number, digest });
+            self.record(What::Roster { sender, fleet, epoch, number, digest });
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, mut bytes: Vec<u8>, connection: bool) {
         let Some(to) = self.by_address.get(&to).copied() else { return };
-        let mut after = WAY + self.rng.random_range(0..3);
+        let mut after = LINK_DELAY_MS + self.rng.random_range(0..3);
         let mut twice = false;
         for at in 0..self.links.len() {
             let fault = self.links[at];
@@ -503,8 +503,8 @@
                 }
                 Kind::Throttle if connection => after += (bytes.len() as f64 / size.max(0.1)) as u64,
                 Kind::Reset if connection && self.rng.random_bool(size.min(1.0)) => {
-                    let at = self.now + WAY;
-                    return self.at(at, Ev::Broke { at: from, peer: to });
+                    let at = self.now + LINK_DELAY_MS;
+                    return self.at(at, SimEvent::Broke { at: from, peer: to });
                 }
                 _ => {}
             }
@@ -513,7 +513,7 @@
         if connection {
             if self.torn.remove(&(from, to)).is_some() {
                 let now = self.now;
-                self.at(now, Ev::Broke { at: from, peer: to });
+                self.at(now, SimEvent::Broke { at: from, peer: to });
             }
             let last = self.fifo.entry((from, to)).or_insert(0);
             at = at.max(*last);
@@ -521,15 +521,15 @@
         }
         if twice {
             let late = at + self.rng.random_range(0..50);
-            self.at(late, Ev::Deliver { to, bytes: bytes.clone(), from, connection });
+            self.at(late, SimEvent::Deliver { to, bytes: bytes.clone(), from, connection });
         }
-        self.at(at, Ev::Deliver { to, bytes, from, connection });
+        self.at(at, SimEvent::Deliver { to, bytes, from, connection });
     }
 
     fn begin(&mut self, number: usize) {
         let met = self.schedule[number].clone();
         let text = met.fault.to_string();
-        self.tell(What::Fault { number, text, begins: true });
+        self.record(What::Fault { number, text, begins: true });
         match met.fault.kind {
             Kind::Term => met.senders.into_iter().for_each(|sender| self.stop(sender)),
             Kind::Kill | Kind::Empty | Kind::Lose | Kind::Remove => {
@@ -547,7 +547,7 @@
                 for sender in met.senders {
                     if self.processes[sender].node.is_some() {
                         self.processes[sender].paused = true;
-                        self.tell(What::Paused { sender });
+                        self.record(What::Paused { sender });
                     }
                 }
             }
@@ -571,7 +571,7 @@
             }
             Kind::Cut | Kind::Part => {
                 self.links.push(number);
-                self.tell(What::Cut { number, from: met.senders, to: met.to });
+                self.record(What::Cut { number, from: met.senders, to: met.to });
             }
             Kind::Lossy | Kind::Delay | Kind::Twice | Kind::Flip | Kind::Reset | Kind::Throttle => {
                 self.links.push(number);
@@ -587,18 +587,18 @@
                 for sender in met.senders.iter().copied() {
                     self.stop(sender);
                     // Whoever else has it in hand starts it at its own end.
-                    let held = self.schedule.iter().enumerate().any(|(other, m)| {
+                    let down_by_other_fault = self.schedule.iter().enumerate().any(|(other, m)| {
                         other != number
                             && m.fault.kind.takes_down()
                             && m.senders.contains(&sender)
                             && (m.fault.at_s * 1e3) as u64 <= self.now
                             && (m.fault.at_s + m.fault.for_s) * 1e3 > self.now as f64
                     });
-                    let gone = matches!(met.fault.kind, Kind::Lose | Kind::Remove);
-                    if gone || met.fault.kind == Kind::Empty {
+                    let departs = matches!(met.fault.kind, Kind::Lose | Kind::Remove);
+                    if departs || met.fault.kind == Kind::Empty {
                         self.processes[sender].disk = State::default();
                     }
-                    if !held && !gone {
+                    if !down_by_other_fault && !departs {
                         self.start(sender);
                     }
                 }
@@ -610,7 +610,7 @@
                 for sender in met.senders {
                     if std::mem::take(&mut self.processes[sender].paused) {
                         self.processes[sender].woken_at = None;
-                        self.tell(What::Resumed { sender });
+                        self.record(What::Resumed { sender });
                         self.work(sender);
                     }
                 }
@@ -620,13 +620,13 @@
             Kind::Join | Kind::Copy | Kind::Garbage => {}
             Kind::Cut | Kind::Part => {
                 self.links.retain(|n| *n != number);
-                self.tell(What::Healed { number });
+                self.record(What::Healed { number });
             }
             Kind::Lossy | Kind::Delay | Kind::Twice | Kind::Flip | Kind::Reset | Kind::Throttle => {
                 self.links.retain(|n| *n != number);
             }
         }
-        self.tell(What::Fault { number, text: String::new(), begins: false });
+        self.record(What::Fault { number, text: String::new(), begins: false });
     }
 
     /// Strangers' datagrams, one after the other for as long as the fault lasts.
@@ -637,7 +637,7 @@
         while at < until {
             for to in senders.iter().copied() {
                 let bytes = garbage(&mut self.rng);
-                self.at(at as u64, Ev::Deliver { to, bytes, from: to, connection: false });
+                self.at(at as u64, SimEvent::Deliver { to, bytes, from: to, connection: false });
             }
             at += 1e3 / fault.size.max(1.0);
         }
@@ -645,22 +645,22 @@
 
     /// Staff have some removed, by asking one that runs.
     fn remove(&mut self, senders: &[usize]) {
-        let Some(asked) = (0..self.simulation.senders).find(|n| self.processes[*n].node.is_some()) else {
+        let Some(contact) = (0..self.simulation.senders).find(|n| self.processes[*n].node.is_some()) else {
             return;
         };
         for sender in senders {
             let name = self.info(*sender).name;
-            self.tell(What::Asked { name: name.clone() });
+            self.record(What::RemovalRequested { name: name.clone() });
             let now = self.now;
-            if let Some(node) = &mut self.processes[asked].node {
+            if let Some(node) = &mut self.processes[contact].node {
                 node.order(now, 0, &sender_membership::Command::Remove(name));
             }
-            self.carry_out(asked);
+            self.carry_out(contact);
         }
     }
 
     /// Takes down what each says of its fleet, where that changed.
-    fn look(&mut self) {
+    fn poll_views(&mut self) {
         for sender in 0..self.processes.len() {
             let process = &mut self.processes[sender];
             let Some(node) = process.node.as_ref().filter(|_| !process.paused) else { continue };
@@ -684,12 +684,12 @@
                         name: row.name,
                         number: row.number,
                         incarnation: row.incarnation,
-                        standing: row.state.into(),
+                        state: row.state.into(),
                         health: row.health.into(),
                     })
                     .collect(),
             };
-            self.tell(seen);
+            self.record(seen);
         }
     }
 }
--- a/testbed/src/run.rs
+++ b/testbed/src/run.rs
@@ -238,7 +238,7 @@
         }
         let mut node = Node::new(number, address, senders.program.clone(), config, senders.variant)?;
         if let Some(rig) = senders.rig.cloned() {
-            node.tell(Arc::new(move |sender, line| rig.line(sender, line)));
+            node.set_log_sink(Arc::new(move |sender, line| rig.line(sender, line)));
         }
         let waits = late.contains(&number) || number >= own;
         node.hand.down = usize::from(waits);
@@ -340,7 +340,7 @@
         for (number, node) in nodes.iter().enumerate() {
             // One that a trouble has in hand is down on purpose.
             let Ok(mut node) = node.try_lock() else { continue };
-            if node.hand.down > 0 || node.hand.gone {
+            if node.hand.down > 0 || node.hand.departed {
                 continue;
             }
             if node.has_exited() {
--- a/testbed/src/serving_tier/checker.rs
+++ b/testbed/src/serving_tier/checker.rs
@@ -1,5 +1,5 @@
 //! Whether the tier kept its rules, from a history alone.
-use super::history::{End, History, Kind, Run, TOKENS_PER_EVENT, Try};
+use super::history::{Attempt, End, History, Kind, Run, TOKENS_PER_EVENT};
 use bytes::Bytes;
 use std::collections::{BTreeMap, HashMap};
 
@@ -55,8 +55,8 @@
     let (mut output, mut count) = (Vec::new(), 0);
     let text = String::from_utf8_lossy(stream);
     // What stands after the last blank line is no whole event.
-    let whole = text.rfind("\n\n").map_or("", |end| &text[..end]);
-    for event in whole.split("\n\n") {
+    let complete = text.rfind("\n\n").map_or("", |end| &text[..end]);
+    for event in complete.split("\n\n") {
         if let Some(data) = event.lines().find_map(|line| line.strip_prefix("data: ")) {
             output.extend_from_slice(data.as_bytes());
             output.push(b'\n');
@@ -68,25 +68,25 @@
 
 struct HistoryChecker<'a> {
     history: &'a History,
-    tries: HashMap<&'a str, &'a Try>,
+    attempts: HashMap<&'a str, &'a Attempt>,
     runs: HashMap<&'a str, Vec<&'a Run>>,
     breaches: Breaches,
 }
 
 /// Judges a history.
-pub fn judge(history: &History) -> Verdict {
+pub fn check_history(history: &History) -> Verdict {
     let mut runs: HashMap<&str, Vec<&Run>> = HashMap::new();
     for run in &history.runs {
         runs.entry(&run.attempt).or_default().push(run);
     }
-    let tries = history.tries.iter().map(|t| (t.attempt.as_str(), t)).collect();
-    let mut judge = HistoryChecker { history, tries, runs, breaches: Breaches::new() };
-    history.runs.iter().for_each(|run| judge.run(run));
-    history.tries.iter().for_each(|t| judge.a_try(t));
-    judge.budgets();
-    judge.configurations();
+    let attempts = history.attempts.iter().map(|t| (t.attempt.as_str(), t)).collect();
+    let mut check_history = HistoryChecker { history, attempts, runs, breaches: Breaches::new() };
+    history.runs.iter().for_each(|run| check_history.run(run));
+    history.attempts.iter().for_each(|t| check_history.check_attempt(t));
+    check_history.budgets();
+    check_history.configurations();
     Verdict {
-        breaches: judge.breaches,
+        breaches: check_history.breaches,
         started: history.started,
         finished: history.programs.iter().filter(|program| program.end.is_ok()).count(),
     }
@@ -101,8 +101,8 @@
     fn chain(&self, mut last: Option<&'a str>) -> Option<Vec<u8>> {
         let mut parts = Vec::new();
         while let Some(attempt) = last {
-            let turn = self.tries.get(attempt)?;
-            let End::Answered { status: 200, body, whole: true, .. } = &turn.end else { return None };
+            let turn = self.attempts.get(attempt)?;
+            let End::Answered { status: 200, body, complete: true, .. } = &turn.end else { return None };
             parts.push([turn.input.to_vec(), output(body).0].concat());
             last = turn.previous.as_deref();
         }
@@ -111,13 +111,13 @@
     }
 
     fn run(&mut self, run: &'a Run) {
-        let Some(asked) = self.tries.get(run.attempt.as_str()).copied() else {
+        let Some(sent) = self.attempts.get(run.attempt.as_str()).copied() else {
             return self.breach(Rule::Unasked, format!("{} ran, and no client sent it", run.attempt));
         };
-        let Some(mut body) = self.chain(asked.previous.as_deref()) else {
+        let Some(mut body) = self.chain(sent.previous.as_deref()) else {
             return self.breach(Rule::Unasked, format!("{} ran on a turn that has not ended", run.attempt));
         };
-        body.extend_from_slice(&asked.input);
+        body.extend_from_slice(&sent.input);
         if run.body != body {
             let (found, due) = (run.body.len(), body.len());
             let what =
@@ -126,25 +126,25 @@
         }
     }
 
-    fn a_try(&mut self, asked: &'a Try) {
-        let attempt = &asked.attempt;
+    fn check_attempt(&mut self, sent: &'a Attempt) {
+        let attempt = &sent.attempt;
         let runs = self.runs.get(attempt.as_str()).cloned().unwrap_or_default();
-        let once = asked.kind != Kind::Idempotent;
+        let once = sent.kind != Kind::Idempotent;
         if once && runs.len() > 1 {
             let at: Vec<_> = runs.iter().map(|run| run.instance.as_str()).collect();
             self.breach(Rule::Twice, format!("{attempt} ran {} times, at {}", runs.len(), at.join(", ")));
         }
-        match &asked.end {
+        match &sent.end {
             End::Unsent if once && !runs.is_empty() => {
                 self.breach(Rule::Refused, format!("{attempt} ran, and was closed unread"));
             }
             End::Unsent | End::Broken | End::Left => {}
             End::Silent => self.breach(Rule::Ended, format!("{attempt} got neither an end nor a break")),
-            End::Answered { status, id, seal, body, whole } => {
+            End::Answered { status, id, seal, body, complete } => {
                 if once && matches!(status, 402 | 408 | 421 | 429 | 503) && !runs.is_empty() {
                     self.breach(Rule::Refused, format!("{attempt} ran, and was answered {status}"));
                 }
-                let known = asked.previous.as_deref().is_some_and(|p| self.chain(Some(p)).is_some());
+                let known = sent.previous.as_deref().is_some_and(|p| self.chain(Some(p)).is_some());
                 if *status == 404 && known {
                     self.breach(Rule::Lost, format!("{attempt} got 404 for a turn that had ended"));
                 }
@@ -152,21 +152,21 @@
                     self.breach(Rule::Mixed, format!("{attempt} was answered as {id:?}"));
                 }
                 if (200..300).contains(status) || seal.is_some() {
-                    self.answer(attempt, &runs, seal.as_deref(), body, *whole);
+                    self.answer(attempt, &runs, seal.as_deref(), body, *complete);
                 }
             }
         }
     }
 
     /// An endpoint's answer.
-    fn answer(&mut self, attempt: &str, runs: &[&Run], seal: Option<&str>, body: &Bytes, whole: bool) {
+    fn answer(&mut self, attempt: &str, runs: &[&Run], seal: Option<&str>, body: &Bytes, complete: bool) {
         let Some(run) = runs.iter().find(|run| Some(run.seal.as_str()) == seal) else {
             return self
                 .breach(Rule::Mixed, format!("{attempt} got an answer of no run of its own: {seal:?}"));
         };
         if !run.answer.starts_with(body) {
             self.breach(Rule::Mixed, format!("{attempt} got other bytes than its run gave"));
-        } else if whole && run.answer != body {
+        } else if complete && run.answer != body {
             let (found, due) = (body.len(), run.answer.len());
             self.breach(Rule::Ended, format!("{attempt} ended as if whole after {found} bytes of {due}"));
         }
@@ -175,7 +175,7 @@
     fn budgets(&mut self) {
         for program in &self.history.programs {
             let of =
-                self.history.tries.iter().filter(|t| t.program == program.number && t.kind == Kind::Turn);
+                self.history.attempts.iter().filter(|t| t.program == program.number && t.kind == Kind::Turn);
             let events = of.map(|t| match &t.end {
                 End::Answered { status: 200, body, .. } => output(body).1,
                 _ => 0,
--- a/testbed/src/serving_tier/clients.rs
+++ b/testbed/src/serving_tier/clients.rs
@@ -1,6 +1,6 @@
 //! Stand-in clients behind the platform's front: agent programs of turns, with tools between them.
 use super::endpoints::mixed;
-use super::history::{End, Kind, Program, Recorder, Try, Way};
+use super::history::{Attempt, AttemptRoute, End, Kind, Program, Recorder};
 use super::operator::HOST;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -19,15 +19,15 @@
 /// And so much longer until it calls the silence one.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A new connection is given so long.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A turn that failed is sent again from its start so often.
-const REPEATS: u32 = 2;
+const MAX_TURN_RETRIES: u32 = 2;
 /// Between two questions whether senders are ready.
-const ASK: Duration = Duration::from_millis(250);
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// A sender that missed so many has no new connections.
-const MISSES: usize = 2;
+const MAX_MISSED_POLLS: usize = 2;
 /// The most tokens that a turn of a program generates.
-const MOST: u64 = 24;
+const MAX_TOKENS_PER_TURN: u64 = 24;
 /// The budget of a program that loops.
 const LOOP_BUDGET: u64 = 120;
 /// A program that loops is ended by the lab after so many rounds.
@@ -41,12 +41,12 @@
 impl Front {
     /// A front of senders, by the address for clients and that for readiness.
     pub fn new(senders: Vec<(SocketAddrV4, SocketAddrV4)>) -> Self {
-        let out = |(front, readiness)| (front, readiness, AtomicUsize::new(MISSES));
+        let out = |(front, readiness)| (front, readiness, AtomicUsize::new(MAX_MISSED_POLLS));
         Self { senders: senders.into_iter().map(out).collect() }
     }
 
     /// Asks all senders for good.
-    pub async fn keep_asking(self: Arc<Self>) {
+    pub async fn poll_readiness(self: Arc<Self>) {
         loop {
             for (_, readiness, missed) in &self.senders {
                 match is_ready(*readiness).await {
@@ -54,18 +54,18 @@
                     false => drop(missed.fetch_add(1, Ordering::Relaxed)),
                 }
             }
-            sleep(ASK).await;
+            sleep(READINESS_POLL_INTERVAL).await;
         }
     }
 
     /// Senders that are in.
     pub fn ready(&self) -> usize {
-        self.senders.iter().filter(|sender| sender.2.load(Ordering::Relaxed) < MISSES).count()
+        self.senders.iter().filter(|sender| sender.2.load(Ordering::Relaxed) < MAX_MISSED_POLLS).count()
     }
 
     /// The sender for a connection, drawn among those that are in, or among all where none is.
     fn pick(&self, draw: u64) -> SocketAddrV4 {
-        let is_in = |sender: &&(_, _, AtomicUsize)| sender.2.load(Ordering::Relaxed) < MISSES;
+        let is_in = |sender: &&(_, _, AtomicUsize)| sender.2.load(Ordering::Relaxed) < MAX_MISSED_POLLS;
         let mut fronts: Vec<SocketAddrV4> =
             self.senders.iter().filter(is_in).map(|sender| sender.0).collect();
         if fronts.is_empty() {
@@ -76,12 +76,12 @@
 }
 
 async fn is_ready(readiness: SocketAddrV4) -> bool {
-    let ask = async {
+    let send_request = async {
         let head = || request(Method::GET, "/sedgewood/readiness", readiness.into());
-        let answer = Connection::exchange(None, readiness.into(), CONNECT, head, Bytes::new()).await;
+        let answer = Connection::exchange(None, readiness.into(), CONNECT_TIMEOUT, head, Bytes::new()).await;
         answer.is_ok_and(|(_, response)| response.status().is_success())
     };
-    timeout(Duration::from_millis(500), ask).await.unwrap_or(false)
+    timeout(Duration::from_millis(500), send_request).await.unwrap_or(false)
 }
 
 /// All clients.
@@ -99,14 +99,14 @@
 
 /// What a client asks for.
 struct PlannedRequest<'a> {
-    program: &'a Line,
+    program: &'a ProgramLine,
     kind: Kind,
     previous: Option<&'a str>,
     input: Bytes,
 }
 
 /// A line of turns of one program.
-struct Line {
+struct ProgramLine {
     number: usize,
     budget: u64,
     session: u64,
@@ -147,7 +147,11 @@
     }
 
     /// One request, with its tries. Lines of turns keep their connection.
-    async fn ask(&self, asked: &PlannedRequest<'_>, kept: &mut Option<IdleConnection>) -> RequestOutcome {
+    async fn send_request(
+        &self,
+        planned: &PlannedRequest<'_>,
+        idle_connection: &mut Option<IdleConnection>,
+    ) -> RequestOutcome {
         let until = Instant::now() + DEADLINE;
         let mut last = "no time".to_owned();
         loop {
@@ -155,13 +159,13 @@
             if left < Duration::from_millis(50) {
                 return RequestOutcome::Failed(last);
             }
-            match self.one_try(asked, kept, until).await {
-                Next::End(ended) => return ended,
-                Next::Again(pause, why) => {
+            match self.send_attempt(planned, idle_connection, until).await {
+                Next::End(outcome) => return outcome,
+                Next::Again(backoff, why) => {
                     last = why;
-                    sleep(pause.min(left / 3)).await;
+                    sleep(backoff.min(left / 3)).await;
                 }
-                Next::Unknown(why) if asked.kind == Kind::Idempotent => {
+                Next::Unknown(why) if planned.kind == Kind::Idempotent => {
                     last = why;
                     sleep(Duration::from_millis(50)).await;
                 }
@@ -170,14 +174,14 @@
         }
     }
 
-    async fn one_try(
+    async fn send_attempt(
         &self,
-        asked: &PlannedRequest<'_>,
-        kept: &mut Option<IdleConnection>,
+        planned: &PlannedRequest<'_>,
+        idle_connection: &mut Option<IdleConnection>,
         until: Instant,
     ) -> Next {
         let attempt = format!("{:016x}", self.draw());
-        let path = match asked.kind {
+        let path = match planned.kind {
             Kind::Turn => "/turns/next",
             Kind::NonIdempotent => "/orders/new",
             Kind::Idempotent => "/lookups/one",
@@ -186,51 +190,51 @@
         let head = || {
             let mut head = Request::builder().method(Method::POST).uri(path).header(HOST_HEADER, HOST);
             head = head.header("Attempt-Id", &attempt).header("Deadline-Remaining", ms(until));
-            head = head.header("Program", format!("{:x}", asked.program.number));
-            head = head.header("Session", format!("{:x}", asked.program.session));
-            head = head.header("Finish-Ms", ms(asked.program.finish));
-            if asked.kind == Kind::Turn {
-                head = head.header("Model", "m").header("Budget", asked.program.budget);
-                head = head.header("Token-Usage", format!("200,{MOST}"));
-                head = head.header("Prompt-Prefix", format!("{:x}:200", asked.program.session));
+            head = head.header("Program", format!("{:x}", planned.program.number));
+            head = head.header("Session", format!("{:x}", planned.program.session));
+            head = head.header("Finish-Ms", ms(planned.program.finish));
+            if planned.kind == Kind::Turn {
+                head = head.header("Model", "m").header("Budget", planned.program.budget);
+                head = head.header("Token-Usage", format!("200,{MAX_TOKENS_PER_TURN}"));
+                head = head.header("Prompt-Prefix", format!("{:x}:200", planned.program.session));
             }
-            match asked.previous {
+            match planned.previous {
                 Some(previous) => head.header("Previous", previous),
                 None => head,
             }
         };
-        let (address, kept_before) = match kept.take() {
+        let (address, reused) = match idle_connection.take() {
             Some((address, connection)) => (address, Some(connection)),
             None => (self.front.pick(self.draw()).into(), None),
         };
         // What is sent may run, whatever becomes of its client.
-        let place = {
-            let (program, previous) = (asked.program.number, asked.previous.map(str::to_owned));
-            let (attempt, input) = (attempt.clone(), asked.input.clone());
-            let way = Way { to: Some(address), began: self.recorder.now(), ended: None };
+        let index = {
+            let (program, previous) = (planned.program.number, planned.previous.map(str::to_owned));
+            let (attempt, input) = (attempt.clone(), planned.input.clone());
+            let route = AttemptRoute { to: Some(address), began: self.recorder.now(), ended_at: None };
             let mut history = self.recorder.lock();
-            history.tries.push(Try {
+            history.attempts.push(Attempt {
                 program,
                 attempt,
-                kind: asked.kind,
+                kind: planned.kind,
                 previous,
                 input,
-                way,
+                route,
                 end: End::Left,
             });
-            history.tries.len() - 1
+            history.attempts.len() - 1
         };
-        let exchange = Connection::exchange(kept_before, address, CONNECT, head, asked.input.clone());
-        let silent = until + IDLE_TIMEOUT;
-        let (end, next) = match timeout_at(silent, exchange).await {
+        let exchange = Connection::exchange(reused, address, CONNECT_TIMEOUT, head, planned.input.clone());
+        let deadline = until + IDLE_TIMEOUT;
+        let (end, next) = match timeout_at(deadline, exchange).await {
             Err(_) => (End::Silent, Next::Unknown("silence".to_owned())),
             Ok(Err(CallError::Reset(e))) => (End::Broken, Next::Unknown(format!("broken: {e}"))),
             Ok(Err(e)) => (End::Unsent, Next::Again(Duration::from_millis(50), e.to_string())),
             Ok(Ok((connection, response))) => {
                 let (head, mut body) = response.into_parts();
                 let mut read = BytesMut::new();
-                let whole = loop {
-                    match timeout_at(silent, body.frame()).await {
+                let complete = loop {
+                    match timeout_at(deadline, body.frame()).await {
                         Err(_) => break None,
                         Ok(None) => break Some(true),
                         Ok(Some(Err(_))) => break Some(false),
@@ -239,60 +243,61 @@
                 };
                 let status = head.status.as_u16();
                 let closes = header(&head.headers, CONNECTION.as_str()).is_some_and(|value| value == "close");
-                if whole == Some(true) && !closes {
-                    *kept = Some((address, connection));
+                if complete == Some(true) && !closes {
+                    *idle_connection = Some((address, connection));
                 }
-                let pause =
+                let backoff =
                     header(&head.headers, RETRY_AFTER.as_str()).and_then(|text| text.parse::<f64>().ok());
-                let pause = Duration::try_from_secs_f64(pause.unwrap_or(0.05)).unwrap_or(ASK);
-                let next = match (status, whole) {
+                let backoff =
+                    Duration::try_from_secs_f64(backoff.unwrap_or(0.05)).unwrap_or(READINESS_POLL_INTERVAL);
+                let next = match (status, complete) {
                     (200..300, Some(true)) => Next::End(RequestOutcome::Done(attempt.clone())),
                     (200..300, _) => Next::Unknown("broken off".to_owned()),
                     (400 | 401 | 402 | 403 | 404 | 413 | 431, _) => Next::End(RequestOutcome::Denied(status)),
-                    (408 | 421 | 429 | 503, _) => Next::Again(pause, status.to_string()),
+                    (408 | 421 | 429 | 503, _) => Next::Again(backoff, status.to_string()),
                     _ => Next::Unknown(status.to_string()),
                 };
-                let end = match whole {
+                let end = match complete {
                     None => End::Silent,
-                    Some(whole) => End::Answered {
+                    Some(complete) => End::Answered {
                         status,
                         id: header(&head.headers, "attempt-id"),
                         seal: header(&head.headers, "server-seal"),
                         body: read.freeze(),
-                        whole,
+                        complete,
                     },
                 };
                 (end, next)
             }
         };
         let now = self.recorder.now();
-        let of = &mut self.recorder.lock().tries[place];
-        (of.end, of.way.ended) = (end, Some(now));
+        let of = &mut self.recorder.lock().attempts[index];
+        (of.end, of.route.ended_at) = (end, Some(now));
         next
     }
 
     /// One turn, sent again from its start where it failed; its attempt.
     async fn turn(
         &self,
-        line: &Line,
+        line: &ProgramLine,
         previous: Option<&str>,
         input: String,
-        kept: &mut Option<IdleConnection>,
+        idle_connection: &mut Option<IdleConnection>,
     ) -> RequestOutcome {
-        let asked = PlannedRequest { program: line, kind: Kind::Turn, previous, input: input.into() };
-        let mut repeats = 0;
+        let planned = PlannedRequest { program: line, kind: Kind::Turn, previous, input: input.into() };
+        let mut retries = 0;
         loop {
-            let ended = self.ask(&asked, kept).await;
-            if !matches!(ended, RequestOutcome::Failed(_)) || repeats == REPEATS {
-                return ended;
+            let outcome = self.send_request(&planned, idle_connection).await;
+            if !matches!(outcome, RequestOutcome::Failed(_)) || retries == MAX_TURN_RETRIES {
+                return outcome;
             }
-            repeats += 1;
+            retries += 1;
             sleep(Duration::from_millis(100 + self.draw() % 300)).await;
         }
     }
 
     /// Several tools at once.
-    async fn tools(self: &Arc<Self>, line: &Arc<Line>, count: u64) -> Result<(), String> {
+    async fn tools(self: &Arc<Self>, line: &Arc<ProgramLine>, count: u64) -> Result<(), String> {
         let mut tools = JoinSet::new();
         for tool in 0..count {
             let (clients, line) = (self.clone(), line.clone());
@@ -300,8 +305,8 @@
             let kind = if lookup { Kind::Idempotent } else { Kind::NonIdempotent };
             tools.spawn(async move {
                 let input = format!("tool {tool} of {}", line.number).into();
-                let asked = PlannedRequest { program: &line, kind, previous: None, input };
-                match clients.ask(&asked, &mut None).await {
+                let planned = PlannedRequest { program: &line, kind, previous: None, input };
+                match clients.send_request(&planned, &mut None).await {
                     RequestOutcome::Done(_) => Ok(()),
                     RequestOutcome::Denied(status) => Err(format!("a tool got {status}")),
                     RequestOutcome::Failed(why) => Err(format!("a tool failed: {why}")),
@@ -315,12 +320,12 @@
     }
 
     /// A program of several turns.
-    async fn work(self: &Arc<Self>, line: &Arc<Line>, draw: u64) -> Result<(), String> {
-        let mut kept = None;
+    async fn work(self: &Arc<Self>, line: &Arc<ProgramLine>, draw: u64) -> Result<(), String> {
+        let mut idle_connection = None;
         let mut previous: Option<String> = None;
         for turn in 0..3 + draw % 3 {
             let input = format!("turn {turn} of {}: {:x}\n", line.number, self.draw());
-            previous = match self.turn(line, previous.as_deref(), input, &mut kept).await {
+            previous = match self.turn(line, previous.as_deref(), input, &mut idle_connection).await {
                 RequestOutcome::Done(attempt) => Some(attempt),
                 RequestOutcome::Denied(status) => return Err(format!("turn {turn} got {status}")),
                 RequestOutcome::Failed(why) => return Err(format!("turn {turn} failed: {why}")),
@@ -335,16 +340,18 @@
     }
 
     /// Two sub-agents that continue from the same turn; the number of those that did.
-    async fn side_by_side(&self, line: &Line, previous: Option<&str>) -> Result<(), String> {
-        let (first, second) =
-            (Line { session: line.session ^ 1, ..*line }, Line { session: line.session ^ 2, ..*line });
+    async fn side_by_side(&self, line: &ProgramLine, previous: Option<&str>) -> Result<(), String> {
+        let (first, second) = (
+            ProgramLine { session: line.session ^ 1, ..*line },
+            ProgramLine { session: line.session ^ 2, ..*line },
+        );
         let (mut one, mut other) = (None, None);
         let (first, second) = tokio::join!(
             self.turn(&first, previous, format!("first beside {}\n", line.number), &mut one),
             self.turn(&second, previous, format!("second beside {}\n", line.number), &mut other),
         );
-        for ended in [first, second] {
-            match ended {
+        for outcome in [first, second] {
+            match outcome {
                 RequestOutcome::Done(_) => {}
                 RequestOutcome::Denied(402) => return Err("402".to_owned()),
                 RequestOutcome::Denied(status) => return Err(format!("a sub-agent got {status}")),
@@ -355,10 +362,10 @@
     }
 
     /// A program that starts sub-agents until its budget is spent, and twice more.
-    async fn repeat(&self, line: &Line) -> Result<(), String> {
-        let (mut kept, mut spent) = (None, 0);
+    async fn run_until_budget_spent(&self, line: &ProgramLine) -> Result<(), String> {
+        let (mut idle_connection, mut spent) = (None, 0);
         for round in 0..MAX_TURNS {
-            let first = match self.turn(line, None, format!("round {round}\n"), &mut kept).await {
+            let first = match self.turn(line, None, format!("round {round}\n"), &mut idle_connection).await {
                 RequestOutcome::Done(attempt) => self.side_by_side(line, Some(&attempt)).await,
                 RequestOutcome::Denied(402) => Err("402".to_owned()),
                 RequestOutcome::Denied(status) => Err(format!("a round got {status}")),
@@ -378,15 +385,15 @@
     pub async fn run(self: Arc<Self>, number: usize, loops: bool, finish: Duration) {
         self.recorder.lock().started += 1;
         let draw = self.draw();
-        let budget = if loops { LOOP_BUDGET } else { MOST * 40 };
-        let line = Arc::new(Line { number, budget, session: draw, finish: Instant::now() + finish });
+        let budget = if loops { LOOP_BUDGET } else { MAX_TOKENS_PER_TURN * 40 };
+        let line = Arc::new(ProgramLine { number, budget, session: draw, finish: Instant::now() + finish });
         let running = async {
             match loops {
-                true => self.repeat(&line).await,
+                true => self.run_until_budget_spent(&line).await,
                 false => self.work(&line, draw).await,
             }
         };
         let end = timeout(finish, running).await.unwrap_or_else(|_| Err("not over in its time".to_owned()));
-        self.recorder.lock().programs.push(Program { number, budget, most: MOST, end });
+        self.recorder.lock().programs.push(Program { number, budget, most: MAX_TOKENS_PER_TURN, end });
     }
 }
--- a/testbed/src/serving_tier/endpoints.rs
+++ b/testbed/src/serving_tier/endpoints.rs
@@ -33,7 +33,7 @@
 /// Calls a second that the platform takes.
 const RATE: usize = 10;
 /// How far the list runs behind.
-pub const LAG: Duration = Duration::from_millis(400);
+pub const LIST_UPDATE_LAG: Duration = Duration::from_millis(400);
 
 /// A number drawn from another, different for different ones.
 pub fn mixed(number: u64) -> u64 {
@@ -96,15 +96,15 @@
     }
 
     /// Becomes another incarnation at the same address; the list tells it later.
-    pub async fn begin_anew(&self) {
+    pub async fn restart_as_new_incarnation(&self) {
         let next = format!("{}-anew", self.instance());
         self.instance.lock().unwrap_or_else(PoisonError::into_inner).clone_from(&next);
-        sleep(LAG).await;
+        sleep(LIST_UPDATE_LAG).await;
         *self.listed.lock().unwrap_or_else(PoisonError::into_inner) = next;
     }
 
     /// How often it was full, and how often another incarnation was meant.
-    pub fn turned_away(&self) -> (u64, u64) {
+    pub fn rejected_calls(&self) -> (u64, u64) {
         (self.refused.load(Ordering::Relaxed), self.misdirected.load(Ordering::Relaxed))
     }
 
@@ -130,7 +130,7 @@
 /// An answer's body.
 pub enum Answer {
     /// All at once.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// As it comes; `Err` breaks it off.
     Events(mpsc::Receiver<Result<Bytes, Cut>>),
 }
@@ -141,7 +141,7 @@
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Events(events) => {
                 events.poll_recv(cx).map(|event| event.map(|event| event.map(Frame::data)))
             }
@@ -149,12 +149,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> hyper::body::SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 hyper::body::SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
             Self::Events(_) => hyper::body::SizeHint::default(),
@@ -162,8 +162,8 @@
     }
 }
 
-fn whole(builder: Builder, body: impl Into<Bytes>) -> Result<Response<Answer>, Cut> {
-    builder.body(Answer::Whole(Some(body.into()).filter(|body| !body.is_empty()))).map_err(|_| Cut)
+fn full_response(builder: Builder, body: impl Into<Bytes>) -> Result<Response<Answer>, Cut> {
+    builder.body(Answer::Complete(Some(body.into()).filter(|body| !body.is_empty()))).map_err(|_| Cut)
 }
 
 /// Serves an endpoint for good.
@@ -197,21 +197,27 @@
     let instance = endpoint.instance();
     if head.method == Method::GET && head.uri.path() == "/health" {
         let builder = Response::builder().header("Instance-Id", &instance);
-        return whole(builder.header("Server-Load", endpoint.load()), "");
+        return full_response(builder.header("Server-Load", endpoint.load()), "");
     }
     let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else { return Err(Cut) };
     let body = body.to_bytes();
     let Some(attempt) = header("attempt-id") else {
-        return whole(Response::builder().status(400).header("Not-Executed", "1"), "");
+        return full_response(Response::builder().status(400).header("Not-Executed", "1"), "");
     };
     let builder = Response::builder().header("Attempt-Id", &attempt).header("Server-Load", endpoint.load());
     if header("expect-instance").is_some_and(|expected| expected != instance) {
         endpoint.misdirected.fetch_add(1, Ordering::Relaxed);
-        return whole(builder.status(421).header("Not-Executed", "1").header("Instance-Id", &instance), "");
+        return full_response(
+            builder.status(421).header("Not-Executed", "1").header("Instance-Id", &instance),
+            "",
+        );
     }
     let Some(slot) = endpoint.take_slot() else {
         endpoint.refused.fetch_add(1, Ordering::Relaxed);
-        return whole(builder.status(503).header("Not-Executed", "1").header(RETRY_AFTER, "0.05"), "");
+        return full_response(
+            builder.status(503).header("Not-Executed", "1").header(RETRY_AFTER, "0.05"),
+            "",
+        );
     };
     let number = endpoint.runs.fetch_add(1, Ordering::Relaxed);
     let seal = format!("{instance}.{number}.{:x}", hash(&attempt));
@@ -230,7 +236,7 @@
         if endpoint.kind == Kind::Idempotent && breaks {
             return Err(Cut);
         }
-        return whole(builder, text);
+        return full_response(builder, text);
     }
     let most = header("token-usage").and_then(|usage| usage.split_once(',')?.1.trim().parse::<u64>().ok());
     let most = (most.unwrap_or(2 * TOKENS_PER_EVENT) / TOKENS_PER_EVENT).max(1);
@@ -334,6 +340,6 @@
         };
         self.calls[usize::from(status == 429)].fetch_add(1, Ordering::Relaxed);
         let builder = Response::builder().status(status).header(CONTENT_TYPE, "application/json");
-        whole(builder, body).unwrap_or_else(|_| Response::new(Answer::Whole(None)))
+        full_response(builder, body).unwrap_or_else(|_| Response::new(Answer::Complete(None)))
     }
 }
--- a/testbed/src/serving_tier/history.rs
+++ b/testbed/src/serving_tier/history.rs
@@ -55,24 +55,24 @@
         /// What came of its body.
         body: Bytes,
         /// Whether the body came to its end; otherwise it broke off.
-        whole: bool,
+        complete: bool,
     },
 }
 
 /// Where a try went, and its times in the play.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Way {
+pub struct AttemptRoute {
     /// The sender.
     pub to: Option<SocketAddr>,
     /// When it began.
     pub began: Duration,
     /// When it ended, if its client stayed so long.
-    pub ended: Option<Duration>,
+    pub ended_at: Option<Duration>,
 }
 
 /// One try of a client.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     /// The program that it belongs to.
     pub program: usize,
     /// Its `Attempt-Id`.
@@ -84,7 +84,7 @@
     /// Its input.
     pub input: Bytes,
     /// The sender that it went to, when, and when it ended.
-    pub way: Way,
+    pub route: AttemptRoute,
     /// How it ended.
     pub end: End,
 }
@@ -119,7 +119,7 @@
     /// Runs at endpoints.
     pub runs: Vec<Run>,
     /// Tries of clients.
-    pub tries: Vec<Try>,
+    pub attempts: Vec<Attempt>,
     /// Programs that ended.
     pub programs: Vec<Program>,
     /// Programs that were started.
@@ -133,14 +133,14 @@
 /// The history while it is written, with the play's clock.
 pub struct Recorder {
     began: Instant,
-    tell: bool,
+    verbose: bool,
     history: Mutex<History>,
 }
 
 impl Recorder {
     /// An empty one; `tell` has events printed as they happen.
-    pub fn new(tell: bool) -> Self {
-        Self { began: Instant::now(), tell, history: Mutex::default() }
+    pub fn new(verbose: bool) -> Self {
+        Self { began: Instant::now(), verbose, history: Mutex::default() }
     }
 
     /// The history, to write to it.
@@ -156,7 +156,7 @@
     /// Notes an event.
     pub fn event(&self, what: impl Into<String>) {
         let (at, what) = (self.now(), what.into());
-        if self.tell {
+        if self.verbose {
             println!("  {:5.1} s  {what}", at.as_secs_f64());
         }
         self.lock().events.push((at, what));
--- a/testbed/src/serving_tier/machines.rs
+++ b/testbed/src/serving_tier/machines.rs
@@ -320,17 +320,17 @@
     }
 
     /// SIGTERM, waits for the end, and SIGKILL where it does not come within `patience`; true if it came.
-    pub async fn terminate(&mut self, patience: Duration) -> bool {
+    pub async fn terminate(&mut self, max_wait: Duration) -> bool {
         let Some(mut child) = self.child.take() else { return false };
         if let Some(pid) = child.id().and_then(|id| i32::try_from(id).ok()) {
             // One that has just ended hears nothing.
             let _ = kill(Pid::from_raw(pid), Signal::SIGTERM);
         }
-        let ended = timeout(patience, child.wait()).await.is_ok();
-        if !ended {
+        let exited = timeout(max_wait, child.wait()).await.is_ok();
+        if !exited {
             let _ = child.kill().await;
         }
-        ended
+        exited
     }
 
     /// Gives it an empty disk; the former one is gone with the play. Its process must have ended.
--- a/testbed/src/serving_tier/operator.rs
+++ b/testbed/src/serving_tier/operator.rs
@@ -16,7 +16,7 @@
 /// Longest time for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before the next sender is tried.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The configuration: turns and orders, and with `lookups` a third route, all on the services of the play.
 pub fn configuration(version: u64, lookups: bool) -> Bytes {
@@ -47,25 +47,25 @@
 
 /// The operator, with the senders that it knows.
 pub struct Operator {
-    keepers: Vec<SocketAddrV4>,
+    control_nodes: Vec<SocketAddrV4>,
     recorder: Arc<Recorder>,
 }
 
 impl Operator {
     /// One that knows these.
-    pub fn new(keepers: Vec<SocketAddrV4>, recorder: Arc<Recorder>) -> Self {
-        Self { keepers, recorder }
+    pub fn new(control_nodes: Vec<SocketAddrV4>, recorder: Arc<Recorder>) -> Self {
+        Self { control_nodes, recorder }
     }
 
     async fn call(
         &self,
-        keeper: SocketAddrV4,
+        control_node: SocketAddrV4,
         method: Method,
         on: Option<u64>,
         body: Bytes,
     ) -> Option<(u16, Bytes)> {
         let head = || {
-            let head = request(method.clone(), "/sedgewood/config", keeper.into());
+            let head = request(method.clone(), "/sedgewood/config", control_node.into());
             match on {
                 Some(on) => head.header(IF_MATCH, on).header(CONTENT_TYPE, "application/json"),
                 None => head,
@@ -73,7 +73,9 @@
         };
         let exchange = async {
             let (_kept, response) =
-                Connection::exchange(None, keeper.into(), CALL_TIMEOUT, head, body.clone()).await.ok()?;
+                Connection::exchange(None, control_node.into(), CALL_TIMEOUT, head, body.clone())
+                    .await
+                    .ok()?;
             let status = response.status().as_u16();
             Some((status, response.into_body().collect().await.ok()?.to_bytes()))
         };
@@ -82,14 +84,15 @@
 
     /// Sends a configuration on top of version `on` to one keeper after another, until it is acknowledged or `patience`
     /// is over; whether it was.
-    pub async fn put(&self, version: u64, on: u64, body: Bytes, patience: Duration) -> bool {
+    pub async fn put(&self, version: u64, on: u64, body: Bytes, max_wait: Duration) -> bool {
         self.recorder.lock().configurations.sent.push((version, body.clone()));
-        let until = Instant::now() + patience;
-        for keeper in self.keepers.iter().cycle() {
-            match self.call(*keeper, Method::PUT, Some(on), body.clone()).await {
+        let until = Instant::now() + max_wait;
+        for control_node in self.control_nodes.iter().cycle() {
+            match self.call(*control_node, Method::PUT, Some(on), body.clone()).await {
                 Some((200, _)) => {
                     self.recorder.lock().configurations.acknowledged.push(version);
-                    self.recorder.event(format!("configuration {version} acknowledged by {}", keeper.ip()));
+                    self.recorder
+                        .event(format!("configuration {version} acknowledged by {}", control_node.ip()));
                     return true;
                 }
                 Some((status @ (400 | 409 | 412 | 413 | 422), text)) => {
@@ -102,23 +105,23 @@
             if Instant::now() >= until {
                 break;
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_INTERVAL).await;
         }
         false
     }
 
     /// Reads the configuration back, from one keeper after another until one gives it.
-    pub async fn read(&self, patience: Duration) {
-        let until = Instant::now() + patience;
-        for keeper in self.keepers.iter().cycle() {
-            if let Some((200, body)) = self.call(*keeper, Method::GET, None, Bytes::new()).await {
+    pub async fn read(&self, max_wait: Duration) {
+        let until = Instant::now() + max_wait;
+        for control_node in self.control_nodes.iter().cycle() {
+            if let Some((200, body)) = self.call(*control_node, Method::GET, None, Bytes::new()).await {
                 self.recorder.lock().configurations.read = Some(body);
                 return;
             }
             if Instant::now() >= until {
                 return;
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_INTERVAL).await;
         }
     }
 }
--- a/testbed/src/serving_tier/run.rs
+++ b/testbed/src/serving_tier/run.rs
@@ -1,5 +1,5 @@
 //! One play of the tier: all machines and stand-ins on loopback, the troubles in their time, and the verdict.
-use super::checker::{Verdict, judge};
+use super::checker::{Verdict, check_history};
 use super::clients::{Clients, Front};
 use super::endpoints::{self, Endpoint, Platform};
 use super::history::{History, Kind, Recorder};
@@ -20,19 +20,19 @@
 /// The tier is ready within this, or it does not start.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Between two programs that start.
-const PROGRAMS: Duration = Duration::from_millis(120);
+const PROGRAM_START_INTERVAL: Duration = Duration::from_millis(120);
 /// One program in so many loops until its budget is spent.
-const LOOPS: usize = 12;
+const LOOPING_PROGRAM_STRIDE: usize = 12;
 /// How long a program has.
-const FINISH: Duration = Duration::from_secs(20);
+const PROGRAM_TIMEOUT: Duration = Duration::from_secs(20);
 /// The last program starts so long before the end.
-const TAIL: f64 = 0.15;
+const QUIET_TAIL_SHARE: f64 = 0.15;
 /// From an acknowledgement until a configuration must be in force.
-const APPLY: Duration = Duration::from_secs(2);
+const CONFIGURATION_APPLY_DELAY: Duration = Duration::from_secs(2);
 /// How long the operator tries.
-const OPERATOR: Duration = Duration::from_secs(5);
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long the platform refuses to tell the list.
-const LIMITED: Duration = Duration::from_secs(1);
+const LIST_LIMITED_TIME: Duration = Duration::from_secs(1);
 /// How long a killed storage machine is away.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 
@@ -46,14 +46,14 @@
     /// From SIGTERM to SIGKILL, in seconds.
     pub grace_s: f64,
     /// Whether it is told how it goes.
-    pub tell: bool,
+    pub verbose: bool,
     /// The earlier build whose programs are on half of the machines.
     pub older: Option<Older>,
 }
 
 /// What came of a play.
 #[derive(Debug)]
-pub struct Played {
+pub struct RunResult {
     /// What endpoints ran and clients saw.
     pub history: History,
     /// What that comes to.
@@ -63,7 +63,7 @@
     /// Processes that did not end within their time after SIGTERM, with the same.
     pub late_ends: Vec<String>,
     /// Calls that endpoints refused as full, and as meant for another incarnation.
-    pub turned_away: (u64, u64),
+    pub rejected_calls: (u64, u64),
     /// Calls for the list that were answered, and that were over the rate.
     pub list_calls: (u64, u64),
     /// Numbers of all processes that were started.
@@ -72,7 +72,7 @@
     pub cut_short: bool,
 }
 
-impl Played {
+impl RunResult {
     /// Whether the rules were kept, enough programs finished, and no process failed, in a whole play.
     pub fn is_good(&self) -> bool {
         self.verdict.is_good() && self.crashes.is_empty() && self.late_ends.is_empty() && !self.cut_short
@@ -107,8 +107,8 @@
         let mut machines = Vec::new();
         for (role, count) in roles {
             for number in 0..count {
-                let place = (role, number);
-                let machine = Machine::new(programs, folder.path(), addresses, place, platform, grace_s)?;
+                let position = (role, number);
+                let machine = Machine::new(programs, folder.path(), addresses, position, platform, grace_s)?;
                 machines.push((role, Mutex::new(machine)));
             }
         }
@@ -122,8 +122,8 @@
     }
 
     fn machine(&self, role: Role, number: usize) -> &Mutex<Machine> {
-        let mut of = self.machines.iter().filter(|(other, _)| *other == role);
-        &of.nth(number).expect("a machine of the play").1
+        let mut machines_of_role = self.machines.iter().filter(|(other, _)| *other == role);
+        &machines_of_role.nth(number).expect("a machine of the play").1
     }
 
     async fn start(&self, machine: &mut Machine) -> Result<(), FleetError> {
@@ -177,8 +177,12 @@
 }
 
 /// Plays once with the programs of a folder; `stop`, once over 0, ends it early.
-pub async fn play(plan: Plan, programs: &Path, mut stop: watch::Receiver<u32>) -> Result<Played, FleetError> {
-    let recorder = Arc::new(Recorder::new(plan.tell));
+pub async fn run_tier(
+    plan: Plan,
+    programs: &Path,
+    mut stop: watch::Receiver<u32>,
+) -> Result<RunResult, FleetError> {
+    let recorder = Arc::new(Recorder::new(plan.verbose));
     let mut parties = JoinSet::new();
     let mut endpoints = Vec::new();
     let services =
@@ -200,17 +204,17 @@
     addresses.carry(&mut parties).await?;
     let programs = Programs { present: programs, older: plan.older.as_ref() };
     let tier = Tier::new(programs, &addresses, list, plan.grace_s)?;
-    let keepers = (0..addresses.core.len()).map(|number| addresses.control(number)).collect();
+    let control_nodes = (0..addresses.core.len()).map(|number| addresses.control(number)).collect();
     let senders =
         (0..addresses.edge.len()).map(|number| (addresses.front(number), addresses.readiness(number)));
     let front = Arc::new(Front::new(senders.collect()));
-    parties.spawn(front.clone().keep_asking());
+    parties.spawn(front.clone().poll_readiness());
     let clients = Arc::new(Clients::new(front.clone(), recorder.clone(), plan.seed));
-    let operator = Operator::new(keepers, recorder.clone());
+    let operator = Operator::new(control_nodes, recorder.clone());
     let stage = Stage { tier, recorder, operator, front, clients, platform, endpoints, plan };
 
     let cut_short = tokio::select! {
-        done = stage.whole() => {
+        done = stage.run() => {
             if let Err(e) = done {
                 stage.tier.end().await;
                 return Err(e);
@@ -225,19 +229,19 @@
     let history = stage.recorder.lock().clone();
     let (mut full, mut misdirected) = (0, 0);
     for endpoint in &stage.endpoints {
-        let (one, other) = endpoint.turned_away();
+        let (one, other) = endpoint.rejected_calls();
         (full, misdirected) = (full + one, misdirected + other);
     }
     let [answered, limited] = &stage.platform.calls;
     let crashes = std::mem::take(&mut *stage.tier.crashes.lock().await);
     let late_ends = std::mem::take(&mut *stage.tier.late_ends.lock().await);
     let pids = std::mem::take(&mut *stage.tier.pids.lock().await);
-    Ok(Played {
-        verdict: judge(&history),
+    Ok(RunResult {
+        verdict: check_history(&history),
         history,
         crashes,
         late_ends,
-        turned_away: (full, misdirected),
+        rejected_calls: (full, misdirected),
         list_calls: (answered.load(Ordering::Relaxed), limited.load(Ordering::Relaxed)),
         pids,
         cut_short,
@@ -245,26 +249,30 @@
 }
 
 impl Stage {
-    async fn whole(&self) -> Result<(), FleetError> {
-        self.raise().await?;
+    async fn run(&self) -> Result<(), FleetError> {
+        self.start_up().await?;
         let began = Instant::now();
         let at = |share: f64| began + Duration::from_secs_f64(self.plan.seconds * share);
         let traffic = async {
             let mut programs = JoinSet::new();
             let mut number = 1;
-            while Instant::now() < at(1.0 - TAIL) {
-                programs.spawn(self.clients.clone().run(number, number % LOOPS == 2, FINISH));
+            while Instant::now() < at(1.0 - QUIET_TAIL_SHARE) {
+                programs.spawn(self.clients.clone().run(
+                    number,
+                    number % LOOPING_PROGRAM_STRIDE == 2,
+                    PROGRAM_TIMEOUT,
+                ));
                 number += 1;
-                sleep(PROGRAMS).await;
+                sleep(PROGRAM_START_INTERVAL).await;
             }
             while programs.join_next().await.is_some() {}
         };
-        let troubles = async {
+        let faults = async {
             tokio::try_join!(
                 async {
                     sleep_until(at(0.2)).await;
-                    if self.operator.put(9, 4, configuration(9, true), OPERATOR).await {
-                        sleep(APPLY).await;
+                    if self.operator.put(9, 4, configuration(9, true), OPERATOR_TIMEOUT).await {
+                        sleep(CONFIGURATION_APPLY_DELAY).await;
                         self.clients.lookups.store(true, Ordering::Relaxed);
                     }
                     Ok::<_, FleetError>(())
@@ -274,23 +282,23 @@
                 async {
                     sleep_until(at(0.6)).await;
                     self.recorder.event("an endpoint begins anew at its address");
-                    self.endpoints[0].begin_anew().await;
+                    self.endpoints[0].restart_as_new_incarnation().await;
                     self.recorder.event("the platform tells no list for a while");
                     self.platform.limited.store(true, Ordering::Relaxed);
-                    sleep(LIMITED).await;
+                    sleep(LIST_LIMITED_TIME).await;
                     self.platform.limited.store(false, Ordering::Relaxed);
                     Ok(())
                 },
             )
         };
-        let ((), troubles) = tokio::join!(traffic, troubles);
-        troubles?;
-        self.operator.read(OPERATOR).await;
+        let ((), faults) = tokio::join!(traffic, faults);
+        faults?;
+        self.operator.read(OPERATOR_TIMEOUT).await;
         Ok(())
     }
 
     /// Starts the tier, gives it a configuration, and waits until a first program has gone through.
-    async fn raise(&self) -> Result<(), FleetError> {
+    async fn start_up(&self) -> Result<(), FleetError> {
         self.tier.start_all().await?;
         let ready = async {
             while !self.operator.put(4, 0, configuration(4, false), START_TIMEOUT).await {}
--- a/testbed/tests/serving_tier.rs
+++ b/testbed/tests/serving_tier.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::Duration;
 use testbed::fleet::FleetError;
-use testbed::serving_tier::checker::{Rule, judge, output};
-use testbed::serving_tier::history::{End, History, Kind, Program, Run, Try, Way};
+use testbed::serving_tier::checker::{Rule, check_history, output};
+use testbed::serving_tier::history::{Attempt, AttemptRoute, End, History, Kind, Program, Run};
 use testbed::serving_tier::machines::{Older, Programs, built_programs};
-use testbed::serving_tier::run::{Plan, Played, play};
+use testbed::serving_tier::run::{Plan, RunResult, run_tier};
 use tokio::sync::watch;
 
 /// Two events.
@@ -25,21 +25,21 @@
     }
 }
 
-fn answered(attempt: &str, status: u16, body: &'static str, whole: bool) -> End {
+fn answered(attempt: &str, status: u16, body: &'static str, complete: bool) -> End {
     let seal = (status == 200).then(|| format!("seal-{attempt}"));
-    End::Answered { status, id: Some(attempt.into()), seal, body: body.into(), whole }
+    End::Answered { status, id: Some(attempt.into()), seal, body: body.into(), complete }
 }
 
-fn asked(attempt: &str, kind: Kind, previous: Option<&str>, end: End) -> Try {
+fn sent(attempt: &str, kind: Kind, previous: Option<&str>, end: End) -> Attempt {
     let previous = previous.map(str::to_owned);
-    let way = Way::default();
-    Try {
+    let route = AttemptRoute::default();
+    Attempt {
         program: 1,
         attempt: attempt.into(),
         kind,
         previous,
         input: format!("in-{attempt}\n").into(),
-        way,
+        route,
         end,
     }
 }
@@ -52,10 +52,10 @@
         run("two", &format!("in-one\n{OUTPUT}in-two\n"), STREAM),
         run("tool", "in-tool\n", "done"),
     ];
-    history.tries = vec![
-        asked("one", Kind::Turn, None, answered("one", 200, STREAM, true)),
-        asked("two", Kind::Turn, Some("one"), answered("two", 200, STREAM, true)),
-        asked("tool", Kind::NonIdempotent, None, answered("tool", 200, "done", true)),
+    history.attempts = vec![
+        sent("one", Kind::Turn, None, answered("one", 200, STREAM, true)),
+        sent("two", Kind::Turn, Some("one"), answered("two", 200, STREAM, true)),
+        sent("tool", Kind::NonIdempotent, None, answered("tool", 200, "done", true)),
     ];
     history.programs = vec![Program { number: 1, budget: 8, most: 4, end: Ok(()) }];
     history.configurations.sent = vec![(4, "four".into()), (9, "nine".into())];
@@ -68,13 +68,13 @@
 fn broken(change: impl FnOnce(&mut History)) -> Vec<Rule> {
     let mut changed = history();
     change(&mut changed);
-    judge(&changed).breaches.into_keys().collect()
+    check_history(&changed).breaches.into_keys().collect()
 }
 
 #[test]
 fn a_history_in_which_all_is_well_breaks_nothing() {
     assert_eq!(broken(|_| {}), []);
-    assert!(judge(&history()).is_good());
+    assert!(check_history(&history()).is_good());
 }
 
 #[test]
@@ -94,7 +94,7 @@
         assert_eq!(broken(twice), [Rule::Twice], "{attempt}");
         let idempotent = |history: &mut History| {
             twice(history);
-            history.tries.iter_mut().for_each(|t| t.kind = Kind::Idempotent);
+            history.attempts.iter_mut().for_each(|t| t.kind = Kind::Idempotent);
         };
         assert_eq!(broken(idempotent), [], "{attempt}");
     }
@@ -104,16 +104,16 @@
 fn a_promise_that_was_broken_is_caught() {
     for status in [402, 408, 421, 429, 503] {
         assert_eq!(
-            broken(|h| h.tries[2].end = answered("tool", status, "", true)),
+            broken(|h| h.attempts[2].end = answered("tool", status, "", true)),
             [Rule::Refused],
             "{status}"
         );
     }
-    assert_eq!(broken(|h| h.tries[2].end = End::Unsent), [Rule::Refused]);
+    assert_eq!(broken(|h| h.attempts[2].end = End::Unsent), [Rule::Refused]);
     for status in [502, 504] {
-        assert_eq!(broken(|h| h.tries[2].end = answered("tool", status, "", true)), [], "{status}");
+        assert_eq!(broken(|h| h.attempts[2].end = answered("tool", status, "", true)), [], "{status}");
     }
-    assert_eq!(broken(|h| h.tries[2].end = End::Broken), []);
+    assert_eq!(broken(|h| h.attempts[2].end = End::Broken), []);
 }
 
 #[test]
@@ -138,42 +138,42 @@
 
 #[test]
 fn a_run_on_a_turn_that_broke_off_is_caught() {
-    let cut = |h: &mut History| h.tries[0].end = answered("one", 200, "id: 1\ndata: a b\n\n", false);
+    let cut = |h: &mut History| h.attempts[0].end = answered("one", 200, "id: 1\ndata: a b\n\n", false);
     assert_eq!(broken(cut), [Rule::Unasked]);
 }
 
 #[test]
 fn an_answer_of_another_request_is_caught() {
-    assert_eq!(broken(|h| h.tries[2].end = answered("one", 200, STREAM, true)), [Rule::Mixed]);
-    assert_eq!(broken(|h| h.tries[2].end = answered("tool", 200, "other", true)), [Rule::Mixed]);
-    assert_eq!(broken(|h| h.tries[2].end = answered("tool", 200, "done and more", true)), [Rule::Mixed]);
+    assert_eq!(broken(|h| h.attempts[2].end = answered("one", 200, STREAM, true)), [Rule::Mixed]);
+    assert_eq!(broken(|h| h.attempts[2].end = answered("tool", 200, "other", true)), [Rule::Mixed]);
+    assert_eq!(broken(|h| h.attempts[2].end = answered("tool", 200, "done and more", true)), [Rule::Mixed]);
     let unsealed = |h: &mut History| {
-        let End::Answered { seal, .. } = &mut h.tries[2].end else { unreachable!() };
+        let End::Answered { seal, .. } = &mut h.attempts[2].end else { unreachable!() };
         *seal = None;
     };
     assert_eq!(broken(unsealed), [Rule::Mixed]);
-    let of_another = |h: &mut History| h.tries[2].end = answered("one", 502, "", true);
+    let of_another = |h: &mut History| h.attempts[2].end = answered("one", 502, "", true);
     assert_eq!(broken(of_another), [Rule::Mixed]);
 }
 
 #[test]
 fn a_stream_that_ends_early_as_if_whole_or_never_is_caught() {
     let short = "id: 1\ndata: a b\n\n";
-    assert_eq!(broken(|h| h.tries[1].end = answered("two", 200, short, true)), [Rule::Ended]);
-    assert_eq!(broken(|h| h.tries[1].end = answered("two", 200, short, false)), []);
-    assert_eq!(broken(|h| h.tries[1].end = End::Silent), [Rule::Ended]);
+    assert_eq!(broken(|h| h.attempts[1].end = answered("two", 200, short, true)), [Rule::Ended]);
+    assert_eq!(broken(|h| h.attempts[1].end = answered("two", 200, short, false)), []);
+    assert_eq!(broken(|h| h.attempts[1].end = End::Silent), [Rule::Ended]);
 }
 
 #[test]
 fn a_turn_that_ended_and_is_not_there_is_caught() {
     let lost = |h: &mut History| {
         h.runs.remove(1);
-        h.tries[1].end = answered("two", 404, "", true);
+        h.attempts[1].end = answered("two", 404, "", true);
     };
     assert_eq!(broken(lost), [Rule::Lost]);
     let unknown = |h: &mut History| {
         lost(h);
-        h.tries[1].previous = Some("never".into());
+        h.attempts[1].previous = Some("never".into());
     };
     assert_eq!(broken(unknown), []);
 }
@@ -185,7 +185,7 @@
     assert_eq!(broken(|h| (h.programs[0].budget, h.programs[0].most) = (3, 4)), [Rule::Budget]);
     let cut = |h: &mut History| {
         (h.programs[0].budget, h.programs[0].most) = (1, 4);
-        h.tries[1].end = answered("two", 200, "id: 1\ndata: a b\n\nid: 2\nda", false);
+        h.attempts[1].end = answered("two", 200, "id: 1\ndata: a b\n\nid: 2\nda", false);
     };
     assert_eq!(broken(cut), [Rule::Budget], "what came before a break counts");
 }
@@ -205,7 +205,7 @@
         let end = |number| if number < finished { Ok(()) } else { Err("late".to_owned()) };
         let program = |number| Program { number: number + 10, budget: 8, most: 4, end: end(number) };
         history.programs = (0..started).map(program).collect();
-        judge(&history).is_good()
+        check_history(&history).is_good()
     };
     assert!(verdict(90, 100));
     assert!(!verdict(89, 100));
@@ -230,50 +230,50 @@
 }
 
 /// Processes of the tier that still run.
-fn left(played: &Played, programs: &Path) -> usize {
+fn running_processes(result: &RunResult, programs: &Path) -> usize {
     let runs = |pid: &&u32| {
         std::fs::read_link(format!("/proc/{pid}/exe")).is_ok_and(|program| program.starts_with(programs))
     };
-    played.pids.iter().filter(runs).count()
+    result.pids.iter().filter(runs).count()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_tier_that_loses_a_disk_and_restarts_a_proxy_keeps_its_rules() {
     let programs = built_programs().unwrap();
     let (_stop, stopped) = watch::channel(0);
-    let plan = Plan { seconds: 6.0, seed: 3, grace_s: 4.0, tell: false, older: None };
-    let played = play(plan, &programs, stopped).await.unwrap();
-    assert!(played.verdict.breaches.is_empty(), "{:?}", played.verdict.breaches);
-    assert!(played.crashes.is_empty() && !played.cut_short, "{:?}", played.crashes);
-    assert_eq!(played.history.configurations.acknowledged.first(), Some(&4));
-    assert!(played.verdict.finished > 0 && played.history.programs.len() == played.verdict.started);
-    let chained = played.history.tries.iter().filter(|t| t.previous.is_some()).count();
-    assert!(chained > 0 && played.history.runs.len() > chained, "{chained}");
-    let told = |what: &str| played.history.events.iter().any(|(_, event)| event.contains(what));
-    assert!(told("storage-node-1 starts on an empty disk") && told("request-proxy-0 starts again"));
-    assert_eq!(played.pids.len(), 12, "ten processes, of which two were started again");
-    assert_eq!(left(&played, &programs), 0);
+    let plan = Plan { seconds: 6.0, seed: 3, grace_s: 4.0, verbose: false, older: None };
+    let result = run_tier(plan, &programs, stopped).await.unwrap();
+    assert!(result.verdict.breaches.is_empty(), "{:?}", result.verdict.breaches);
+    assert!(result.crashes.is_empty() && !result.cut_short, "{:?}", result.crashes);
+    assert_eq!(result.history.configurations.acknowledged.first(), Some(&4));
+    assert!(result.verdict.finished > 0 && result.history.programs.len() == result.verdict.started);
+    let chained = result.history.attempts.iter().filter(|t| t.previous.is_some()).count();
+    assert!(chained > 0 && result.history.runs.len() > chained, "{chained}");
+    let reported = |what: &str| result.history.events.iter().any(|(_, event)| event.contains(what));
+    assert!(reported("storage-node-1 starts on an empty disk") && reported("request-proxy-0 starts again"));
+    assert_eq!(result.pids.len(), 12, "ten processes, of which two were started again");
+    assert_eq!(running_processes(&result, &programs), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_play_that_is_stopped_leaves_no_process() {
     let programs = built_programs().unwrap();
     let (stop, stopped) = watch::channel(0);
-    let plan = Plan { seconds: 600.0, seed: 4, grace_s: 4.0, tell: false, older: None };
+    let plan = Plan { seconds: 600.0, seed: 4, grace_s: 4.0, verbose: false, older: None };
     let stopping = async {
         tokio::time::sleep(Duration::from_secs(2)).await;
         stop.send_replace(1);
     };
-    let (played, ()) = tokio::join!(play(plan, &programs, stopped), stopping);
-    let played = played.unwrap();
-    assert!(played.cut_short && !played.is_good());
-    assert_eq!((played.pids.len(), left(&played, &programs)), (10, 0));
+    let (result, ()) = tokio::join!(run_tier(plan, &programs, stopped), stopping);
+    let result = result.unwrap();
+    assert!(result.cut_short && !result.is_good());
+    assert_eq!((result.pids.len(), running_processes(&result, &programs)), (10, 0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_folder_without_the_programs_is_an_error() {
     let (_stop, stopped) = watch::channel(0);
-    let plan = Plan { seconds: 6.0, seed: 5, grace_s: 4.0, tell: false, older: None };
-    let error = play(plan, Path::new("/nowhere"), stopped).await.unwrap_err();
+    let plan = Plan { seconds: 6.0, seed: 5, grace_s: 4.0, verbose: false, older: None };
+    let error = run_tier(plan, Path::new("/nowhere"), stopped).await.unwrap_err();
     assert!(matches!(error, FleetError::Io { .. }), "{error}");
 }
