--- a/testbed/src/baseline.rs
+++ b/testbed/src/baseline.rs
@@ -1,5 +1,5 @@
 //! Plain senders to compare with: each holds messages in memory, picks endpoints in turn, and repeats by one simple rule.
-//! They keep what a message's class permits and the list's drains, and nothing else: no paces, no told waits, no journal.
+//! They keep what a message's class permits and the list's drains, and nothing else: no paces, no advised waits, no journal.
 use crate::endpoints::plain;
 use crate::scenario::Baseline;
 use bytes::Bytes;
--- a/testbed/src/built.rs
+++ b/testbed/src/built.rs
@@ -1,11 +1,11 @@
-//! Programs of this project, built by cargo in the profile of the lab itself before a run uses them.
+//! Programs of this project, built by cargo in the profile of the test bed itself before a run uses them.
 
 use crate::fleet::{FleetError, io};
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Builds what `target` names if it is not up to date, and returns the folder that holds `programs`. Where the lab runs
+/// Builds what `target` names if it is not up to date, and returns the folder that holds `programs`. Where the test bed runs
 /// without the project's sources, the programs have to lie beside it.
 pub(crate) fn build_folder(
     target: &[&str],
@@ -23,7 +23,7 @@
     }
 }
 
-/// Where cargo puts programs of the lab's own profile.
+/// Where cargo puts programs of the test bed's own profile.
 fn folder_of_lab() -> Result<PathBuf, FleetError> {
     let lab = std::env::current_exe().map_err(io("finding this program"))?;
     let folder = lab.parent().unwrap_or(Path::new("."));
--- a/testbed/src/checker.rs
+++ b/testbed/src/checker.rs
@@ -1,4 +1,4 @@
-//! Who keeps the rules and what was served: it is told each thing that happens at clients, partners and the directory,
+//! Who keeps the rules and what was served: it receives each event at clients, partners and the directory,
 //! apart from all of them, and never asks a sender.
 use crate::plan::{Micros, Plan, micros};
 use crate::scenario::Scenario;
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// A message taken on has one end, in its time.
+    /// An accepted message has one end, in its time.
     Lost,
     /// What must not take effect twice does not.
     Doubled,
@@ -26,9 +26,9 @@
     Resent,
     /// Attempts at a message do not overlap.
     Overlap,
-    /// Nothing new goes to what drains or is gone.
+    /// Nothing new goes to what drains or has departed.
     Drain,
-    /// A told wait is kept.
+    /// An advised wait is respected.
     Wait,
     /// A returning partner is not pushed over by those who saw it fail.
     Fall,
@@ -41,7 +41,7 @@
 pub struct Breach {
     /// Which.
     pub rule: Rule,
-    /// When, in seconds of the play.
+    /// When, in seconds of the run.
     pub at_s: f64,
     /// What was seen.
     pub what: String,
@@ -54,13 +54,13 @@
     Delivered,
     /// An error.
     Error,
-    /// Turned away, with the end of the wait that was told.
+    /// Rejected, with the end of the advised wait.
     Refused(Option<Micros>),
     /// The sender closed the connection, or it broke.
     Cut,
 }
 
-/// How a message that was taken on ended.
+/// How a message that was accepted ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum End {
     Delivered,
@@ -92,7 +92,7 @@
     at: Micros,
     class: usize,
     delivered: Option<Micros>,
-    /// Under which it was handed in.
+    /// The ids under which it was submitted.
     ids: Vec<String>,
     /// When it took effect, and under which id.
     runs: Vec<(Micros, String)>,
@@ -103,19 +103,19 @@
 
 /// Length of the spans for the time lines and the worst stretch.
 pub const SPAN: Micros = 1_000_000;
-/// The rule on the worst stretch looks at so many spans.
+/// The rule on the worst stretch looks at this many spans.
 const WORST_SPANS: usize = 10;
 /// Time limits on sockets are so much longer.
 const SOCKET_SLACK: Micros = 50_000;
-/// Calls that come so soon after a told wait was written are let through.
+/// Calls that come so soon after an advised wait was written are let through.
 const WAIT_SLACK: Micros = 100_000;
 /// No notice is overdue until so long after its sender is ready again.
 const RESTART_SLACK: Micros = 1_500_000;
-/// Messages of one rule that are told in full.
+/// Messages of one rule that are reported in full.
 const MAX_REPORTED_BREACHES: usize = 5;
 /// A fall breaks the rule if so much of the load came from senders that had seen it fail.
 const WITNESS_SHARE: f64 = 2.0 / 3.0;
-/// Latencies are kept up to this, in microseconds, to two digits.
+/// Latencies are recorded up to this, in microseconds, to two digits.
 const MAX_LATENCY_US: u64 = 120_000_000;
 
 /// What happened in one span, over the whole fleet.
@@ -142,9 +142,9 @@
     scenario: Scenario,
     submissions: HashMap<String, Submission>,
     wanted: Vec<Wanted>,
-    /// Ends of the waits that a sender was told by a partner, and when it was told.
+    /// Ends of the waits that a partner advised a sender of, and when it did.
     waits: HashMap<(usize, usize), (Micros, Micros)>,
-    /// When a sender was told that an endpoint drains or is gone.
+    /// When a sender was notified that an endpoint drains or has departed.
     drained: HashMap<(usize, usize, usize), Micros>,
     /// Spans in which a sender was down, until it was ready again.
     down: Vec<(usize, Micros, Micros)>,
@@ -157,18 +157,18 @@
     events: Vec<(f64, String)>,
 }
 
-/// Plain counts of a play.
+/// Plain counts of a run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
     /// Messages that clients wanted sent.
     pub wanted: u64,
-    /// Handings in, repeats among them.
+    /// Submissions, repeats among them.
     #[serde(rename = "handed_in")]
     pub submitted: u64,
-    /// Of those, taken on.
+    /// Of those, accepted.
     #[serde(rename = "taken_on")]
     pub accepted: u64,
-    /// Refused at the door.
+    /// Rejected on submission.
     #[serde(rename = "turned_away")]
     pub rejected: u64,
     /// Without an answer in time.
@@ -185,9 +185,9 @@
     pub unknown: u64,
     /// Messages that took effect twice though they must not.
     pub doubled: u64,
-    /// The same, where a client handed its message in again under another id, as it may.
+    /// The same, where a client submitted its message again under another id, as it may.
     pub doubled_by_clients: u64,
-    /// Messages taken on that had no end in time.
+    /// Messages accepted that had no end in time.
     pub lost: u64,
     /// Calls begun.
     pub calls: u64,
@@ -215,7 +215,7 @@
         /// The message that the client first wanted sent.
         first: usize,
     },
-    /// No client handed this in here.
+    /// No client submitted this here.
     Unknown,
     /// The message is over.
     Over,
@@ -226,7 +226,7 @@
 }
 
 impl RuleChecker {
-    /// A judge of one play.
+    /// A checker of one run.
     pub fn new(scenario: &Scenario, plan: &Plan) -> Self {
         let histogram = || {
             Histogram::new_with_bounds(1000, MAX_LATENCY_US, 2)
--- a/testbed/src/checker/fleet_events.rs
+++ b/testbed/src/checker/fleet_events.rs
@@ -4,7 +4,7 @@
 use crate::plan::Micros;
 
 impl RuleChecker {
-    /// A sender was told that an endpoint drains or is gone, or that it serves again.
+    /// A sender was notified that an endpoint drains or has departed, or that it serves again.
     pub fn endpoint_reported(
         &mut self,
         now: Micros,
@@ -41,7 +41,7 @@
         self.span(now).connections += 1;
     }
 
-    /// A stranger has gone; whether it had an error or a close in time.
+    /// A stranger has disconnected; whether it had an error or a close in time.
     pub fn stranger(&mut self, served: bool) {
         self.counts.strangers += 1;
         self.counts.strangers_left += u64::from(!served);
--- a/testbed/src/checker/submissions.rs
+++ b/testbed/src/checker/submissions.rs
@@ -21,7 +21,7 @@
         self.wanted.len() - 1
     }
 
-    /// A client hands a message in, whose time is up at `due`.
+    /// A client submits a message, whose time is up at `due`.
     pub fn submitted(&mut self, id: &str, first: usize, sender: usize, partner: usize, due: Micros) {
         self.counts.submitted += 1;
         let class = self.wanted[first].class;
@@ -41,7 +41,7 @@
         self.wanted[first].ids.push(id.to_owned());
     }
 
-    /// The client had its answer: whether the message was taken on.
+    /// The client had its answer: whether the message was accepted.
     pub fn answered(&mut self, now: Micros, id: &str, accepted: bool) {
         let Some(submission) = self.submissions.get_mut(id) else { return };
         submission.accepted = accepted;
--- a/testbed/src/checker/tests.rs
+++ b/testbed/src/checker/tests.rs
@@ -5,7 +5,7 @@
 const SAFE: usize = 1;
 const UNSAFE: usize = 2;
 
-/// A judge that knows one message of the class, taken on by sender 0 for partner 3, with 20 s to go.
+/// A checker that knows one message of the class, accepted by sender 0 for partner 3, with 20 s to go.
 fn checker(class: usize) -> RuleChecker {
     let scenario = Scenario::parse("name = \"t\"\nseconds = 30.0").unwrap();
     let mut checker = RuleChecker::new(&scenario, &Plan::draw(&scenario, 1));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_message_delivered_in_time_breaks_nothing_and_earns_its_worth() {
+fn a_message_delivered_in_time_breaks_no_rule_and_earns_its_value() {
     let mut j = checker(UNSAFE);
     call(&mut j, SECOND, AttemptEnd::Refused(None));
     call(&mut j, 2 * SECOND, AttemptEnd::Delivered);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn worth_halves_with_each_further_aim() {
+fn value_halves_with_each_further_latency_target() {
     let mut j = checker(KEYED);
     call(&mut j, 8 * SECOND - 1000, AttemptEnd::Delivered);
     assert!((j.verdict(25 * SECOND).value.overall - 0.5).abs() < 1e-6);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_told_wait_holds_for_the_whole_partner() {
+fn an_advised_wait_holds_for_all_endpoints_of_the_partner() {
     for (at, rules) in [(SECOND + 50_000, vec![]), (3 * SECOND, vec![Rule::Wait]), (6 * SECOND, vec![])] {
         let mut j = checker(SAFE);
         let other = j.wants(0, UNSAFE);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn over_spent_and_without_a_slot_are_told_apart() {
+fn finished_messages_exhausted_attempts_and_missing_slots_are_distinguished() {
     let mut j = checker(SAFE);
     (0..8).for_each(|i| call(&mut j, SECOND + i * 10_000, AttemptEnd::Refused(None)));
     assert_eq!(j.begins(2 * SECOND, "m", 3, 0), Admission::Spent);
--- a/testbed/src/checker/verdict.rs
+++ b/testbed/src/checker/verdict.rs
@@ -4,13 +4,13 @@
 use crate::plan::{Micros, micros};
 use serde::{Deserialize, Serialize};
 
-/// Percentiles of the time to delivery that are told.
+/// Percentiles of the time to delivery that are reported.
 pub const PERCENTILES: [f64; 4] = [50.0, 90.0, 99.0, 99.9];
 
 /// Service, as the operators count it, from 0 to 1.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ServiceValue {
-    /// Worth served over worth asked for, over the whole play.
+    /// Value served over value requested, over the complete run.
     #[serde(rename = "whole")]
     pub overall: f64,
     /// The same over the worst ten seconds.
@@ -19,7 +19,7 @@
     pub by_class: Vec<f64>,
     /// For connections, wasted work, calls refused and strangers left unanswered.
     pub price: f64,
-    /// Half the whole, three tenths the worst stretch, a fifth the worst class, less the price.
+    /// Half the overall value, three tenths the worst stretch, a fifth the worst class, less the price.
     pub result: f64,
 }
 
@@ -36,7 +36,7 @@
     pub points: Vec<(f64, f64)>,
 }
 
-/// The result of a play.
+/// The result of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Verdict {
     /// Service.
@@ -48,7 +48,7 @@
     pub latencies: Vec<Latency>,
     /// Rules broken, how often, and the first of each.
     pub breaches: Vec<(Rule, usize, Vec<Breach>)>,
-    /// The play, second by second.
+    /// The run, second by second.
     pub spans: Vec<Span>,
     /// What happened, and when in seconds.
     pub events: Vec<(f64, String)>,
@@ -56,17 +56,17 @@
 
 impl RuleChecker {
     /// So far: messages wanted, delivered, and words of refusal or failure.
-    pub fn so_far(&self) -> [u32; 3] {
+    pub fn progress_counts(&self) -> [u32; 3] {
         let sum = |of: fn(&Span) -> u32| self.spans.iter().map(of).sum();
         [sum(|s| s.wanted), sum(|s| s.delivered), sum(|s| s.refused + s.failed)]
     }
 
-    /// Messages taken on that have no end yet.
+    /// Messages accepted that have no end yet.
     pub fn open(&self) -> usize {
         self.submissions.values().filter(|h| h.accepted && h.end.is_none()).count()
     }
 
-    /// Whether nothing can come any more: each message taken on has its end, or should have had it.
+    /// Whether nothing can come any more: each message accepted has its end, or should have had it.
     pub fn settled(&self, now: Micros) -> bool {
         let slack = self.end_slack();
         !self.submissions.values().any(|h| h.accepted && h.end.is_none() && now <= h.due + slack)
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -58,7 +58,7 @@
 pub struct FrontEntry {
     /// Where clients connect.
     pub address: SocketAddr,
-    /// Until when the front takes it for dead, and from when on: microseconds of the play; equal for never.
+    /// Until when the front considers it dead, and from when: microseconds of the run; equal for never.
     pub dead: (AtomicU64, AtomicU64),
 }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A sender has died: the front notices later, by chance.
+    /// A sender has died: the front notices later, at random.
     pub fn died(&self, sender: usize, random: f64) {
         let [min, max] = self.stage.scenario.clients.notice_s;
         let noticed = self.stage.now() + micros(min + (max - min) * random);
@@ -121,7 +121,7 @@
         self.senders[sender].dead.1.store(self.stage.now(), Ordering::Relaxed);
     }
 
-    /// Hands in all messages of the plan in their time, and waits until the last client has gone.
+    /// Submits all messages of the plan in their time, and waits until the last client has finished.
     pub async fn run(self: Arc<Self>) {
         let arrivals = self.stage.plan.arrivals.clone();
         let mut over = self.stage.over.subscribe();
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Sends strangers to the senders until the play is over.
+    /// Sends strangers to the senders until the run is over.
     pub async fn strangers(self: Arc<Self>) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ 0x57A6);
         let Ok(gap) = Exp::new(self.stage.scenario.clients.strangers) else { return };
@@ -223,7 +223,7 @@
         while visits.join_next().await.is_some() {}
     }
 
-    /// A sender by chance, of those that the front takes for alive.
+    /// A sender at random, of those that the front considers alive.
     fn pick(&self, now: Micros, random: f64) -> Option<usize> {
         let alive = |entry: &FrontEntry| {
             let (from, until) = (entry.dead.0.load(Ordering::Relaxed), entry.dead.1.load(Ordering::Relaxed));
--- a/testbed/src/commands/sender_membership.rs
+++ b/testbed/src/commands/sender_membership.rs
@@ -70,7 +70,7 @@
     Ok(failed.is_empty() && !results.is_empty())
 }
 
-/// How often a schedule is played on processes before it counts as one that breaks nothing.
+/// How often a schedule is run on processes before it counts as one that breaks nothing.
 const MAX_PROCESS_RUNS: usize = 2;
 
 pub(crate) async fn shrink(
--- a/testbed/src/commands/sender_runs.rs
+++ b/testbed/src/commands/sender_runs.rs
@@ -102,7 +102,7 @@
     let mut variants = variants(&scenario);
     variants.retain(|v| v.baseline.is_none() && v.binary.is_none());
     let mut results = Vec::new();
-    // The same seed gives the same play here: once is enough.
+    // The same seed gives the same run here: once is enough.
     for (seed, variant) in order(&scenario.seeds, 1, &variants) {
         let variant = &variants[variant];
         println!(
@@ -123,7 +123,7 @@
     finish(&scenario, out.as_deref(), results, &variants)
 }
 
-/// The comparison and the report of all plays; whether all were clean.
+/// The comparison and the report of all runs; whether all were clean.
 fn finish(
     scenario: &Scenario,
     out: Option<&Path>,
@@ -139,7 +139,7 @@
     Ok(results.iter().all(|p| p.clean() && !p.cut_short))
 }
 
-/// Tells what came of the promises on the fleet.
+/// Prints the outcome of the promises on the fleet.
 fn print_promises(promises: &Promises) {
     for broken in &promises.verdict.broken {
         println!("{broken}");
@@ -160,11 +160,11 @@
     if !brief {
         println!("\n{}", table(result));
     }
-    let word = if result.clean() { "all rules kept" } else { "NOT clean" };
-    println!("{word}, service {:.3}; {seconds:.0} s in all", result.verdict.value.result);
+    let conclusion = if result.clean() { "all rules kept" } else { "NOT clean" };
+    println!("{conclusion}, service {:.3}; {seconds:.0} s in all", result.verdict.value.result);
 }
 
-/// Keeps a play's figures as soon as it has ended: what follows may be cut short.
+/// Stores a run's figures as soon as it has ended: what follows may be cut short.
 fn write_run(out: Option<&Path>, number: usize, result: &RunResult) -> Result<(), TestbedError> {
     let Some(folder) = out else { return Ok(()) };
     let path = folder.join(format!("play-{number:03}.json"));
@@ -174,7 +174,7 @@
     std::fs::write(&path, text).map_err(error)
 }
 
-/// The plays that a folder holds, in their order.
+/// The runs that a folder holds, in their order.
 fn read_runs(folder: &Path) -> Result<Vec<RunResult>, TestbedError> {
     let error = |source| TestbedError::Out { path: folder.to_owned(), source };
     let mut paths = Vec::new();
--- a/testbed/src/commands/system_simulation.rs
+++ b/testbed/src/commands/system_simulation.rs
@@ -58,7 +58,7 @@
     Ok(played.broken.is_empty())
 }
 
-/// RunOptions a scenario's cases and prints what each comes to; the first that breaks a rule is written down.
+/// Runs a scenario's cases and prints what each comes to; the first that breaks a rule is written down.
 pub(crate) fn run_scenario(
     scenario: system::Scenario,
     mutation: Option<Mutation>,
@@ -66,7 +66,7 @@
     history: Option<&Path>,
     stops: impl Fn() -> bool,
 ) -> Result<bool, TestbedError> {
-    let mut kept = true;
+    let mut no_rule_broken = true;
     for case in scenario.cases() {
         if stops() {
             break;
@@ -79,15 +79,15 @@
         if broken {
             print_run(&ended.played);
         }
-        if broken && kept {
+        if broken && no_rule_broken {
             let text = serde_json::to_string_pretty(&ended.played.schedule);
             write(out, text.map_err(|source| TestbedError::NoSchedule { path: out.to_owned(), source })?)?;
             write_history(history, &ended.played)?;
         }
-        kept &= !broken;
+        no_rule_broken &= !broken;
     }
-    println!("{}", if kept { "no rule broken" } else { "a rule was broken" });
-    Ok(kept)
+    println!("{}", if no_rule_broken { "no rule broken" } else { "a rule was broken" });
+    Ok(no_rule_broken)
 }
 
 /// In how many of a scenario's cases each mutation that it is to catch is caught.
--- a/testbed/src/directory.rs
+++ b/testbed/src/directory.rs
@@ -1,5 +1,5 @@
 //! The stand-in directory: the list, watches on it, and the notices that end messages. Each sender has an address of
-//! its own, so that it is known what it was told.
+//! its own, so that it is known what it received.
 use crate::endpoints::{Cut, plain};
 use crate::environment::Stage;
 use crate::scenario::Rules;
@@ -23,7 +23,7 @@
 /// The first version of the list.
 const FIRST: u64 = 1;
 
-/// The list, with what it takes to tell changes.
+/// The list, with what it takes to report changes.
 pub struct Directory {
     entries: Mutex<Vec<Entry>>,
     revision: watch::Sender<u64>,
@@ -69,7 +69,7 @@
         self.down.send_replace(down);
     }
 
-    /// The whole list, or the changes since a version that is not ahead of it.
+    /// The complete list, or the changes since a version that is not ahead of it.
     pub fn list(&self, since: Option<u64>) -> Targets {
         let revision = *self.revision.borrow();
         let since = since.filter(|from| (FIRST..=revision).contains(from));
@@ -82,7 +82,7 @@
         Targets { revision, complete: since.is_none(), members }
     }
 
-    /// Tells the judge what a sender is told by that list.
+    /// Reports to the checker what a sender receives in that list.
     fn note(&self, stage: &Stage, sender: usize, targets: &Targets) {
         let now = stage.now();
         let entries = self.entries();
@@ -97,7 +97,7 @@
     }
 }
 
-/// Serves one sender until the play is over.
+/// Serves one sender until the run is over.
 pub async fn serve(stage: Arc<Stage>, directory: Arc<Directory>, sender: usize, listener: TcpListener) {
     let mut over = stage.over.subscribe();
     loop {
@@ -178,14 +178,14 @@
         let back = inner.checker.noticed(now, &line.id, line.state == NoticeState::Returned);
         let client = back.and_then(|first| inner.returns.remove(&first));
         if let Some(client) = client.filter(|_| line.state == NoticeState::Returned) {
-            // One whose client has gone has nobody to come again.
+            // One whose client has disconnected has nobody to come again.
             let _ = client.send(line.after_ms);
         }
     }
     plain(StatusCode::NO_CONTENT)
 }
 
-/// Figures of the rules as the settings tell them, in microseconds.
+/// Figures of the rules as the settings give them, in microseconds.
 pub fn invariants(rules: &Rules) -> serde_json::Value {
     serde_json::json!({
         "answer_slack": (rules.late_end_ms * 1000.0) as u64,
--- a/testbed/src/endpoints.rs
+++ b/testbed/src/endpoints.rs
@@ -29,7 +29,7 @@
 #[error("the connection breaks here")]
 pub struct Cut;
 
-/// Serves one endpoint until the play is over. While its partner is down nobody listens.
+/// Serves one endpoint until the run is over. While its partner is down nobody listens.
 pub async fn serve(stage: Arc<Stage>, partner: usize, endpoint: usize, listener: TcpListener) {
     let address = listener.local_addr();
     let mut open = stage.open[partner].subscribe();
@@ -63,7 +63,7 @@
     }
 }
 
-/// Listens again at an address that was given up; none where something else has taken it for good.
+/// Listens again at an address that was given up; none where something else has taken it permanently.
 async fn bind(address: SocketAddr) -> Option<TcpListener> {
     for _ in 0..50 {
         match TcpListener::bind(address).await {
@@ -82,13 +82,13 @@
 }
 
 /// Counts as open until it is dropped.
-struct Place {
+struct ConnectionGuard {
     stage: Arc<Stage>,
     partner: usize,
     endpoint: usize,
 }
 
-impl Drop for Place {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.stage.lock().partners[self.partner].disconnected(self.endpoint);
     }
@@ -102,7 +102,7 @@
         inner.checker.connected(now);
         inner.partners[partner].connected(endpoint)
     };
-    let _place = Place { stage: stage.clone(), partner, endpoint };
+    let _connection_guard = ConnectionGuard { stage: stage.clone(), partner, endpoint };
     let service = service_fn(move |request| {
         let stage = stage.clone();
         async move { call(stage, partner, endpoint, has_connection_capacity, request).await }
--- a/testbed/src/environment.rs
+++ b/testbed/src/environment.rs
@@ -1,4 +1,4 @@
-//! What all parties of a play share: the clock, the partners' models and the judge.
+//! What all parties of a run share: the clock, the partners' models and the checker.
 use crate::checker::RuleChecker;
 use crate::model::{Condition, Partner};
 use crate::plan::{Micros, Plan};
@@ -8,9 +8,9 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::{Duration, Instant};
 
-/// A play's shared state.
+/// A run's shared state.
 pub struct Stage {
-    /// What is played.
+    /// What is run.
     pub scenario: Scenario,
     /// What was drawn.
     pub plan: Plan,
@@ -18,26 +18,26 @@
     inner: Mutex<Inner>,
     /// By partner: whether its endpoints can be connected to.
     pub open: Vec<watch::Sender<bool>>,
-    /// Whether the play is over for all.
+    /// Whether the run is over for all.
     pub over: watch::Sender<bool>,
 }
 
 /// What is changed under the lock.
 pub struct Inner {
-    /// The judge.
+    /// The checker.
     pub checker: RuleChecker,
     /// The partners.
     pub partners: Vec<Partner>,
-    /// Work of each message, by the judge's number.
+    /// Work of each message, by the checker's number.
     pub works: Vec<Micros>,
     /// Clients that wait to hear that their message came back, and when they may come again.
     pub returns: HashMap<usize, oneshot::Sender<Option<u64>>>,
-    /// Faults of the lab's own.
+    /// Faults of the test bed's own.
     pub faults: Vec<String>,
 }
 
 impl Stage {
-    /// A stage for one play.
+    /// A stage for one run.
     pub fn new(scenario: Scenario, plan: Plan, seed: u64) -> Self {
         let partners = Partner::all(&plan, &scenario, seed);
         Self {
@@ -65,12 +65,12 @@
         *self.start.read().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Time since the start of the play.
+    /// Time since the start of the run.
     pub fn now(&self) -> Micros {
         Instant::now().saturating_duration_since(self.start()).as_micros() as Micros
     }
 
-    /// The instant of a time of the play.
+    /// The instant of a time of the run.
     pub fn instant(&self, at: Micros) -> Instant {
         self.start() + Duration::from_micros(at)
     }
@@ -80,7 +80,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A trouble begins or ends at a partner.
+    /// A fault begins or ends at a partner.
     pub fn apply_fault(&self, partner: usize, fault: &ScheduledFault, begins: bool) {
         let now = self.now();
         let mut inner = self.lock();
@@ -90,7 +90,7 @@
         self.open[partner].send_replace(open);
     }
 
-    /// Notes a fault of the lab's own: its play proves nothing.
+    /// Notes a fault of the test bed's own: its run proves nothing.
     pub fn record_testbed_fault(&self, what: String) {
         self.lock().faults.push(what);
     }
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -1,11 +1,11 @@
-//! Variants of one scenario, played in turn, and what can be said of their difference.
+//! Variants of one scenario, run in turn, and what can be said of their difference.
 use crate::run::RunResult;
 use crate::scenario::Variant;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::fmt::Write;
 
-/// A figure of a play by which variants are compared.
+/// A figure of a run by which variants are compared.
 pub struct Measure {
     /// What tables call it.
     pub name: &'static str,
@@ -33,7 +33,7 @@
     },
 ];
 
-/// Plays in their order: each seed so often, each time all variants, every second time in the other order, so that
+/// Runs in their order: each seed so often, each time all variants, every second time in the other order, so that
 /// what drifts with the machine meets all of them alike.
 pub fn order(seeds: &[u64], repeats: u32, variants: &[Variant]) -> Vec<(u64, usize)> {
     let mut runs = Vec::new();
@@ -62,7 +62,7 @@
 
 /// Draws with replacement by which an interval is estimated.
 const RESAMPLES: usize = 2000;
-/// With fewer pairs no interval is told: it would be narrower than what can be known.
+/// With fewer pairs no interval is reported: it would be narrower than what can be known.
 const MIN_PAIRS: usize = 3;
 
 /// The interval that holds the mean of the differences in 95 of 100 such experiments, by the bootstrap; none for too
@@ -81,7 +81,7 @@
     Some((means[RESAMPLES / 40], means[RESAMPLES - 1 - RESAMPLES / 40]))
 }
 
-/// Differences of a measure between the plays of a variant and those of the first one, pair by pair: the nth play of
+/// Differences of a measure between the runs of a variant and those of the first one, pair by pair: the nth run of
 /// a seed with the nth of the same seed.
 pub fn differences(runs: &[RunResult], first: &str, other: &str, of: fn(&RunResult) -> f64) -> Vec<f64> {
     let named =
--- a/testbed/src/experiment/tests.rs
+++ b/testbed/src/experiment/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn plays_alternate_and_each_variant_meets_each_seed_equally_often() {
+fn runs_alternate_and_each_variant_runs_each_seed_equally_often() {
     let runs = order(&[1, 2], 2, &variants());
     assert_eq!(runs, [(1, 0), (1, 1), (2, 1), (2, 0), (1, 1), (1, 0), (2, 0), (2, 1)]);
 }
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The senders of a play: real processes with a folder and a configuration each, ended with the play.
+//! The senders of a run: real processes with a folder and a configuration each, ended with the run.
 use crate::built::build_folder;
 use crate::directory::invariants;
 use crate::plan::Plan;
@@ -44,7 +44,7 @@
         /// Why it failed.
         source: std::io::Error,
     },
-    /// The history could not be kept.
+    /// The history could not be stored.
     #[error(transparent)]
     History(#[from] crate::peers::history::HistoryError),
     /// A sender did not get ready.
@@ -75,20 +75,20 @@
 pub enum Program {
     /// A sender.
     Sender(PathBuf),
-    /// A plain sender of the lab.
+    /// A plain sender of the test bed.
     Baseline(Baseline),
 }
 
-/// The sender of this project, built if it is not up to date, in the profile of the lab itself.
+/// The sender of this project, built if it is not up to date, in the profile of the test bed itself.
 pub fn built_sender() -> Result<PathBuf, FleetError> {
     let folder = build_folder(&["--bin", SENDER], [SENDER])?;
     Ok(folder.join(SENDER))
 }
 
-/// What faults have a sender's process in hand for.
+/// The faults that are injected into a sender's process at present.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Hand {
-    /// So many keep it down.
+pub struct ActiveFaults {
+    /// How many faults keep it down at present.
     pub down: usize,
     /// It does not come back.
     pub departed: bool,
@@ -104,7 +104,7 @@
 /// One sender.
 pub struct Node {
     /// What faults do to it.
-    pub hand: Hand,
+    pub active_faults: ActiveFaults,
     /// How often it was started.
     pub starts: u32,
     /// Its second address, where it has one.
@@ -203,8 +203,8 @@
         std::fs::write(folder.path().join("config.json"), config.to_string())
             .map_err(io("writing a file"))?;
         let mgmt = config["mgmt"].as_str().and_then(|address| address.parse().ok());
-        let hand = Hand::default();
-        Ok(Self { hand, starts: 0, mgmt, sink: None, number, address, folder, child: None, program })
+        let active_faults = ActiveFaults::default();
+        Ok(Self { active_faults, starts: 0, mgmt, sink: None, number, address, folder, child: None, program })
     }
 
     /// Hands on its log line by line; else it goes to a file alone.
@@ -261,7 +261,7 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(stderr)
-            // ctrl-C is for the lab, which then ends its senders.
+            // ctrl-C is for the test bed, which then ends its senders.
             .process_group(0)
             .kill_on_drop(true)
             .spawn()
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-in partners, directory and clients for the sender, on loopback, and a judge apart from all of them. Times are
-//! microseconds from the start of a play; whatever chance decides comes from the play's seed.
+//! Stand-in partners, directory and clients for the sender, on loopback, and a checker apart from all of them. Times are
+//! microseconds from the start of a run; whatever is random comes from the run's seed.
 #![forbid(unsafe_code)]
 
 pub mod baseline;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Counts interrupts: the first ends a play early, with a report, the second ends the program at once.
+/// Counts interrupts: the first ends a run early, with a report, the second ends the program at once.
 fn count_interrupts() -> watch::Receiver<u32> {
     let (count, counted) = watch::channel(0);
     tokio::spawn(async move {
--- a/testbed/src/model.rs
+++ b/testbed/src/model.rs
@@ -1,5 +1,5 @@
 //! Partners as the operators describe theirs: limits, waits, queues, few connections, outages and cold returns. Pure:
-//! all time comes from outside, so that plays on sockets and in simulated time meet the same partners.
+//! all time comes from outside, so that runs on sockets and in simulated time meet the same partners.
 use crate::plan::{Micros, PartnerPlan, Plan, micros};
 use crate::scenario::{FaultKind, Kind, Rules, Scenario, ScheduledFault};
 use rand::{RngExt, SeedableRng};
@@ -25,7 +25,7 @@
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fate {
-    /// Turned away unseen, and told to wait so long.
+    /// Rejected unseen, and advised to wait this long.
     Refused(Option<Micros>),
     /// Answered then, delivered or with an error. An error took no effect, though no sender can know that.
     Answered {
@@ -76,7 +76,7 @@
         self.rate * self.factor
     }
 
-    /// Takes one call; an error tells when there is room again.
+    /// Takes one call; an error says when there is capacity again.
     fn take(&mut self, now: Micros, refused_count: bool) -> Result<(), Micros> {
         let rate = self.rate();
         if self.window == 0 {
@@ -122,7 +122,7 @@
     plan: PartnerPlan,
     limit: Limit,
     endpoints: Vec<Endpoint>,
-    /// Calls take so many times as long.
+    /// Calls take this many times as long.
     pub slow: f64,
     /// Share of the answers that get lost.
     pub lost: f64,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// All partners of a plan, each with its own chance, so that one partner's calls do not move another's draws.
+    /// All partners of a plan, each with its own random generator, so that one partner's calls do not move another's draws.
     pub fn all(plan: &Plan, scenario: &Scenario, seed: u64) -> Vec<Self> {
         let own = |number: usize| seed.wrapping_mul(0x9E37_79B9_7F4A_7C15).wrapping_add(number as u64);
         let partner = |(number, p): (usize, &PartnerPlan)| {
@@ -192,7 +192,7 @@
         plan.partners.iter().enumerate().map(partner).collect()
     }
 
-    /// A trouble of the partners' begins or ends here.
+    /// A fault of the partners' begins or ends here.
     pub fn apply_fault(&mut self, now: Micros, fault: &ScheduledFault, begins: bool) {
         let factor = if begins { fault.size } else { 1.0 };
         let share = if begins { fault.size } else { 0.0 };
@@ -249,14 +249,14 @@
         }
     }
 
-    /// A connection is made; whether there is room for it. Either way it counts until it is gone.
+    /// A connection is made; whether there is capacity for it. Either way it counts until it is closed.
     pub fn connected(&mut self, endpoint: usize) -> bool {
         let at = &mut self.endpoints[endpoint];
         at.connections += 1;
         self.plan.connections == 0 || at.connections <= self.plan.connections
     }
 
-    /// A connection is gone.
+    /// A connection is closed.
     pub fn disconnected(&mut self, endpoint: usize) {
         let at = &mut self.endpoints[endpoint];
         at.connections = at.connections.saturating_sub(1);
@@ -265,8 +265,9 @@
     /// Its present capacity as a share of all of it.
     fn warmth(&self, now: Micros) -> f64 {
         let Some(returned) = self.returned else { return 1.0 };
-        let warm = (now.saturating_sub(returned)) as f64 / 1e6 / self.rules.warm_up_s;
-        (self.rules.initial_capacity_share + (1.0 - self.rules.initial_capacity_share) * warm).min(1.0)
+        let warm_up_progress = (now.saturating_sub(returned)) as f64 / 1e6 / self.rules.warm_up_s;
+        (self.rules.initial_capacity_share + (1.0 - self.rules.initial_capacity_share) * warm_up_progress)
+            .min(1.0)
     }
 
     /// A call that weighs on a cold partner: a fall, if it is the one too many.
@@ -277,7 +278,7 @@
             self.recent.pop_front();
         }
         let warmth = self.warmth(now);
-        // A little slack for chance, as any count of calls has it.
+        // A little slack for randomness, as any count of calls has it.
         let max = self.plan.capacity * warmth * self.rules.fall_multiple * self.rules.fall_s;
         if warmth >= 1.0 || self.in_outage || (self.recent.len() as f64) <= max + max.sqrt() {
             return None;
@@ -289,7 +290,7 @@
         Some(Fall { by_witnesses })
     }
 
-    /// A call arrives whole at one of the endpoints.
+    /// A call arrives completely at one of the endpoints.
     pub fn arrive(
         &mut self,
         now: Micros,
@@ -308,7 +309,7 @@
         (fate, fall)
     }
 
-    /// Tells a wait, or not.
+    /// Advises a wait, or not.
     fn advise_wait(&mut self, wait: Micros) -> Option<Micros> {
         let tells = self.rng.random::<f64>() < self.plan.retry_after_share;
         tells.then_some(wait.max(1000))
--- a/testbed/src/model/tests.rs
+++ b/testbed/src/model/tests.rs
@@ -23,7 +23,7 @@
     Partner::new(&plan, &kind, &s.rules, 1)
 }
 
-/// Calls at a steady rate for so many seconds: how many were served and how many refused.
+/// Calls at a steady rate for this many seconds: how many were served and how many refused.
 fn calls(p: &mut Partner, from: Micros, rate: u64, seconds: u64) -> (usize, usize) {
     let fates: Vec<_> =
         (0..rate * seconds).map(|i| p.arrive(from + i * SECOND / rate, 0, 0, 50_000).0).collect();
@@ -82,7 +82,7 @@
 
 /// Cold, it can do 17% and is warm after 14 s.
 #[test]
-fn one_that_returns_is_cold_and_falls_if_it_is_pushed() {
+fn a_returning_partner_has_reduced_capacity_and_falls_over_under_overload() {
     let mut p = partner(|p, _| p.limit = 1000.0);
     p.set(SECOND, Condition::Down);
     p.witnessed(3);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn troubles_have_their_fates() {
+fn each_fault_has_its_outcome() {
     let mut p = partner(|p, _| p.limit = 1000.0);
     p.slow = 10.0;
     assert_eq!(p.arrive(0, 0, 0, 100_000).0, Fate::Answered { at: SECOND, ok: true });
--- a/testbed/src/peers/campaign.rs
+++ b/testbed/src/peers/campaign.rs
@@ -20,11 +20,11 @@
     RemovalBySilence,
     /// A start is not counted: V4.
     IncarnationLost,
-    /// A keeper tells before its disk has it.
+    /// A voter answers before its disk has it.
     TellsBeforeDisk,
 }
 
-/// What came of a seed.
+/// The outcome of a seed.
 #[derive(Clone, Debug)]
 pub struct Seed {
     /// The seed.
@@ -35,7 +35,7 @@
     pub cost: Cost,
 }
 
-/// Plays one seed.
+/// Runs one seed.
 pub fn one(scenario: &Scenario, seed: u64, how: Option<Break>) -> Option<(Vec<Event>, Seed)> {
     let peers = scenario.peers.as_ref()?;
     let (history, cost) = simulate(&Simulation {
@@ -51,7 +51,7 @@
     Some((history, Seed { seed, verdict, cost }))
 }
 
-/// Plays seeds until all are played or it is stopped, on as many threads as there are cores; in the order of the seeds.
+/// Runs seeds until all are run or it is stopped, on as many threads as there are cores; in the order of the seeds.
 pub fn many(
     scenario: &Scenario,
     seeds: Range<u64>,
--- a/testbed/src/peers/check.rs
+++ b/testbed/src/peers/check.rs
@@ -36,7 +36,7 @@
     pub events: usize,
 }
 
-/// One is not to be held lost, so long after whatever excused that was over.
+/// One is not to be considered lost, so long after whatever excused that was over.
 const GRACE: At = 12_000;
 /// One fault loses this share of a sender's datagrams at the most; V2 is promised for 0.2.
 const MAX_LOST_SHARE: f64 = 0.3;
@@ -47,7 +47,7 @@
     copy_of: Option<usize>,
     paused: bool,
     halted: bool,
-    /// The last moment at which others could rightly hold it lost, or it others.
+    /// The last moment at which others could rightly consider it lost, or it others.
     excused: At,
     view: Option<View>,
     /// Names that it has seen as members, in the latest roster.
@@ -253,7 +253,7 @@
         !cut(a, b) && !cut(b, a)
     }
 
-    /// Whether a sender is cut off from so many that others may rightly hold it lost.
+    /// Whether a sender is cut off from so large a part that others may rightly consider it lost.
     fn cut_off(&self, sender: usize) -> bool {
         let others: Vec<usize> = self.running().filter(|n| *n != sender).collect();
         let reached = others.iter().filter(|n| self.linked(sender, **n)).count();
@@ -309,7 +309,7 @@
         if sender >= self.senders.len() {
             return;
         }
-        // V2: who lives and can be reached is not held lost by one that lives and can reach.
+        // V2: who lives and can be reached is not considered lost by one that lives and can reach.
         let lost: Vec<usize> = view
             .members
             .iter()
--- a/testbed/src/peers/history.rs
+++ b/testbed/src/peers/history.rs
@@ -1,4 +1,4 @@
-//! What was done and what was seen in a play of a fleet, event by event, as JSON lines.
+//! What was done and what was seen in a run of a fleet, event by event, as JSON lines.
 use super::campaign::Break;
 use super::schedule::Fault;
 use sender_membership::{Health, MemberState};
@@ -6,7 +6,7 @@
 use std::io::{BufRead, Write};
 use std::path::{Path, PathBuf};
 
-/// Milliseconds from the play's start.
+/// Milliseconds from the run's start.
 pub type At = u64;
 
 /// A member, as one sender saw it.
@@ -58,7 +58,7 @@
     Answers,
     /// Suspected.
     Suspected,
-    /// Held lost.
+    /// Considered lost.
     Lost,
     /// Not heard yet.
     Unknown,
@@ -148,7 +148,7 @@
         /// Which fault's.
         number: usize,
     },
-    /// Staff asked for a member's removal, or it was told to leave.
+    /// An operator asked for a member's removal, or it was ordered to leave.
     #[serde(rename = "asked")]
     RemovalRequested {
         /// Its name.
@@ -187,7 +187,7 @@
         /// Whether because of a copied folder.
         copied: bool,
     },
-    /// The play is over.
+    /// The run is over.
     End,
 }
 
--- a/testbed/src/peers/links.rs
+++ b/testbed/src/peers/links.rs
@@ -1,4 +1,4 @@
-//! What stands between the senders of a play on processes: each is told to its peers under the address of a link, which
+//! What stands between the senders of a run on processes: each is advertised to its peers under the address of a link, which
 //! takes every datagram and connection for it, tells by the source address who sent it, and passes it on as the faults
 //! that are on just then have it. Each direction of each pair meets faults of its own.
 use super::schedule::{Kind, Met};
@@ -31,15 +31,15 @@
 pub struct LinkState {
     /// It does not arrive, nor anything behind it.
     pub cut: bool,
-    /// Chance that a datagram is lost.
+    /// Probability that a datagram is lost.
     pub lost: f64,
-    /// Chance that one comes twice.
+    /// Probability that one comes twice.
     pub twice: f64,
-    /// Chance that one has a bit flipped.
+    /// Probability that one has a bit flipped.
     pub flipped: f64,
-    /// Chance that a connection breaks under what is sent.
+    /// Probability that a connection breaks under what is sent.
     pub reset: f64,
-    /// Up to so many ms later.
+    /// Up to this many ms later.
     pub delay: f64,
     /// KB a second of a connection; 0 for no bound.
     pub throttle: f64,
@@ -60,11 +60,11 @@
     pub dropped: AtomicU64,
 }
 
-/// All links of a play.
+/// All links of a run.
 pub struct Links {
     /// Where each sender listens in truth.
     own: Vec<SocketAddr>,
-    /// Where its peers are told that it does.
+    /// The address advertised to its peers.
     pub advertised: Vec<SocketAddr>,
     by_ip: HashMap<IpAddr, usize>,
     faults: Mutex<BTreeMap<usize, Met>>,
@@ -85,7 +85,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// An address of this play alone: by the process, so that plays beside each other do not meet.
+/// An address of this run alone: by the process, so that runs beside each other do not meet.
 fn ip(sender: usize, own: bool) -> [u8; 4] {
     let [_, _, low, lowest] = std::process::id().to_be_bytes();
     let second = 64 + (lowest ^ low) % 128;
@@ -106,7 +106,7 @@
 }
 
 impl Links {
-    /// Links for so many senders, and their sockets, which [`Links::carry`] has to be run for.
+    /// Links for this many senders, and their sockets, which [`Links::carry`] has to be run for.
     pub async fn new(senders: usize, seed: u64) -> io::Result<(Arc<Self>, Vec<Ends>)> {
         let (mut own, mut advertised, mut ends, mut by_ip) =
             (Vec::new(), Vec::new(), Vec::new(), HashMap::new());
@@ -124,7 +124,7 @@
         Ok((Arc::new(Self { own, advertised, by_ip, faults, rng, given, carried }), ends))
     }
 
-    /// An address for something else of a sender's, where no other process of the play or beside it listens or calls from.
+    /// An address for something else of a sender's, where no other process of the run or beside it listens or calls from.
     pub async fn free(&self, sender: usize) -> io::Result<SocketAddr> {
         loop {
             let free = both(ip(sender, true)).await?.0.local_addr()?;
@@ -190,7 +190,7 @@
     async fn carry_datagrams(self: Arc<Self>, to: usize, socket: Arc<UdpSocket>) {
         let mut buffer = vec![0; LONGEST];
         loop {
-            // An error is that of an earlier datagram, to one that is gone.
+            // An error is that of an earlier datagram, to one that has departed.
             let Ok((length, source)) = socket.recv_from(&mut buffer).await else { continue };
             let Some(from) = self.by_ip.get(&source.ip()).copied() else { continue };
             let link_state = self.link_state(from, to);
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Strangers at a sender's own address until `until`: chance bytes, and connections that say nothing or nonsense.
+    /// Strangers at a sender's own address until `until`: random bytes, and connections that say nothing or nonsense.
     pub async fn strangers(self: Arc<Self>, to: usize, a_second: f64, until: Instant) {
         let Ok(socket) = UdpSocket::bind("127.0.0.1:0").await else { return };
         let interval = Duration::from_secs_f64(1.0 / a_second.max(1.0));
--- a/testbed/src/peers/plain.rs
+++ b/testbed/src/peers/plain.rs
@@ -6,7 +6,7 @@
 };
 use std::net::SocketAddr;
 
-/// Each is told of this often, in ms.
+/// Each sends a heartbeat this often, in ms.
 const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 
 /// Simple senders' liveness.
--- a/testbed/src/peers/real.rs
+++ b/testbed/src/peers/real.rs
@@ -23,23 +23,23 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, interval, sleep, sleep_until, timeout};
 
-/// Each sender is asked this often, and a little less often for each one there is, as the lab shares their machine.
+/// Each sender is asked this often, and a little less often for each one there is, as the test bed shares their machine.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 const FAST_POLL_INTERVAL: Duration = Duration::from_millis(8);
 /// How long an answer is waited for.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long staff go on asking for a removal.
+/// How long operators go on asking for a removal.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(40);
-/// How late the last fault's end may leave a view besides the bound, until the play ends.
+/// How late the last fault's end may leave a view besides the bound, until the run ends.
 const SETTLE_MARGIN_S: f64 = 1.0;
 /// A starved process runs for so long between two stops.
 const STARVED_RUN_TIME: Duration = Duration::from_millis(30);
 /// The exit code of a sender whose folder another one has a copy of.
 const COPIED_FOLDER_EXIT_CODE: i32 = 3;
-/// Lines of all logs that are kept.
+/// Lines of all logs that are retained.
 const MAX_LOG_LINES: usize = 400_000;
 
-/// What came of the fleet's promises.
+/// The outcome of the fleet's promises.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Promises {
     /// What the checker says.
@@ -59,7 +59,7 @@
     lines: Vec<(At, usize, String)>,
 }
 
-/// The rig of one play.
+/// The rig of one run.
 pub struct Rig {
     peers: Peers,
     schedule: Vec<Met>,
@@ -152,7 +152,7 @@
             "suspect_ms": self.peers.suspect_ms});
     }
 
-    /// When all faults are over and all have had their time to agree, in seconds of the play.
+    /// When all faults are over and all have had their time to agree, in seconds of the run.
     pub fn ends_at(&self) -> f64 {
         let last = self.schedule.iter().map(|met| met.fault.at_s + met.fault.for_s).fold(0.0, f64::max);
         last.max(self.stage.scenario.seconds) + self.peers.settle_s + SETTLE_MARGIN_S
@@ -166,7 +166,7 @@
         self.stage.now() / 1_000
     }
 
-    fn record(&self, what: What) {
+    fn record_event(&self, what: What) {
         let at = self.now();
         self.with(|record| record.events.push(Event { at, what }));
     }
@@ -187,7 +187,7 @@
         let copies = self.copies();
         let named =
             |n: usize| format!("n{}", n.checked_sub(scenario.fleet.senders).map_or(n, |at| copies[at]));
-        self.record(What::RunStarted {
+        self.record_event(What::RunStarted {
             scenario: scenario.name.clone(),
             seed: self.seed,
             senders: (0..nodes.len()).map(named).collect(),
@@ -202,7 +202,7 @@
             if late.contains(&sender) {
                 clients.absent(sender);
             } else {
-                self.record(What::Up { sender, empty_disk: true, copy_of: None });
+                self.record_event(What::Up { sender, empty_disk: true, copy_of: None });
             }
         }
         let all = Arc::new(nodes);
@@ -231,9 +231,9 @@
                 if node.exit_code() == Some(COPIED_FOLDER_EXIT_CODE) && halted != Some(node.starts) {
                     halted = Some(node.starts);
                     let why = node.last_lines(1);
-                    self.record(What::Halted { sender: number, why, copied: true });
+                    self.record_event(What::Halted { sender: number, why, copied: true });
                 }
-                let there = node.running() && !node.hand.paused;
+                let there = node.running() && !node.active_faults.paused;
                 match node.mgmt {
                     Some(mgmt) if there => (mgmt, node.starts),
                     _ => continue,
@@ -253,15 +253,15 @@
             let hex = |text: &Option<String>| text.as_deref().and_then(|t| u64::from_str_radix(t, 16).ok());
             if let (Some(fleet), Some(digest)) = (hex(&mark.fleet), hex(&mark.digest)) {
                 let (epoch, digest) = (mark.epoch, u32::try_from(digest).unwrap_or_default());
-                self.record(What::Roster { sender: number, fleet, epoch, number: mark.number, digest });
+                self.record_event(What::Roster { sender: number, fleet, epoch, number: mark.number, digest });
             }
             let (of, confirmed, members) = (view.number, view.confirmed, view.members);
-            self.record(What::Seen { sender: number, number: of, confirmed, members });
+            self.record_event(What::Seen { sender: number, number: of, confirmed, members });
             if let Some(why) = view.halted
                 && halted != Some(start)
             {
                 halted = Some(start);
-                self.record(What::Halted { sender: number, why, copied: false });
+                self.record_event(What::Halted { sender: number, why, copied: false });
             }
             known = Some((start, mark));
         }
@@ -269,7 +269,7 @@
 
     /// The end: what the checker says, with history and logs on disk.
     pub fn finish(&self, history: &Path) -> Result<Promises, HistoryError> {
-        self.record(What::End);
+        self.record_event(What::End);
         let (events, mut lines) =
             self.with(|record| (std::mem::take(&mut record.events), std::mem::take(&mut record.lines)));
         history::write(history, &events)?;
@@ -312,7 +312,7 @@
         let over = at(met.fault.at_s + met.fault.for_s);
         let text = met.fault.to_string();
         stage.lock().checker.event(stage.now(), format!("fault {number}: {text}"));
-        rig.record(What::Fault { number, text, begins: true });
+        rig.record_event(What::Fault { number, text, begins: true });
         let kind = met.fault.kind;
         match kind {
             Kind::Kill | Kind::Term | Kind::Empty | Kind::Lose | Kind::Remove => {
@@ -344,10 +344,10 @@
             }
             Kind::Cut | Kind::Part => {
                 rig.links.begin(number, met.clone());
-                rig.record(What::Cut { number, from: met.senders, to: met.to });
+                rig.record_event(What::Cut { number, from: met.senders, to: met.to });
                 sleep_until(over).await;
                 rig.links.end(number);
-                rig.record(What::Healed { number });
+                rig.record_event(What::Healed { number });
             }
             Kind::Lossy | Kind::Delay | Kind::Twice | Kind::Flip | Kind::Reset | Kind::Throttle => {
                 rig.links.begin(number, met);
@@ -360,7 +360,7 @@
                     .await;
             }
         }
-        rig.record(What::Fault { number, text: String::new(), begins: false });
+        rig.record_event(What::Fault { number, text: String::new(), begins: false });
     }
 
     /// Does one thing to several at once.
@@ -378,9 +378,9 @@
     async fn take_down(self, sender: usize, in_order: bool) {
         let (rig, stage) = (&self.rig, &self.rig.stage);
         let mut node = self.nodes[sender].lock().await;
-        node.hand.down += 1;
+        node.active_faults.down += 1;
         if node.running() {
-            rig.record(What::Down { sender });
+            rig.record_event(What::Down { sender });
             stage.lock().checker.sender_down(stage.now(), sender);
             if in_order {
                 self.clients.died(sender, 0.0);
@@ -395,33 +395,33 @@
     async fn bring_up(self, sender: usize, kind: Kind) {
         let (rig, stage) = (&self.rig, &self.rig.stage);
         let mut node = self.nodes[sender].lock().await;
-        node.hand.down = node.hand.down.saturating_sub(1);
-        node.hand.departed |= matches!(kind, Kind::Lose | Kind::Remove);
-        if kind == Kind::Empty || node.hand.departed {
+        node.active_faults.down = node.active_faults.down.saturating_sub(1);
+        node.active_faults.departed |= matches!(kind, Kind::Lose | Kind::Remove);
+        if kind == Kind::Empty || node.active_faults.departed {
             let emptied =
                 std::fs::remove_dir_all(node.state()).and_then(|()| std::fs::create_dir(node.state()));
             if let Err(e) = emptied {
                 stage.record_testbed_fault(format!("emptying a folder: {e}"));
             }
         }
-        if node.hand.down > 0 || node.hand.departed {
+        if node.active_faults.down > 0 || node.active_faults.departed {
             return;
         }
         let empty_disk = !node.state().join("fleet.wal").exists();
-        node.hand.paused = false;
+        node.active_faults.paused = false;
         match node.start().await {
             Ok(()) => {
-                rig.record(What::Up { sender, empty_disk, copy_of: None });
+                rig.record_event(What::Up { sender, empty_disk, copy_of: None });
                 stage.lock().checker.sender_ready(stage.now(), sender);
                 self.clients.ready(sender);
-                if node.hand.full {
+                if node.active_faults.full {
                     limit(&node, Some(0));
                 }
             }
-            // One that ran on a copied folder, and lost to the copy, stops for good.
+            // One that ran on a copied folder, and lost to the copy, stops permanently.
             Err(_) if node.exit_code() == Some(COPIED_FOLDER_EXIT_CODE) => {
-                rig.record(What::Up { sender, empty_disk, copy_of: None });
-                node.hand.departed = true;
+                rig.record_event(What::Up { sender, empty_disk, copy_of: None });
+                node.active_faults.departed = true;
             }
             Err(e) => stage.record_testbed_fault(e.to_string()),
         }
@@ -432,30 +432,30 @@
         let mut node = self.nodes[sender].lock().await;
         if begins && node.running() {
             node.signal(Signal::SIGSTOP);
-            node.hand.paused = true;
+            node.active_faults.paused = true;
             stage.lock().checker.sender_down(stage.now(), sender);
-            rig.record(What::Paused { sender });
-        } else if !begins && std::mem::take(&mut node.hand.paused) && node.running() {
+            rig.record_event(What::Paused { sender });
+        } else if !begins && std::mem::take(&mut node.active_faults.paused) && node.running() {
             node.signal(Signal::SIGCONT);
             stage.lock().checker.sender_ready(stage.now(), sender);
-            rig.record(What::Resumed { sender });
+            rig.record_event(What::Resumed { sender });
         }
     }
 
-    /// Takes the processor from a process for up to so many ms, again and again.
+    /// Takes the processor from a process for up to this many ms, again and again.
     async fn starve(self, sender: usize, most_ms: f64, over: Instant) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.rig.seed ^ sender as u64);
         while Instant::now() < over {
             let start = {
                 let mut node = self.nodes[sender].lock().await;
-                if node.running() && !node.hand.paused {
+                if node.running() && !node.active_faults.paused {
                     node.signal(Signal::SIGSTOP);
                 }
                 node.starts
             };
             sleep(Duration::from_secs_f64(rng.random_range(0.0..=most_ms.max(1.0)) / 1e3)).await;
             let node = self.nodes[sender].lock().await;
-            if node.starts == start && !node.hand.paused {
+            if node.starts == start && !node.active_faults.paused {
                 node.signal(Signal::SIGCONT);
             }
             drop(node);
@@ -465,7 +465,7 @@
 
     async fn fill(self, sender: usize, begins: bool) {
         let mut node = self.nodes[sender].lock().await;
-        node.hand.full = begins;
+        node.active_faults.full = begins;
         if node.running() {
             limit(&node, begins.then_some(0));
         }
@@ -488,15 +488,15 @@
         {
             return self.rig.stage.record_testbed_fault(format!("starting a copy: {e}"));
         }
-        self.rig.record(What::Up { sender: copy, empty_disk: false, copy_of: Some(original) });
+        self.rig.record_event(What::Up { sender: copy, empty_disk: false, copy_of: Some(original) });
     }
 
-    /// Staff have some removed, by asking those that run one after the other, until one says that it is done.
+    /// Operators have some removed, by asking those that run one after the other, until one says that it is done.
     async fn remove(&self, senders: &[usize]) {
         let given_up = Instant::now() + ADMIN_TIMEOUT;
         for sender in senders {
             let name = format!("n{sender}");
-            self.rig.record(What::RemovalRequested { name: name.clone() });
+            self.rig.record_event(What::RemovalRequested { name: name.clone() });
             let mut turn = 0;
             while Instant::now() < given_up {
                 turn += 1;
--- a/testbed/src/peers/schedule.rs
+++ b/testbed/src/peers/schedule.rs
@@ -12,9 +12,9 @@
     pub zones: Vec<String>,
     /// Machines; senders stand on them by turns.
     pub machines: usize,
-    /// The first so many senders are the seeds.
+    /// This many of the first senders are the seeds.
     pub seeds: usize,
-    /// Keepers, once there are so many senders.
+    /// Voters, once there are this many senders.
     #[serde(rename = "keepers")]
     pub voters: usize,
     /// Within how many seconds after the last fault all have to have the same view.
@@ -67,7 +67,7 @@
     Term,
     /// The same, with the folder emptied.
     Empty,
-    /// Killed for good, with the folder.
+    /// Killed permanently, with the folder.
     Lose,
     /// No processor time (SIGSTOP, SIGCONT).
     Pause,
@@ -95,13 +95,13 @@
     Reset,
     /// A connection takes `size` KB a second.
     Throttle,
-    /// Strangers send these `size` datagrams a second of chance bytes, some of them oversized, and connect and say nothing.
+    /// Strangers send these `size` datagrams a second of random bytes, some of them oversized, and connect and say nothing.
     Garbage,
-    /// Staff remove it, after it was killed for good.
+    /// An operator removes it, after it was killed permanently.
     Remove,
 }
 
-/// Those drawn by chaos where none is named. What loses senders for good is left to schedules: chaos would end with none.
+/// Those drawn by chaos where none is named. What loses senders permanently is left to schedules: chaos would end with none.
 const CHAOS: [Kind; 16] = [
     Kind::Kill,
     Kind::Kill,
@@ -206,7 +206,7 @@
         matches!(self, Cut | Part | Lossy | Delay | Twice | Flip | Reset | Throttle)
     }
 
-    /// Whether it takes processes down until its end, or for good.
+    /// Whether it takes processes down until its end, or permanently.
     pub fn takes_down(self) -> bool {
         matches!(self, Kind::Kill | Kind::Term | Kind::Empty | Kind::Lose | Kind::Remove)
     }
@@ -261,7 +261,7 @@
         Ok(set)
     }
 
-    /// All that no play can have.
+    /// All that no run can have.
     pub fn impossible(&self, senders: usize) -> Vec<String> {
         let mut wrong = Vec::new();
         if self.zones.is_empty() || self.machines == 0 {
@@ -321,14 +321,14 @@
     }
 }
 
-/// Faults by chance, one after the other and over each other, each over by the end.
+/// Faults at random, one after the other and over each other, each over by the end.
 fn draw(chaos: &Chaos, senders: usize, seconds: f64, rng: &mut ChaCha8Rng) -> Vec<Fault> {
     let kinds: &[Kind] = if chaos.kinds.is_empty() { &CHAOS } else { &chaos.kinds };
     let count = (chaos.faults_per_minute * seconds / 60.0).round() as usize;
     let mut faults = Vec::new();
     for _ in 0..count {
         let kind = kinds[rng.random_range(0..kinds.len())];
-        // One whose folder is emptied is a new member, and a keeper less for good: a second one before the first is replaced
+        // One whose folder is emptied is a new member, and one voter fewer permanently: a second one before the first is replaced
         // could be the majority's loss, which no view survives (V6) and a schedule has to ask for.
         if kind == Kind::Empty && faults.iter().any(|fault: &Fault| fault.kind == kind) {
             continue;
--- a/testbed/src/peers/shrink/tests.rs
+++ b/testbed/src/peers/shrink/tests.rs
@@ -6,7 +6,7 @@
     Fault { kind: Kind::Kill, at_s, for_s: 1.0, senders: "0".to_owned(), to: None, size: 0.0 }
 }
 
-/// Of twenty faults two are at fault together; what is left are these, in few plays.
+/// Of twenty faults two are at fault together; what is left are these, in few runs.
 #[tokio::test]
 async fn what_is_not_needed_is_left_out() {
     let all: Vec<Fault> = (0..20).map(|n| fault(f64::from(n))).collect();
--- a/testbed/src/peers/sim.rs
+++ b/testbed/src/peers/sim.rs
@@ -1,5 +1,5 @@
-//! A fleet in simulated time: the machines of `sender-membership` alone, one thread, everything that chance decides drawn from the
-//! seed, so that two plays of a seed have the same history to the byte.
+//! A fleet in simulated time: the machines of `sender-membership` alone, one thread, everything random drawn from the
+//! seed, so that two runs of a seed have the same history to the byte.
 use super::campaign::Break;
 use super::history::{Event, SeenMember, What};
 use super::plain::{Heartbeat, Machine};
@@ -17,7 +17,7 @@
 const POLL_INTERVAL_MS: u64 = 250;
 /// A datagram's way, in ms.
 const LINK_DELAY_MS: u64 = 1;
-/// How late the last fault's end may leave a view besides the bound, until the play ends.
+/// How late the last fault's end may leave a view besides the bound, until the run ends.
 const SETTLE_MARGIN_MS: u64 = 1_000;
 
 /// What is simulated.
@@ -34,11 +34,11 @@
     pub seed: u64,
     /// A way to break the senders on purpose.
     pub how: Option<Break>,
-    /// The whole scenario, for the history.
+    /// The complete scenario, for the history.
     pub full_scenario: serde_json::Value,
 }
 
-/// What a play cost.
+/// What a run cost.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
     /// Simulated milliseconds.
@@ -95,7 +95,7 @@
     /// The start: what was meant for an earlier one comes to nothing.
     start: u32,
     paused: bool,
-    /// Each thing is done up to so many ms late.
+    /// Each thing is done up to this many ms late.
     starved: Option<u64>,
     free_at: u64,
     full: bool,
@@ -141,7 +141,7 @@
     bytes
 }
 
-/// Plays a seed; the history, and what it cost.
+/// Runs a seed; the history, and what it cost.
 pub fn simulate(simulation: &Simulation<'_>) -> (Vec<Event>, Cost) {
     let schedule = simulation.peers.schedule(simulation.senders, simulation.seconds, simulation.seed);
     let copies = schedule.iter().filter(|met| met.fault.kind == Kind::Copy).count();
@@ -191,7 +191,7 @@
         let faults = self.schedule.iter().map(Met::fixed).collect();
         let (seed, broken, full_scenario) =
             (self.simulation.seed, self.simulation.how, self.simulation.full_scenario.clone());
-        self.record(What::RunStarted {
+        self.record_event(What::RunStarted {
             scenario,
             seed,
             senders: names,
@@ -229,7 +229,7 @@
         }
         self.now = end;
         self.poll_views();
-        self.record(What::End);
+        self.record_event(What::End);
         self.cost.simulated_ms = end;
         for node in self.processes.iter().filter_map(|p| p.node.as_ref()) {
             let counts = node.counts();
@@ -244,7 +244,7 @@
         self.queue.push(Reverse(Queued { at, order: self.order, ev }));
     }
 
-    fn record(&mut self, what: What) {
+    fn record_event(&mut self, what: What) {
         self.history.push(Event { at: self.now, what });
     }
 
@@ -304,7 +304,7 @@
         } else {
             Machine::Fleet(Box::new(Node::new(settings, process.disk.clone(), seed, now)))
         });
-        self.record(What::Up { sender, empty_disk, copy_of });
+        self.record_event(What::Up { sender, empty_disk, copy_of });
         self.carry_out(sender);
     }
 
@@ -312,7 +312,7 @@
         let process = &mut self.processes[sender];
         if process.node.take().is_some() {
             process.inbox.clear();
-            self.record(What::Down { sender });
+            self.record_event(What::Down { sender });
             // Its peers' connections are reset.
             for peer in 0..self.processes.len() {
                 if self.fifo.remove(&(peer, sender)).is_some() {
@@ -361,7 +361,7 @@
         }
     }
 
-    /// Whether a process has no time now; what came is kept for it.
+    /// Whether a process has no time now; what came is queued for it.
     fn defer(&mut self, sender: usize, came: Option<(usize, &[u8])>) -> bool {
         let process = &mut self.processes[sender];
         let waits = process.paused || self.now < process.free_at;
@@ -458,7 +458,7 @@
             }
             Effect::Halt(halt) => {
                 let copied = matches!(halt, Halt::Copied { .. });
-                self.record(What::Halted { sender, why: halt.to_string(), copied });
+                self.record_event(What::Halted { sender, why: halt.to_string(), copied });
             }
             Effect::Notify(Notification::MemberList { .. }) => self.note_number(sender),
             Effect::Notify(_) | Effect::Answer(..) => {}
@@ -472,7 +472,7 @@
         if process.number != Some(roster.age()) {
             process.number = Some(roster.age());
             let (fleet, (epoch, number), digest) = (roster.fleet, roster.age(), roster.digest());
-            self.record(What::Roster { sender, fleet, epoch, number, digest });
+            self.record_event(What::Roster { sender, fleet, epoch, number, digest });
         }
     }
 
@@ -529,7 +529,7 @@
     fn begin(&mut self, number: usize) {
         let met = self.schedule[number].clone();
         let text = met.fault.to_string();
-        self.record(What::Fault { number, text, begins: true });
+        self.record_event(What::Fault { number, text, begins: true });
         match met.fault.kind {
             Kind::Term => met.senders.into_iter().for_each(|sender| self.stop(sender)),
             Kind::Kill | Kind::Empty | Kind::Lose | Kind::Remove => {
@@ -547,7 +547,7 @@
                 for sender in met.senders {
                     if self.processes[sender].node.is_some() {
                         self.processes[sender].paused = true;
-                        self.record(What::Paused { sender });
+                        self.record_event(What::Paused { sender });
                     }
                 }
             }
@@ -571,7 +571,7 @@
             }
             Kind::Cut | Kind::Part => {
                 self.links.push(number);
-                self.record(What::Cut { number, from: met.senders, to: met.to });
+                self.record_event(What::Cut { number, from: met.senders, to: met.to });
             }
             Kind::Lossy | Kind::Delay | Kind::Twice | Kind::Flip | Kind::Reset | Kind::Throttle => {
                 self.links.push(number);
@@ -610,7 +610,7 @@
                 for sender in met.senders {
                     if std::mem::take(&mut self.processes[sender].paused) {
                         self.processes[sender].woken_at = None;
-                        self.record(What::Resumed { sender });
+                        self.record_event(What::Resumed { sender });
                         self.work(sender);
                     }
                 }
@@ -620,13 +620,13 @@
             Kind::Join | Kind::Copy | Kind::Garbage => {}
             Kind::Cut | Kind::Part => {
                 self.links.retain(|n| *n != number);
-                self.record(What::Healed { number });
+                self.record_event(What::Healed { number });
             }
             Kind::Lossy | Kind::Delay | Kind::Twice | Kind::Flip | Kind::Reset | Kind::Throttle => {
                 self.links.retain(|n| *n != number);
             }
         }
-        self.record(What::Fault { number, text: String::new(), begins: false });
+        self.record_event(What::Fault { number, text: String::new(), begins: false });
     }
 
     /// Strangers' datagrams, one after the other for as long as the fault lasts.
@@ -643,14 +643,14 @@
         }
     }
 
-    /// Staff have some removed, by asking one that runs.
+    /// Operators have some removed, by asking one that runs.
     fn remove(&mut self, senders: &[usize]) {
         let Some(contact) = (0..self.simulation.senders).find(|n| self.processes[*n].node.is_some()) else {
             return;
         };
         for sender in senders {
             let name = self.info(*sender).name;
-            self.record(What::RemovalRequested { name: name.clone() });
+            self.record_event(What::RemovalRequested { name: name.clone() });
             let now = self.now;
             if let Some(node) = &mut self.processes[contact].node {
                 node.order(now, 0, &sender_membership::Command::Remove(name));
@@ -689,7 +689,7 @@
                     })
                     .collect(),
             };
-            self.record(seen);
+            self.record_event(seen);
         }
     }
 }
--- a/testbed/src/plan.rs
+++ b/testbed/src/plan.rs
@@ -1,19 +1,19 @@
-//! What is drawn before a play: partners with their limits, and every message with its time. The same scenario and
+//! What is drawn before a run: partners with their limits, and every message with its time. The same scenario and
 //! seed give the same plan, on any machine.
 use crate::scenario::{Drawn, Scenario, ScheduledFault};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal, weighted::WeightedIndex};
 
-/// Times in a play: microseconds from its start.
+/// Times in a run: microseconds from its start.
 pub type Micros = u64;
 
-/// So many seconds in microseconds.
+/// Converts seconds to microseconds.
 pub fn micros(seconds: f64) -> Micros {
     (seconds * 1e6).round().max(0.0) as Micros
 }
 
-/// A message that a client will hand in.
+/// A message that a client will submit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     /// When.
@@ -24,7 +24,7 @@
     pub partner: usize,
     /// What it takes at a partner of usual pace.
     pub work: Micros,
-    /// Chance for which sender gets it, and for the client's waits: from 0 to 1.
+    /// Random number for which sender gets it, and for the client's waits: from 0 to 1.
     pub random: f64,
 }
 
@@ -51,11 +51,11 @@
     pub capacity: f64,
     /// Its pace: work takes its time divided by this.
     pub speed: f64,
-    /// Share of its refusals that tell a wait.
+    /// Share of its refusals that advise a wait.
     pub retry_after_share: f64,
 }
 
-/// All that is drawn before a play.
+/// All that is drawn before a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// Partners, by number.
@@ -64,9 +64,9 @@
     pub arrivals: Vec<Arrival>,
     /// Slots of each sender.
     pub slots: usize,
-    /// Messages that each sender holds, at the most.
+    /// Messages that each sender has pending, at the most.
     pub max_pending: usize,
-    /// Troubles and whom each meets, by number.
+    /// Faults and whom each meets, by number.
     pub scheduled_faults: Vec<(ScheduledFault, Vec<usize>)>,
 }
 
@@ -74,7 +74,7 @@
     range[0] + (range[1] - range[0]) * rng.random::<f64>()
 }
 
-/// Smallest room of a sender, whatever its part of the traffic: calls out, and messages held.
+/// Smallest capacity of a sender, whatever its part of the traffic: calls out, and messages pending.
 const MIN_SLOTS: usize = 3;
 const MIN_PENDING: usize = 8;
 /// In which a clump comes, as a share of the time in which its partner could take it.
--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! One self-contained HTML page for the plays of a scenario: tables, time lines and distributions, no scripts.
+//! One self-contained HTML page for the runs of a scenario: tables, time lines and distributions, no scripts.
 use crate::checker::Span;
 use crate::experiment::comparison;
 use crate::run::RunResult;
@@ -72,7 +72,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// The page. Plays that were cut short are marked as such.
+/// The page. Runs that were cut short are marked as such.
 pub fn html(title: &str, results: &[RunResult], variants: &[Variant]) -> Result<String, ReportError> {
     let mut page = String::new();
     let title = escaped(title);
--- a/testbed/src/run.rs
+++ b/testbed/src/run.rs
@@ -1,4 +1,4 @@
-//! One play: all parties on loopback, the troubles in their time, and the judge's verdict.
+//! One run: all parties on loopback, the faults in their time, and the checker's verdict.
 use crate::checker::{Breach, Rule, Verdict};
 use crate::clients::Clients;
 use crate::directory::{self, Directory};
@@ -19,7 +19,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep, sleep_until};
 
-/// What came of a play.
+/// The outcome of a run.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RunResult {
     /// The scenario's name.
@@ -30,28 +30,28 @@
     pub seed: u64,
     /// Messages in the plan.
     pub planned: usize,
-    /// What the judge says.
+    /// What the checker says.
     pub verdict: Verdict,
     /// Senders that ended by themselves.
     pub crashes: Vec<String>,
-    /// Faults of the lab's own: then the play proves nothing.
+    /// Faults of the test bed's own: then the run proves nothing.
     pub faults: Vec<String>,
     /// Stopped before its end: the figures are of a part only.
     pub cut_short: bool,
-    /// What came of the promises on the fleet, where the senders know one another.
+    /// The outcome of the promises on the fleet, where the senders know one another.
     #[serde(default)]
     pub promises: Option<Promises>,
 }
 
 impl RunResult {
-    /// Whether all rules were kept, by senders that lived, in a play without a fault.
+    /// Whether all rules were kept, by senders that lived, in a run without a fault.
     pub fn clean(&self) -> bool {
-        let fleet_promises_held =
+        let promises_unbroken =
             self.promises.as_ref().is_none_or(|promises| promises.verdict.broken.is_empty());
         self.charged().next().is_none()
             && self.crashes.is_empty()
             && self.faults.is_empty()
-            && fleet_promises_held
+            && promises_unbroken
     }
 
     /// Broken rules that count, and how often: a schedule that empties or copies folders loses and doubles messages by its
@@ -68,12 +68,12 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause between lines on how it goes.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
-/// How long a play may go on after the last message's time.
+/// How long a run may go on after the last message's time.
 const MAX_SETTLE_S: f64 = 5.0;
 
 type Nodes = Arc<Vec<Arc<Mutex<Node>>>>;
 
-/// Plays a scenario once; `stop`, once over 0, ends it early, `verbose` has its progress printed.
+/// Runs a scenario once; `stop`, once over 0, ends it early, `verbose` has its progress printed.
 pub async fn run_scenario(
     scenario: &Scenario,
     variant: &Variant,
@@ -158,7 +158,7 @@
     addresses
 }
 
-/// Waits until each message taken on has its end, or its time is past.
+/// Waits until each message accepted has its end, or its time is past.
 async fn settle(stage: &Stage) {
     loop {
         {
@@ -241,7 +241,7 @@
             node.set_log_sink(Arc::new(move |sender, line| rig.line(sender, line)));
         }
         let waits = late.contains(&number) || number >= own;
-        node.hand.down = usize::from(waits);
+        node.active_faults.down = usize::from(waits);
         starting.spawn(async move {
             if !waits {
                 node.start().await?;
@@ -338,9 +338,9 @@
     loop {
         looks.tick().await;
         for (number, node) in nodes.iter().enumerate() {
-            // One that a trouble has in hand is down on purpose.
+            // One that a fault has in hand is down on purpose.
             let Ok(mut node) = node.try_lock() else { continue };
-            if node.hand.down > 0 || node.hand.departed {
+            if node.active_faults.down > 0 || node.active_faults.departed {
                 continue;
             }
             if node.has_exited() {
@@ -363,15 +363,19 @@
     loop {
         ticks.tick().await;
         let now = stage.now() as f64 / 1e6;
-        let (so_far, open, events) = {
+        let (progress_counts, open, events) = {
             let inner = stage.lock();
-            (inner.checker.so_far(), inner.checker.open(), inner.checker.events()[reported..].to_vec())
+            (
+                inner.checker.progress_counts(),
+                inner.checker.open(),
+                inner.checker.events()[reported..].to_vec(),
+            )
         };
         reported += events.len();
         for (at, what) in events {
             println!("  {at:5.1} s  {what}");
         }
-        let [wanted, delivered, unsuccessful] = so_far;
+        let [wanted, delivered, unsuccessful] = progress_counts;
         println!(
             "  {now:5.1} s  wanted {wanted}, delivered {delivered}, refused or failed {unsuccessful}, under way {open}"
         );
--- a/testbed/src/scenario.rs
+++ b/testbed/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What a play consists of, as a TOML file says it. What the file leaves out has the figures of today's service:
+//! What a run consists of, as a TOML file says it. What the file leaves out has the figures of today's service:
 //! partners, classes and clients as the operators describe theirs.
 use crate::peers::schedule::Peers;
 use serde::{Deserialize, Serialize};
@@ -8,30 +8,30 @@
 /// A figure that is drawn, evenly between two bounds, once for each partner.
 pub type Drawn = [f64; 2];
 
-/// A whole scenario.
+/// A complete scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// What reports call it.
     pub name: String,
-    /// For how long clients hand messages in, in seconds.
+    /// For how long clients submit messages, in seconds.
     pub seconds: f64,
-    /// Seeds to play, each with every variant.
+    /// Seeds to run, each with every variant.
     #[serde(default = "one_seed")]
     pub seeds: Vec<u64>,
-    /// How often each seed is played with each variant.
+    /// How often each seed is run with each variant.
     #[serde(default = "one")]
     pub repeats: u32,
     /// The senders.
     #[serde(default)]
     pub fleet: Fleet,
-    /// What clients hand in.
+    /// What clients submit.
     #[serde(default)]
     pub traffic: Traffic,
     /// How clients behave.
     #[serde(default)]
     pub clients: Clients,
-    /// Figures of the rules, told to the senders and used by the judge.
+    /// Figures of the rules, given to the senders and used by the checker.
     #[serde(default)]
     pub rules: Rules,
     /// Kinds of partner.
@@ -46,12 +46,12 @@
     /// The senders know one another, and what goes wrong among them; without it they share nothing.
     #[serde(default)]
     pub peers: Option<Peers>,
-    /// What is compared; with none, the project's own sender is played.
+    /// What is compared; with none, the project's own sender is run.
     #[serde(default, rename = "variant")]
     pub variants: Vec<Variant>,
 }
 
-/// The senders of a play.
+/// The senders of a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
@@ -60,12 +60,12 @@
     /// Slots of a sender over what its part of the full load keeps busy.
     #[serde(rename = "slots_room")]
     pub slot_headroom: f64,
-    /// Messages that a sender holds, in seconds of its part of the full load.
+    /// Messages that a sender has pending, in seconds of its part of the full load.
     #[serde(rename = "hold_s")]
     pub pending_s: f64,
     /// Attempts for one message at most.
     pub max_attempts: u32,
-    /// Memory of a sender, in MB, as its configuration tells it.
+    /// Memory of a sender, in MB, as its configuration gives it.
     pub memory_mb: u64,
     /// Descriptors of a sender.
     pub sockets: u64,
@@ -87,7 +87,7 @@
     }
 }
 
-/// What clients hand in.
+/// What clients submit.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Traffic {
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// How often a refused message is handed in again.
+    /// How often a refused message is submitted again.
     pub retries: u32,
     /// Wait before that, in ms; doubled each time.
     #[serde(rename = "again_ms")]
@@ -194,7 +194,7 @@
     /// The limit, over its calls at full load ...
     #[serde(default = "headroom")]
     pub headroom: Drawn,
-    /// ... and at least so many a second.
+    /// ... and at least this many a second.
     #[serde(default = "min_rate")]
     #[serde(rename = "least_rate")]
     pub min_rate: Drawn,
@@ -205,11 +205,11 @@
     #[serde(default = "capacity_over_limit")]
     #[serde(rename = "spare")]
     pub capacity_over_limit: Drawn,
-    /// Share of its refusals that tell how long to wait.
+    /// Share of its refusals that advise how long to wait.
     #[serde(default = "retry_after_share")]
     #[serde(rename = "tells_wait")]
     pub retry_after_share: Drawn,
-    /// What is told under a plain rate, in ms.
+    /// The wait advised under a plain rate, in ms.
     #[serde(default = "wait_ms")]
     pub wait_ms: Drawn,
     /// Refused calls use the limit up too.
@@ -221,7 +221,7 @@
     /// Connections that an endpoint takes, over the calls that it serves at once; 0 for any number.
     #[serde(default)]
     pub connections: f64,
-    /// And at least so many.
+    /// And at least this many.
     #[serde(default = "min_connections")]
     #[serde(rename = "least_connections")]
     pub min_connections: f64,
@@ -250,7 +250,7 @@
     pub latency_target_ms: f64,
     /// Given up after this, in ms.
     pub deadline_ms: f64,
-    /// Worth of one, in time.
+    /// Value of one, in time.
     #[serde(rename = "worth")]
     pub value: f64,
     /// Share of it that is left at the end.
@@ -275,7 +275,7 @@
     Unsafe,
 }
 
-/// One trouble.
+/// One fault.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledFault {
@@ -293,7 +293,7 @@
     pub size: f64,
 }
 
-/// Kinds of trouble.
+/// Kinds of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
@@ -338,7 +338,7 @@
     pub name: String,
     /// Another sender program, such as an earlier build of this project; none for the one built here.
     pub binary: Option<PathBuf>,
-    /// A plain sender of the lab instead.
+    /// A plain sender of the test bed instead.
     pub baseline: Option<Baseline>,
     /// Keys of a sender's configuration to set, as paths with dots: `"settings.limits.max_attempts" = 3`.
     #[serde(default)]
@@ -349,11 +349,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "snake_case")]
 pub enum Baseline {
-    /// One try for each message.
+    /// One attempt for each message.
     OneTry,
-    /// Tries again after a fixed pause, without chance.
+    /// Retries after a fixed backoff, without jitter.
     FixedPause,
-    /// Tries again after pauses that double, and does not heed told waits.
+    /// Retries after a backoff that doubles, and does not heed advised waits.
     Doubling,
 }
 
@@ -474,7 +474,7 @@
     ]
 }
 
-/// Why a scenario cannot be played.
+/// Why a scenario cannot be run.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The file cannot be read.
@@ -493,16 +493,16 @@
         /// What is wrong, and where.
         source: Box<toml::de::Error>,
     },
-    /// Figures that no play can have: each with its place.
+    /// Figures that no run can have: each with its place.
     #[error("this scenario cannot be played:\n{}", .0.join("\n"))]
     Impossible(Vec<String>),
 }
 
-/// More messages than these are no play on one machine.
+/// More messages than these are no run on one machine.
 const MAX_MESSAGES: f64 = 200_000.0;
-/// More strangers a second are no play on one machine.
+/// More strangers a second are no run on one machine.
 const MAX_STRANGERS: f64 = 1000.0;
-/// The longest play, in seconds.
+/// The longest run, in seconds.
 const MAX_SECONDS: f64 = 3600.0;
 /// More senders than these are not simulated ...
 const MAX_SENDERS: usize = 20_000;
@@ -510,7 +510,7 @@
 pub const MAX_PROCESSES: usize = 320;
 
 impl Scenario {
-    /// Reads a file, and checks it whole.
+    /// Reads a file, and validates all of it.
     pub fn read(path: &Path) -> Result<Self, ScenarioError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ScenarioError::Unreadable { path: path.to_owned(), source })?;
@@ -520,7 +520,7 @@
         })
     }
 
-    /// Reads the text of a file, and checks it whole.
+    /// Reads the text of a file, and validates all of it.
     pub fn parse(text: &str) -> Result<Self, ParseError> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| ParseError::Toml(Box::new(e)))?;
         match scenario.impossible() {
@@ -529,7 +529,7 @@
         }
     }
 
-    /// All that no play can have, each with its place in the file.
+    /// All that no run can have, each with its place in the file.
     fn impossible(&self) -> Vec<String> {
         let mut wrong = Vec::new();
         let mut check = |ok: bool, what: String| {
@@ -632,7 +632,7 @@
         wrong
     }
 
-    /// The same with so many senders, checked as a file is.
+    /// The same with this many senders, checked as a file is.
     pub fn with_senders(mut self, senders: usize) -> Result<Self, ParseError> {
         self.fleet.senders = senders;
         let wrong = self.impossible();
@@ -651,7 +651,7 @@
     /// It is no TOML, or has keys that are not known.
     #[error(transparent)]
     Toml(Box<toml::de::Error>),
-    /// Figures that no play can have.
+    /// Figures that no run can have.
     #[error("{}", .0.join("; "))]
     Impossible(Vec<String>),
 }
--- a/testbed/src/serving_tier/checker.rs
+++ b/testbed/src/serving_tier/checker.rs
@@ -14,7 +14,7 @@
     Unasked,
     /// An answer belongs to its request.
     Mixed,
-    /// A stream ends whole, or visibly broken.
+    /// A stream ends complete, or visibly broken.
     Ended,
     /// A turn that a client saw end is there for the next.
     Lost,
@@ -27,7 +27,7 @@
 /// Each rule that was broken, with what was seen.
 pub type Breaches = BTreeMap<Rule, Vec<String>>;
 
-/// Of the programs, so many in a hundred have to finish.
+/// Of the programs, this many in a hundred have to finish.
 pub const MIN_FINISHED_PERCENT: usize = 90;
 
 /// What a history comes to.
@@ -50,11 +50,11 @@
     }
 }
 
-/// The data of the whole events in a stream, each with a line feed after it, and their number.
+/// The data of the complete events in a stream, each with a line feed after it, and their number.
 pub fn output(stream: &[u8]) -> (Vec<u8>, u64) {
     let (mut output, mut count) = (Vec::new(), 0);
     let text = String::from_utf8_lossy(stream);
-    // What stands after the last blank line is no whole event.
+    // What stands after the last blank line is no complete event.
     let complete = text.rfind("\n\n").map_or("", |end| &text[..end]);
     for event in complete.split("\n\n") {
         if let Some(data) = event.lines().find_map(|line| line.strip_prefix("data: ")) {
@@ -73,7 +73,7 @@
     breaches: Breaches,
 }
 
-/// Judges a history.
+/// Checks a history.
 pub fn check_history(history: &History) -> Verdict {
     let mut runs: HashMap<&str, Vec<&Run>> = HashMap::new();
     for run in &history.runs {
@@ -97,7 +97,7 @@
         self.breaches.entry(rule).or_default().push(what);
     }
 
-    /// Inputs and outputs of a turn and of those before it, as their clients saw them; none if one was not seen whole.
+    /// Inputs and outputs of a turn and of those before it, as their clients saw them; none if one was not seen completely.
     fn chain(&self, mut last: Option<&'a str>) -> Option<Vec<u8>> {
         let mut parts = Vec::new();
         while let Some(attempt) = last {
--- a/testbed/src/serving_tier/clients.rs
+++ b/testbed/src/serving_tier/clients.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// How long a client waits for one request, over all its tries.
+/// How long a client waits for one request, over all its attempts.
 const DEADLINE: Duration = Duration::from_secs(4);
 /// And so much longer until it calls the silence one.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -24,13 +24,13 @@
 const MAX_TURN_RETRIES: u32 = 2;
 /// Between two questions whether senders are ready.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// A sender that missed so many has no new connections.
+/// A sender that missed this many has no new connections.
 const MAX_MISSED_POLLS: usize = 2;
 /// The most tokens that a turn of a program generates.
 const MAX_TOKENS_PER_TURN: u64 = 24;
 /// The budget of a program that loops.
 const LOOP_BUDGET: u64 = 120;
-/// A program that loops is ended by the lab after so many rounds.
+/// A program that loops is ended by the test bed after this many rounds.
 const MAX_TURNS: usize = 60;
 
 /// The front: which senders get new connections.
@@ -45,7 +45,7 @@
         Self { senders: senders.into_iter().map(out).collect() }
     }
 
-    /// Asks all senders for good.
+    /// Polls the readiness of all senders until cancelled.
     pub async fn poll_readiness(self: Arc<Self>) {
         loop {
             for (_, readiness, missed) in &self.senders {
@@ -94,7 +94,7 @@
     pub lookups: AtomicBool,
 }
 
-/// A connection that is kept, to this sender.
+/// A connection that is reused, to this sender.
 type IdleConnection = (SocketAddr, Connection);
 
 /// What a client asks for.
@@ -113,7 +113,7 @@
     finish: Instant,
 }
 
-/// How a request ended, over all its tries.
+/// How a request ended, over all its attempts.
 enum RequestOutcome {
     /// With this attempt's answer.
     Done(String),
@@ -123,7 +123,7 @@
     Failed(String),
 }
 
-/// How a try goes on.
+/// How an attempt goes on.
 enum Next {
     End(RequestOutcome),
     /// It has not run: again, after a pause.
@@ -146,7 +146,7 @@
         mixed(mixed(self.seed) ^ self.ids.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// One request, with its tries. Lines of turns keep their connection.
+    /// One request, with its attempts. Lines of turns keep their connection.
     async fn send_request(
         &self,
         planned: &PlannedRequest<'_>,
--- a/testbed/src/serving_tier/endpoints.rs
+++ b/testbed/src/serving_tier/endpoints.rs
@@ -26,7 +26,7 @@
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// Between two events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(15);
-/// One in so many streams, and idempotent tools, breaks off.
+/// One in this many streams, and idempotent tools, breaks off.
 const BREAKS: u64 = 25;
 /// Endpoints on a page of the list.
 const PAGE: usize = 4;
@@ -95,7 +95,7 @@
         self.instance.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Becomes another incarnation at the same address; the list tells it later.
+    /// Becomes another incarnation at the same address; the list reports it later.
     pub async fn restart_as_new_incarnation(&self) {
         let next = format!("{}-anew", self.instance());
         self.instance.lock().unwrap_or_else(PoisonError::into_inner).clone_from(&next);
@@ -166,7 +166,7 @@
     builder.body(Answer::Complete(Some(body.into()).filter(|body| !body.is_empty()))).map_err(|_| Cut)
 }
 
-/// Serves an endpoint for good.
+/// Serves an endpoint until cancelled.
 pub async fn serve(endpoint: Arc<Endpoint>, recorder: Arc<Recorder>, listener: TcpListener) {
     let mut connections = JoinSet::new();
     loop {
@@ -258,7 +258,7 @@
             }
         }
         if breaks {
-            // Who is gone needs no break.
+            // A client that disconnected needs no break.
             let _ = pieces.send(Err(Cut)).await;
         }
     });
@@ -310,7 +310,7 @@
         json!({"instances": instances, "next_page_token": next}).to_string()
     }
 
-    /// Answers calls for good.
+    /// Answers calls until cancelled.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
         let mut connections = JoinSet::new();
         loop {
--- a/testbed/src/serving_tier/history.rs
+++ b/testbed/src/serving_tier/history.rs
@@ -1,4 +1,4 @@
-//! What endpoints ran and clients saw, as it is kept for the judge.
+//! What endpoints ran and clients saw, as it is stored for the checker.
 use bytes::Bytes;
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,7 +12,7 @@
 pub enum Kind {
     /// A turn: a stream of events, with the chain before its input.
     Turn,
-    /// A tool that may run once for each try.
+    /// A tool that may run once for each attempt.
     NonIdempotent,
     /// A tool that may run again.
     Idempotent,
@@ -29,11 +29,11 @@
     pub body: Bytes,
     /// The seal of its answer.
     pub seal: String,
-    /// Its answer's body, whole, also where the endpoint broke it off.
+    /// Its answer's body, complete, also where the endpoint broke it off.
     pub answer: Bytes,
 }
 
-/// How a try ended for its client.
+/// How an attempt ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
     /// No connection came up, or it was closed before the request was written.
@@ -52,14 +52,14 @@
         id: Option<String>,
         /// Its `Server-Seal`.
         seal: Option<String>,
-        /// What came of its body.
+        /// What was received of its body.
         body: Bytes,
         /// Whether the body came to its end; otherwise it broke off.
         complete: bool,
     },
 }
 
-/// Where a try went, and its times in the play.
+/// Where an attempt went, and its times in the run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptRoute {
     /// The sender.
@@ -70,7 +70,7 @@
     pub ended_at: Option<Duration>,
 }
 
-/// One try of a client.
+/// One attempt of a client.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The program that it belongs to.
@@ -113,12 +113,12 @@
     pub read: Option<Bytes>,
 }
 
-/// Everything that the judge is told.
+/// Everything that the checker receives.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// Runs at endpoints.
     pub runs: Vec<Run>,
-    /// Tries of clients.
+    /// Attempts of clients.
     pub attempts: Vec<Attempt>,
     /// Programs that ended.
     pub programs: Vec<Program>,
@@ -126,11 +126,11 @@
     pub started: usize,
     /// Configurations.
     pub configurations: Configurations,
-    /// What happened, for the reader: the time in the play and a line.
+    /// What happened, for the reader: the time in the run and a line.
     pub events: Vec<(Duration, String)>,
 }
 
-/// The history while it is written, with the play's clock.
+/// The history while it is written, with the run's clock.
 pub struct Recorder {
     began: Instant,
     verbose: bool,
@@ -138,7 +138,7 @@
 }
 
 impl Recorder {
-    /// An empty one; `tell` has events printed as they happen.
+    /// An empty one; `verbose` has events printed as they happen.
     pub fn new(verbose: bool) -> Self {
         Self { began: Instant::now(), verbose, history: Mutex::default() }
     }
@@ -148,7 +148,7 @@
         self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The time in the play.
+    /// The time in the run.
     pub fn now(&self) -> Duration {
         self.began.elapsed()
     }
--- a/testbed/src/serving_tier/machines.rs
+++ b/testbed/src/serving_tier/machines.rs
@@ -23,7 +23,7 @@
 const READINESS: u16 = 6;
 /// Ports are looked for here, below those that the system gives to outgoing connections.
 const PORT_RANGE: std::ops::Range<u16> = 12_000..30_000;
-/// So many places are looked at.
+/// How many candidates are tried at most.
 const MAX_PORT_SEARCHES: usize = 200;
 
 /// Zones with their region.
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What its program was called before, where a build from then is played beside the present one.
+    /// What its program was called before, where a build from then is run beside the present one.
     fn former_program(self) -> &'static str {
         match self {
             Self::ControlNode => "config-keeper",
@@ -128,7 +128,7 @@
 }
 
 impl Addresses {
-    /// Addresses for so many machines, with ports that are free now.
+    /// Addresses for this many machines, with ports that are free now.
     pub async fn find(core: u8, storage: u8, edge: u8, seed: u64) -> Result<Self, FleetError> {
         let ips = |net: u8, count: u8| (1..=count).map(|n| Ipv4Addr::new(127, 0, net, n)).collect::<Vec<_>>();
         let (core, storage, edge) = (ips(10, core), ips(20, storage), ips(30, edge));
@@ -241,7 +241,7 @@
     }
 }
 
-/// The folder with the tier's programs, built if they are not up to date, in the profile of the lab itself.
+/// The folder with the tier's programs, built if they are not up to date, in the profile of the test bed itself.
 pub fn built_programs() -> Result<PathBuf, FleetError> {
     let roles = [Role::ControlNode, Role::StorageNode, Role::ProxyAgent, Role::RequestProxy];
     build_folder(&["-p", "system-programs", "--bins"], roles.map(Role::program))
@@ -297,7 +297,7 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log.map_err(io("making a log"))?)
-            // ctrl-C is for the lab, which then ends its processes.
+            // ctrl-C is for the test bed, which then ends its processes.
             .process_group(0)
             .kill_on_drop(true)
             .spawn()
@@ -319,7 +319,7 @@
         }
     }
 
-    /// SIGTERM, waits for the end, and SIGKILL where it does not come within `patience`; true if it came.
+    /// SIGTERM, waits for the end, and SIGKILL where it does not come within `max_wait`; true if it came.
     pub async fn terminate(&mut self, max_wait: Duration) -> bool {
         let Some(mut child) = self.child.take() else { return false };
         if let Some(pid) = child.id().and_then(|id| i32::try_from(id).ok()) {
@@ -333,7 +333,7 @@
         exited
     }
 
-    /// Gives it an empty disk; the former one is gone with the play. Its process must have ended.
+    /// Gives it an empty disk; the former one is deleted with the run. Its process must have ended.
     pub async fn wipe(&self) -> Result<(), FleetError> {
         let data = self.folder.join("data");
         // Removing a folder waits for the disk; renaming it seldom does.
--- a/testbed/src/serving_tier/mod.rs
+++ b/testbed/src/serving_tier/mod.rs
@@ -1,5 +1,5 @@
 //! The tier on loopback: its four programs as real processes, each machine on an address of its own, between stand-ins for
-//! the platform, the endpoints, the operator and the clients, and a judge that is told by these alone.
+//! the platform, the endpoints, the operator and the clients, and a checker that receives reports from these alone.
 pub mod checker;
 pub mod clients;
 pub mod endpoints;
--- a/testbed/src/serving_tier/operator.rs
+++ b/testbed/src/serving_tier/operator.rs
@@ -18,7 +18,7 @@
 /// Pause before the next sender is tried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The configuration: turns and orders, and with `lookups` a third route, all on the services of the play.
+/// The configuration: turns and orders, and with `lookups` a third route, all on the services of the run.
 pub fn configuration(version: u64, lookups: bool) -> Bytes {
     let route = |name: &str, kind: &str, service: &str| {
         json!({"name": name, "hostname": HOST, "path_prefix": format!("/{name}/"), "route_type": kind,
@@ -82,7 +82,7 @@
         timeout(CALL_TIMEOUT, exchange).await.ok().flatten()
     }
 
-    /// Sends a configuration on top of version `on` to one keeper after another, until it is acknowledged or `patience`
+    /// Sends a configuration on top of version `on` to one control node after another, until it is acknowledged or `max_wait`
     /// is over; whether it was.
     pub async fn put(&self, version: u64, on: u64, body: Bytes, max_wait: Duration) -> bool {
         self.recorder.lock().configurations.sent.push((version, body.clone()));
@@ -110,7 +110,7 @@
         false
     }
 
-    /// Reads the configuration back, from one keeper after another until one gives it.
+    /// Reads the configuration back, from one control node after another until one gives it.
     pub async fn read(&self, max_wait: Duration) {
         let until = Instant::now() + max_wait;
         for control_node in self.control_nodes.iter().cycle() {
--- a/testbed/src/serving_tier/run.rs
+++ b/testbed/src/serving_tier/run.rs
@@ -1,4 +1,4 @@
-//! One play of the tier: all machines and stand-ins on loopback, the troubles in their time, and the verdict.
+//! One run of the tier: all machines and stand-ins on loopback, the faults in their time, and the verdict.
 use super::checker::{Verdict, check_history};
 use super::clients::{Clients, Front};
 use super::endpoints::{self, Endpoint, Platform};
@@ -21,7 +21,7 @@
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Between two programs that start.
 const PROGRAM_START_INTERVAL: Duration = Duration::from_millis(120);
-/// One program in so many loops until its budget is spent.
+/// One program in this many loops until its budget is spent.
 const LOOPING_PROGRAM_STRIDE: usize = 12;
 /// How long a program has.
 const PROGRAM_TIMEOUT: Duration = Duration::from_secs(20);
@@ -29,29 +29,29 @@
 const QUIET_TAIL_SHARE: f64 = 0.15;
 /// From an acknowledgement until a configuration must be in force.
 const CONFIGURATION_APPLY_DELAY: Duration = Duration::from_secs(2);
-/// How long the operator tries.
+/// How long the operator retries.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the platform refuses to tell the list.
+/// How long the platform refuses to serve the list.
 const LIST_LIMITED_TIME: Duration = Duration::from_secs(1);
 /// How long a killed storage machine is away.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// What is played.
+/// What is run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// How long, in seconds.
     pub seconds: f64,
-    /// Draws other programs and other chances.
+    /// Draws other programs and other random events.
     pub seed: u64,
     /// From SIGTERM to SIGKILL, in seconds.
     pub grace_s: f64,
-    /// Whether it is told how it goes.
+    /// Whether its progress is printed.
     pub verbose: bool,
     /// The earlier build whose programs are on half of the machines.
     pub older: Option<Older>,
 }
 
-/// What came of a play.
+/// The outcome of a run.
 #[derive(Debug)]
 pub struct RunResult {
     /// What endpoints ran and clients saw.
@@ -73,7 +73,7 @@
 }
 
 impl RunResult {
-    /// Whether the rules were kept, enough programs finished, and no process failed, in a whole play.
+    /// Whether the rules were kept, enough programs finished, and no process failed, in a complete run.
     pub fn is_good(&self) -> bool {
         self.verdict.is_good() && self.crashes.is_empty() && self.late_ends.is_empty() && !self.cut_short
     }
@@ -86,7 +86,7 @@
     pids: Mutex<Vec<u32>>,
     crashes: Mutex<Vec<String>>,
     late_ends: Mutex<Vec<String>>,
-    /// Gone with the tier.
+    /// Deleted with the tier.
     _folder: TempDir,
 }
 
@@ -176,7 +176,7 @@
     plan: Plan,
 }
 
-/// Plays once with the programs of a folder; `stop`, once over 0, ends it early.
+/// Runs once with the programs of a folder; `stop`, once over 0, ends it early.
 pub async fn run_tier(
     plan: Plan,
     programs: &Path,
--- a/testbed/src/serving_tier/table.rs
+++ b/testbed/src/serving_tier/table.rs
@@ -1,16 +1,16 @@
-//! The table that a play of the tier ends with.
+//! The table that a run of the tier ends with.
 use super::checker::MIN_FINISHED_PERCENT;
 use super::history::{Attempt, End, Kind};
 use super::run::RunResult;
 use std::fmt::Write;
 
-/// Breaches of one rule, and unfinished programs, that are describe_request.
+/// Breaches of one rule, and unfinished programs, that are printed.
 const MAX_REPORTED_BREACHES: usize = 5;
 
-/// Last tries that are describe_request of a program that did not finish.
+/// Last attempts that are printed of a program that did not finish.
 const MAX_REPORTED_OUTCOMES: usize = 5;
 
-/// A try's end, when it began, how long it took and the sender.
+/// An attempt's end, when it began, how long it took and the sender.
 fn describe_request(of: &Attempt) -> String {
     let end = match &of.end {
         End::Answered { status, complete: true, .. } => status.to_string(),
@@ -25,7 +25,7 @@
     format!("{end} ({:.1} s +{took}{to})", of.route.began.as_secs_f64())
 }
 
-/// A play's figures, for a terminal.
+/// A run's figures, for a terminal.
 pub fn table(result: &RunResult) -> String {
     let (history, verdict) = (&result.history, &result.verdict);
     let mut text = String::new();
@@ -62,9 +62,9 @@
         let last = ends[ends.len().saturating_sub(MAX_REPORTED_OUTCOMES)..].join(", ");
         let _ = writeln!(text, "not finished: program {number}, {why}; its last tries: {last}");
     }
-    for (rule, describe_request) in &verdict.breaches {
-        let _ = writeln!(text, "\nRULE BROKEN: {rule:?}, {} times", describe_request.len());
-        for what in describe_request.iter().take(MAX_REPORTED_BREACHES) {
+    for (rule, reports) in &verdict.breaches {
+        let _ = writeln!(text, "\nRULE BROKEN: {rule:?}, {} times", reports.len());
+        for what in reports.iter().take(MAX_REPORTED_BREACHES) {
             let _ = writeln!(text, "  {what}");
         }
     }
--- a/testbed/src/sim.rs
+++ b/testbed/src/sim.rs
@@ -1,4 +1,4 @@
-//! The decision module alone in simulated time: thousands of senders against the same partners, clients and judge, in
+//! The decision module alone in simulated time: thousands of senders against the same partners, clients and checker, in
 //! one thread. No sockets and no journal: what a kill takes is what an unbroken journal would give back.
 use crate::checker::{Admission, AttemptEnd, RuleChecker};
 use crate::fleet::{FleetError, apply, configuration};
@@ -20,16 +20,16 @@
 
 /// One way from a sender to an endpoint, or from a client to a sender.
 const ONE_WAY_DELAY_US: Micros = 10_000;
-/// The module's clock at the start of a play: it is a wall clock in service.
+/// The module's clock at the start of a run: it is a wall clock in service.
 const EPOCH: u64 = 1_000_000_000;
 /// For how long an endpoint keeps an idle connection.
 const IDLE_TIMEOUT_US: Micros = 5_000_000;
-/// News of the list reaches each sender by chance within these, in seconds.
+/// Updates of the list reach each sender at random within these, in seconds.
 const LIST_DELAY_S: [f64; 2] = [0.5, 4.7];
 /// How long a process takes from its start until it is ready.
 const START_DURATION_US: Micros = 200_000;
 
-/// Why a simulated play cannot be begun.
+/// Why a simulated run cannot be begun.
 #[derive(Debug, thiserror::Error)]
 pub enum SimError {
     /// The settings made of the scenario, or of the variant's keys, cannot be acted on.
@@ -38,18 +38,18 @@
     /// The variant sets a key that is none.
     #[error(transparent)]
     Key(#[from] FleetError),
-    /// Only the project's own module is played so.
+    /// Only the project's own module is run so.
     #[error("variant {0:?} is no configuration of this project's module")]
     Variant(String),
 }
 
 /// What happens, and when.
 enum SimEvent {
-    /// A client hands a message in.
+    /// A client submits a message.
     Submit { arrival: usize, first: Option<usize>, retries: u32 },
     /// A sender is due.
     Step(usize),
-    /// A call reaches its endpoint whole; or not, where there is no connection.
+    /// A call reaches its endpoint completely; or not, where there is no connection.
     Reaches(CallAt),
     /// It ends as the partner has it.
     Ends(CallAt, Outcome),
@@ -57,7 +57,7 @@
     Expires(CallAt),
     /// An idle connection is closed by its endpoint.
     Closes { sender: usize, endpoint: u32, since: Micros },
-    /// A trouble begins or ends.
+    /// A fault begins or ends.
     ScheduledFault(usize, bool),
     /// A sender is killed.
     Dies(usize),
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, PartialEq)]
 struct CallAt {
     sender: usize,
-    /// Which process of the sender: calls of one that was killed tell nobody.
+    /// Which process of the sender: calls of one that was killed report to nobody.
     incarnation: u32,
     message: u32,
     attempt: u32,
@@ -79,7 +79,7 @@
     began: Micros,
 }
 
-/// A message that a sender holds.
+/// A message that a sender has pending.
 struct InFlightMessage {
     id: String,
     arrival: usize,
@@ -89,7 +89,7 @@
     attempts: u32,
     ran: Option<Time>,
     out: Option<CallAt>,
-    /// When the partner let the attempt through: from then on its end is owed to the judge.
+    /// When the partner let the attempt through: from then on its end must be reported to the checker.
     admitted: Option<Micros>,
 }
 
@@ -104,7 +104,7 @@
     next_message: u32,
     idle: HashMap<u32, Vec<Micros>>,
     seed: u64,
-    /// From when on the front takes it for dead.
+    /// From when on the front considers it dead.
     shunned_from: Micros,
 }
 
@@ -127,7 +127,7 @@
     next_id: u64,
 }
 
-/// What a simulated play cost.
+/// What a simulated run cost.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
     /// Steps of all modules.
@@ -136,7 +136,7 @@
     pub simulated_s: f64,
 }
 
-/// Plays a scenario in simulated time.
+/// Runs a scenario in simulated time.
 pub fn simulate(scenario: &Scenario, variant: &Variant, seed: u64) -> Result<(RunResult, Cost), SimError> {
     if variant.baseline.is_some() || variant.binary.is_some() {
         return Err(SimError::Variant(variant.name.clone()));
@@ -185,7 +185,7 @@
     Entry { endpoint, destination, kind, zone: ZoneId(0), listing, hint }
 }
 
-/// The whole list.
+/// The complete list.
 fn list(plan: &Plan, endpoints: &[(usize, usize)]) -> Vec<Entry> {
     let numbered = endpoints.iter().enumerate();
     numbered.map(|(number, (partner, _))| entry(plan, number, *partner, Listing::Active)).collect()
@@ -315,7 +315,7 @@
         self.wake(sender, self.now);
     }
 
-    /// A client that was refused comes again, if it has a try left.
+    /// A client that was refused comes again, if it has a retry left.
     fn resubmit(&mut self, arrival: usize, first: usize, retries: u32, advised_delay: Option<Micros>) {
         let clients = &self.scenario.clients;
         if retries >= clients.retries {
@@ -542,7 +542,7 @@
         }
     }
 
-    // ---- troubles ------------------------------------------------------------------------------------
+    // ---- faults ------------------------------------------------------------------------------------
 
     fn begin_or_end_fault(&mut self, number: usize, begins: bool) {
         let (fault, met) = self.plan.scheduled_faults[number].clone();
--- a/testbed/src/sim/tests.rs
+++ b/testbed/src/sim/tests.rs
@@ -13,9 +13,9 @@
     [[trouble]]\nkind = \"kill\"\nat_s = 15.0\nfor_s = 2.0\npart = 0.5\n\
     [[trouble]]\nkind = \"drain\"\nat_s = 20.0\nfor_s = 4.0\npart = 0.5\n";
 
-/// Time stands for nothing here: the same seed gives the same play to the last count.
+/// Time stands for nothing here: the same seed gives the same run to the last count.
 #[test]
-fn one_seed_gives_one_play_in_which_all_rules_hold() {
+fn one_seed_gives_one_result_that_breaks_no_rule() {
     let s = scenario(OUTAGE);
     let (first, cost) = simulate(&s, &variant(), 4).unwrap();
     let (again, _) = simulate(&s, &variant(), 4).unwrap();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_quiet_day_is_delivered_nearly_whole() {
+fn nearly_all_messages_are_delivered_without_faults() {
     let s = scenario("[traffic]\nload = 0.4\nclumps = 0.0\n[fleet]\nsenders = 3");
     let (result, _) = simulate(&s, &variant(), 2).unwrap();
     assert!(result.verdict.value.overall > 0.97, "{:?}", result.verdict.value);
--- a/testbed/src/table.rs
+++ b/testbed/src/table.rs
@@ -1,8 +1,8 @@
-//! The table that a play ends with.
+//! The table that a run ends with.
 use crate::run::RunResult;
 use std::fmt::Write;
 
-/// A play's figures, for a terminal.
+/// A run's figures, for a terminal.
 pub fn table(result: &RunResult) -> String {
     let (v, c) = (&result.verdict, &result.verdict.counts);
     let mut text = String::new();
--- a/testbed/tests/peers.rs
+++ b/testbed/tests/peers.rs
@@ -42,7 +42,7 @@
 
 /// V6: all killed at once, and a process on a copied folder, of which one stops.
 #[test]
-fn a_fleet_comes_back_whole_and_a_copy_stops() {
+fn a_fleet_recovers_completely_and_a_copy_stops() {
     let all = scenario(
         r#"name = "all at once"
         seconds = 30.0
--- a/testbed/tests/rig.rs
+++ b/testbed/tests/rig.rs
@@ -1,4 +1,4 @@
-//! The rig on processes: a fleet of the real program, with faults of processes and links at once, told and judged by its
+//! The rig on processes: a fleet of the real program, with faults of processes and links at once, observed and checked by its
 //! history alone (V1 to V4 of `docs/fleet.md`).
 use testbed::fleet::{Program, built_sender};
 use testbed::peers::check::check;
--- a/testbed/tests/run.rs
+++ b/testbed/tests/run.rs
@@ -1,4 +1,4 @@
-//! Whole plays on loopback with the real sender. Only rules that no slow machine breaks are asserted.
+//! Complete runs on loopback with the real sender. Only rules that no slow machine breaks are asserted.
 use std::path::{Path, PathBuf};
 use testbed::checker::Rule;
 use testbed::fleet::{FleetError, Program, built_sender};
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sender_killed_in_a_play_loses_and_doubles_nothing() {
+async fn a_sender_killed_during_a_run_loses_and_doubles_nothing() {
     let sender = Program::Sender(built_sender().unwrap());
     let killed = "[[trouble]]\nkind = \"kill\"\nat_s = 1.0\nfor_s = 0.5\npart = 0.5\n";
     let result = result(killed, sender).await.unwrap();
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_play_that_is_stopped_reports_what_there_is() {
+async fn a_stopped_run_reports_partial_results() {
     let sender = Program::Sender(built_sender().unwrap());
     let scenario = Scenario::parse(&SHORT.replace("3.0", "600.0")).unwrap();
     let (stop, stopped) = watch::channel(0);
--- a/testbed/tests/serving_tier.rs
+++ b/testbed/tests/serving_tier.rs
@@ -1,4 +1,4 @@
-//! The tier's play: each rule of the judge on a made-up history, and short plays of the real programs on loopback, of which only
+//! The tier's run: each rule of the checker on a made-up history, and short runs of the real programs on loopback, of which only
 //! what no slow machine breaks is asserted.
 use bytes::Bytes;
 use std::path::Path;
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_output_of_a_stream_is_the_data_of_its_whole_events() {
+fn the_output_of_a_stream_is_the_data_of_its_complete_events() {
     assert_eq!(output(STREAM.as_bytes()), (OUTPUT.into(), 2));
     assert_eq!(output(b"id: 1\ndata: a\n\nid: 2\ndata: b"), (b"a\n".to_vec(), 1));
     assert_eq!(output(b""), (Vec::new(), 0));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_run_that_nobody_asked_for_is_caught() {
+fn a_run_without_a_request_is_caught() {
     assert_eq!(broken(|h| h.runs.push(run("stranger", "", "done"))), [Rule::Unasked]);
 }
 
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_stream_that_ends_early_as_if_whole_or_never_is_caught() {
+fn a_stream_that_ends_early_as_if_complete_or_never_is_caught() {
     let short = "id: 1\ndata: a b\n\n";
     assert_eq!(broken(|h| h.attempts[1].end = answered("two", 200, short, true)), [Rule::Ended]);
     assert_eq!(broken(|h| h.attempts[1].end = answered("two", 200, short, false)), []);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_turn_that_ended_and_is_not_there_is_caught() {
+fn a_completed_turn_that_is_missing_is_caught() {
     let lost = |h: &mut History| {
         h.runs.remove(1);
         h.attempts[1].end = answered("two", 404, "", true);
@@ -256,7 +256,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_play_that_is_stopped_leaves_no_process() {
+async fn a_stopped_run_leaves_no_process() {
     let programs = built_programs().unwrap();
     let (stop, stopped) = watch::channel(0);
     let plan = Plan { seconds: 600.0, seed: 4, grace_s: 4.0, verbose: false, older: None };
