--- a/testbed/src/baseline.rs
+++ b/testbed/src/baseline.rs
@@ -224,8 +224,9 @@
 
     async fn deliver(&self, message: PendingMessage) {
         let (mut ran, mut backoff): (Option<Instant>, Duration) = (None, INITIAL_BACKOFF);
-        let most = if self.how == Baseline::OneTry { 1 } else { self.config.settings.limits.max_attempts };
-        for _ in 0..most {
+        let max_attempts =
+            if self.how == Baseline::OneTry { 1 } else { self.config.settings.limits.max_attempts };
+        for _ in 0..max_attempts {
             let may = match (message.lane.repeat.as_str(), ran) {
                 (_, None) | ("retryable", _) => true,
                 ("dedup", Some(ran)) => {
--- a/testbed/src/experiment.rs
+++ b/testbed/src/experiment.rs
@@ -109,9 +109,9 @@
         let _ = write!(text, "\n{:<16}", measure.name);
         for variant in variants {
             let own: Vec<f64> = runs.iter().filter(|p| p.variant == variant.name).map(measure.of).collect();
-            let least = own.iter().copied().fold(f64::INFINITY, f64::min);
-            let most = own.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-            let _ = write!(text, " {:>26}", format!("{:.3} ({least:.3} to {most:.3})", median(&own)));
+            let lowest = own.iter().copied().fold(f64::INFINITY, f64::min);
+            let highest = own.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+            let _ = write!(text, " {:>26}", format!("{:.3} ({lowest:.3} to {highest:.3})", median(&own)));
         }
     }
     let _ = write!(text, "\n{:<16}", "rules broken");
--- a/testbed/src/model.rs
+++ b/testbed/src/model.rs
@@ -54,7 +54,7 @@
 }
 
 /// An error is answered after so long: nothing was worked on.
-const ERROR_TAKES: Micros = 20_000;
+const ERROR_RESPONSE_TIME_US: Micros = 20_000;
 /// Calls that a plain rate lets through at once, in seconds of it; one at least.
 const BURST_S: f64 = 0.25;
 
@@ -302,7 +302,7 @@
         let fate = match self.endpoints[endpoint].condition {
             Condition::Down => Fate::Broken { at: now },
             Condition::Hung => Fate::Silent { runs: false },
-            Condition::Errors => Fate::Answered { at: now + ERROR_TAKES, ok: false },
+            Condition::Errors => Fate::Answered { at: now + ERROR_RESPONSE_TIME_US, ok: false },
             Condition::Shut(until) => Fate::Refused(self.advise_wait(until.saturating_sub(now))),
             Condition::Up => self.serve(now, endpoint, work),
         };
--- a/testbed/src/peers/links.rs
+++ b/testbed/src/peers/links.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// The longest datagram there is.
-const LONGEST: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 /// A connection that cannot come up is given up by whoever makes it before this.
 const NO_ANSWER: Duration = Duration::from_millis(1_500);
 /// A connection that is cut for longer than this does not come back.
@@ -24,7 +24,7 @@
 /// Pause between looks at a cut connection.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Bytes that are passed on at a time.
-const CHUNK: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// What meets something on its way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -177,8 +177,8 @@
         share > 0.0 && locked(&self.rng).random_bool(share.min(1.0))
     }
 
-    fn some(&self, most: f64) -> Duration {
-        Duration::from_secs_f64(locked(&self.rng).random_range(0.0..=most.max(0.0)) / 1e3)
+    fn some(&self, max_ms: f64) -> Duration {
+        Duration::from_secs_f64(locked(&self.rng).random_range(0.0..=max_ms.max(0.0)) / 1e3)
     }
 
     /// Carries all that comes for one sender, for as long as it is polled.
@@ -188,7 +188,7 @@
     }
 
     async fn carry_datagrams(self: Arc<Self>, to: usize, socket: Arc<UdpSocket>) {
-        let mut buffer = vec![0; LONGEST];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             // An error is that of an earlier datagram, to one that has departed.
             let Ok((length, source)) = socket.recv_from(&mut buffer).await else { continue };
@@ -251,7 +251,7 @@
             let _ = stream.set_zero_linger();
             let _ = onward.set_zero_linger();
         };
-        let mut chunk = vec![0; CHUNK];
+        let mut chunk = vec![0; CHUNK_BYTES];
         let mut back = [0; 16];
         loop {
             let length = tokio::select! {
--- a/testbed/src/peers/real.rs
+++ b/testbed/src/peers/real.rs
@@ -107,7 +107,7 @@
 
 impl Rig {
     /// A rig for a scenario whose senders know one another; its links are carried by `parties`.
-    pub async fn raise(
+    pub async fn start(
         stage: &Arc<Stage>,
         peers: &Peers,
         seed: u64,
@@ -208,8 +208,8 @@
         let all = Arc::new(nodes);
         let mut work = JoinSet::new();
         for (number, met) in self.schedule.iter().cloned().enumerate() {
-            let hands = Hands { rig: self.clone(), nodes: all.clone(), clients: clients.clone() };
-            work.spawn(hands.fault(number, met));
+            let injector = FaultInjector { rig: self.clone(), nodes: all.clone(), clients: clients.clone() };
+            work.spawn(injector.fault(number, met));
         }
         for number in 0..all.len() {
             work.spawn(self.clone().poll_views(number, all[number].clone(), all.len()));
@@ -298,13 +298,13 @@
 
 /// Does faults to processes.
 #[derive(Clone)]
-struct Hands {
+struct FaultInjector {
     rig: Arc<Rig>,
     nodes: Arc<Vec<Shared>>,
     clients: Arc<Clients>,
 }
 
-impl Hands {
+impl FaultInjector {
     async fn fault(self, number: usize, met: Met) {
         let (rig, stage) = (&self.rig, &self.rig.stage);
         let at = |seconds: f64| stage.instant((seconds * 1e6) as u64);
@@ -316,28 +316,28 @@
         let kind = met.fault.kind;
         match kind {
             Kind::Kill | Kind::Term | Kind::Empty | Kind::Lose | Kind::Remove => {
-                self.each(&met.senders, |hands, n| hands.take_down(n, kind == Kind::Term)).await;
+                self.each(&met.senders, |injector, n| injector.take_down(n, kind == Kind::Term)).await;
                 sleep_until(over).await;
-                self.each(&met.senders, |hands, n| hands.bring_up(n, kind)).await;
+                self.each(&met.senders, |injector, n| injector.bring_up(n, kind)).await;
                 if kind == Kind::Remove {
                     self.remove(&met.senders).await;
                 }
             }
             Kind::Pause => {
-                self.each(&met.senders, |hands, n| hands.set_paused(n, true)).await;
+                self.each(&met.senders, |injector, n| injector.set_paused(n, true)).await;
                 sleep_until(over).await;
-                self.each(&met.senders, |hands, n| hands.set_paused(n, false)).await;
+                self.each(&met.senders, |injector, n| injector.set_paused(n, false)).await;
             }
             Kind::Starve => {
-                let most = met.fault.size;
-                self.each(&met.senders, |hands, n| hands.starve(n, most, over)).await;
+                let max_pause_ms = met.fault.size;
+                self.each(&met.senders, |injector, n| injector.starve(n, max_pause_ms, over)).await;
             }
             Kind::Full => {
-                self.each(&met.senders, |hands, n| hands.fill(n, true)).await;
+                self.each(&met.senders, |injector, n| injector.fill(n, true)).await;
                 sleep_until(over).await;
-                self.each(&met.senders, |hands, n| hands.fill(n, false)).await;
+                self.each(&met.senders, |injector, n| injector.fill(n, false)).await;
             }
-            Kind::Join => self.each(&met.senders, |hands, n| hands.bring_up(n, Kind::Join)).await,
+            Kind::Join => self.each(&met.senders, |injector, n| injector.bring_up(n, Kind::Join)).await,
             Kind::Copy => {
                 let earlier = rig.schedule[..number].iter().filter(|m| m.fault.kind == Kind::Copy).count();
                 self.copy(met.senders[0], stage.scenario.fleet.senders + earlier).await;
@@ -356,15 +356,17 @@
             }
             Kind::Garbage => {
                 let a_second = met.fault.size;
-                self.each(&met.senders, |hands, n| hands.rig.links.clone().strangers(n, a_second, over))
-                    .await;
+                self.each(&met.senders, |injector, n| {
+                    injector.rig.links.clone().strangers(n, a_second, over)
+                })
+                .await;
             }
         }
         rig.record_event(What::Fault { number, text: String::new(), begins: false });
     }
 
     /// Does one thing to several at once.
-    async fn each<F>(&self, senders: &[usize], one: impl Fn(Hands, usize) -> F)
+    async fn each<F>(&self, senders: &[usize], one: impl Fn(FaultInjector, usize) -> F)
     where
         F: Future<Output = ()> + Send + 'static,
     {
--- a/testbed/src/peers/schedule.rs
+++ b/testbed/src/peers/schedule.rs
@@ -335,17 +335,17 @@
         }
         let at_s = seconds * rng.random_range(0.05..0.9);
         let for_s = rng.random_range(0.2..12.0f64).min(seconds - at_s);
-        let some = |rng: &mut ChaCha8Rng, most: usize| {
-            let count = rng.random_range(1..=most.max(1));
+        let some = |rng: &mut ChaCha8Rng, max_count: usize| {
+            let count = rng.random_range(1..=max_count.max(1));
             let numbers: Vec<String> = (0..count).map(|_| rng.random_range(0..senders).to_string()).collect();
             numbers.join(",")
         };
-        let most = if kind.of_links() { senders / 2 } else { senders.div_ceil(3) };
-        let most = if kind == Kind::Empty { 1 } else { most };
+        let max_count = if kind.of_links() { senders / 2 } else { senders.div_ceil(3) };
+        let max_count = if kind == Kind::Empty { 1 } else { max_count };
         let whom = if kind == Kind::Kill && rng.random_range(0..8) == 0 {
             "all".to_owned()
         } else {
-            some(rng, most)
+            some(rng, max_count)
         };
         let to = (kind == Kind::Cut || (kind == Kind::Part && rng.random_range(0..2) == 0))
             .then(|| some(rng, senders / 2));
--- a/testbed/src/plan/tests.rs
+++ b/testbed/src/plan/tests.rs
@@ -37,8 +37,8 @@
     let full = s.traffic.rate / s.traffic.load;
     for p in &Plan::draw(&s, 5).partners {
         let k = &s.partners[p.kind];
-        let (least, most) = (k.headroom[0] * full * p.part, k.headroom[1] * full * p.part);
-        assert!(p.limit >= least && p.limit <= most.max(k.min_rate[1]), "{p:?}");
+        let (lowest, highest) = (k.headroom[0] * full * p.part, k.headroom[1] * full * p.part);
+        assert!(p.limit >= lowest && p.limit <= highest.max(k.min_rate[1]), "{p:?}");
         assert!(p.capacity >= p.limit * k.capacity_over_limit[0] && p.at_once >= 1, "{p:?}");
     }
 }
--- a/testbed/src/run.rs
+++ b/testbed/src/run.rs
@@ -89,7 +89,7 @@
     let mut parties = JoinSet::new();
     let directory = raise(&stage, &mut parties).await?;
     let rig = match &scenario.peers {
-        Some(peers) => Some(Rig::raise(&stage, peers, seed, &mut parties).await?),
+        Some(peers) => Some(Rig::start(&stage, peers, seed, &mut parties).await?),
         None => None,
     };
     let senders = Senders { variant, seed, program, rig: rig.as_ref() };
--- a/testbed/src/serving_tier/checker.rs
+++ b/testbed/src/serving_tier/checker.rs
@@ -181,9 +181,12 @@
                 _ => 0,
             });
             let tokens = events.sum::<u64>() * TOKENS_PER_EVENT;
-            if tokens > program.budget + program.most {
-                let (number, budget, most) = (program.number, program.budget, program.most);
-                let what = format!("program {number} got {tokens} tokens, of {budget} and one turn's {most}");
+            if tokens > program.budget + program.max_tokens_per_turn {
+                let (number, budget, max_tokens_per_turn) =
+                    (program.number, program.budget, program.max_tokens_per_turn);
+                let what = format!(
+                    "program {number} got {tokens} tokens, of {budget} and one turn's {max_tokens_per_turn}"
+                );
                 self.breach(Rule::Budget, what);
             }
         }
--- a/testbed/src/serving_tier/clients.rs
+++ b/testbed/src/serving_tier/clients.rs
@@ -394,6 +394,11 @@
             }
         };
         let end = timeout(finish, running).await.unwrap_or_else(|_| Err("not over in its time".to_owned()));
-        self.recorder.lock().programs.push(Program { number, budget, most: MAX_TOKENS_PER_TURN, end });
+        self.recorder.lock().programs.push(Program {
+            number,
+            budget,
+            max_tokens_per_turn: MAX_TOKENS_PER_TURN,
+            end,
+        });
     }
 }
--- a/testbed/src/serving_tier/endpoints.rs
+++ b/testbed/src/serving_tier/endpoints.rs
@@ -27,11 +27,11 @@
 /// Between two events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(15);
 /// One in this many streams, and idempotent tools, breaks off.
-const BREAKS: u64 = 25;
+const BROKEN_STREAM_STRIDE: u64 = 25;
 /// Endpoints on a page of the list.
 const PAGE: usize = 4;
 /// Calls a second that the platform takes.
-const RATE: usize = 10;
+const MAX_LIST_CALLS_PER_SECOND: usize = 10;
 /// How far the list runs behind.
 pub const LIST_UPDATE_LAG: Duration = Duration::from_millis(400);
 
@@ -228,7 +228,7 @@
         recorder.lock().runs.push(run);
     };
     let draw = hash(&attempt);
-    let breaks = (draw >> 8).is_multiple_of(BREAKS);
+    let breaks = (draw >> 8).is_multiple_of(BROKEN_STREAM_STRIDE);
     if endpoint.kind != Kind::Turn {
         let text = Bytes::from(format!("{attempt} at {instance}: {}", String::from_utf8_lossy(&body)));
         run(text.clone());
@@ -238,9 +238,10 @@
         }
         return full_response(builder, text);
     }
-    let most = header("token-usage").and_then(|usage| usage.split_once(',')?.1.trim().parse::<u64>().ok());
-    let most = (most.unwrap_or(2 * TOKENS_PER_EVENT) / TOKENS_PER_EVENT).max(1);
-    let count = most / 2 + draw % (most - most / 2 + 1);
+    let max_events =
+        header("token-usage").and_then(|usage| usage.split_once(',')?.1.trim().parse::<u64>().ok());
+    let max_events = (max_events.unwrap_or(2 * TOKENS_PER_EVENT) / TOKENS_PER_EVENT).max(1);
+    let count = max_events / 2 + draw % (max_events - max_events / 2 + 1);
     let events: Vec<Bytes> = (1..=count.max(1))
         .map(|id| Bytes::from(format!("id: {id}\ndata: {attempt} word {:x}\n\n", mixed(draw ^ id) & 0xffff)))
         .collect();
@@ -290,7 +291,7 @@
         let mut lately = self.lately.lock().unwrap_or_else(PoisonError::into_inner);
         lately.retain(|at| at.elapsed() < Duration::from_secs(1));
         lately.push(Instant::now());
-        self.limited.load(Ordering::Relaxed) || lately.len() > RATE
+        self.limited.load(Ordering::Relaxed) || lately.len() > MAX_LIST_CALLS_PER_SECOND
     }
 
     fn page(&self, query: &str) -> String {
--- a/testbed/src/serving_tier/history.rs
+++ b/testbed/src/serving_tier/history.rs
@@ -97,7 +97,7 @@
     /// The tokens that its turns may generate together.
     pub budget: u64,
     /// The most tokens that one of its turns generates.
-    pub most: u64,
+    pub max_tokens_per_turn: u64,
     /// How it ended: `Err` tells why it did not finish.
     pub end: Result<(), String>,
 }
--- a/testbed/tests/serving_tier.rs
+++ b/testbed/tests/serving_tier.rs
@@ -57,7 +57,7 @@
         sent("two", Kind::Turn, Some("one"), answered("two", 200, STREAM, true)),
         sent("tool", Kind::NonIdempotent, None, answered("tool", 200, "done", true)),
     ];
-    history.programs = vec![Program { number: 1, budget: 8, most: 4, end: Ok(()) }];
+    history.programs = vec![Program { number: 1, budget: 8, max_tokens_per_turn: 4, end: Ok(()) }];
     history.configurations.sent = vec![(4, "four".into()), (9, "nine".into())];
     history.configurations.acknowledged = vec![4, 9];
     history.configurations.read = Some("nine".into());
@@ -181,10 +181,13 @@
 #[test]
 fn more_tokens_than_the_budget_and_one_turns_most_are_caught() {
     // Four events of two tokens.
-    assert_eq!(broken(|h| (h.programs[0].budget, h.programs[0].most) = (4, 4)), []);
-    assert_eq!(broken(|h| (h.programs[0].budget, h.programs[0].most) = (3, 4)), [Rule::Budget]);
+    assert_eq!(broken(|h| (h.programs[0].budget, h.programs[0].max_tokens_per_turn) = (4, 4)), []);
+    assert_eq!(
+        broken(|h| (h.programs[0].budget, h.programs[0].max_tokens_per_turn) = (3, 4)),
+        [Rule::Budget]
+    );
     let cut = |h: &mut History| {
-        (h.programs[0].budget, h.programs[0].most) = (1, 4);
+        (h.programs[0].budget, h.programs[0].max_tokens_per_turn) = (1, 4);
         h.attempts[1].end = answered("two", 200, "id: 1\ndata: a b\n\nid: 2\nda", false);
     };
     assert_eq!(broken(cut), [Rule::Budget], "what came before a break counts");
@@ -203,7 +206,8 @@
     let verdict = |finished: usize, started: usize| {
         let mut history = History { started, ..history() };
         let end = |number| if number < finished { Ok(()) } else { Err("late".to_owned()) };
-        let program = |number| Program { number: number + 10, budget: 8, most: 4, end: end(number) };
+        let program =
+            |number| Program { number: number + 10, budget: 8, max_tokens_per_turn: 4, end: end(number) };
         history.programs = (0..started).map(program).collect();
         check_history(&history).is_good()
     };
