--- a/testbed/src/system/campaign.rs
+++ b/testbed/src/system/campaign.rs
@@ -2,7 +2,7 @@
 
 use super::check::{Broken, Rule, check};
 use super::history::{Fact, History};
-use super::play::play;
+use super::run::play;
 use super::schedule::{Fault, Schedule};
 use super::{Mutation, history};
 use crate::peers::shrink::smallest;
@@ -33,11 +33,11 @@
         Fact::Settled { after, .. } => Some(*after),
         _ => None,
     });
-    let asked = |fact: &Fact| matches!(fact, Fact::Asked { told, .. } if *told != history::Told::Unavailable);
+    let is_lookup = |fact: &Fact| matches!(fact, Fact::LookedUp { result, .. } if *result != history::LookupResult::Unavailable);
     Played {
         broken: check(&history),
         settled_after: settled.unwrap_or_default(),
-        turns: (count(&|fact| matches!(fact, Fact::Whole { .. })), count(&asked)),
+        turns: (count(&|fact| matches!(fact, Fact::Completed { .. })), count(&is_lookup)),
         acknowledged: count(&|fact| matches!(fact, Fact::Acknowledged { .. })),
         schedule: schedule.clone(),
         history,
--- a/testbed/src/system/check.rs
+++ b/testbed/src/system/check.rs
@@ -1,7 +1,7 @@
 //! The rules of the whole system, read from a history alone.
 
-use super::history::{Fact, History, Told};
-use super::{bounds, orders};
+use super::history::{Fact, History, LookupResult};
+use super::{order_rules, timing_rules};
 use fleet_model::{Ballot, rendezvous_rank};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -71,14 +71,14 @@
     register(history, &mut broken);
     processes(history, &mut broken);
     turns(history, &mut broken);
-    orders::check(history, &mut broken);
-    bounds::check(history, &mut broken);
+    order_rules::check(history, &mut broken);
+    timing_rules::check(history, &mut broken);
     returns(history, &mut broken);
     for (at, fact) in history {
-        if let Fact::Settled { lacks, .. } = fact
-            && !lacks.is_empty()
+        if let Fact::Settled { unmet, .. } = fact
+            && !unmet.is_empty()
         {
-            broken.push(Broken { rule: Rule::Settles, at: *at, what: lacks.join("; ") });
+            broken.push(Broken { rule: Rule::Settles, at: *at, what: unmet.join("; ") });
         }
     }
     broken.sort_by_key(|broken| broken.at);
@@ -89,21 +89,21 @@
 
 /// Who is back knows in time what was chosen by then, where nothing else goes wrong meanwhile.
 fn returns(history: &History, broken: &mut Vec<Broken>) {
-    let ends = |at: &u64, fact: &Fact| match fact {
+    let period = |at: &u64, fact: &Fact| match fact {
         Fact::Disturbed { until, .. } | Fact::PathCut { until, .. } | Fact::Lossy { until } => {
             Some((*at, *until))
         }
-        Fact::Begun { .. } | Fact::Gone { .. } => Some((*at, *at)),
+        Fact::ProcessStarted { .. } | Fact::Removed { .. } => Some((*at, *at)),
         _ => None,
     };
-    let troubles: Vec<(u64, u64)> = history.iter().filter_map(|(at, fact)| ends(at, fact)).collect();
+    let disturbances: Vec<(u64, u64)> = history.iter().filter_map(|(at, fact)| period(at, fact)).collect();
     for (at, fact) in history {
         let Fact::CaughtUp { node, missed, after } = fact else { continue };
         let back = at - after;
         let (since, until) = (back.saturating_sub(1_000), back + CATCH_UP_MS);
         // What ended, or began, in the moment of the return is what it returns from.
         let other = |(from, to): &(u64, u64)| *from < until && *to > since && *from != back && *to != back;
-        if *after > CATCH_UP_MS && !troubles.iter().any(other) {
+        if *after > CATCH_UP_MS && !disturbances.iter().any(other) {
             let what =
                 format!("control node {node} had missed {missed} and did not know them after {after} ms");
             broken.push(Broken { rule: Rule::CatchUp, at: *at, what });
@@ -114,7 +114,7 @@
 fn register(history: &History, broken: &mut Vec<Broken>) {
     let mut chosen: BTreeMap<Ballot, (u64, &Vec<u64>, u64)> = BTreeMap::new();
     let mut acknowledged: Vec<(u64, u64)> = Vec::new();
-    let mut on_top: BTreeMap<u64, u64> = BTreeMap::new();
+    let mut successors: BTreeMap<u64, u64> = BTreeMap::new();
     for (at, fact) in history {
         match fact {
             Fact::Chosen { ballot, versions, hash, node } => {
@@ -126,15 +126,15 @@
             }
             Fact::Acknowledged { version, on } => {
                 acknowledged.push((*at, *version));
-                let other = *on_top.entry(*on).or_insert(*version);
+                let other = *successors.entry(*on).or_insert(*version);
                 if other != *version {
                     let what = format!("{other} and {version} were acknowledged on top of {on}");
                     broken.push(Broken { rule: Rule::OneOfTwo, at: *at, what });
                 }
             }
-            Fact::ReadBack { begun, version } => {
+            Fact::ReadBack { started_at, version } => {
                 let newest =
-                    acknowledged.iter().filter(|(at, _)| at <= begun).map(|(_, version)| *version).max();
+                    acknowledged.iter().filter(|(at, _)| at <= started_at).map(|(_, version)| *version).max();
                 if newest > Some(*version) {
                     let what = format!("{version} was read back after {newest:?} had been acknowledged");
                     broken.push(Broken { rule: Rule::Acknowledged, at: *at, what });
@@ -172,28 +172,29 @@
     }
     let Some(newest) = before.last() else { return true };
     match after.iter().position(|version| version == newest) {
-        Some(place) => before.ends_with(&after[..=place]),
+        Some(index) => before.ends_with(&after[..=index]),
         None => after.first().is_some_and(|oldest| oldest > newest),
     }
 }
 
 fn processes(history: &History, broken: &mut Vec<Broken>) {
     let mut known: BTreeMap<(usize, u64), (Ballot, u64, u64)> = BTreeMap::new();
-    let mut holders: BTreeMap<u64, (usize, u64)> = BTreeMap::new();
+    let mut lease_holders: BTreeMap<u64, (usize, u64)> = BTreeMap::new();
     for (at, fact) in history {
         match fact {
-            Fact::Knows { node, life, ballot, version, list } => {
+            Fact::Knows { node, incarnation, ballot, version, list } => {
                 let now = (*ballot, *version, *list);
-                let before = known.insert((*node, *life), now).unwrap_or_default();
+                let before = known.insert((*node, *incarnation), now).unwrap_or_default();
                 if now.0 < before.0 || now.1 < before.1 || now.2 < before.2 {
                     let what = format!("process {node} went from {before:?} to {now:?}");
                     broken.push(Broken { rule: Rule::Forward, at: *at, what });
                 }
             }
-            Fact::Holds { node, life, fence } => {
-                let holder = *holders.entry(*fence).or_insert((*node, *life));
-                if holder != (*node, *life) {
-                    let what = format!("{holder:?} and {:?} held the duty under {fence}", (node, life));
+            Fact::Holds { node, incarnation, token } => {
+                let lease_holder = *lease_holders.entry(*token).or_insert((*node, *incarnation));
+                if lease_holder != (*node, *incarnation) {
+                    let what =
+                        format!("{lease_holder:?} and {:?} held the duty under {token}", (node, incarnation));
                     broken.push(Broken { rule: Rule::OneHolder, at: *at, what });
                 }
             }
@@ -204,10 +205,12 @@
 
 fn turns(history: &History, broken: &mut Vec<Broken>) {
     let mut programs: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
-    let mut whole: BTreeMap<&str, (u64, String)> = BTreeMap::new();
+    let mut completed: BTreeMap<&str, (u64, String)> = BTreeMap::new();
     for (at, fact) in history {
         match fact {
-            Fact::Program { program, budget, most } => drop(programs.insert(program, (budget + most, 0))),
+            Fact::Program { program, budget, max_turn_tokens } => {
+                programs.insert(program, (budget + max_turn_tokens, 0));
+            }
             Fact::Handed { program, tokens } => {
                 let Some((bound, handed)) = programs.get_mut(program.as_str()) else { continue };
                 *handed += tokens;
@@ -216,28 +219,30 @@
                     broken.push(Broken { rule: Rule::Budget, at: *at, what });
                 }
             }
-            Fact::Whole { attempt, previous, text } => {
-                let before = previous.as_ref().and_then(|previous| whole.get(previous.as_str()));
+            Fact::Completed { attempt, previous, text } => {
+                let before = previous.as_ref().and_then(|previous| completed.get(previous.as_str()));
                 let chain = before.map(|(_, chain)| chain.clone()).unwrap_or_default() + text;
-                whole.insert(attempt, (*at, chain));
+                completed.insert(attempt, (*at, chain));
             }
-            Fact::Asked { begun, attempt, told } => {
-                let Some((since, chain)) = whole.get(attempt.as_str()).filter(|(since, _)| since <= begun)
+            Fact::LookedUp { started_at, attempt, result } => {
+                let Some((since, chain)) =
+                    completed.get(attempt.as_str()).filter(|(since, _)| since <= started_at)
                 else {
                     continue;
                 };
-                match told {
-                    Told::Text(hash) if *hash == rendezvous_rank(chain.as_bytes(), 0) => {}
-                    Told::Text(_) => {
+                match result {
+                    LookupResult::Text(hash) if *hash == rendezvous_rank(chain.as_bytes(), 0) => {}
+                    LookupResult::Text(_) => {
                         let what = format!("{attempt}, whole since {since}, came with another text");
                         broken.push(Broken { rule: Rule::Text, at: *at, what });
                     }
-                    Told::NoSuchTurn => {
-                        let what =
-                            format!("{attempt}, whole since {since}, was asked for at {begun}: no such turn");
+                    LookupResult::NoSuchTurn => {
+                        let what = format!(
+                            "{attempt}, whole since {since}, was asked for at {started_at}: no such turn"
+                        );
                         broken.push(Broken { rule: Rule::Found, at: *at, what });
                     }
-                    Told::Unavailable => {}
+                    LookupResult::Unavailable => {}
                 }
             }
             _ => {}
--- a/testbed/src/system/world.rs
+++ b/testbed/src/system/cluster.rs
@@ -29,20 +29,20 @@
 pub const PORT: u16 = 7_000;
 
 /// What a process answers with.
-pub type Answering = Pin<Box<dyn Future<Output = Answer>>>;
+pub type AnswerFuture = Pin<Box<dyn Future<Output = Answer>>>;
 /// How a process answers.
-pub type Handler = Rc<dyn Fn(Ipv4Addr, Call, Option<Pusher>) -> Answering>;
+pub type Handler = Rc<dyn Fn(Ipv4Addr, Call, Option<Pusher>) -> AnswerFuture>;
 
 /// A process of a machine.
 struct Node {
     class: Class,
     machine: usize,
     disk: Rc<Disk>,
-    life: u64,
+    incarnation: u64,
     running: Option<ProcessId>,
     /// Without power: nobody is told that it is gone.
-    dark: bool,
-    serves: Option<Handler>,
+    power_lost: bool,
+    handler: Option<Handler>,
     started: bool,
 }
 
@@ -61,7 +61,7 @@
 }
 
 /// The whole fleet.
-pub struct World {
+pub struct Cluster {
     /// Runs the processes.
     pub executor: Executor,
     /// Who makes the world go: faults, clients, the network.
@@ -77,7 +77,7 @@
     nodes: RefCell<Vec<Node>>,
     links: RefCell<BTreeMap<u64, Link>>,
     last_link: Cell<u64>,
-    cuts: RefCell<BTreeMap<(usize, usize), u64>>,
+    path_cuts: RefCell<BTreeMap<(usize, usize), u64>>,
     /// Until when so many of a thousand messages are lost or late.
     lossy: Cell<(u64, u64)>,
     /// The same for answers to operators.
@@ -93,14 +93,14 @@
     unanswered: RefCell<Vec<oneshot::Sender<Answer>>>,
 }
 
-impl World {
+impl Cluster {
     /// A world in which nothing runs yet.
     pub fn new(seed: u64, tolerance: usize, machines: Vec<Machine>, mutation: Option<Mutation>) -> Rc<Self> {
         let executor = Executor::new(START_US);
         let driver = executor.begin();
         let first = |machine: &&Machine| machine.first && machine.class == Class::ControlNode;
         let seeds = machines.iter().filter(first).map(|machine| machine.ip).take(SEEDS).collect();
-        let world = Rc::new(Self {
+        let cluster = Rc::new(Self {
             executor,
             driver,
             tolerance,
@@ -109,7 +109,7 @@
             nodes: RefCell::default(),
             links: RefCell::default(),
             last_link: Cell::new(0),
-            cuts: RefCell::default(),
+            path_cuts: RefCell::default(),
             lossy: Cell::new((0, 0)),
             answers_lost: Cell::new((0, 0)),
             slow: RefCell::default(),
@@ -121,7 +121,7 @@
             unanswered: RefCell::default(),
             machines,
         });
-        for (number, machine) in world.machines.iter().enumerate() {
+        for (number, machine) in cluster.machines.iter().enumerate() {
             let classes: &[Class] = match machine.class {
                 Class::Agent => &[Class::Agent, Class::Proxy],
                 Class::ControlNode => &[Class::ControlNode],
@@ -129,20 +129,20 @@
                 Class::Proxy => &[],
             };
             for class in classes {
-                let disk = Rc::new(Disk::new(world.new_disk()));
-                world.nodes.borrow_mut().push(Node {
+                let disk = Rc::new(Disk::new(cluster.new_disk()));
+                cluster.nodes.borrow_mut().push(Node {
                     class: *class,
                     machine: number,
                     disk,
-                    life: 0,
+                    incarnation: 0,
                     running: None,
-                    dark: false,
-                    serves: None,
+                    power_lost: false,
+                    handler: None,
                     started: false,
                 });
             }
         }
-        world
+        cluster
     }
 
     /// Ends everything; returns what was seen.
@@ -167,12 +167,12 @@
     }
 
     /// Puts something into the history.
-    pub fn note(&self, fact: Fact) {
+    pub fn record(&self, fact: Fact) {
         self.history.borrow_mut().push((self.elapsed_ms(), fact));
     }
 
     /// A number by chance.
-    pub fn draw(&self, below: u64) -> u64 {
+    pub fn random_below(&self, below: u64) -> u64 {
         self.rng.borrow_mut().next_u64() % below.max(1)
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// The number of a process's machine.
-    pub fn machine_number(&self, node: usize) -> usize {
+    pub fn machine_index_of(&self, node: usize) -> usize {
         self.nodes.borrow()[node].machine
     }
 
@@ -213,33 +213,33 @@
     }
 
     /// Begins a life of a process; none if it runs. The flag tells whether it never ran before.
-    pub fn begin(self: &Rc<Self>, node: usize) -> Option<(Host, bool)> {
-        let (process, life, class, first) = {
+    pub fn start_process(self: &Rc<Self>, node: usize) -> Option<(Host, bool)> {
+        let (process, incarnation, class, first) = {
             let mut nodes = self.nodes.borrow_mut();
-            let begun = &mut nodes[node];
-            if begun.running.is_some() {
+            let node_state = &mut nodes[node];
+            if node_state.running.is_some() {
                 return None;
             }
             let process = self.executor.begin();
-            begun.running = Some(process);
-            begun.life += 1;
-            begun.dark = false;
-            let first = !std::mem::replace(&mut begun.started, true);
-            (process, begun.life, begun.class, first)
+            node_state.running = Some(process);
+            node_state.incarnation += 1;
+            node_state.power_lost = false;
+            let first = !std::mem::replace(&mut node_state.started, true);
+            (process, node_state.incarnation, node_state.class, first)
         };
         self.close_links_of(node);
         let machine = self.nodes.borrow()[node].machine;
-        self.note(Fact::Begun { node, life, machine });
+        self.record(Fact::ProcessStarted { node, incarnation, machine });
         if self.breaks(Mutation::RecordOutdated) {
-            self.disk_of(node).go_back();
+            self.disk_of(node).restore_outdated_record();
         }
-        let rng = ChaCha8Rng::seed_from_u64(self.seed ^ (node as u64 + 1) << 32 ^ life << 48);
+        let rng = ChaCha8Rng::seed_from_u64(self.seed ^ (node as u64 + 1) << 32 ^ incarnation << 48);
         let host = Host {
-            world: Rc::downgrade(self),
+            cluster: Rc::downgrade(self),
             executor: self.executor.clone(),
             node,
             class,
-            life,
+            incarnation,
             process,
             rng: Rc::new(RefCell::new(rng)),
             disk: self.disk_of(node),
@@ -250,15 +250,15 @@
 
     /// From now on the process answers calls.
     pub fn serve(&self, host: &Host, handler: Handler) {
-        self.nodes.borrow_mut()[host.node].serves = Some(handler);
+        self.nodes.borrow_mut()[host.node].handler = Some(handler);
     }
 
     /// Ends a process. `dark`: with the machine's power.
-    pub fn end(&self, node: usize, dark: bool) {
+    pub fn end(&self, node: usize, power_lost: bool) {
         let process = {
             let mut nodes = self.nodes.borrow_mut();
-            nodes[node].dark |= dark;
-            nodes[node].serves = None;
+            nodes[node].power_lost |= power_lost;
+            nodes[node].handler = None;
             nodes[node].running.take()
         };
         let disk = self.disk_of(node);
@@ -266,11 +266,11 @@
         if let Some(process) = process {
             self.executor.end(process);
         }
-        if dark {
+        if power_lost {
             let unsynced = disk.unsynced() as u64;
             // Some losses of power take all that they may.
-            let kept = if self.draw(3) == 0 { 0 } else { self.draw(unsynced + 1) };
-            disk.lose_power(kept as usize);
+            let surviving = if self.random_below(3) == 0 { 0 } else { self.random_below(unsynced + 1) };
+            disk.lose_power(surviving as usize);
         } else {
             self.close_links_of(node);
         }
@@ -291,59 +291,59 @@
     /// What goes from one machine to another is held up until this time, in microseconds.
     pub fn cut(&self, from: usize, to: usize, for_ms: u64) {
         let until = self.executor.now() + for_ms * 1_000;
-        let mut cuts = self.cuts.borrow_mut();
-        let standing = cuts.entry((from, to)).or_default();
-        *standing = until.max(*standing);
-        self.note(Fact::PathCut { from, to, until: self.elapsed_ms() + for_ms });
+        let mut path_cuts = self.path_cuts.borrow_mut();
+        let cut_until = path_cuts.entry((from, to)).or_default();
+        *cut_until = until.max(*cut_until);
+        self.record(Fact::PathCut { from, to, until: self.elapsed_ms() + for_ms });
     }
 
     /// For so long so many of a thousand messages are lost or late.
-    pub fn lose(&self, for_ms: u64, of_thousand: u64) {
+    pub fn lose_messages(&self, for_ms: u64, of_thousand: u64) {
         self.lossy.set((self.executor.now() + for_ms * 1_000, of_thousand));
-        self.note(Fact::Lossy { until: self.elapsed_ms() + for_ms });
+        self.record(Fact::Lossy { until: self.elapsed_ms() + for_ms });
     }
 
     /// For so long so many of a thousand answers to operators are lost.
     pub fn lose_answers(&self, for_ms: u64, of_thousand: u64) {
         self.answers_lost.set((self.executor.now() + for_ms * 1_000, of_thousand));
-        self.note(Fact::Lossy { until: self.elapsed_ms() + for_ms });
+        self.record(Fact::Lossy { until: self.elapsed_ms() + for_ms });
     }
 
     /// Whether this answer to an operator is lost.
     pub fn loses_answer(&self) -> bool {
         let (until, of_thousand) = self.answers_lost.get();
-        self.executor.now() < until && self.draw(1_000) < of_thousand
+        self.executor.now() < until && self.random_below(1_000) < of_thousand
     }
 
     /// For so long what a machine sends arrives after its askers have given up.
     pub fn slow_down(&self, machine: usize, for_ms: u64) {
         self.slow.borrow_mut().insert(machine, self.executor.now() + for_ms * 1_000);
         let until = self.elapsed_ms() + for_ms;
-        self.note(Fact::Disturbed { machine, how: Disturbance::Slow, until });
+        self.record(Fact::Disturbed { machine, how: Disturbance::Slow, until });
     }
 
     fn lateness(&self, machine: usize) -> u64 {
         let until = self.slow.borrow().get(&machine).copied().unwrap_or_default();
-        if self.executor.now() < until { SLOW_US + self.draw(SLOW_US) } else { 0 }
+        if self.executor.now() < until { SLOW_US + self.random_below(SLOW_US) } else { 0 }
     }
 
     fn transit(&self, from: usize, to: usize) -> Transit {
         if from == to {
-            return Transit::After(20 + self.draw(200));
+            return Transit::After(20 + self.random_below(200));
         }
         let now = self.executor.now();
-        let slow = if self.draw(60) == 0 { self.draw(40_000) } else { 0 };
-        let mut after = 200 + self.draw(2_500) + slow + self.lateness(from);
-        let held = self.cuts.borrow().get(&(from, to)).map_or(0, |until| until.saturating_sub(now));
-        if held > USER_TIMEOUT_US {
+        let slow = if self.random_below(60) == 0 { self.random_below(40_000) } else { 0 };
+        let mut after = 200 + self.random_below(2_500) + slow + self.lateness(from);
+        let held_us = self.path_cuts.borrow().get(&(from, to)).map_or(0, |until| until.saturating_sub(now));
+        if held_us > USER_TIMEOUT_US {
             return Transit::Lost;
         }
-        after += if held > 0 { held + self.draw(200_000) } else { 0 };
+        after += if held_us > 0 { held_us + self.random_below(200_000) } else { 0 };
         let (until, of_thousand) = self.lossy.get();
-        if now < until && self.draw(1_000) < of_thousand {
-            match self.draw(2) {
+        if now < until && self.random_below(1_000) < of_thousand {
+            match self.random_below(2) {
                 0 => return Transit::Lost,
-                _ => after += 200_000 + self.draw(800_000),
+                _ => after += 200_000 + self.random_below(800_000),
             }
         }
         Transit::After(after)
@@ -371,10 +371,10 @@
         match self.transit(here, there) {
             Transit::Lost => self.unanswered.borrow_mut().push(sender),
             Transit::After(after) => {
-                let (world, from) = (self.clone(), host.machine.ip);
+                let (cluster, from) = (self.clone(), host.machine.ip);
                 self.executor.spawn(self.driver, async move {
-                    world.executor.sleep(after).await;
-                    world.arrive(here, from, target, call, link, sender);
+                    cluster.executor.sleep(after).await;
+                    cluster.arrive(here, from, target, call, link, sender);
                 });
             }
         }
@@ -390,14 +390,14 @@
         link: Option<u64>,
         sender: oneshot::Sender<Answer>,
     ) {
-        let (running, dark, serves, there, life) = {
+        let (running, power_lost, handler, there, incarnation) = {
             let nodes = self.nodes.borrow();
             let node = &nodes[target];
-            (node.running, node.dark, node.serves.clone(), node.machine, node.life)
+            (node.running, node.power_lost, node.handler.clone(), node.machine, node.incarnation)
         };
-        let (Some(process), Some(serves)) = (running, serves) else {
+        let (Some(process), Some(handler)) = (running, handler) else {
             // A dead port resets, a machine without power says nothing.
-            if dark {
+            if power_lost {
                 self.unanswered.borrow_mut().push(sender);
             }
             return;
@@ -405,17 +405,17 @@
         if let Some(link) = link
             && let Some(link) = self.links.borrow_mut().get_mut(&link)
         {
-            link.from = (target, life);
+            link.from = (target, incarnation);
         }
-        let pusher = link.map(|link| Pusher { world: Rc::downgrade(self), link });
-        let world = self.clone();
+        let pusher = link.map(|link| Pusher { cluster: Rc::downgrade(self), link });
+        let cluster = self.clone();
         self.executor.spawn(process, async move {
-            let answer = serves(from, call, pusher).await;
-            match world.transit(there, here) {
-                Transit::Lost => world.unanswered.borrow_mut().push(sender),
+            let answer = handler(from, call, pusher).await;
+            match cluster.transit(there, here) {
+                Transit::Lost => cluster.unanswered.borrow_mut().push(sender),
                 Transit::After(after) => {
-                    let executor = world.executor.clone();
-                    world.executor.spawn(world.driver, async move {
+                    let executor = cluster.executor.clone();
+                    cluster.executor.spawn(cluster.driver, async move {
                         executor.sleep(after).await;
                         let _ = sender.send(answer);
                     });
@@ -428,15 +428,15 @@
         let (pushes, receiver) = mpsc::unbounded_channel();
         let link = self.last_link.get() + 1;
         self.last_link.set(link);
-        let to = (host.node, host.life);
+        let to = (host.node, host.incarnation);
         let opened = Link { from: (usize::MAX, 0), to, pushes: Some(pushes), last: 0 };
         self.links.borrow_mut().insert(link, opened);
         (link, receiver)
     }
 
     fn close_links_of(&self, node: usize) {
-        let is_its = |link: &Link| link.from.0 == node || link.to.0 == node;
-        self.links.borrow_mut().retain(|_, link| !is_its(link));
+        let touches_node = |link: &Link| link.from.0 == node || link.to.0 == node;
+        self.links.borrow_mut().retain(|_, link| !touches_node(link));
     }
 
     fn push(self: &Rc<Self>, number: u64, push: Push) -> bool {
@@ -448,12 +448,12 @@
         let (here, there) = (self.nodes.borrow()[from.0].machine, self.nodes.borrow()[to.0].machine);
         let push = self.without_age(push);
         let now = self.executor.now();
-        let (world, at) = match self.transit(here, there) {
+        let (cluster, at) = match self.transit(here, there) {
             Transit::Lost => {
-                let world = self.clone();
+                let cluster = self.clone();
                 self.executor.spawn(self.driver, async move {
-                    world.executor.sleep(USER_TIMEOUT_US).await;
-                    world.links.borrow_mut().remove(&number);
+                    cluster.executor.sleep(USER_TIMEOUT_US).await;
+                    cluster.links.borrow_mut().remove(&number);
                 });
                 return true;
             }
@@ -463,11 +463,11 @@
             link.last = at;
         }
         self.executor.spawn(self.driver, async move {
-            world.executor.sleep(at - now).await;
-            let nodes = world.nodes.borrow();
-            let mut links = world.links.borrow_mut();
+            cluster.executor.sleep(at - now).await;
+            let nodes = cluster.nodes.borrow();
+            let mut links = cluster.links.borrow_mut();
             let Some(link) = links.get_mut(&number) else { return };
-            match (&link.pushes, nodes[to.0].life == to.1 && nodes[to.0].running.is_some()) {
+            match (&link.pushes, nodes[to.0].incarnation == to.1 && nodes[to.0].running.is_some()) {
                 (Some(pushes), true) => {
                     if pushes.send(push).is_err() {
                         links.remove(&number);
@@ -492,17 +492,17 @@
     /// The platform's list changes.
     pub fn change_list(&self) {
         self.platform.set(self.platform.get() + 1);
-        self.note(Fact::Platform { list: self.platform.get() });
+        self.record(Fact::Platform { list: self.platform.get() });
     }
 
     /// What the platform lists; the names of instances tell which list it is.
-    pub fn listed(&self) -> Vec<Endpoint> {
+    pub fn listed_endpoints(&self) -> Vec<Endpoint> {
         let list = self.platform.get();
         (0..2)
-            .map(|place| Endpoint {
-                instance_id: format!("{list}-{place}"),
+            .map(|index| Endpoint {
+                instance_id: format!("{list}-{index}"),
                 service: "models".to_owned(),
-                address: SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, place), 80),
+                address: SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, index), 80),
                 zone: "z0".to_owned(),
                 capacity_slots: 4,
                 state: EndpointState::Ready,
@@ -511,7 +511,7 @@
     }
 }
 
-/// The count of a list that [`World::listed`] gave; 0 of none.
+/// The count of a list that [`Cluster::listed_endpoints`] gave; 0 of none.
 pub fn list_of(endpoints: &[Endpoint]) -> u64 {
     let first = endpoints.first().and_then(|endpoint| endpoint.instance_id.split_once('-'));
     first.and_then(|(list, _)| list.parse().ok()).unwrap_or_default()
@@ -520,25 +520,25 @@
 /// The server's end of a link.
 #[derive(Clone)]
 pub struct Pusher {
-    world: Weak<World>,
+    cluster: Weak<Cluster>,
     link: u64,
 }
 
 impl Pusher {
     /// Pushes; false if the link is closed.
     pub fn push(&self, push: Push) -> bool {
-        self.world.upgrade().is_some_and(|world| world.push(self.link, push))
+        self.cluster.upgrade().is_some_and(|cluster| cluster.push(self.link, push))
     }
 
     /// Whether it is closed.
     pub fn is_closed(&self) -> bool {
-        self.world.upgrade().is_none_or(|world| !world.links.borrow().contains_key(&self.link))
+        self.cluster.upgrade().is_none_or(|cluster| !cluster.links.borrow().contains_key(&self.link))
     }
 }
 
 /// The client's end of a link: it closes with this.
 pub struct Pushes {
-    world: Weak<World>,
+    cluster: Weak<Cluster>,
     link: u64,
     pushes: mpsc::UnboundedReceiver<Push>,
 }
@@ -552,8 +552,8 @@
 
 impl Drop for Pushes {
     fn drop(&mut self) {
-        if let Some(world) = self.world.upgrade() {
-            world.links.borrow_mut().remove(&self.link);
+        if let Some(cluster) = self.cluster.upgrade() {
+            cluster.links.borrow_mut().remove(&self.link);
         }
     }
 }
@@ -561,14 +561,14 @@
 /// What a life of a process has of its machine.
 #[derive(Clone)]
 pub struct Host {
-    world: Weak<World>,
+    cluster: Weak<Cluster>,
     executor: Executor,
     /// Its number.
     pub node: usize,
     /// What it is.
     pub class: Class,
     /// Which life of it.
-    pub life: u64,
+    pub incarnation: u64,
     process: ProcessId,
     rng: Rc<RefCell<ChaCha8Rng>>,
     disk: Rc<Disk>,
@@ -578,8 +578,8 @@
 
 impl Host {
     /// The world; only while it lasts.
-    pub fn world(&self) -> Option<Rc<World>> {
-        self.world.upgrade()
+    pub fn cluster(&self) -> Option<Rc<Cluster>> {
+        self.cluster.upgrade()
     }
 
     /// Time for the feed.
@@ -593,23 +593,23 @@
     }
 
     /// A number by chance.
-    pub fn draw(&self) -> u64 {
+    pub fn random_u64(&self) -> u64 {
         self.rng.borrow_mut().next_u64()
     }
 
     /// A number by chance between these.
-    pub fn between(&self, from: u64, to: u64) -> u64 {
-        from + self.draw() % (to - from + 1)
+    pub fn random_between(&self, from: u64, to: u64) -> u64 {
+        from + self.random_u64() % (to - from + 1)
     }
 
     /// Machines that may be lost at once.
-    pub fn losses(&self) -> usize {
-        self.world().map_or(0, |world| world.tolerance)
+    pub fn tolerance(&self) -> usize {
+        self.cluster().map_or(0, |cluster| cluster.tolerance)
     }
 
     /// Whether this is broken on purpose.
     pub fn breaks(&self, mutation: Mutation) -> bool {
-        self.world().is_some_and(|world| world.breaks(mutation))
+        self.cluster().is_some_and(|cluster| cluster.breaks(mutation))
     }
 
     /// Whether writes are synced before they are told to be.
@@ -623,9 +623,9 @@
     }
 
     /// Puts something into the history.
-    pub fn note(&self, fact: Fact) {
-        if let Some(world) = self.world() {
-            world.note(fact);
+    pub fn record(&self, fact: Fact) {
+        if let Some(cluster) = self.cluster() {
+            cluster.record(fact);
         }
     }
 
@@ -655,20 +655,20 @@
     }
 
     /// Calls the process of another machine.
-    pub async fn call(&self, to: Ipv4Addr, call: Call, patience_ms: u64) -> Option<Answer> {
-        let answer = self.world()?.call(self, to, call, None);
-        self.timeout(patience_ms, answer).await?.ok()
+    pub async fn call(&self, to: Ipv4Addr, call: Call, timeout_ms: u64) -> Option<Answer> {
+        let answer = self.cluster()?.call(self, to, call, None);
+        self.timeout(timeout_ms, answer).await?.ok()
     }
 
     /// Opens a link of the feed.
-    pub async fn subscribe(&self, to: Ipv4Addr, call: Call, patience_ms: u64) -> Option<(Answer, Pushes)> {
+    pub async fn subscribe(&self, to: Ipv4Addr, call: Call, timeout_ms: u64) -> Option<(Answer, Pushes)> {
         let (link, answer) = {
-            let world = self.world()?;
-            let (link, pushes) = world.open_link(self);
-            let answer = world.call(self, to, call, Some(link));
-            (Pushes { world: self.world.clone(), link, pushes }, answer)
+            let cluster = self.cluster()?;
+            let (link, pushes) = cluster.open_link(self);
+            let answer = cluster.call(self, to, call, Some(link));
+            (Pushes { cluster: self.cluster.clone(), link, pushes }, answer)
         };
-        let answer = self.timeout(patience_ms, answer).await?.ok()?;
+        let answer = self.timeout(timeout_ms, answer).await?.ok()?;
         Some((answer, link))
     }
 }
--- a/testbed/src/system/control.rs
+++ b/testbed/src/system/control.rs
@@ -1,10 +1,10 @@
 //! A simulated control node: the one in service, over a simulated machine.
 
 use super::Mutation;
+use super::cluster::{AnswerFuture, Host};
 use super::disk::{ACCEPTOR_RECORD, ACCEPTOR_SPACE};
 use super::history::Fact;
 use super::runtime::Feed;
-use super::world::{Answering, Host};
 use bytes::Bytes;
 use config_register::{AcceptorRecord, BallotSource};
 use control_node::{
@@ -35,7 +35,7 @@
     pub feed: Rc<Feed>,
 }
 
-fn beginning(host: &Host, first: bool) -> InitialState {
+fn initial_state(host: &Host, first: bool) -> InitialState {
     let record = host.disk().get(ACCEPTOR_SPACE, ACCEPTOR_RECORD);
     let record: Option<AcceptorRecord> = record.and_then(|bytes| postcard::from_bytes(&bytes).ok());
     let never_voted = first && host.machine.first;
@@ -54,15 +54,15 @@
     pub fn start(host: &Host, first: bool) -> Rc<Self> {
         let feed = Feed::new(host.clone());
         let backend = Backend { host: host.clone() };
-        let ballots = BallotSource::new(host.machine.ip, host.draw());
-        let node = ControlNode::new(host.clone(), backend, feed.clone(), ballots, beginning(host, first));
-        if let Some(world) = host.world() {
+        let ballots = BallotSource::new(host.machine.ip, host.random_u64());
+        let node = ControlNode::new(host.clone(), backend, feed.clone(), ballots, initial_state(host, first));
+        if let Some(cluster) = host.cluster() {
             let serving = node.clone();
             let handler = move |from: Ipv4Addr, call: Call, pusher| {
                 let node = serving.clone();
-                Box::pin(async move { node.answer(from, call, pusher).await }) as Answering
+                Box::pin(async move { node.answer(from, call, pusher).await }) as AnswerFuture
             };
-            world.serve(host, Rc::new(handler));
+            cluster.serve(host, Rc::new(handler));
         }
         node.run();
         Rc::new(Self { host: host.clone(), node, feed })
@@ -74,12 +74,12 @@
     }
 
     /// Whether it may vote.
-    pub fn is_fit(&self) -> bool {
+    pub fn can_vote(&self) -> bool {
         self.node.can_vote()
     }
 
     /// The fencing token under which this life holds the lease of the singleton task.
-    pub fn holds_list(&self) -> Option<u64> {
+    pub fn discovery_token(&self) -> Option<u64> {
         self.node.discovery_token()
     }
 
@@ -115,32 +115,32 @@
 }
 
 impl Backend {
-    fn note_chosen(&self, chosen: &AcceptedValue) {
+    fn record_chosen(&self, chosen: &AcceptedValue) {
         let state = ControlState::from_payload(&chosen.value.payload).unwrap_or_default();
         let voters: Vec<u8> = chosen.value.voters.iter().flat_map(|ip| ip.octets()).collect();
-        self.host.note(Fact::Chosen {
+        self.host.record(Fact::Chosen {
             node: self.host.node,
             ballot: chosen.ballot,
-            versions: state.committed.iter().map(|taken| taken.version).collect(),
+            versions: state.committed.iter().map(|committed| committed.version).collect(),
             hash: rendezvous_rank(&chosen.value.payload, rendezvous_rank(&voters, 0)),
         });
     }
 
-    fn note_roster(&self, roster: &Roster) {
+    fn record_roster(&self, roster: &Roster) {
         let disks = |stores: &[StorageNode]| stores.iter().map(|store| store.disk).collect();
-        self.host.note(Fact::Roster {
+        self.host.record(Fact::Roster {
             node: self.host.node,
             epoch: roster.epoch,
             current: disks(&roster.current),
             next: roster.next.as_deref().map(disks),
-            filled: roster.in_sync.clone(),
+            in_sync: roster.in_sync.clone(),
         });
     }
 }
 
 impl ControlBackend for Backend {
     fn tolerance(&self) -> usize {
-        self.host.losses()
+        self.host.tolerance()
     }
 
     async fn persist(&self, record: &AcceptorRecord) -> Result<(), PersistError> {
@@ -155,22 +155,22 @@
     }
 
     async fn discover_endpoints(&self) -> Result<Vec<Endpoint>, DiscoveryError> {
-        self.host.sleep(2 + self.host.draw() % 40).await;
-        let world = self.host.world().ok_or_else(|| DiscoveryError("the play is over".to_owned()))?;
-        let endpoints = world.listed();
-        self.host.sleep(2 + self.host.draw() % 40).await;
+        self.host.sleep(2 + self.host.random_u64() % 40).await;
+        let cluster = self.host.cluster().ok_or_else(|| DiscoveryError("the play is over".to_owned()))?;
+        let endpoints = cluster.listed_endpoints();
+        self.host.sleep(2 + self.host.random_u64() % 40).await;
         Ok(endpoints)
     }
 
     fn on_event(&self, event: &ControlEvent<'_>) {
         match event {
-            ControlEvent::Chosen(chosen) => self.note_chosen(chosen),
+            ControlEvent::Chosen(chosen) => self.record_chosen(chosen),
             ControlEvent::Adopted { state, before, .. } if state.roster != before.roster => {
-                self.note_roster(&state.roster);
+                self.record_roster(&state.roster);
             }
             ControlEvent::LeaseAcquired { token, .. } => {
-                let (node, life) = (self.host.node, self.host.life);
-                self.host.note(Fact::Holds { node, life, fence: *token });
+                let (node, incarnation) = (self.host.node, self.host.incarnation);
+                self.host.record(Fact::Holds { node, incarnation, token: *token });
             }
             _ => {}
         }
@@ -187,8 +187,8 @@
         }
         // Broken on purpose: whatever token stands by now.
         let mut state = state.clone();
-        let fence = Lease { token: from.token + 1, holder: Some(self.host.machine.ip) };
-        state.leases.insert(ENDPOINT_DISCOVERY_TASK.to_owned(), fence);
+        let lease = Lease { token: from.token + 1, holder: Some(self.host.machine.ip) };
+        state.leases.insert(ENDPOINT_DISCOVERY_TASK.to_owned(), lease);
         Some(state)
     }
 }
--- a/testbed/src/system/disk.rs
+++ b/testbed/src/system/disk.rs
@@ -1,6 +1,6 @@
 //! A simulated machine's disk: what is written is read back at once, what is not synced may be gone once power is lost.
 
-use super::world::Host;
+use super::cluster::Host;
 use bytes::Bytes;
 use controllers::times;
 use fleet_model::{Reservation, Turn};
@@ -35,7 +35,7 @@
     /// The next sync is refused.
     refuses_sync: Cell<bool>,
     /// Records of an acceptor as they were before the last one, oldest first; only kept for a mutation.
-    former: RefCell<VecDeque<Bytes>>,
+    former_records: RefCell<VecDeque<Bytes>>,
 }
 
 /// Why a write was refused.
@@ -43,7 +43,7 @@
 pub struct Refused(pub &'static str);
 
 /// A write that found the disk full, or a sync that was refused, is tried again after this.
-const TRY_AGAIN_MS: u64 = 20;
+const RETRY_INTERVAL_MS: u64 = 20;
 /// So many writes an outdated record of an acceptor is old.
 const OUTDATED_BY: usize = 8;
 /// Where an acceptor's record is kept.
@@ -53,10 +53,10 @@
 
 fn apply(records: &mut Records, batch: &[Write]) {
     for write in batch {
-        let place = (write.keyspace, write.key.clone());
+        let record_key = (write.keyspace, write.key.clone());
         match &write.value {
-            Some(value) => drop(records.insert(place, value.clone())),
-            None => drop(records.remove(&place)),
+            Some(value) => drop(records.insert(record_key, value.clone())),
+            None => drop(records.remove(&record_key)),
         }
     }
 }
@@ -81,7 +81,7 @@
         self.synced.borrow_mut().clear();
         self.written.borrow_mut().clear();
         self.counts.set((0, 0));
-        self.former.borrow_mut().clear();
+        self.former_records.borrow_mut().clear();
         self.end_process();
         self.damaged.set(false);
     }
@@ -119,32 +119,32 @@
         host.now().as_micros() < u128::from(self.full_until.get())
     }
 
-    async fn stands_still(&self, host: &Host) {
+    async fn wait_while_stalled(&self, host: &Host) {
         while self.is_stalled(host) {
-            host.sleep(TRY_AGAIN_MS).await;
+            host.sleep(RETRY_INTERVAL_MS).await;
         }
     }
 
-    async fn takes_nothing(&self, host: &Host) {
+    async fn wait_while_unwritable(&self, host: &Host) {
         while self.is_stalled(host) || self.is_full(host) {
-            host.sleep(TRY_AGAIN_MS).await;
+            host.sleep(RETRY_INTERVAL_MS).await;
         }
     }
 
-    /// Power is lost. Of what was not synced the first `kept` batches are there. One that is there in part is found out by
+    /// Power is lost. Of what was not synced the first `surviving_batches` batches are there. One that is there in part is found out by
     /// its checksum and counts as gone, with all after it: the journal is read up to it.
-    pub fn lose_power(&self, kept: usize) {
+    pub fn lose_power(&self, surviving_batches: usize) {
         self.end_process();
         let written = std::mem::take(&mut *self.written.borrow_mut());
         let mut synced = self.synced.borrow_mut();
-        written.iter().take(kept).for_each(|batch| apply(&mut synced, batch));
+        written.iter().take(surviving_batches).for_each(|batch| apply(&mut synced, batch));
         *self.seen.borrow_mut() = synced.clone();
         let (count, _) = self.counts.get();
         self.counts.set((count, count));
     }
 
     /// One turn, by chance, cannot be read any more: it is set aside, and whoever opens the disk is told.
-    pub fn damage(&self, chance: u64) {
+    pub fn damage(&self, random: u64) {
         let turns: Vec<Vec<u8>> = self
             .seen
             .borrow()
@@ -152,7 +152,7 @@
             .filter(|(space, _)| *space == TURNS)
             .map(|(_, key)| key.clone())
             .collect();
-        let Some(key) = turns.get(chance as usize % turns.len().max(1)) else { return };
+        let Some(key) = turns.get(random as usize % turns.len().max(1)) else { return };
         self.seen.borrow_mut().remove(&(TURNS, key.clone()));
         self.synced.borrow_mut().remove(&(TURNS, key.clone()));
         self.damaged.set(true);
@@ -176,8 +176,8 @@
         self.queued.borrow_mut().push(writes);
         let host = host.clone();
         host.clone().spawn(async move {
-            host.sleep_us(host.between(2_000, times::PROBE_RETRY_INTERVAL_MS * 1_000)).await;
-            host.disk().takes_nothing(&host).await;
+            host.sleep_us(host.random_between(2_000, times::PROBE_RETRY_INTERVAL_MS * 1_000)).await;
+            host.disk().wait_while_unwritable(&host).await;
             host.disk().flush();
         });
     }
@@ -188,23 +188,23 @@
             return;
         }
         let Some(record) = seen.get(&(ACCEPTOR_SPACE, ACCEPTOR_RECORD.to_vec())) else { return };
-        let mut former = self.former.borrow_mut();
-        former.push_back(record.clone());
-        if former.len() > OUTDATED_BY {
-            former.pop_front();
+        let mut former_records = self.former_records.borrow_mut();
+        former_records.push_back(record.clone());
+        if former_records.len() > OUTDATED_BY {
+            former_records.pop_front();
         }
     }
 
     /// Broken on purpose: an acceptor finds its record as it was some writes ago.
-    pub fn go_back(&self) {
-        let former = std::mem::take(&mut *self.former.borrow_mut());
-        if former.len() < OUTDATED_BY {
+    pub fn restore_outdated_record(&self) {
+        let former_records = std::mem::take(&mut *self.former_records.borrow_mut());
+        if former_records.len() < OUTDATED_BY {
             return;
         }
-        let Some(record) = former.front() else { return };
-        let place = (ACCEPTOR_SPACE, ACCEPTOR_RECORD.to_vec());
-        self.seen.borrow_mut().insert(place.clone(), record.clone());
-        self.synced.borrow_mut().insert(place, record.clone());
+        let Some(record) = former_records.front() else { return };
+        let record_key = (ACCEPTOR_SPACE, ACCEPTOR_RECORD.to_vec());
+        self.seen.borrow_mut().insert(record_key.clone(), record.clone());
+        self.synced.borrow_mut().insert(record_key, record.clone());
     }
 
     fn flush(&self) {
@@ -222,14 +222,14 @@
     /// Writes these; they are synced, with all earlier writes, when this returns. A disk that refuses is waited for.
     pub async fn write(&self, host: &Host, writes: Vec<Write>, syncs: bool) {
         self.queued.borrow_mut().push(writes);
-        host.sleep_us(host.between(200, 1_500)).await;
-        self.takes_nothing(host).await;
+        host.sleep_us(host.random_between(200, 1_500)).await;
+        self.wait_while_unwritable(host).await;
         self.flush();
         let (written, _) = self.counts.get();
-        host.sleep_us(host.between(500, 6_000)).await;
-        self.takes_nothing(host).await;
+        host.sleep_us(host.random_between(500, 6_000)).await;
+        self.wait_while_unwritable(host).await;
         while self.refuses_sync.take() {
-            host.sleep(TRY_AGAIN_MS).await;
+            host.sleep(RETRY_INTERVAL_MS).await;
         }
         if syncs {
             self.sync(written);
@@ -242,12 +242,12 @@
             return Err(Refused("no space is left"));
         }
         self.queued.borrow_mut().push(writes);
-        host.sleep_us(host.between(200, 1_500)).await;
-        self.stands_still(host).await;
+        host.sleep_us(host.random_between(200, 1_500)).await;
+        self.wait_while_stalled(host).await;
         self.flush();
         let (written, _) = self.counts.get();
-        host.sleep_us(host.between(500, 6_000)).await;
-        self.stands_still(host).await;
+        host.sleep_us(host.random_between(500, 6_000)).await;
+        self.wait_while_stalled(host).await;
         if self.refuses_sync.take() {
             return Err(Refused("a sync failed"));
         }
@@ -268,34 +268,34 @@
     }
 
     /// What a store finds when it starts; a damaged record makes it fill again.
-    pub fn kept(&self) -> Stored {
+    pub fn stored(&self) -> Stored {
         let seen = self.seen.borrow();
-        let mut kept = Stored::default();
+        let mut stored = Stored::default();
         let read = |bytes: &[u8]| postcard::from_bytes::<Turn>(bytes).ok();
         for ((space, key), value) in seen.iter() {
             match *space {
-                TURNS => kept.turns.extend(read(value).map(|turn| StoredTurn {
+                TURNS => stored.turns.extend(read(value).map(|turn| StoredTurn {
                     length: (turn.input.len() + turn.output.len()) as u32,
                     attempt: turn.attempt,
                     previous: turn.previous,
                     retention_ms: turn.retention_ms,
                     replicas: turn.replicas,
                 })),
-                ACCOUNTS => kept.accounts.extend(account(key, value)),
-                STATE => kept.backfill = postcard::from_bytes(value).unwrap_or_default(),
+                ACCOUNTS => stored.accounts.extend(account(key, value)),
+                STATE => stored.backfill = postcard::from_bytes(value).unwrap_or_default(),
                 _ => {}
             }
         }
-        for turn in &mut kept.turns {
+        for turn in &mut stored.turns {
             let moved = seen.get(&(REPLICAS, turn.attempt.as_bytes().to_vec()));
-            if let Some(holders) = moved.and_then(|value| postcard::from_bytes(value).ok()) {
-                turn.replicas = holders;
+            if let Some(replicas) = moved.and_then(|value| postcard::from_bytes(value).ok()) {
+                turn.replicas = replicas;
             }
         }
         if self.damaged.take() {
-            kept.backfill = BackfillRecord { in_sync: Vec::new(), damaged: true };
+            stored.backfill = BackfillRecord { in_sync: Vec::new(), damaged: true };
         }
-        kept
+        stored
     }
 }
 
--- a/testbed/src/system/executor.rs
+++ b/testbed/src/system/executor.rs
@@ -84,7 +84,7 @@
     /// It ends, with all its tasks.
     pub fn end(&self, process: ProcessId) {
         self.0.processes.borrow_mut().remove(&process);
-        let ended: Vec<u64> = self
+        let tasks_of_process: Vec<u64> = self
             .0
             .tasks
             .borrow()
@@ -92,7 +92,7 @@
             .filter(|(_, (of, _))| *of == process)
             .map(|(task, _)| *task)
             .collect();
-        for task in ended {
+        for task in tasks_of_process {
             let work = self.0.tasks.borrow_mut().remove(&task);
             // What is dropped here may wake others.
             drop(work);
@@ -101,16 +101,16 @@
 
     /// Its tasks stand still until it is thawed.
     pub fn freeze(&self, process: ProcessId) {
-        if let Some(standing @ TaskState::Running) = self.0.processes.borrow_mut().get_mut(&process) {
-            *standing = TaskState::Frozen(Vec::new());
+        if let Some(state @ TaskState::Running) = self.0.processes.borrow_mut().get_mut(&process) {
+            *state = TaskState::Frozen(Vec::new());
         }
     }
 
     /// Its tasks go on.
     pub fn thaw(&self, process: ProcessId) {
         let mut processes = self.0.processes.borrow_mut();
-        let Some(standing) = processes.get_mut(&process) else { return };
-        if let TaskState::Frozen(waiting) = std::mem::replace(standing, TaskState::Running) {
+        let Some(state) = processes.get_mut(&process) else { return };
+        if let TaskState::Frozen(waiting) = std::mem::replace(state, TaskState::Running) {
             self.0.ready.lock().unwrap_or_else(PoisonError::into_inner).extend(waiting);
         }
     }
@@ -161,7 +161,7 @@
     }
 
     fn poll(&self, task: u64) {
-        let taken = {
+        let work = {
             let mut tasks = self.0.tasks.borrow_mut();
             let Some((process, work)) = tasks.get_mut(&task) else { return };
             let mut processes = self.0.processes.borrow_mut();
@@ -174,12 +174,12 @@
                 None => None,
             }
         };
-        let Some(mut work) = taken else { return };
+        let Some(mut work) = work else { return };
         let waker = Waker::from(Arc::new(TaskWaker { task, ready: self.0.ready.clone() }));
         let done = work.as_mut().poll(&mut Context::from_waker(&waker)).is_ready();
         let mut tasks = self.0.tasks.borrow_mut();
         match tasks.get_mut(&task) {
-            Some((_, place)) if !done => *place = Some(work),
+            Some((_, slot)) if !done => *slot = Some(work),
             _ => {
                 let removed = tasks.remove(&task);
                 drop(tasks);
--- a/testbed/src/system/history.rs
+++ b/testbed/src/system/history.rs
@@ -5,7 +5,7 @@
 
 /// What one asked for a turn was told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum LookupResult {
     /// This chain, by its hash.
     Text(u64),
     /// There is no such turn.
@@ -65,7 +65,7 @@
         /// What is to count.
         next: Option<Vec<u64>>,
         /// Those that have told they are full.
-        filled: Vec<u64>,
+        in_sync: Vec<u64>,
     },
     /// A configuration was acknowledged.
     Acknowledged {
@@ -77,7 +77,7 @@
     /// A configuration was read back.
     ReadBack {
         /// When it was asked for.
-        begun: u64,
+        started_at: u64,
         /// What came.
         version: u64,
     },
@@ -86,16 +86,16 @@
         /// Of the keeper.
         node: usize,
         /// Its life.
-        life: u64,
+        incarnation: u64,
         /// Under which fence.
-        fence: u64,
+        token: u64,
     },
     /// What a process on an edge machine goes by from now on.
     Knows {
         /// Of the process.
         node: usize,
         /// Its life.
-        life: u64,
+        incarnation: u64,
         /// The register's value.
         ballot: Ballot,
         /// Its configuration.
@@ -115,7 +115,7 @@
         /// What it may be handed.
         budget: u64,
         /// What one turn may be handed at most.
-        most: u64,
+        max_turn_tokens: u64,
     },
     /// A client got tokens.
     Handed {
@@ -125,7 +125,7 @@
         tokens: u64,
     },
     /// A turn was answered whole.
-    Whole {
+    Completed {
         /// Its `Attempt-Id`.
         attempt: String,
         /// The turn before it.
@@ -134,13 +134,13 @@
         text: String,
     },
     /// A turn was asked for.
-    Asked {
+    LookedUp {
         /// When.
-        begun: u64,
+        started_at: u64,
         /// Its `Attempt-Id`.
         attempt: String,
         /// What came.
-        told: Told,
+        result: LookupResult,
     },
     /// The machines of the play, by number.
     Fleet {
@@ -148,16 +148,16 @@
         classes: Vec<Class>,
     },
     /// A process begins a life.
-    Begun {
+    ProcessStarted {
         /// Of the process.
         node: usize,
         /// Its life.
-        life: u64,
+        incarnation: u64,
         /// Its machine.
         machine: usize,
     },
     /// A machine is gone for good.
-    Gone {
+    Removed {
         /// The machine.
         machine: usize,
     },
@@ -202,7 +202,7 @@
         /// The core machine that was asked.
         machine: usize,
         /// When it was asked.
-        begun: u64,
+        started_at: u64,
         /// What came.
         answer: OrderAnswer,
     },
@@ -211,7 +211,7 @@
         /// The core machine that was asked.
         machine: usize,
         /// When it was asked.
-        begun: u64,
+        started_at: u64,
         /// Whether a version came.
         clear: bool,
     },
@@ -245,7 +245,7 @@
         /// Milliseconds after the last fault.
         after: u64,
         /// What is not as it should be; empty where all is.
-        lacks: Vec<String>,
+        unmet: Vec<String>,
     },
 }
 
--- a/testbed/src/system/measure.rs
+++ b/testbed/src/system/measure.rs
@@ -46,7 +46,7 @@
 /// An answer to an operator, or none.
 struct Answer {
     machine: usize,
-    begun: u64,
+    started_at: u64,
     at: u64,
     clear: bool,
 }
@@ -107,11 +107,14 @@
 
 fn answers(history: &History) -> Vec<Answer> {
     let answer = |(at, fact): &(u64, Fact)| match fact {
-        Fact::Ordered { machine, begun, answer, .. } => {
-            Some(Answer { machine: *machine, begun: *begun, at: *at, clear: *answer != OrderAnswer::Unclear })
-        }
-        Fact::Read { machine, begun, clear } => {
-            Some(Answer { machine: *machine, begun: *begun, at: *at, clear: *clear })
+        Fact::Ordered { machine, started_at, answer, .. } => Some(Answer {
+            machine: *machine,
+            started_at: *started_at,
+            at: *at,
+            clear: *answer != OrderAnswer::Unclear,
+        }),
+        Fact::Read { machine, started_at, clear } => {
+            Some(Answer { machine: *machine, started_at: *started_at, at: *at, clear: *clear })
         }
         _ => None,
     };
@@ -124,13 +127,13 @@
     let measure = |since: u64, until: u64, machine: usize| {
         let others = answers.iter().filter(clear).filter(|answer| answer.machine != machine);
         let own = answers.iter().filter(clear).filter(|answer| answer.machine == machine);
-        let later = own.clone().filter(|answer| answer.begun >= until);
+        let later = own.clone().filter(|answer| answer.started_at >= until);
         Isolated {
             others_clear_after: others
-                .filter(|answer| answer.begun >= since)
+                .filter(|answer| answer.started_at >= since)
                 .map(|answer| answer.at - since)
                 .min(),
-            own_clear_answers: own.filter(|answer| answer.begun >= since && answer.at < until).count(),
+            own_clear_answers: own.filter(|answer| answer.started_at >= since && answer.at < until).count(),
             own_clear_after: later.map(|answer| answer.at - until).min(),
             longest_order: longest_order(history, since, until),
         }
@@ -146,8 +149,8 @@
     let mut first: BTreeMap<u64, u64> = BTreeMap::new();
     let mut longest = 0;
     for (at, fact) in history {
-        let Fact::Ordered { order, begun, answer, .. } = fact else { continue };
-        let sent = *first.entry(*order).or_insert(*begun);
+        let Fact::Ordered { order, started_at, answer, .. } = fact else { continue };
+        let sent = *first.entry(*order).or_insert(*started_at);
         if *answer != OrderAnswer::Unclear && (since..until).contains(&sent) {
             longest = longest.max(at - sent);
             // Only the first clear answer counts.
--- a/testbed/src/system/mod.rs
+++ b/testbed/src/system/mod.rs
@@ -2,9 +2,10 @@
 //! roster, turns and accounts, all by the crates under `system/`; what carries their calls here is what the programs do.
 //! Histories are checked alone.
 
-mod bounds;
 mod campaign;
+mod catch_up;
 mod check;
+mod cluster;
 mod control;
 mod disk;
 mod edge;
@@ -12,24 +13,23 @@
 mod history;
 mod measure;
 mod operators;
-mod orders;
-mod play;
-mod returns;
+mod order_rules;
+mod run;
 mod runtime;
 mod scenario;
 mod schedule;
 mod second_loss;
-mod store;
-mod world;
+mod storage_node;
+mod timing_rules;
 
 pub use campaign::{Ended, Played, play_one, play_until_broken, shortest};
 pub use check::{Broken, Rule, check};
-pub use history::{Disturbance, Fact, History, OrderAnswer, Told};
+pub use history::{Disturbance, Fact, History, LookupResult, OrderAnswer};
 pub use measure::{Isolated, Measured};
-pub use play::{SETTLED_MS, play};
+pub use run::{SETTLED_MS, play};
 pub use scenario::{Case, CaseResult, SCENARIOS, Scenario, thousand_changes};
 pub use schedule::{
-    Class, Fault, ISOLATIONS, Isolation, Machine, MembershipStep, Schedule, Target, Trouble, Victim,
+    Class, Fault, FaultKind, ISOLATIONS, Isolation, Machine, MembershipStep, Schedule, Target, Victim,
 };
 
 use serde::{Deserialize, Serialize};
--- a/testbed/src/system/operators.rs
+++ b/testbed/src/system/operators.rs
@@ -4,7 +4,7 @@
 use super::Mutation;
 use super::control::SimulatedControlNode;
 use super::history::{Fact, OrderAnswer};
-use super::play::Stage;
+use super::run::SystemRun;
 use bytes::Bytes;
 use controllers::{ConfigVerdict, RetireVerdict};
 use fleet_model::CommittedVersion;
@@ -13,9 +13,9 @@
 use std::rc::Rc;
 
 /// How long an operator waits for one answer.
-const PATIENCE_MS: u64 = 1_000;
+const ANSWER_TIMEOUT_MS: u64 = 1_000;
 /// Of the orders that were confirmed so many are kept, to be sent again.
-const KEPT_ORDERS: usize = 64;
+const MAX_RESENT_ORDERS: usize = 64;
 /// Senders at once in a burst: with the operators that are always there, eight orders are under way.
 pub const SENDERS: u64 = 6;
 
@@ -63,40 +63,43 @@
 }
 
 /// The name of the order of this digest.
-fn name(digest: &[u8; 32]) -> u64 {
+fn order_id_of_digest(digest: &[u8; 32]) -> u64 {
     let mut first = [0; 8];
     first.copy_from_slice(&digest[..8]);
     u64::from_be_bytes(first)
 }
 
-fn order_of(taken: &CommittedVersion) -> u64 {
-    name(&taken.digest)
+fn order_id(committed: &CommittedVersion) -> u64 {
+    order_id_of_digest(&committed.digest)
 }
 
-impl Stage {
+impl SystemRun {
     fn new_order(&self, on: u64) -> Order {
         let operators = &self.operators;
         let last = operators.last_number.get();
         // Another operator may be at the same number.
-        let number = if last > on && self.world.draw(4) == 0 { last } else { last.max(on) + 1 };
+        let number = if last > on && self.cluster.random_below(4) == 0 { last } else { last.max(on) + 1 };
         operators.last_number.set(number.max(last));
         operators.last_order.set(operators.last_order.get() + 1);
         let body = configuration(number, operators.last_order.get());
-        Order { id: name(&operator_config::digest(&body)), number, on, body }
+        Order { id: order_id_of_digest(&operator_config::digest(&body)), number, on, body }
     }
 
     /// Sends an order to a core machine's process; what came of it stands in the history.
-    async fn send(self: &Rc<Self>, order: &Order, keeper: Rc<SimulatedControlNode>) -> OrderAnswer {
-        let host = keeper.host().clone();
-        let machine = self.world.machine_number(host.node);
-        let begun = self.world.elapsed_ms();
-        let (sent, mutation) = (order.clone(), self.world.mutation);
-        let answer =
-            self.at(&host, PATIENCE_MS, async move { answered(&keeper, &sent, mutation).await }).await;
-        let lost = self.world.loses_answer();
+    async fn send(self: &Rc<Self>, order: &Order, control_node: Rc<SimulatedControlNode>) -> OrderAnswer {
+        let host = control_node.host().clone();
+        let machine = self.cluster.machine_index_of(host.node);
+        let started_at = self.cluster.elapsed_ms();
+        let (sent, mutation) = (order.clone(), self.cluster.mutation);
+        let answer = self
+            .call_process(&host, ANSWER_TIMEOUT_MS, async move {
+                answer_order(&control_node, &sent, mutation).await
+            })
+            .await;
+        let lost = self.cluster.loses_answer();
         let answer = answer.filter(|_| !lost).unwrap_or(OrderAnswer::Unclear);
         let Order { id, number, on, .. } = *order;
-        self.world.note(Fact::Ordered { order: id, number, on, machine, begun, answer });
+        self.cluster.record(Fact::Ordered { order: id, number, on, machine, started_at, answer });
         if answer == OrderAnswer::Confirmed {
             self.confirmed(order);
         }
@@ -109,13 +112,13 @@
             return;
         }
         confirmed.push(order.clone());
-        if confirmed.len() > KEPT_ORDERS {
+        if confirmed.len() > MAX_RESENT_ORDERS {
             confirmed.remove(0);
         }
         drop(confirmed);
-        self.world.note(Fact::Acknowledged { version: order.number, on: order.on });
+        self.cluster.record(Fact::Acknowledged { version: order.number, on: order.on });
         self.acknowledged.set(self.calm.get());
-        self.strike();
+        self.inject_last_fault();
     }
 
     /// Sends an order to one machine after another until the answer is clear; at times to several at once.
@@ -127,49 +130,52 @@
         let mut next = first;
         let mut last = None;
         loop {
-            let Some(keeper) = next.take().or_else(|| self.another(last)) else {
-                self.pause(100).await;
+            let Some(control_node) = next.take().or_else(|| self.pick_other(last)) else {
+                self.sleep_ms(100).await;
                 continue;
             };
-            last = Some(keeper.host().node);
-            let answer = match self.world.draw(6) {
-                0 => self.send_to_several(order, keeper).await,
-                _ => self.send(order, keeper).await,
+            last = Some(control_node.host().node);
+            let answer = match self.cluster.random_below(6) {
+                0 => self.send_to_several(order, control_node).await,
+                _ => self.send(order, control_node).await,
             };
             if answer != OrderAnswer::Unclear {
                 return answer;
             }
-            self.pause(50 + self.world.draw(250)).await;
+            self.sleep_ms(50 + self.cluster.random_below(250)).await;
         }
     }
 
     /// A control node other than the one that was asked last, if there is one.
-    fn another(&self, last: Option<usize>) -> Option<Rc<SimulatedControlNode>> {
-        let keepers = self.keepers.borrow();
-        let others: Vec<_> = keepers.iter().filter(|(node, _)| Some(**node) != last).collect();
-        let chosen = if others.is_empty() { keepers.iter().next() } else { None };
-        let place = self.world.draw(others.len() as u64) as usize;
-        chosen.or_else(|| others.get(place).copied()).map(|(_, keeper)| keeper.clone())
+    fn pick_other(&self, last: Option<usize>) -> Option<Rc<SimulatedControlNode>> {
+        let control_nodes = self.control_nodes.borrow();
+        let others: Vec<_> = control_nodes.iter().filter(|(node, _)| Some(**node) != last).collect();
+        let chosen = if others.is_empty() { control_nodes.iter().next() } else { None };
+        let index = self.cluster.random_below(others.len() as u64) as usize;
+        chosen.or_else(|| others.get(index).copied()).map(|(_, control_node)| control_node.clone())
     }
 
     async fn send_to_several(self: &Rc<Self>, order: &Order, first: Rc<SimulatedControlNode>) -> OrderAnswer {
-        let others = (0..2).filter_map(|_| self.some(&self.keepers));
+        let others = (0..2).filter_map(|_| self.pick(&self.control_nodes));
         let answers =
-            join_all([first].into_iter().chain(others).map(|keeper| self.send(order, keeper))).await;
+            join_all([first].into_iter().chain(others).map(|control_node| self.send(order, control_node)))
+                .await;
         let clear = answers.into_iter().find(|answer| *answer != OrderAnswer::Unclear);
         clear.unwrap_or(OrderAnswer::Unclear)
     }
 
-    async fn read(&self, keeper: Rc<SimulatedControlNode>) -> Option<u64> {
-        let host = keeper.host().clone();
-        let machine = self.world.machine_number(host.node);
-        let begun = self.world.elapsed_ms();
-        let mutation = self.world.mutation;
-        let read = self.at(&host, PATIENCE_MS, async move { version_of(&keeper, mutation).await }).await;
+    async fn read(&self, control_node: Rc<SimulatedControlNode>) -> Option<u64> {
+        let host = control_node.host().clone();
+        let machine = self.cluster.machine_index_of(host.node);
+        let started_at = self.cluster.elapsed_ms();
+        let mutation = self.cluster.mutation;
+        let read = self
+            .call_process(&host, ANSWER_TIMEOUT_MS, async move { version_of(&control_node, mutation).await })
+            .await;
         let read = read.flatten();
-        self.world.note(Fact::Read { machine, begun, clear: read.is_some() });
+        self.cluster.record(Fact::Read { machine, started_at, clear: read.is_some() });
         if let Some(version) = read {
-            self.world.note(Fact::ReadBack { begun, version });
+            self.cluster.record(Fact::ReadBack { started_at, version });
         }
         read
     }
@@ -178,25 +184,25 @@
     pub(super) async fn operate(self: Rc<Self>) {
         let mut newest = 0;
         loop {
-            self.pause(250 + self.world.draw(500)).await;
-            let Some(keeper) = self.some(&self.keepers) else { continue };
-            match self.world.draw(8) {
-                0 | 1 => newest = newest.max(self.read(keeper).await.unwrap_or_default()),
-                2 => self.send_again(keeper).await,
+            self.sleep_ms(250 + self.cluster.random_below(500)).await;
+            let Some(control_node) = self.pick(&self.control_nodes) else { continue };
+            match self.cluster.random_below(8) {
+                0 | 1 => newest = newest.max(self.read(control_node).await.unwrap_or_default()),
+                2 => self.send_again(control_node).await,
                 _ => newest = self.change(newest, None).await,
             }
         }
     }
 
     /// Something that was confirmed once comes again.
-    async fn send_again(self: &Rc<Self>, keeper: Rc<SimulatedControlNode>) {
+    async fn send_again(self: &Rc<Self>, control_node: Rc<SimulatedControlNode>) {
         let former = {
             let confirmed = self.operators.confirmed.borrow();
-            let place = self.world.draw(confirmed.len() as u64) as usize;
-            confirmed.get(place).cloned()
+            let index = self.cluster.random_below(confirmed.len() as u64) as usize;
+            confirmed.get(index).cloned()
         };
         if let Some(former) = former {
-            self.send(&former, keeper).await;
+            self.send(&former, control_node).await;
         }
     }
 
@@ -231,44 +237,45 @@
     }
 
     /// Sends changes and reads to one machine for so long; another takes on what gets no clear answer there.
-    pub(super) async fn insist(self: Rc<Self>, node: usize, for_ms: u64) {
-        let returns = self.world.elapsed_ms() + for_ms;
-        let at = |stage: &Stage| stage.keepers.borrow().get(&node).cloned();
+    pub(super) async fn send_during_isolation(self: Rc<Self>, node: usize, for_ms: u64) {
+        let returns = self.cluster.elapsed_ms() + for_ms;
+        let node_process = |run: &SystemRun| run.control_nodes.borrow().get(&node).cloned();
         let mut newest = 0;
-        while self.world.elapsed_ms() < returns {
-            let left = returns - self.world.elapsed_ms();
-            self.pause(left.min(100 + self.world.draw(300))).await;
-            let Some(keeper) = at(&self) else { continue };
-            match self.world.draw(3) {
-                0 => newest = newest.max(self.read(keeper).await.unwrap_or_default()),
-                _ => newest = self.change(newest, Some(keeper)).await,
+        while self.cluster.elapsed_ms() < returns {
+            let left = returns - self.cluster.elapsed_ms();
+            self.sleep_ms(left.min(100 + self.cluster.random_below(300))).await;
+            let Some(control_node) = node_process(&self) else { continue };
+            match self.cluster.random_below(3) {
+                0 => newest = newest.max(self.read(control_node).await.unwrap_or_default()),
+                _ => newest = self.change(newest, Some(control_node)).await,
             }
         }
     }
 
     /// A change is sent to a machine in the moment of its return.
     pub(super) async fn send_on_return(self: Rc<Self>, node: usize, for_ms: u64) {
-        self.pause(for_ms).await;
+        self.sleep_ms(for_ms).await;
         let newest = self.operators.confirmed.borrow().last().map_or(0, |order| order.number);
-        let Some(keeper) = self.keepers.borrow().get(&node).cloned() else { return };
-        self.change(newest, Some(keeper)).await;
+        let Some(control_node) = self.control_nodes.borrow().get(&node).cloned() else { return };
+        self.change(newest, Some(control_node)).await;
     }
 
     /// Notes which orders have come into force since it was called last.
-    pub(super) fn note_in_force(&self) {
+    pub(super) fn record_orders_in_force(&self) {
         let mut seen = self.operators.seen.borrow_mut();
-        for keeper in self.keepers.borrow().values() {
-            let state = keeper.feed.state();
-            let is_new = |taken: &&CommittedVersion| !seen.contains(&(taken.version, order_of(taken)));
+        for control_node in self.control_nodes.borrow().values() {
+            let state = control_node.feed.state();
+            let is_new =
+                |committed: &&CommittedVersion| !seen.contains(&(committed.version, order_id(committed)));
             let fresh: Vec<(u64, u64)> = state
                 .committed
                 .iter()
                 .rev()
                 .take_while(is_new)
-                .map(|taken| (taken.version, order_of(taken)))
+                .map(|committed| (committed.version, order_id(committed)))
                 .collect();
             for (number, order) in fresh.into_iter().rev() {
-                self.world.note(Fact::InForce { order, number });
+                self.cluster.record(Fact::InForce { order, number });
                 seen.push((number, order));
             }
         }
@@ -278,15 +285,16 @@
     pub(super) async fn retire(&self, machine: usize) {
         let name = self.schedule.machines[machine].name.clone();
         loop {
-            if let Some(keeper) = self.some(&self.keepers) {
-                let (host, name) = (keeper.host().clone(), name.clone());
-                let order_answer =
-                    self.at(&host, PATIENCE_MS, async move { keeper.retire(&name).await }).await;
+            if let Some(control_node) = self.pick(&self.control_nodes) {
+                let (host, name) = (control_node.host().clone(), name.clone());
+                let order_answer = self
+                    .call_process(&host, ANSWER_TIMEOUT_MS, async move { control_node.retire(&name).await })
+                    .await;
                 if order_answer.flatten().is_some() {
                     return;
                 }
             }
-            self.pause(300).await;
+            self.sleep_ms(300).await;
         }
     }
 
@@ -294,13 +302,14 @@
     pub(super) async fn retire_completed(&self, machine: usize) {
         let name = self.schedule.machines[machine].name.clone();
         loop {
-            if let Some(keeper) = self.some(&self.keepers) {
-                let (host, name, mutation) = (keeper.host().clone(), name.clone(), self.world.mutation);
+            if let Some(control_node) = self.pick(&self.control_nodes) {
+                let (host, name, mutation) =
+                    (control_node.host().clone(), name.clone(), self.cluster.mutation);
                 let order_answer = async move {
-                    keeper.version().await?;
-                    Some(controllers::retire_status(&keeper.feed.state(), &name))
+                    control_node.version().await?;
+                    Some(controllers::retire_status(&control_node.feed.state(), &name))
                 };
-                let verdict = self.at(&host, PATIENCE_MS, order_answer).await.flatten();
+                let verdict = self.call_process(&host, ANSWER_TIMEOUT_MS, order_answer).await.flatten();
                 // Broken on purpose: what is only agreed counts as completed.
                 let early = mutation == Some(Mutation::CompletedEarly);
                 if verdict == Some(RetireVerdict::Completed)
@@ -309,24 +318,29 @@
                     return;
                 }
             }
-            self.pause(50).await;
+            self.sleep_ms(50).await;
         }
     }
 }
 
 /// What a control node answers to an order; mutations change what its crates say.
-async fn answered(keeper: &SimulatedControlNode, order: &Order, mutation: Option<Mutation>) -> OrderAnswer {
+async fn answer_order(
+    control_node: &SimulatedControlNode,
+    order: &Order,
+    mutation: Option<Mutation>,
+) -> OrderAnswer {
     if mutation == Some(Mutation::AnsweredAlone) {
         // Broken on purpose: by its own replicated state, without a majority.
-        let taken = CommittedVersion { version: order.number, digest: operator_config::digest(&order.body) };
-        let state = keeper.feed.state();
-        let (_, verdict) = controllers::put_config(&state, order.on, &taken, &order.body);
+        let committed =
+            CommittedVersion { version: order.number, digest: operator_config::digest(&order.body) };
+        let state = control_node.feed.state();
+        let (_, verdict) = controllers::put_config(&state, order.on, &committed, &order.body);
         if verdict != ConfigVerdict::Committed {
             return order_answer(Some(verdict));
         }
     }
-    let verdict = keeper.put_config(order.on, order.body.clone()).await;
-    let current = keeper.feed.state().version();
+    let verdict = control_node.put_config(order.on, order.body.clone()).await;
+    let current = control_node.feed.state().version();
     match (mutation, verdict) {
         // Broken on purpose: only the newest is known to have been taken.
         (Some(Mutation::TakenForgotten), Some(ConfigVerdict::Committed)) if current != order.number => {
@@ -345,10 +359,10 @@
     }
 }
 
-async fn version_of(keeper: &SimulatedControlNode, mutation: Option<Mutation>) -> Option<u64> {
+async fn version_of(control_node: &SimulatedControlNode, mutation: Option<Mutation>) -> Option<u64> {
     match mutation {
         // Broken on purpose: without a quorum read.
-        Some(Mutation::FreshnessNotChecked) => Some(keeper.feed.state().version()),
-        _ => keeper.version().await,
+        Some(Mutation::FreshnessNotChecked) => Some(control_node.feed.state().version()),
+        _ => control_node.version().await,
     }
 }
--- a/testbed/src/system/runtime.rs
+++ b/testbed/src/system/runtime.rs
@@ -1,9 +1,9 @@
 //! A simulated process as its node sees it: the crates that carry the feed and the control node in service run over this.
 
 use super::Mutation;
+use super::cluster::{Host, PORT, Pusher, Pushes, list_of};
 use super::history::Fact;
 use super::schedule::Class;
-use super::world::{Host, PORT, Pusher, Pushes, list_of};
 use fleet_model::{Answer, Ballot, Call, ListVersion, Push, RegisterReply, RegisterRequest};
 use node_runtime::{FeedEvent, Runtime, Subscriber, Task, Upstream};
 use state_feed::FeedState;
@@ -19,9 +19,9 @@
 const TICK: Duration = Duration::from_millis(1);
 
 /// A time as timers see it: whole ticks, and one at least.
-fn ticks(pause: Duration) -> u64 {
-    let whole = pause.as_nanos().div_ceil(TICK.as_nanos()).max(1);
-    u64::try_from(whole).unwrap_or(u64::MAX).saturating_mul(1_000)
+fn ticks(delay: Duration) -> u64 {
+    let ticks = delay.as_nanos().div_ceil(TICK.as_nanos()).max(1);
+    u64::try_from(ticks).unwrap_or(u64::MAX).saturating_mul(1_000)
 }
 
 fn milliseconds(time: Duration) -> u64 {
@@ -34,7 +34,7 @@
     }
 
     /// Broken on purpose: what relays pass on has no versions, so that whoever hears takes it.
-    fn takes_all(&self) -> bool {
+    fn accepts_older_values(&self) -> bool {
         self.is_edge() && self.breaks(Mutation::RelayWithoutVersions)
     }
 }
@@ -53,7 +53,7 @@
     }
 
     fn seeds(&self) -> Vec<Ipv4Addr> {
-        self.world().map(|world| world.seeds.clone()).unwrap_or_default()
+        self.cluster().map(|cluster| cluster.seeds.clone()).unwrap_or_default()
     }
 
     fn peer_port(&self) -> u16 {
@@ -65,45 +65,45 @@
     }
 
     fn random_u64(&self) -> u64 {
-        Host::draw(self)
+        Host::random_u64(self)
     }
 
-    async fn sleep(&self, pause: Duration) {
-        self.sleep_us(ticks(pause)).await;
+    async fn sleep(&self, delay: Duration) {
+        self.sleep_us(ticks(delay)).await;
     }
 
     fn spawn(&self, work: impl Future<Output = ()> + 'static) -> SimulatedTask {
         SimulatedTask { host: self.clone(), task: Host::spawn(self, work) }
     }
 
-    async fn call(&self, to: Ipv4Addr, call: Call, patience: Duration) -> Option<Answer> {
-        let unheard = match (&call, self.breaks(Mutation::MajorityOfLiving)) {
-            (Call::Register(request), true) => agreeing(request),
+    async fn call(&self, to: Ipv4Addr, call: Call, timeout: Duration) -> Option<Answer> {
+        let simulated_agreement = match (&call, self.breaks(Mutation::MajorityOfLiving)) {
+            (Call::Register(request), true) => agreement_reply(request),
             _ => None,
         };
         // Broken on purpose: those that do not answer are not counted, as if they agreed.
-        Host::call(self, to, call, milliseconds(patience)).await.or(unheard)
+        Host::call(self, to, call, milliseconds(timeout)).await.or(simulated_agreement)
     }
 
     async fn subscribe(
         &self,
         to: SocketAddrV4,
         mut call: Call,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<(Answer, Pushes)> {
-        if let (Call::Subscribe { value, list, .. }, true) = (&mut call, self.takes_all()) {
+        if let (Call::Subscribe { value, list, .. }, true) = (&mut call, self.accepts_older_values()) {
             (*value, *list) = (Ballot::default(), ListVersion::default());
         }
-        Host::subscribe(self, *to.ip(), call, milliseconds(patience)).await
+        Host::subscribe(self, *to.ip(), call, milliseconds(timeout)).await
     }
 
     fn on_feed(&self, event: FeedEvent<'_>) {
         if let FeedEvent::Changed { value, state, list } = event
             && self.is_edge()
         {
-            self.note(Fact::Knows {
+            self.record(Fact::Knows {
                 node: self.node,
-                life: self.life,
+                incarnation: self.incarnation,
                 ballot: value.ballot,
                 version: state.version(),
                 list: list_of(&list.endpoints),
@@ -117,7 +117,7 @@
             Push::List(list) => list.version < known.list().version,
             _ => false,
         };
-        if is_older && self.takes_all() {
+        if is_older && self.accepts_older_values() {
             // Broken on purpose: what comes last is taken.
             *known = FeedState::default();
         }
@@ -125,7 +125,7 @@
 }
 
 /// What one that agrees would answer.
-fn agreeing(request: &RegisterRequest) -> Option<Answer> {
+fn agreement_reply(request: &RegisterRequest) -> Option<Answer> {
     let reply = match request {
         RegisterRequest::Prepare(_) => RegisterReply::Promised(None),
         RegisterRequest::Accept(_) => RegisterReply::Accepted,
--- a/testbed/src/system/scenario.rs
+++ b/testbed/src/system/scenario.rs
@@ -3,7 +3,7 @@
 use super::Mutation;
 use super::measure::Measured;
 use super::schedule::{
-    Class, Fault, ISOLATIONS, Isolation, MembershipStep, Schedule, Target, Trouble, Victim,
+    Class, Fault, FaultKind, ISOLATIONS, Isolation, MembershipStep, Schedule, Target, Victim,
 };
 use serde::{Deserialize, Serialize};
 
@@ -88,34 +88,34 @@
 }
 
 /// A schedule that is written fault by fault.
-struct Writing {
+struct CaseBuilder {
     name: String,
     schedule: Schedule,
 }
 
-impl Writing {
+impl CaseBuilder {
     fn new(name: impl Into<String>, seed: u64, tolerance: usize, stores: usize, edges: usize) -> Self {
         Self { name: name.into(), schedule: Schedule::fleet(seed, tolerance, stores, edges) }
     }
 
-    fn at(&mut self, at_ms: u64, trouble: Trouble) -> &mut Self {
-        self.schedule.faults.push(Fault { at_ms, trouble });
+    fn at(&mut self, at_ms: u64, kind: FaultKind) -> &mut Self {
+        self.schedule.faults.push(Fault { at_ms, kind });
         self
     }
 
-    fn core(&self, place: usize) -> usize {
-        self.schedule.machines_of(Class::ControlNode)[place]
+    fn core(&self, index: usize) -> usize {
+        self.schedule.machines_of(Class::ControlNode)[index]
     }
 
-    fn store(&self, place: usize) -> usize {
-        self.schedule.machines_of(Class::Store)[place]
+    fn store(&self, index: usize) -> usize {
+        self.schedule.machines_of(Class::Store)[index]
     }
 
-    fn edge(&self, place: usize) -> usize {
-        self.schedule.machines_of(Class::Agent)[place]
+    fn edge(&self, index: usize) -> usize {
+        self.schedule.machines_of(Class::Agent)[index]
     }
 
-    fn newcomer(&mut self, class: Class, name: Option<String>) -> usize {
+    fn add_new_machine(&mut self, class: Class, name: Option<String>) -> usize {
         let zone = self.schedule.machines.len() % 3;
         self.schedule.add_machine(class, name, zone, false)
     }
@@ -135,19 +135,19 @@
     let mut cases = Vec::new();
     for (which, target) in targets {
         for how in ISOLATIONS {
-            let mut writing = Writing::new(format!("{which}: {how:?}"), cases.len() as u64 + 1, 1, 4, 9);
-            let (first, second) = (writing.edge(0), writing.edge(4));
-            let (leaver, joins) = (writing.store(3), writing.newcomer(Class::Store, None));
+            let mut builder = CaseBuilder::new(format!("{which}: {how:?}"), cases.len() as u64 + 1, 1, 4, 9);
+            let (first, second) = (builder.edge(0), builder.edge(4));
+            let (leaver, joins) = (builder.store(3), builder.add_new_machine(Class::Store, None));
             let begins = BEGIN_MS + 1_000;
-            writing
-                .at(begins - 50, Trouble::Burst { orders: 40 })
-                .at(begins, Trouble::Isolate { target, how, for_ms: ISOLATED_MS })
-                .at(begins + 3_500, Trouble::Add { machine: joins })
-                .at(begins + 5_000, Trouble::KillProxy { machine: first, back_ms: 300 })
-                .at(begins + 9_000, Trouble::Kill { machine: second, back_ms: 300 })
-                .at(begins + 11_000, Trouble::Retire { machine: leaver })
-                .at(begins + ISOLATED_MS - 200, Trouble::Burst { orders: 40 });
-            cases.push(writing.until(begins + ISOLATED_MS + CAUGHT_UP_MS));
+            builder
+                .at(begins - 50, FaultKind::Burst { orders: 40 })
+                .at(begins, FaultKind::Isolate { target, how, for_ms: ISOLATED_MS })
+                .at(begins + 3_500, FaultKind::Add { machine: joins })
+                .at(begins + 5_000, FaultKind::KillProxy { machine: first, back_ms: 300 })
+                .at(begins + 9_000, FaultKind::Kill { machine: second, back_ms: 300 })
+                .at(begins + 11_000, FaultKind::Retire { machine: leaver })
+                .at(begins + ISOLATED_MS - 200, FaultKind::Burst { orders: 40 });
+            cases.push(builder.until(begins + ISOLATED_MS + CAUGHT_UP_MS));
         }
     }
     cases
@@ -157,32 +157,33 @@
     let mut cases = Vec::new();
     for seed in 1..=3 {
         for kind in ["answers lost", "and restarts", "and voters replaced", "and losses of all power"] {
-            let mut writing = Writing::new(format!("{kind}, {seed}"), seed, 1, 3, 3);
-            writing.at(BEGIN_MS, Trouble::LoseAnswers { of_thousand: 400, for_ms: 12_000 });
+            let mut builder = CaseBuilder::new(format!("{kind}, {seed}"), seed, 1, 3, 3);
+            builder.at(BEGIN_MS, FaultKind::LoseAnswers { of_thousand: 400, for_ms: 12_000 });
             for burst in 0..4 {
-                writing.at(BEGIN_MS + 3_000 * burst, Trouble::Burst { orders: 60 });
+                builder.at(BEGIN_MS + 3_000 * burst, FaultKind::Burst { orders: 60 });
             }
             let mut over = BEGIN_MS + 13_000;
             match kind {
                 "and restarts" => {
-                    writing
-                        .at(BEGIN_MS + 1_000, Trouble::KillCore { back_ms: 500 })
-                        .at(BEGIN_MS + 7_000, Trouble::KillCore { back_ms: 300 });
+                    builder
+                        .at(BEGIN_MS + 1_000, FaultKind::KillCore { back_ms: 500 })
+                        .at(BEGIN_MS + 7_000, FaultKind::KillCore { back_ms: 300 });
                 }
                 "and voters replaced" => {
-                    for place in 0..2 {
-                        let (old, new) = (writing.core(place), writing.newcomer(Class::ControlNode, None));
-                        let at = BEGIN_MS + 1_000 + 9_000 * place as u64;
-                        writing.at(at, Trouble::Replace { old, new, starts_ms: 1_000, ends_ms: 0 });
+                    for index in 0..2 {
+                        let (old, new) =
+                            (builder.core(index), builder.add_new_machine(Class::ControlNode, None));
+                        let at = BEGIN_MS + 1_000 + 9_000 * index as u64;
+                        builder.at(at, FaultKind::Replace { old, new, starts_ms: 1_000, ends_ms: 0 });
                     }
                     over += 9_000;
                 }
                 "and losses of all power" => {
-                    writing.at(BEGIN_MS + 5_000, Trouble::All { power: true, disks: vec![], back_ms: 800 });
+                    builder.at(BEGIN_MS + 5_000, FaultKind::All { power: true, disks: vec![], back_ms: 800 });
                 }
                 _ => {}
             }
-            cases.push(writing.until(over));
+            cases.push(builder.until(over));
         }
     }
     cases
@@ -223,7 +224,7 @@
     }
     cases.extend([1, 2].into_iter().flat_map(core_at_each_step));
     for tolerance in [1, 2] {
-        cases.extend([1, 2, 3].map(|seed| retired_and_wiped(seed, tolerance)));
+        cases.extend([1, 2, 3].map(|seed| retire_then_wipe(seed, tolerance)));
         cases.push(in_turn(tolerance, Class::Store));
         cases.push(in_turn(tolerance, Class::ControlNode));
         cases.push(one_name(tolerance));
@@ -247,36 +248,36 @@
     for step in STEPS {
         for victim in VICTIMS.into_iter().filter(|victim| has_victim(change, *victim)) {
             let name = format!("{change:?}, {step:?}: {victim:?}, {tolerance} may be lost");
-            let mut writing = Writing::new(name, cases.len() as u64 + 1, tolerance, 2 * tolerance + 2, 3);
-            let old = writing.store(2);
-            writing.at(BEGIN_MS + 900, Trouble::LossAtStep { step, victim, wiped: true, back_ms: 600 });
-            begin_change(&mut writing, change, old);
-            cases.push(writing.until(BEGIN_MS + 9_000 + CAUGHT_UP_MS));
+            let mut builder = CaseBuilder::new(name, cases.len() as u64 + 1, tolerance, 2 * tolerance + 2, 3);
+            let old = builder.store(2);
+            builder.at(BEGIN_MS + 900, FaultKind::LossAtStep { step, victim, wiped: true, back_ms: 600 });
+            begin_change(&mut builder, change, old);
+            cases.push(builder.until(BEGIN_MS + 9_000 + CAUGHT_UP_MS));
         }
     }
     cases
 }
 
-fn begin_change(writing: &mut Writing, change: SetChange, old: usize) {
+fn begin_change(builder: &mut CaseBuilder, change: SetChange, old: usize) {
     let at = BEGIN_MS + 1_000;
-    let joins = |writing: &mut Writing| {
-        let machine = writing.newcomer(Class::Store, None);
-        writing.at(at, Trouble::Add { machine });
+    let joins = |builder: &mut CaseBuilder| {
+        let machine = builder.add_new_machine(Class::Store, None);
+        builder.at(at, FaultKind::Add { machine });
     };
-    let replaces = |writing: &mut Writing, starts_ms, ends_ms| {
-        let new = writing.newcomer(Class::Store, None);
-        writing.at(at, Trouble::Replace { old, new, starts_ms, ends_ms });
+    let replaces = |builder: &mut CaseBuilder, starts_ms, ends_ms| {
+        let new = builder.add_new_machine(Class::Store, None);
+        builder.at(at, FaultKind::Replace { old, new, starts_ms, ends_ms });
     };
     match change {
-        SetChange::Joins => joins(writing),
-        SetChange::Retires => drop(writing.at(at, Trouble::Retire { machine: old })),
+        SetChange::Joins => joins(builder),
+        SetChange::Retires => drop(builder.at(at, FaultKind::Retire { machine: old })),
         SetChange::JoinsAndRetires => {
-            joins(writing);
-            writing.at(at, Trouble::Retire { machine: old });
+            joins(builder);
+            builder.at(at, FaultKind::Retire { machine: old });
         }
-        SetChange::Replaced => replaces(writing, 0, 5_000),
-        SetChange::ReplacedAfterLoss => replaces(writing, 1_500, 0),
-        SetChange::Wiped => drop(writing.at(at, Trouble::LoseDisk { machine: old, back_ms: 500 })),
+        SetChange::Replaced => replaces(builder, 0, 5_000),
+        SetChange::ReplacedAfterLoss => replaces(builder, 1_500, 0),
+        SetChange::Wiped => drop(builder.at(at, FaultKind::LoseDisk { machine: old, back_ms: 500 })),
     }
 }
 
@@ -285,36 +286,36 @@
     for step in [MembershipStep::VoterAdded, MembershipStep::VoterRemoved] {
         for victim in [Victim::Newcomer, Victim::Source, Victim::Oldest] {
             let name = format!("core, {step:?}: {victim:?}, {tolerance} may be lost");
-            let mut writing = Writing::new(name, cases.len() as u64 + 1, tolerance, 2 * tolerance + 1, 3);
-            let new = writing.newcomer(Class::ControlNode, None);
-            let old = writing.core(1);
+            let mut builder = CaseBuilder::new(name, cases.len() as u64 + 1, tolerance, 2 * tolerance + 1, 3);
+            let new = builder.add_new_machine(Class::ControlNode, None);
+            let old = builder.core(1);
             let at = BEGIN_MS + 1_000;
-            writing.at(at - 100, Trouble::LossAtStep { step, victim, wiped: true, back_ms: 600 });
+            builder.at(at - 100, FaultKind::LossAtStep { step, victim, wiped: true, back_ms: 600 });
             match tolerance {
                 // With one loss to be borne the newcomer only joins.
-                1 => writing.at(at, Trouble::Add { machine: new }),
-                _ => writing.at(at, Trouble::Replace { old, new, starts_ms: 500, ends_ms: 0 }),
+                1 => builder.at(at, FaultKind::Add { machine: new }),
+                _ => builder.at(at, FaultKind::Replace { old, new, starts_ms: 500, ends_ms: 0 }),
             };
-            cases.push(writing.until(BEGIN_MS + 9_000 + CAUGHT_UP_MS));
+            cases.push(builder.until(BEGIN_MS + 9_000 + CAUGHT_UP_MS));
         }
     }
     cases
 }
 
 /// A machine is taken away once its retire is completed, and in that moment as many as may be lost lose their disks.
-fn retired_and_wiped(seed: u64, tolerance: usize) -> Case {
+fn retire_then_wipe(seed: u64, tolerance: usize) -> Case {
     let name = format!("retired, then {tolerance} wiped, {seed}");
-    let mut writing = Writing::new(name, seed, tolerance, 2 * tolerance + 2, 3);
-    let machine = writing.store(seed as usize);
-    let others = (0..2 * tolerance + 2).filter(|place| *place != seed as usize);
-    let wiped = others.take(tolerance).map(|place| writing.store(place)).collect();
-    writing.at(BEGIN_MS + 3_000, Trouble::RetireThenWipe { machine, wiped, back_ms: 600 });
-    writing.until(BEGIN_MS + 8_000 + CAUGHT_UP_MS)
+    let mut builder = CaseBuilder::new(name, seed, tolerance, 2 * tolerance + 2, 3);
+    let machine = builder.store(seed as usize);
+    let others = (0..2 * tolerance + 2).filter(|index| *index != seed as usize);
+    let wiped = others.take(tolerance).map(|index| builder.store(index)).collect();
+    builder.at(BEGIN_MS + 3_000, FaultKind::RetireThenWipe { machine, wiped, back_ms: 600 });
+    builder.until(BEGIN_MS + 8_000 + CAUGHT_UP_MS)
 }
 
 /// Each machine of a class loses its disk, one after the other, as soon as the one before counts as well again.
 fn in_turn(tolerance: usize, class: Class) -> Case {
-    let mut writing = Writing::new(
+    let mut builder = CaseBuilder::new(
         format!("{class:?}, wiped in turn, {tolerance} may be lost"),
         1,
         tolerance,
@@ -323,54 +324,54 @@
     );
     let back_ms = 500;
     let mut at = BEGIN_MS;
-    for machine in writing.schedule.machines_of(class) {
-        writing.at(at, Trouble::LoseDisk { machine, back_ms });
+    for machine in builder.schedule.machines_of(class) {
+        builder.at(at, FaultKind::LoseDisk { machine, back_ms });
         at += back_ms + CAUGHT_UP_MS;
     }
-    writing.until(at)
+    builder.until(at)
 }
 
 /// A storage machine is replaced again and again by one of the same name.
 fn one_name(tolerance: usize) -> Case {
-    let mut writing =
-        Writing::new(format!("one name, {tolerance} may be lost"), 1, tolerance, 2 * tolerance + 1, 3);
-    let mut old = writing.store(0);
-    let name = writing.schedule.machines[old].name.clone();
+    let mut builder =
+        CaseBuilder::new(format!("one name, {tolerance} may be lost"), 1, tolerance, 2 * tolerance + 1, 3);
+    let mut old = builder.store(0);
+    let name = builder.schedule.machines[old].name.clone();
     let mut at = BEGIN_MS;
     for planned in [true, false, true] {
-        let new = writing.newcomer(Class::Store, Some(name.clone()));
+        let new = builder.add_new_machine(Class::Store, Some(name.clone()));
         let (starts_ms, ends_ms) = if planned { (0, 5_000) } else { (1_500, 0) };
-        writing.at(at, Trouble::Replace { old, new, starts_ms, ends_ms });
+        builder.at(at, FaultKind::Replace { old, new, starts_ms, ends_ms });
         at += starts_ms.max(ends_ms) + CAUGHT_UP_MS + 1_000;
         old = new;
     }
-    writing.until(at)
+    builder.until(at)
 }
 
 /// Five voters. One is away for all changes and comes back during a flood of them; among the others there are a long cut, a wiped
 /// disk, restarts of all, and a replaced one.
 pub fn thousand_changes(seed: u64, orders: u64) -> Case {
-    let mut writing = Writing::new(format!("{orders} changes, {seed}"), seed, 2, 5, 3);
-    let (away, cut, wiped, replaced) = (writing.core(0), writing.core(1), writing.core(2), writing.core(3));
-    let new = writing.newcomer(Class::ControlNode, None);
+    let mut builder = CaseBuilder::new(format!("{orders} changes, {seed}"), seed, 2, 5, 3);
+    let (away, cut, wiped, replaced) = (builder.core(0), builder.core(1), builder.core(2), builder.core(3));
+    let new = builder.add_new_machine(Class::ControlNode, None);
     let begins = BEGIN_MS;
     let cut_at = begins + 11_000;
     let killed_at = cut_at + ISOLATED_MS + CAUGHT_UP_MS;
     let replaced_at = killed_at + 1_000 + CAUGHT_UP_MS;
     let returns = replaced_at + 9_000;
-    writing
-        .at(begins, Trouble::Kill { machine: away, back_ms: returns - begins })
-        .at(begins + 100, Trouble::Burst { orders })
-        .at(begins + 700, Trouble::KillCore { back_ms: 300 })
-        .at(begins + 5_500, Trouble::LoseDisk { machine: wiped, back_ms: 800 })
+    builder
+        .at(begins, FaultKind::Kill { machine: away, back_ms: returns - begins })
+        .at(begins + 100, FaultKind::Burst { orders })
+        .at(begins + 700, FaultKind::KillCore { back_ms: 300 })
+        .at(begins + 5_500, FaultKind::LoseDisk { machine: wiped, back_ms: 800 })
         .at(
             cut_at,
-            Trouble::Isolate { target: Target::Machine(cut), how: Isolation::Cut, for_ms: ISOLATED_MS },
+            FaultKind::Isolate { target: Target::Machine(cut), how: Isolation::Cut, for_ms: ISOLATED_MS },
         )
-        .at(cut_at + ISOLATED_MS - 1_000, Trouble::Burst { orders: orders / 4 })
-        .at(killed_at, Trouble::KillCore { back_ms: 300 })
-        .at(replaced_at, Trouble::Replace { old: replaced, new, starts_ms: 1_000, ends_ms: 0 })
-        .at(returns - 500, Trouble::Burst { orders: orders / 4 })
-        .at(returns + CAUGHT_UP_MS, Trouble::KillCore { back_ms: 500 });
-    writing.until(returns + 3 * CAUGHT_UP_MS)
+        .at(cut_at + ISOLATED_MS - 1_000, FaultKind::Burst { orders: orders / 4 })
+        .at(killed_at, FaultKind::KillCore { back_ms: 300 })
+        .at(replaced_at, FaultKind::Replace { old: replaced, new, starts_ms: 1_000, ends_ms: 0 })
+        .at(returns - 500, FaultKind::Burst { orders: orders / 4 })
+        .at(returns + CAUGHT_UP_MS, FaultKind::KillCore { back_ms: 500 });
+    builder.until(returns + 3 * CAUGHT_UP_MS)
 }
--- a/testbed/src/system/schedule.rs
+++ b/testbed/src/system/schedule.rs
@@ -118,7 +118,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum Trouble {
+pub enum FaultKind {
     /// Its processes stand still.
     Freeze { machine: usize, for_ms: u64 },
     /// Its processes end and come back.
@@ -174,12 +174,13 @@
     /// Milliseconds from the beginning.
     pub at_ms: u64,
     /// What it is.
-    pub trouble: Trouble,
+    #[serde(rename = "trouble")]
+    pub kind: FaultKind,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:6} {:?}", self.at_ms, self.trouble)
+        write!(f, "{:6} {:?}", self.at_ms, self.kind)
     }
 }
 
@@ -199,34 +200,34 @@
 }
 
 /// So long the last fault waits for a configuration to be acknowledged.
-pub const LAST_WAITS: u64 = 1_500;
+pub const LAST_FAULT_DELAY_MS: u64 = 1_500;
 const EDGES: usize = 3;
 const ZONES: usize = 3;
 /// Faults begin within this time.
-const TROUBLED: u64 = 16_000;
+const FAULTS_UNTIL_MS: u64 = 16_000;
 /// The first ones, only after the founding.
-const BEGIN: u64 = 4_500;
+const FIRST_FAULT_MS: u64 = 4_500;
 /// A burst of changes is over by then, in most plays.
 const BURST_MS: u64 = 3_000;
 /// How long a core machine is kept from others, at least and at most.
-const ISOLATED: (u64, u64) = (12_000, 22_000);
+const ISOLATION_MS: (u64, u64) = (12_000, 22_000);
 /// So long after it begins a change of members that was begun for a loss is over, with the loss.
 const STEP_MS: u64 = 7_000;
 /// A machine counts as lost until so long after its return, where one may be lost at once.
-const CATCH_UP: u64 = 4_100;
+const CATCH_UP_MS: u64 = 4_100;
 /// The same where two may be: see the schedules of `controllers`.
-const CATCH_UP_OF_TWO: u64 = 5_000;
+const CATCH_UP_OF_TWO_MS: u64 = 5_000;
 
-struct Drawing {
+struct ScheduleGenerator {
     rng: ChaCha8Rng,
     schedule: Schedule,
-    catch_up: u64,
+    catch_up_ms: u64,
     /// Machines that count, and until when each is in trouble.
-    keepers: Vec<(usize, u64)>,
+    control_nodes: Vec<(usize, u64)>,
     stores: Vec<(usize, u64)>,
     /// Until when a planned replacement is under way: a keeper that restarts meanwhile does not know of it.
-    planned: u64,
-    over: u64,
+    planned_until: u64,
+    faults_end: u64,
 }
 
 impl Schedule {
@@ -235,26 +236,27 @@
         let rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5ced);
         let tolerance = if seed.is_multiple_of(4) { 2 } else { 1 };
         let schedule = Self { seed, tolerance, machines: Vec::new(), faults: Vec::new(), calm_ms: 0 };
-        let mut drawing = Drawing {
+        let mut generator = ScheduleGenerator {
             rng,
             schedule,
-            catch_up: if tolerance == 2 { CATCH_UP_OF_TWO } else { CATCH_UP },
-            keepers: Vec::new(),
+            catch_up_ms: if tolerance == 2 { CATCH_UP_OF_TWO_MS } else { CATCH_UP_MS },
+            control_nodes: Vec::new(),
             stores: Vec::new(),
-            planned: 0,
-            over: 0,
+            planned_until: 0,
+            faults_end: 0,
         };
-        drawing.play();
-        drawing.schedule
+        generator.generate();
+        generator.schedule
     }
 
     /// A fleet without faults, whose machines are spread over the zones.
     pub fn fleet(seed: u64, tolerance: usize, stores: usize, edges: usize) -> Self {
-        let mut schedule = Self { seed, tolerance, machines: Vec::new(), faults: Vec::new(), calm_ms: BEGIN };
+        let mut schedule =
+            Self { seed, tolerance, machines: Vec::new(), faults: Vec::new(), calm_ms: FIRST_FAULT_MS };
         let counts = [(Class::ControlNode, 2 * tolerance + 1), (Class::Store, stores), (Class::Agent, edges)];
         for (class, count) in counts {
-            for place in 0..count {
-                schedule.add_machine(class, None, place % ZONES, true);
+            for index in 0..count {
+                schedule.add_machine(class, None, index % ZONES, true);
             }
         }
         schedule
@@ -290,7 +292,7 @@
     }
 }
 
-impl Drawing {
+impl ScheduleGenerator {
     fn below(&mut self, bound: u64) -> u64 {
         self.rng.next_u64() % bound.max(1)
     }
@@ -307,16 +309,16 @@
         self.schedule.add_machine(class, name, zone, first)
     }
 
-    fn add(&mut self, at_ms: u64, trouble: Trouble, over: u64) {
-        self.schedule.faults.push(Fault { at_ms, trouble });
-        self.over = self.over.max(over);
+    fn add(&mut self, at_ms: u64, kind: FaultKind, faults_end: u64) {
+        self.schedule.faults.push(Fault { at_ms, kind });
+        self.faults_end = self.faults_end.max(faults_end);
     }
 
-    fn play(&mut self) {
+    fn generate(&mut self) {
         let tolerance = self.schedule.tolerance;
         for _ in 0..2 * tolerance + 1 {
             let number = self.machine(Class::ControlNode, None, true);
-            self.keepers.push((number, 0));
+            self.control_nodes.push((number, 0));
         }
         let stores = 2 * tolerance as u64 + 1 + self.below(3);
         for _ in 0..stores {
@@ -324,177 +326,189 @@
             self.stores.push((number, 0));
         }
         let edges: Vec<usize> = (0..EDGES).map(|_| self.machine(Class::Agent, None, true)).collect();
-        let mut slots = vec![BEGIN; tolerance];
-        let mut now = BEGIN;
-        while now < TROUBLED {
+        let mut slots = vec![FIRST_FAULT_MS; tolerance];
+        let mut now = FIRST_FAULT_MS;
+        while now < FAULTS_UNTIL_MS {
             if self.below(9) == 0 {
-                self.trouble_edge(now, &edges);
+                self.schedule_edge_fault(now, &edges);
             }
             if self.below(60) == 0 {
                 let for_ms = self.between(500, 3_000);
                 let of_thousand = self.between(5, 40);
-                self.add(now, Trouble::LoseMessages { of_thousand, for_ms }, now + for_ms);
+                self.add(now, FaultKind::LoseMessages { of_thousand, for_ms }, now + for_ms);
             }
-            self.trouble_operators(now);
+            self.schedule_operator_fault(now);
             if let Some(slot) = slots.iter().position(|free| *free <= now) {
                 slots[slot] = match self.below(12) {
-                    0..3 => self.trouble_store(now),
-                    3 | 4 => self.trouble_core(now),
+                    0..3 => self.schedule_store_fault(now),
+                    3 | 4 => self.schedule_core_fault(now),
                     _ => now,
                 };
             }
             now += 200;
         }
-        let free = slots.into_iter().max().unwrap_or(now).max(self.over).max(now);
+        let free = slots.into_iter().max().unwrap_or(now).max(self.faults_end).max(now);
         let kind = self.below(6);
         if kind < 4 {
             let back_ms = self.between(300, 2_000);
             let mut disks = Vec::new();
             if kind > 1 {
-                let places = self.between(1, tolerance as u64);
-                for _ in 0..places {
+                let count = self.between(1, tolerance as u64);
+                for _ in 0..count {
                     let counted: Vec<usize> =
-                        self.keepers.iter().chain(&self.stores).map(|(number, _)| *number).collect();
+                        self.control_nodes.iter().chain(&self.stores).map(|(number, _)| *number).collect();
                     let chosen = counted[self.below(counted.len() as u64) as usize];
                     if !disks.contains(&chosen) {
                         disks.push(chosen);
                     }
                 }
             }
-            let over = free + LAST_WAITS + back_ms + 400;
-            self.add(free, Trouble::All { power: kind > 0, disks, back_ms }, over);
+            let faults_end = free + LAST_FAULT_DELAY_MS + back_ms + 400;
+            self.add(free, FaultKind::All { power: kind > 0, disks, back_ms }, faults_end);
         }
         self.schedule.faults.sort_by_key(|fault| fault.at_ms);
-        self.schedule.calm_ms = self.over.max(free) + 100;
+        self.schedule.calm_ms = self.faults_end.max(free) + 100;
     }
 
-    fn trouble_operators(&mut self, now: u64) {
+    fn schedule_operator_fault(&mut self, now: u64) {
         match self.below(160) {
             0 | 1 => {
                 let (of_thousand, for_ms) = (self.between(50, 500), self.between(500, 4_000));
-                self.add(now, Trouble::LoseAnswers { of_thousand, for_ms }, now + for_ms);
+                self.add(now, FaultKind::LoseAnswers { of_thousand, for_ms }, now + for_ms);
             }
             2 => {
                 let orders = self.between(20, 200);
-                self.add(now, Trouble::Burst { orders }, now + BURST_MS);
+                self.add(now, FaultKind::Burst { orders }, now + BURST_MS);
             }
             _ => {}
         }
     }
 
-    fn trouble_edge(&mut self, now: u64, edges: &[usize]) {
+    fn schedule_edge_fault(&mut self, now: u64, edges: &[usize]) {
         let machine = edges[self.below(edges.len() as u64) as usize];
         let for_ms = self.between(200, 3_000);
         let counted: Vec<usize> =
-            self.keepers.iter().chain(&self.stores).map(|(number, _)| *number).collect();
+            self.control_nodes.iter().chain(&self.stores).map(|(number, _)| *number).collect();
         let other = counted[self.below(counted.len() as u64) as usize];
-        let trouble = match self.below(9) {
+        let kind = match self.below(9) {
             7 | 8 => {
                 let for_ms = self.between(2_000, 7_000);
-                self.add(now, Trouble::Mislead { machine, for_ms }, now + for_ms);
+                self.add(now, FaultKind::Mislead { machine, for_ms }, now + for_ms);
                 return;
             }
-            0 => Trouble::Freeze { machine, for_ms },
-            1 => Trouble::Kill { machine, back_ms: for_ms },
-            2 => Trouble::KillProxy { machine, back_ms: for_ms },
-            3 => Trouble::LosePower { machine, back_ms: for_ms },
-            4 => Trouble::CutOff { machine, for_ms },
-            5 => Trouble::Cut { from: machine, to: other, for_ms },
-            _ => Trouble::Cut { from: other, to: machine, for_ms },
+            0 => FaultKind::Freeze { machine, for_ms },
+            1 => FaultKind::Kill { machine, back_ms: for_ms },
+            2 => FaultKind::KillProxy { machine, back_ms: for_ms },
+            3 => FaultKind::LosePower { machine, back_ms: for_ms },
+            4 => FaultKind::CutOff { machine, for_ms },
+            5 => FaultKind::Cut { from: machine, to: other, for_ms },
+            _ => FaultKind::Cut { from: other, to: machine, for_ms },
         };
-        self.add(now, trouble, now + for_ms);
+        self.add(now, kind, now + for_ms);
     }
 
     /// One that is in no trouble.
-    fn well(&mut self, now: u64, stores: bool) -> Option<usize> {
-        let all = if stores { &self.stores } else { &self.keepers };
-        let well: Vec<usize> =
+    fn pick_healthy(&mut self, now: u64, stores: bool) -> Option<usize> {
+        let all = if stores { &self.stores } else { &self.control_nodes };
+        let healthy: Vec<usize> =
             all.iter().filter(|(_, until)| *until <= now).map(|(number, _)| *number).collect();
-        match well.len() {
+        match healthy.len() {
             0 => None,
-            count => Some(well[self.below(count as u64) as usize]),
+            count => Some(healthy[self.below(count as u64) as usize]),
         }
     }
 
-    fn occupy(&mut self, machine: usize, until: u64) -> u64 {
-        let all = self.keepers.iter_mut().chain(&mut self.stores);
+    fn mark_busy(&mut self, machine: usize, until: u64) -> u64 {
+        let all = self.control_nodes.iter_mut().chain(&mut self.stores);
         all.filter(|(number, _)| *number == machine).for_each(|(_, at)| *at = until);
         until
     }
 
-    fn short(&mut self, now: u64, machine: usize, trouble: impl Fn(u64) -> Trouble, most: u64) -> u64 {
-        let for_ms = self.between(300, most);
-        self.add(now, trouble(for_ms), now + for_ms);
-        self.occupy(machine, now + for_ms + self.catch_up)
+    fn schedule_short(
+        &mut self,
+        now: u64,
+        machine: usize,
+        kind: impl Fn(u64) -> FaultKind,
+        max_ms: u64,
+    ) -> u64 {
+        let for_ms = self.between(300, max_ms);
+        self.add(now, kind(for_ms), now + for_ms);
+        self.mark_busy(machine, now + for_ms + self.catch_up_ms)
     }
 
     /// When the slot is free again.
-    fn trouble_store(&mut self, now: u64) -> u64 {
-        let Some(machine) = self.well(now, true) else { return now };
+    fn schedule_store_fault(&mut self, now: u64) -> u64 {
+        let Some(machine) = self.pick_healthy(now, true) else { return now };
         let name = self.schedule.machines[machine].name.clone();
         match self.below(17) {
-            11 => self.short(now, machine, |for_ms| Trouble::StallDisk { machine, for_ms }, 4_000),
-            12 => self.short(now, machine, |for_ms| Trouble::RefuseWrites { machine, for_ms }, 4_000),
-            13 => self.short(now, machine, |_| Trouble::RefuseSync { machine }, 300),
+            11 => self.schedule_short(now, machine, |for_ms| FaultKind::StallDisk { machine, for_ms }, 4_000),
+            12 => {
+                self.schedule_short(now, machine, |for_ms| FaultKind::RefuseWrites { machine, for_ms }, 4_000)
+            }
+            13 => self.schedule_short(now, machine, |_| FaultKind::RefuseSync { machine }, 300),
             14 => {
                 let (target, how) = (Target::Machine(machine), self.isolation());
-                self.short(now, machine, |for_ms| Trouble::Isolate { target, how, for_ms }, 6_000)
+                self.schedule_short(now, machine, |for_ms| FaultKind::Isolate { target, how, for_ms }, 6_000)
             }
             15 => self.lose_at_step(now),
-            16 if self.has_spare_store(now) => self.retire_then_wipe(now, machine),
-            0 => self.short(now, machine, |for_ms| Trouble::Freeze { machine, for_ms }, 4_000),
-            1 => self.short(now, machine, |back_ms| Trouble::Kill { machine, back_ms }, 2_000),
-            2 => self.short(now, machine, |back_ms| Trouble::LosePower { machine, back_ms }, 2_000),
-            3 => self.short(now, machine, |back_ms| Trouble::Damage { machine, back_ms }, 2_000),
-            4 | 5 => self.short(now, machine, |back_ms| Trouble::LoseDisk { machine, back_ms }, 2_000),
-            6 => self.short(now, machine, |for_ms| Trouble::CutOff { machine, for_ms }, 4_000),
-            7 => match self.well(now, true).filter(|other| *other != machine) {
-                Some(other) => self.short(
+            16 if self.has_surplus_store(now) => self.retire_then_wipe(now, machine),
+            0 => self.schedule_short(now, machine, |for_ms| FaultKind::Freeze { machine, for_ms }, 4_000),
+            1 => self.schedule_short(now, machine, |back_ms| FaultKind::Kill { machine, back_ms }, 2_000),
+            2 => {
+                self.schedule_short(now, machine, |back_ms| FaultKind::LosePower { machine, back_ms }, 2_000)
+            }
+            3 => self.schedule_short(now, machine, |back_ms| FaultKind::Damage { machine, back_ms }, 2_000),
+            4 | 5 => {
+                self.schedule_short(now, machine, |back_ms| FaultKind::LoseDisk { machine, back_ms }, 2_000)
+            }
+            6 => self.schedule_short(now, machine, |for_ms| FaultKind::CutOff { machine, for_ms }, 4_000),
+            7 => match self.pick_healthy(now, true).filter(|other| *other != machine) {
+                Some(other) => self.schedule_short(
                     now,
                     machine,
-                    |for_ms| Trouble::Cut { from: machine, to: other, for_ms },
+                    |for_ms| FaultKind::Cut { from: machine, to: other, for_ms },
                     3_000,
                 ),
                 None => now,
             },
             8 => {
                 // One that is gone, or one whose end is planned.
-                let planned = self.below(2) == 0;
+                let is_planned = self.below(2) == 0;
                 let name = if self.below(2) == 0 { Some(name) } else { None };
                 let new = self.machine(Class::Store, name, false);
-                let (starts_ms, ends_ms) = match planned {
+                let (starts_ms, ends_ms) = match is_planned {
                     true => (0, self.between(4_000, 6_000)),
                     false => (self.between(1_000, 2_000), 0),
                 };
-                let over = now + starts_ms.max(ends_ms);
-                self.add(now, Trouble::Replace { old: machine, new, starts_ms, ends_ms }, over);
+                let faults_end = now + starts_ms.max(ends_ms);
+                self.add(now, FaultKind::Replace { old: machine, new, starts_ms, ends_ms }, faults_end);
                 self.stores.retain(|(number, _)| *number != machine);
-                let free = over + self.catch_up + if planned { 2_000 } else { 0 };
+                let free = faults_end + self.catch_up_ms + if is_planned { 2_000 } else { 0 };
                 self.stores.push((new, free));
-                if planned {
-                    self.planned = self.planned.max(over + self.catch_up);
+                if is_planned {
+                    self.planned_until = self.planned_until.max(faults_end + self.catch_up_ms);
                 }
                 free
             }
             9 => {
                 let new = self.machine(Class::Store, None, false);
-                self.add(now, Trouble::Add { machine: new }, now + 500);
-                self.stores.push((new, now + self.catch_up));
+                self.add(now, FaultKind::Add { machine: new }, now + 500);
+                self.stores.push((new, now + self.catch_up_ms));
                 now + 500
             }
             // An operator retires none of those that are needed once the lost ones have left.
-            _ if !self.has_spare_store(now) => now,
+            _ if !self.has_surplus_store(now) => now,
             _ => {
-                self.add(now, Trouble::Retire { machine }, now + 1_000);
+                self.add(now, FaultKind::Retire { machine }, now + 1_000);
                 self.stores.retain(|(number, _)| *number != machine);
-                now + self.catch_up
+                now + self.catch_up_ms
             }
         }
     }
 
-    fn has_spare_store(&self, now: u64) -> bool {
-        let well = self.stores.iter().filter(|(_, until)| *until <= now).count();
-        well > 2 * self.schedule.tolerance + 1
+    fn has_surplus_store(&self, now: u64) -> bool {
+        let healthy = self.stores.iter().filter(|(_, until)| *until <= now).count();
+        healthy > 2 * self.schedule.tolerance + 1
     }
 
     fn isolation(&mut self) -> Isolation {
@@ -515,9 +529,9 @@
         let victim = victims[self.below(victims.len() as u64) as usize];
         let (wiped, back_ms) = (self.below(3) > 0, self.between(300, 2_000));
         let new = self.machine(Class::Store, None, false);
-        self.add(now, Trouble::LossAtStep { step, victim, wiped, back_ms }, now + STEP_MS);
-        self.add(now + 50, Trouble::Add { machine: new }, now + STEP_MS);
-        let free = now + STEP_MS + self.catch_up;
+        self.add(now, FaultKind::LossAtStep { step, victim, wiped, back_ms }, now + STEP_MS);
+        self.add(now + 50, FaultKind::Add { machine: new }, now + STEP_MS);
+        let free = now + STEP_MS + self.catch_up_ms;
         // Who is lost is not known yet.
         self.stores.iter_mut().for_each(|(_, until)| *until = free);
         self.stores.push((new, free));
@@ -527,58 +541,62 @@
     /// A storage machine is emptied and taken away, and in that moment as many as may be lose their disks.
     fn retire_then_wipe(&mut self, now: u64, machine: usize) -> u64 {
         self.stores.retain(|(number, _)| *number != machine);
-        let Some(other) = self.well(now, true) else { return now };
+        let Some(other) = self.pick_healthy(now, true) else { return now };
         let back_ms = self.between(300, 2_000);
-        let trouble = Trouble::RetireThenWipe { machine, wiped: vec![other], back_ms };
-        self.add(now, trouble, now + STEP_MS);
-        self.occupy(other, now + STEP_MS + self.catch_up)
+        let kind = FaultKind::RetireThenWipe { machine, wiped: vec![other], back_ms };
+        self.add(now, kind, now + STEP_MS);
+        self.mark_busy(other, now + STEP_MS + self.catch_up_ms)
     }
 
     /// A core machine is kept from others for long, at times the one that holds the lease.
     fn isolate_core(&mut self, now: u64, machine: usize) -> u64 {
         let how = self.isolation();
-        let for_ms = self.between(ISOLATED.0, ISOLATED.1);
-        let over = now + for_ms;
+        let for_ms = self.between(ISOLATION_MS.0, ISOLATION_MS.1);
+        let faults_end = now + for_ms;
         let target = if self.below(2) == 0 { Target::LeaseHolder } else { Target::Machine(machine) };
-        self.add(now, Trouble::Isolate { target, how, for_ms }, over);
-        let free = over + self.catch_up;
-        self.keepers.iter_mut().for_each(|(_, until)| *until = free);
+        self.add(now, FaultKind::Isolate { target, how, for_ms }, faults_end);
+        let free = faults_end + self.catch_up_ms;
+        self.control_nodes.iter_mut().for_each(|(_, until)| *until = free);
         free
     }
 
-    fn trouble_core(&mut self, now: u64) -> u64 {
-        let Some(machine) = self.well(now, false) else { return now };
+    fn schedule_core_fault(&mut self, now: u64) -> u64 {
+        let Some(machine) = self.pick_healthy(now, false) else { return now };
         let kind = match self.below(16) {
             // While a replacement is planned, no keeper forgets of it.
-            1 | 2 | 3 | 7 | 13 if now < self.planned => 0,
+            1 | 2 | 3 | 7 | 13 if now < self.planned_until => 0,
             kind => kind,
         };
         match kind {
             9 => self.isolate_core(now, machine),
-            10 => self.short(now, machine, |for_ms| Trouble::StallDisk { machine, for_ms }, 4_000),
-            11 => self.short(now, machine, |for_ms| Trouble::RefuseWrites { machine, for_ms }, 4_000),
-            12 => self.short(now, machine, |_| Trouble::RefuseSync { machine }, 300),
+            10 => self.schedule_short(now, machine, |for_ms| FaultKind::StallDisk { machine, for_ms }, 4_000),
+            11 => {
+                self.schedule_short(now, machine, |for_ms| FaultKind::RefuseWrites { machine, for_ms }, 4_000)
+            }
+            12 => self.schedule_short(now, machine, |_| FaultKind::RefuseSync { machine }, 300),
             13 => {
                 let back_ms = self.between(300, 2_000);
-                let over = now + back_ms + 400;
-                self.add(now, Trouble::KillCore { back_ms }, over);
-                over + self.catch_up
+                let faults_end = now + back_ms + 400;
+                self.add(now, FaultKind::KillCore { back_ms }, faults_end);
+                faults_end + self.catch_up_ms
             }
             14 => {
                 let (target, how) = (Target::Machine(machine), self.isolation());
-                self.short(now, machine, |for_ms| Trouble::Isolate { target, how, for_ms }, 6_000)
+                self.schedule_short(now, machine, |for_ms| FaultKind::Isolate { target, how, for_ms }, 6_000)
+            }
+            0 => self.schedule_short(now, machine, |for_ms| FaultKind::Freeze { machine, for_ms }, 4_000),
+            1 => self.schedule_short(now, machine, |back_ms| FaultKind::Kill { machine, back_ms }, 4_000),
+            2 => {
+                self.schedule_short(now, machine, |back_ms| FaultKind::LosePower { machine, back_ms }, 4_000)
             }
-            0 => self.short(now, machine, |for_ms| Trouble::Freeze { machine, for_ms }, 4_000),
-            1 => self.short(now, machine, |back_ms| Trouble::Kill { machine, back_ms }, 4_000),
-            2 => self.short(now, machine, |back_ms| Trouble::LosePower { machine, back_ms }, 4_000),
-            3 | 4 if now >= self.planned => {
-                self.short(now, machine, |back_ms| Trouble::LoseDisk { machine, back_ms }, 4_000)
+            3 | 4 if now >= self.planned_until => {
+                self.schedule_short(now, machine, |back_ms| FaultKind::LoseDisk { machine, back_ms }, 4_000)
             }
-            5 => match self.well(now, false).filter(|other| *other != machine) {
-                Some(other) => self.short(
+            5 => match self.pick_healthy(now, false).filter(|other| *other != machine) {
+                Some(other) => self.schedule_short(
                     now,
                     machine,
-                    |for_ms| Trouble::Cut { from: machine, to: other, for_ms },
+                    |for_ms| FaultKind::Cut { from: machine, to: other, for_ms },
                     3_000,
                 ),
                 None => now,
@@ -586,20 +604,20 @@
             7 => {
                 let new = self.machine(Class::ControlNode, None, false);
                 let starts_ms = self.between(500, 2_000);
-                let over = now + starts_ms;
-                self.add(now, Trouble::Replace { old: machine, new, starts_ms, ends_ms: 0 }, over);
-                self.keepers.retain(|(number, _)| *number != machine);
-                let free = over + 3_000 + self.catch_up;
-                self.keepers.push((new, free));
+                let faults_end = now + starts_ms;
+                self.add(now, FaultKind::Replace { old: machine, new, starts_ms, ends_ms: 0 }, faults_end);
+                self.control_nodes.retain(|(number, _)| *number != machine);
+                let free = faults_end + 3_000 + self.catch_up_ms;
+                self.control_nodes.push((new, free));
                 free
             }
-            8 if self.keepers.len() < 2 * self.schedule.tolerance + 3 => {
+            8 if self.control_nodes.len() < 2 * self.schedule.tolerance + 3 => {
                 let new = self.machine(Class::ControlNode, None, false);
-                self.add(now, Trouble::Add { machine: new }, now + 500);
-                self.keepers.push((new, now + self.catch_up));
-                now + self.catch_up
+                self.add(now, FaultKind::Add { machine: new }, now + 500);
+                self.control_nodes.push((new, now + self.catch_up_ms));
+                now + self.catch_up_ms
             }
-            _ => self.short(now, machine, |for_ms| Trouble::CutOff { machine, for_ms }, 4_000),
+            _ => self.schedule_short(now, machine, |for_ms| FaultKind::CutOff { machine, for_ms }, 4_000),
         }
     }
 }
--- a/testbed/src/system/second_loss.rs
+++ b/testbed/src/system/second_loss.rs
@@ -1,7 +1,7 @@
 //! Losses that wait for a step of a change of members: who is lost is known only then.
 
 use super::history::Disturbance;
-use super::play::Stage;
+use super::run::SystemRun;
 use super::schedule::{MembershipStep, Victim};
 use fleet_model::{ControlState, StorageNode};
 use std::net::Ipv4Addr;
@@ -10,9 +10,9 @@
 /// Between two looks.
 const CHECK_INTERVAL_MS: u64 = 5;
 /// A change that does not come to the step in this time has none.
-pub const STEP_WITHIN_MS: u64 = 4_000;
+pub const STEP_TIMEOUT_MS: u64 = 4_000;
 /// So long after a set is agreed its members are in the midst of catching up.
-const FILLING_FOR_MS: u64 = 40;
+const BACKFILL_DELAY_MS: u64 = 40;
 /// So long after a set is current the former one has released what it held.
 const RELEASED_AFTER_MS: u64 = 400;
 
@@ -73,13 +73,13 @@
     found.map(ip)
 }
 
-impl Stage {
+impl SystemRun {
     fn members(&self) -> Members {
-        let keepers = self.keepers.borrow();
-        let newest = keepers.values().max_by_key(|keeper| keeper.feed.value().ballot);
-        newest.map_or_else(Members::default, |keeper| Members {
-            state: keeper.feed.state(),
-            voters: keeper.feed.value().voters.clone(),
+        let control_nodes = self.control_nodes.borrow();
+        let newest = control_nodes.values().max_by_key(|control_node| control_node.feed.value().ballot);
+        newest.map_or_else(Members::default, |control_node| Members {
+            state: control_node.feed.state(),
+            voters: control_node.feed.value().voters.clone(),
         })
     }
 
@@ -92,23 +92,23 @@
         back_ms: u64,
     ) {
         let before = self.members();
-        let until = self.world.elapsed_ms() + STEP_WITHIN_MS;
+        let until = self.cluster.elapsed_ms() + STEP_TIMEOUT_MS;
         while !self.members().has_reached(step, &before) {
-            if self.world.elapsed_ms() > until {
+            if self.cluster.elapsed_ms() > until {
                 return;
             }
-            self.pause(CHECK_INTERVAL_MS).await;
+            self.sleep_ms(CHECK_INTERVAL_MS).await;
         }
         match step {
-            MembershipStep::Filling => self.pause(FILLING_FOR_MS).await,
-            MembershipStep::Released => self.pause(RELEASED_AFTER_MS).await,
+            MembershipStep::Filling => self.sleep_ms(BACKFILL_DELAY_MS).await,
+            MembershipStep::Released => self.sleep_ms(RELEASED_AFTER_MS).await,
             _ => {}
         }
         let lost = self.members().victim(step, victim, &before);
         let machines = &self.schedule.machines;
         let machine = lost.and_then(|ip| machines.iter().position(|machine| machine.ip == ip));
         if let Some(machine) = machine {
-            self.down(machine, true, wiped, back_ms);
+            self.restart_machine(machine, true, wiped, back_ms);
         }
     }
 
@@ -116,22 +116,22 @@
     pub(super) async fn retire_then_wipe(self: Rc<Self>, machine: usize, wiped: Vec<usize>, back_ms: u64) {
         self.retire(machine).await;
         self.retire_completed(machine).await;
-        self.leave(machine);
+        self.remove_machine(machine);
         for other in wiped {
-            self.down(other, true, true, back_ms);
+            self.restart_machine(other, true, true, back_ms);
         }
     }
 
     /// A machine's disk stalls, or is full and refuses; the machine counts as disturbed.
     pub(super) fn disturb_disk(&self, machine: usize, is_full: bool, for_ms: u64) {
-        let until = self.world.executor.now() + for_ms * 1_000;
-        for node in self.world.nodes_of(machine) {
+        let until = self.cluster.executor.now() + for_ms * 1_000;
+        for node in self.cluster.nodes_of(machine) {
             match is_full {
-                true => self.world.disk_of(node).fill_up(until),
-                false => self.world.disk_of(node).stall(until),
+                true => self.cluster.disk_of(node).fill_up(until),
+                false => self.cluster.disk_of(node).stall(until),
             }
         }
-        let until = self.world.elapsed_ms() + for_ms;
-        self.world.note(super::Fact::Disturbed { machine, how: Disturbance::Disk, until });
+        let until = self.cluster.elapsed_ms() + for_ms;
+        self.cluster.record(super::Fact::Disturbed { machine, how: Disturbance::Disk, until });
     }
 }
--- a/testbed/src/system/bounds.rs
+++ b/testbed/src/system/timing_rules.rs
@@ -46,12 +46,12 @@
     at: u64,
     machine: usize,
     /// Version and list; none before the first in its life.
-    what: Option<(u64, u64)>,
+    known_versions: Option<(u64, u64)>,
 }
 
 /// An order, from its first sending to its first clear answer.
 struct RequestRecord {
-    begun: u64,
+    started_at: u64,
     clear_at: Option<u64>,
     number: u64,
 }
@@ -59,16 +59,16 @@
 #[derive(Default)]
 struct Timeline {
     classes: Vec<Class>,
-    troubles: Vec<FaultPeriod>,
-    cuts: Vec<Cut>,
+    faults: Vec<FaultPeriod>,
+    partitions: Vec<Cut>,
     lossy: Vec<(u64, u64)>,
-    begun: Vec<(u64, usize)>,
-    gone: BTreeMap<usize, u64>,
+    starts: Vec<(u64, usize)>,
+    removed: BTreeMap<usize, u64>,
     /// By process.
     known: BTreeMap<usize, Vec<Known>>,
     acknowledged: Vec<(u64, u64)>,
     lists: Vec<(u64, u64)>,
-    asked: BTreeMap<u64, RequestRecord>,
+    requests: BTreeMap<u64, RequestRecord>,
     end: u64,
 }
 
@@ -76,27 +76,27 @@
     fn read(history: &History) -> Self {
         let mut line = Self::default();
         for (at, fact) in history {
-            line.take(*at, fact);
+            line.apply(*at, fact);
         }
         line.end = history.last().map_or(0, |(at, _)| *at);
         line
     }
 
-    fn take(&mut self, at: u64, fact: &Fact) {
+    fn apply(&mut self, at: u64, fact: &Fact) {
         match fact {
             Fact::Fleet { classes } => self.classes = classes.clone(),
             Fact::Disturbed { machine, how, until } => {
-                self.troubles.push(FaultPeriod { machine: *machine, how: *how, since: at, until: *until });
+                self.faults.push(FaultPeriod { machine: *machine, how: *how, since: at, until: *until });
             }
             Fact::PathCut { from, to, until } => {
-                self.cuts.push(Cut { from: *from, to: *to, since: at, until: *until });
+                self.partitions.push(Cut { from: *from, to: *to, since: at, until: *until });
             }
             Fact::Lossy { until } => self.lossy.push((at, *until)),
-            Fact::Gone { machine } => drop(self.gone.insert(*machine, at)),
-            Fact::Begun { node, machine, .. } => {
-                self.begun.push((at, *machine));
+            Fact::Removed { machine } => drop(self.removed.insert(*machine, at)),
+            Fact::ProcessStarted { node, machine, .. } => {
+                self.starts.push((at, *machine));
                 if self.classes.get(*machine) == Some(&Class::Agent) {
-                    let known = Known { at, machine: *machine, what: None };
+                    let known = Known { at, machine: *machine, known_versions: None };
                     self.known.entry(*node).or_default().push(known);
                 }
             }
@@ -104,18 +104,18 @@
                 if let Some(known) = self.known.get_mut(node)
                     && let Some(last) = known.last()
                 {
-                    let next = Known { at, machine: last.machine, what: Some((*version, *list)) };
+                    let next = Known { at, machine: last.machine, known_versions: Some((*version, *list)) };
                     known.push(next);
                 }
             }
             Fact::Acknowledged { version, .. } => self.acknowledged.push((at, *version)),
             Fact::Platform { list } => self.lists.push((at, *list)),
-            Fact::Ordered { order, number, begun, answer, .. } => {
-                let asked = RequestRecord { begun: *begun, clear_at: None, number: *number };
-                let asked = self.asked.entry(*order).or_insert(asked);
-                asked.begun = asked.begun.min(*begun);
+            Fact::Ordered { order, number, started_at, answer, .. } => {
+                let request = RequestRecord { started_at: *started_at, clear_at: None, number: *number };
+                let request = self.requests.entry(*order).or_insert(request);
+                request.started_at = request.started_at.min(*started_at);
                 if *answer != OrderAnswer::Unclear {
-                    asked.clear_at = asked.clear_at.or(Some(at));
+                    request.clear_at = request.clear_at.or(Some(at));
                 }
             }
             _ => {}
@@ -159,31 +159,31 @@
         let mut now = Self::default();
         let is_core = |machine: usize| line.is(machine, Class::ControlNode);
         let counts = |machine: usize| is_core(machine) || line.is(machine, Class::Store);
-        for trouble in line.troubles.iter().filter(|other| overlaps(other.since, other.until, tick)) {
-            now.troubled.insert(trouble.machine);
-            if trouble.how == Disturbance::Lost {
-                now.lost.insert(trouble.machine);
+        for fault in line.faults.iter().filter(|other| overlaps(other.since, other.until, tick)) {
+            now.troubled.insert(fault.machine);
+            if fault.how == Disturbance::Lost {
+                now.lost.insert(fault.machine);
             }
-            let stands = matches!(trouble.how, Disturbance::Slow | Disturbance::Disk);
-            let disturbs = stands || borders(trouble.since, trouble.until, tick);
-            now.core_disturbed |= counts(trouble.machine) && disturbs;
+            let degraded = matches!(fault.how, Disturbance::Slow | Disturbance::Disk);
+            let disturbs = degraded || borders(fault.since, fault.until, tick);
+            now.core_disturbed |= counts(fault.machine) && disturbs;
         }
-        for cut in line.cuts.iter().filter(|cut| overlaps(cut.since, cut.until, tick)) {
+        for cut in line.partitions.iter().filter(|cut| overlaps(cut.since, cut.until, tick)) {
             now.cut.insert((cut.from, cut.to));
             let of_core = counts(cut.from) && counts(cut.to);
             now.core_disturbed |= of_core && borders(cut.since, cut.until, tick);
         }
-        for (at, machine) in line.begun.iter().filter(|(at, _)| borders(*at, *at, tick)) {
+        for (at, machine) in line.starts.iter().filter(|(at, _)| borders(*at, *at, tick)) {
             now.core_disturbed |= counts(*machine) && *at >= tick;
             now.troubled.insert(*machine);
         }
         now.core_disturbed |=
-            line.gone.iter().any(|(machine, at)| counts(*machine) && borders(*at, *at, tick));
+            line.removed.iter().any(|(machine, at)| counts(*machine) && borders(*at, *at, tick));
         now.lossy = line.lossy.iter().any(|(since, until)| overlaps(*since, *until, tick));
         let is_there = |machine: &usize| {
             is_core(*machine)
-                && line.begun.iter().any(|(at, begun)| begun == machine && *at <= tick)
-                && line.gone.get(machine).is_none_or(|at| *at > tick)
+                && line.starts.iter().any(|(at, started)| started == machine && *at <= tick)
+                && line.removed.get(machine).is_none_or(|at| *at > tick)
         };
         now.core = (0..line.classes.len()).filter(is_there).collect();
         now.connect();
@@ -216,7 +216,7 @@
     own: BTreeMap<usize, u64>,
     core: u64,
     /// Most of the core was lost.
-    most: u64,
+    majority_lost: u64,
     link: u64,
     /// By core machine.
     fine: BTreeMap<usize, u64>,
@@ -235,7 +235,7 @@
             self.core = tick;
         }
         if !now.has_majority() {
-            self.most = tick;
+            self.majority_lost = tick;
         }
         if now.lossy {
             self.link = tick;
@@ -248,7 +248,7 @@
     }
 
     fn is_stable(&self, tick: u64) -> bool {
-        tick > self.core + CONTACT_MS + TICK_MS && tick > self.most + CONTACT_AFTER_MOST_MS + TICK_MS
+        tick > self.core + CONTACT_MS + TICK_MS && tick > self.majority_lost + CONTACT_AFTER_MOST_MS + TICK_MS
     }
 
     fn has_paths(&self, machine: usize, tick: u64) -> bool {
@@ -305,7 +305,9 @@
     broken: &mut Vec<Broken>,
 ) {
     let Some(known) = known.iter().rev().find(|known| known.at <= tick) else { return };
-    let (Some((version, list)), true) = (known.what, walk.has_paths(known.machine, tick)) else { return };
+    let (Some((version, list)), true) = (known.known_versions, walk.has_paths(known.machine, tick)) else {
+        return;
+    };
     let stable = walk.is_stable(tick);
     let within = match (stable, walk.majority_was_fine(now, tick)) {
         (true, _) => CONFIG_APPLY_MS,
@@ -326,14 +328,15 @@
 
 /// In a stretch in which the core was stable each order has a clear answer in time.
 fn check_answers(line: &Timeline, stretches: &[(u64, u64)], broken: &mut Vec<Broken>) {
-    for asked in line.asked.values() {
-        let due = asked.begun + ACK_MS;
-        let within = |stretch: &&(u64, u64)| stretch.0 <= asked.begun && due < stretch.1;
+    for request in line.requests.values() {
+        let due = request.started_at + ACK_MS;
+        let within = |stretch: &&(u64, u64)| stretch.0 <= request.started_at && due < stretch.1;
         if !stretches.iter().any(|stretch| within(&stretch)) {
             continue;
         }
-        if asked.clear_at.is_none_or(|at| at > due) {
-            let what = format!("order {}, sent at {}, has no clear answer", asked.number, asked.begun);
+        if request.clear_at.is_none_or(|at| at > due) {
+            let what =
+                format!("order {}, sent at {}, has no clear answer", request.number, request.started_at);
             broken.push(Broken { rule: Rule::AnswerTime, at: due, what });
         }
     }
--- a/testbed/tests/record_log.rs
+++ b/testbed/tests/record_log.rs
@@ -17,38 +17,38 @@
 const CHANGES: u64 = 10_000;
 const CONFIGURATION_BYTES: usize = 20_000;
 /// A tenth of the disk of a core machine.
-const MOST_BYTES: u64 = 12_800_000;
+const MAX_FOLDER_BYTES: u64 = 12_800_000;
 /// What one payload may come to in a message.
-const MOST_PAYLOAD_BYTES: usize = 64_000;
+const MAX_PAYLOAD_BYTES: usize = 64_000;
 /// A start reads the log in this time, on a busy machine too.
-const MOST_START: Duration = Duration::from_secs(1);
+const MAX_START_TIME: Duration = Duration::from_secs(1);
 /// Changes between two starts.
-const START_EVERY: u64 = 500;
+const CHANGES_PER_START: u64 = 500;
 
 fn voters() -> Vec<Ipv4Addr> {
-    (1..=3).map(|place| Ipv4Addr::new(10, 0, 0, place)).collect()
+    (1..=3).map(|index| Ipv4Addr::new(10, 0, 0, index)).collect()
 }
 
 /// A configuration that differs in many places from the one before.
 fn configuration(version: u64) -> Bytes {
-    let route = |place: u64| {
-        let hash = rendezvous_rank(&place.to_be_bytes(), version);
-        format!("{{\"name\":\"route-{place}\",\"service\":\"{hash:016x}\"}},")
+    let route = |index: u64| {
+        let hash = rendezvous_rank(&index.to_be_bytes(), version);
+        format!("{{\"name\":\"route-{index}\",\"service\":\"{hash:016x}\"}},")
     };
     let mut text = String::with_capacity(CONFIGURATION_BYTES);
-    for place in 0.. {
+    for index in 0.. {
         if text.len() >= CONFIGURATION_BYTES {
             break;
         }
-        text.push_str(&route(place));
+        text.push_str(&route(index));
     }
     text.into()
 }
 
 fn digest(version: u64) -> [u8; 32] {
     let mut digest = [0; 32];
-    for (place, chunk) in digest.chunks_mut(8).enumerate() {
-        chunk.copy_from_slice(&rendezvous_rank(&version.to_be_bytes(), place as u64).to_be_bytes());
+    for (index, chunk) in digest.chunks_mut(8).enumerate() {
+        chunk.copy_from_slice(&rendezvous_rank(&version.to_be_bytes(), index as u64).to_be_bytes());
     }
     digest
 }
@@ -114,7 +114,7 @@
     for version in 1..=CHANGES {
         voter.change(version);
         largest = largest.max(bytes_in(folder.path()));
-        if version % START_EVERY == 0 {
+        if version % CHANGES_PER_START == 0 {
             let began = Instant::now();
             let opened = RecordLog::open(folder.path()).expect("a whole log");
             longest_start = longest_start.max(began.elapsed());
@@ -133,7 +133,7 @@
         voter.largest_payload
     );
     // and neither disk, message nor start grow with the number of changes.
-    assert!(largest < MOST_BYTES, "{largest} bytes");
-    assert!(voter.largest_payload < MOST_PAYLOAD_BYTES, "{} bytes", voter.largest_payload);
-    assert!(longest_start < MOST_START, "{longest_start:?}");
+    assert!(largest < MAX_FOLDER_BYTES, "{largest} bytes");
+    assert!(voter.largest_payload < MAX_PAYLOAD_BYTES, "{} bytes", voter.largest_payload);
+    assert!(longest_start < MAX_START_TIME, "{longest_start:?}");
 }
--- a/testbed/tests/system.rs
+++ b/testbed/tests/system.rs
@@ -3,7 +3,7 @@
 use fleet_model::{Ballot, rendezvous_rank};
 use googletest::prelude::*;
 use testbed::system::{
-    Fact, History, Mutation, Rule, Schedule, Told, check, play, play_one, play_until_broken, shortest,
+    Fact, History, LookupResult, Mutation, Rule, Schedule, check, play, play_one, play_until_broken, shortest,
 };
 
 const SCHEDULES: u64 = 200;
@@ -83,17 +83,17 @@
     Fact::Chosen { node: 0, ballot: ballot(round), versions: versions.to_vec(), hash }
 }
 
-fn knows(life: u64, round: u64, version: u64, list: u64) -> Fact {
-    Fact::Knows { node: 7, life, ballot: ballot(round), version, list }
+fn knows(incarnation: u64, round: u64, version: u64, list: u64) -> Fact {
+    Fact::Knows { node: 7, incarnation, ballot: ballot(round), version, list }
 }
 
 fn whole(attempt: &str, previous: Option<&str>) -> Fact {
     let previous = previous.map(str::to_owned);
-    Fact::Whole { attempt: attempt.to_owned(), previous, text: format!("{attempt};") }
+    Fact::Completed { attempt: attempt.to_owned(), previous, text: format!("{attempt};") }
 }
 
-fn asked(begun: u64, attempt: &str, told: Told) -> Fact {
-    Fact::Asked { begun, attempt: attempt.to_owned(), told }
+fn asked(started_at: u64, attempt: &str, result: LookupResult) -> Fact {
+    Fact::LookedUp { started_at, attempt: attempt.to_owned(), result }
 }
 
 fn rules(facts: &[Fact]) -> Vec<Rule> {
@@ -110,7 +110,7 @@
     expect_that!(rules(&[chosen(2, &[2], 5), chosen(1, &[1], 6)]), elements_are![eq(&Rule::OneValue)]);
     // What was acknowledged is not there, or not read back.
     expect_that!(rules(&[acknowledged(1, 0), chosen(1, &[], 5)]), elements_are![eq(&Rule::Acknowledged)]);
-    let read = |begun, version| Fact::ReadBack { begun, version };
+    let read = |started_at, version| Fact::ReadBack { started_at, version };
     expect_that!(rules(&[acknowledged(2, 0), read(1, 1)]), elements_are![eq(&Rule::Acknowledged)]);
     expect_that!(rules(&[read(0, 1), acknowledged(2, 0), read(0, 1)]), is_empty());
     expect_that!(rules(&[acknowledged(2, 1), acknowledged(3, 1)]), elements_are![eq(&Rule::OneOfTwo)]);
@@ -123,28 +123,28 @@
     for back in [knows(1, 1, 1, 1), knows(1, 2, 0, 1), knows(1, 2, 1, 0)] {
         expect_that!(rules(&[knows(1, 2, 1, 1), back]), elements_are![eq(&Rule::Forward)]);
     }
-    let holds = |node, life| Fact::Holds { node, life, fence: 4 };
+    let holds = |node, incarnation| Fact::Holds { node, incarnation, token: 4 };
     expect_that!(rules(&[holds(1, 1), holds(1, 1)]), is_empty());
     expect_that!(rules(&[holds(1, 1), holds(2, 1)]), elements_are![eq(&Rule::OneHolder)]);
     expect_that!(rules(&[holds(1, 1), holds(1, 2)]), elements_are![eq(&Rule::OneHolder)]);
     let settled =
-        |lacks: &[&str]| Fact::Settled { after: 1, lacks: lacks.iter().map(|l| l.to_string()).collect() };
+        |unmet: &[&str]| Fact::Settled { after: 1, unmet: unmet.iter().map(|l| l.to_string()).collect() };
     expect_that!(rules(&[settled(&[])]), is_empty());
     expect_that!(rules(&[settled(&["nobody holds the duty"])]), elements_are![eq(&Rule::Settles)]);
 }
 
 #[gtest]
 fn the_checker_tells_what_turns_and_budgets_break() {
-    let text = |text: &str| Told::Text(rendezvous_rank(text.as_bytes(), 0));
+    let text = |text: &str| LookupResult::Text(rendezvous_rank(text.as_bytes(), 0));
     let kept = [whole("a", None), whole("b", Some("a"))];
     let with = |fact: Fact| rules(&[kept[0].clone(), kept[1].clone(), fact]);
     expect_that!(with(asked(2, "b", text("a;b;"))), is_empty());
-    expect_that!(with(asked(2, "b", Told::Unavailable)), is_empty());
-    expect_that!(with(asked(0, "b", Told::NoSuchTurn)), is_empty());
-    expect_that!(with(asked(2, "b", Told::NoSuchTurn)), elements_are![eq(&Rule::Found)]);
+    expect_that!(with(asked(2, "b", LookupResult::Unavailable)), is_empty());
+    expect_that!(with(asked(0, "b", LookupResult::NoSuchTurn)), is_empty());
+    expect_that!(with(asked(2, "b", LookupResult::NoSuchTurn)), elements_are![eq(&Rule::Found)]);
     expect_that!(with(asked(2, "b", text("b;"))), elements_are![eq(&Rule::Text)]);
     let handed = |tokens| Fact::Handed { program: "p".to_owned(), tokens };
-    let program = Fact::Program { program: "p".to_owned(), budget: 20, most: 10 };
+    let program = Fact::Program { program: "p".to_owned(), budget: 20, max_turn_tokens: 10 };
     expect_that!(rules(&[program.clone(), handed(20), handed(10)]), is_empty());
     expect_that!(rules(&[program, handed(20), handed(11)]), elements_are![eq(&Rule::Budget)]);
 }
--- a/testbed/tests/system_rules.rs
+++ b/testbed/tests/system_rules.rs
@@ -20,8 +20,8 @@
     check(&history).into_iter().map(|broken| broken.rule).collect()
 }
 
-fn ordered(at: u64, begun: u64, order: u64, number: u64, on: u64, answer: OrderAnswer) -> (u64, Fact) {
-    (at, Fact::Ordered { order, number, on, machine: 1, begun, answer })
+fn ordered(at: u64, started_at: u64, order: u64, number: u64, on: u64, answer: OrderAnswer) -> (u64, Fact) {
+    (at, Fact::Ordered { order, number, on, machine: 1, started_at, answer })
 }
 
 fn in_force(at: u64, order: u64, number: u64) -> (u64, Fact) {
@@ -75,7 +75,7 @@
 #[gtest]
 fn who_reaches_nobody_gives_no_clear_answer() {
     let cut = |from, to| (100, Fact::PathCut { from, to, until: 5_000 });
-    let read = |begun, at| (at, Fact::Read { machine: 1, begun, clear: true });
+    let read = |started_at, at| (at, Fact::Read { machine: 1, started_at, clear: true });
     let alone = [fleet(), cut(1, 0), cut(2, 1)];
     let with = |fact: (u64, Fact)| rules(&[alone.to_vec(), vec![fact]].concat());
     expect_that!(with(read(200, 300)), elements_are![eq(&Rule::Alone)]);
@@ -86,8 +86,9 @@
 
 /// A fleet that has run since the beginning, whose proxy goes by a first configuration and list.
 fn calm_fleet() -> Vec<(u64, Fact)> {
-    let begun = |node, machine| (10, Fact::Begun { node, life: 1, machine });
-    let processes = [begun(0, 0), begun(1, 1), begun(2, 2), begun(3, 3), begun(4, EDGE), begun(PROXY, EDGE)];
+    let started = |node, machine| (10, Fact::ProcessStarted { node, incarnation: 1, machine });
+    let processes =
+        [started(0, 0), started(1, 1), started(2, 2), started(3, 3), started(4, EDGE), started(PROXY, EDGE)];
     let mut facts = vec![fleet()];
     facts.extend(processes);
     facts.push(knows(500, 1, 1));
@@ -96,11 +97,11 @@
 
 fn knows(at: u64, version: u64, list: u64) -> (u64, Fact) {
     let ballot = Ballot { round: at, proposer: 1, incarnation: 1 };
-    (at, Fact::Knows { node: PROXY, life: 1, ballot, version, list })
+    (at, Fact::Knows { node: PROXY, incarnation: 1, ballot, version, list })
 }
 
 fn end(at: u64) -> (u64, Fact) {
-    (at, Fact::Settled { after: 0, lacks: Vec::new() })
+    (at, Fact::Settled { after: 0, unmet: Vec::new() })
 }
 
 fn with(facts: &[(u64, Fact)]) -> Vec<Rule> {
@@ -122,12 +123,12 @@
     expect_that!(with(&[change.to_vec(), vec![end(12_000)]].concat()), is_empty());
     expect_that!(with(&[change.to_vec(), vec![knows(11_900, 2, 1), end(20_000)]].concat()), is_empty());
     // Not where it, or its path to the core, or most of the core was disturbed,
-    for trouble in [
+    for kind in [
         vec![disturbed(10_500, EDGE, 11_000)],
         vec![(10_500, Fact::PathCut { from: 0, to: EDGE, until: 11_000 })],
         vec![disturbed(10_500, 0, 14_000), disturbed(10_500, 1, 14_000)],
     ] {
-        expect_that!(with(&[late.clone(), trouble].concat()), is_empty());
+        expect_that!(with(&[late.clone(), kind].concat()), is_empty());
     }
     // later where one core machine was,
     let one = [change.to_vec(), vec![disturbed(10_500, 0, 11_000)]].concat();
@@ -152,7 +153,7 @@
 
 #[gtest]
 fn an_operator_has_a_clear_answer_in_time() {
-    let sent = |at, begun, answer| ordered(at, begun, 70, 7, 0, answer);
+    let sent = |at, started_at, answer| ordered(at, started_at, 70, 7, 0, answer);
     let unclear = sent(10_900, 10_000, OrderAnswer::Unclear);
     let clear = |at| sent(at, at - 10, OrderAnswer::OtherVersion(1));
     let first = in_force(1, 1, 1);
