--- a/testbed/src/commands/system_simulation.rs
+++ b/testbed/src/commands/system_simulation.rs
@@ -15,13 +15,13 @@
     history: Option<&Path>,
     stops: impl Fn() -> bool,
 ) -> Result<bool, TestbedError> {
-    let mut ended = system::play_until_broken(schedules, seed, mutation, stops);
+    let mut ended = system::run_until_broken(schedules, seed, mutation, stops);
     ended.settled.sort_unstable();
     println!(
         "{} schedules in {:.1} s: {} turns answered whole, {} looked up, {} configurations acknowledged, settled after {} ms \
          in the middle and {} ms at worst",
         ended.schedules,
-        ended.took.as_secs_f64(),
+        ended.duration.as_secs_f64(),
         ended.sums.0,
         ended.sums.1,
         ended.sums.2,
@@ -51,7 +51,7 @@
     let text = std::fs::read(path).map_err(|source| TestbedError::Out { path: path.to_owned(), source })?;
     let schedule: Schedule = serde_json::from_slice(&text)
         .map_err(|source| TestbedError::NoSchedule { path: path.to_owned(), source })?;
-    let played = system::play_one(&schedule, mutation);
+    let played = system::run_schedule(&schedule, mutation);
     print_run(&played);
     println!("all as it should be {} ms after the last fault", played.settled_after);
     write_history(history, &played)?;
@@ -72,17 +72,17 @@
             break;
         }
         let began = Instant::now();
-        let ended = case.play(mutation);
+        let ended = case.run(mutation);
         println!("{} ({:.1} s):", ended.name, began.elapsed().as_secs_f64());
         print_measured(&ended.measured);
-        let broken = !ended.played.broken.is_empty();
+        let broken = !ended.result.broken.is_empty();
         if broken {
-            print_run(&ended.played);
+            print_run(&ended.result);
         }
         if broken && kept {
-            let text = serde_json::to_string_pretty(&ended.played.schedule);
+            let text = serde_json::to_string_pretty(&ended.result.schedule);
             write(out, text.map_err(|source| TestbedError::NoSchedule { path: out.to_owned(), source })?)?;
-            write_history(history, &ended.played)?;
+            write_history(history, &ended.result)?;
         }
         kept &= !broken;
     }
@@ -98,7 +98,7 @@
         let caught: Vec<String> = cases
             .iter()
             .filter_map(|case| {
-                case.play(Some(*mutation)).played.broken.first().map(|broken| format!("{:?}", broken.rule))
+                case.run(Some(*mutation)).result.broken.first().map(|broken| format!("{:?}", broken.rule))
             })
             .collect();
         let mut rules = caught.clone();
@@ -120,12 +120,12 @@
     for mutation in MUTATIONS {
         let began = Instant::now();
         let over = || stops() || began.elapsed().as_secs() >= seconds;
-        let ended = system::play_until_broken(schedules, seed, Some(mutation), over);
+        let ended = system::run_until_broken(schedules, seed, Some(mutation), over);
         let rule = ended.broken.as_ref().and_then(|played| played.broken.first());
         rows.push(vec![
             format!("{mutation:?}"),
             ended.schedules.to_string(),
-            format!("{:.1}", ended.took.as_secs_f64()),
+            format!("{:.1}", ended.duration.as_secs_f64()),
             rule.map_or("not caught".to_owned(), |broken| format!("{:?}", broken.rule)),
         ]);
     }
@@ -162,14 +162,14 @@
     }
 }
 
-fn print_run(played: &system::Played) {
+fn print_run(played: &system::ScheduleResult) {
     let Schedule { seed, tolerance, faults, .. } = &played.schedule;
     println!("seed {seed}, {tolerance} machines may be lost at once, {} faults:", faults.len());
     faults.iter().for_each(|fault| println!("  {fault}"));
     played.broken.iter().for_each(|broken| println!("broken: {broken}"));
 }
 
-fn write_history(history: Option<&Path>, played: &system::Played) -> Result<(), TestbedError> {
+fn write_history(history: Option<&Path>, played: &system::ScheduleResult) -> Result<(), TestbedError> {
     let lines = played.history.iter().map(|(at, fact)| format!("{at:6} {fact:?}\n"));
     history.map_or(Ok(()), |path| write(path, lines.collect()))
 }
--- a/testbed/src/system/campaign.rs
+++ b/testbed/src/system/campaign.rs
@@ -2,7 +2,7 @@
 
 use super::check::{Broken, Rule, check};
 use super::history::{Fact, History};
-use super::run::play;
+use super::run::simulate;
 use super::schedule::{Fault, Schedule};
 use super::{Mutation, history};
 use crate::peers::shrink::smallest;
@@ -10,7 +10,7 @@
 
 /// What came of a schedule.
 #[derive(Clone, Debug)]
-pub struct Played {
+pub struct ScheduleResult {
     /// The schedule.
     pub schedule: Schedule,
     /// The rules that it broke.
@@ -26,15 +26,15 @@
 }
 
 /// Plays one schedule.
-pub fn play_one(schedule: &Schedule, mutation: Option<Mutation>) -> Played {
-    let history = play(schedule, mutation);
+pub fn run_schedule(schedule: &Schedule, mutation: Option<Mutation>) -> ScheduleResult {
+    let history = simulate(schedule, mutation);
     let count = |wanted: &dyn Fn(&Fact) -> bool| history.iter().filter(|(_, fact)| wanted(fact)).count();
     let settled = history.iter().find_map(|(_, fact)| match fact {
         Fact::Settled { after, .. } => Some(*after),
         _ => None,
     });
     let is_lookup = |fact: &Fact| matches!(fact, Fact::LookedUp { result, .. } if *result != history::LookupResult::Unavailable);
-    Played {
+    ScheduleResult {
         broken: check(&history),
         settled_after: settled.unwrap_or_default(),
         turns: (count(&|fact| matches!(fact, Fact::Completed { .. })), count(&is_lookup)),
@@ -46,13 +46,13 @@
 
 /// What came of many schedules.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct CampaignResult {
     /// Schedules played.
     pub schedules: u64,
     /// How long that took.
-    pub took: Duration,
+    pub duration: Duration,
     /// The first that broke a rule.
-    pub broken: Option<Played>,
+    pub broken: Option<ScheduleResult>,
     /// Milliseconds after the last fault until all was as it should be, of each.
     pub settled: Vec<u64>,
     /// Turns answered whole, answers looked at, configurations acknowledged.
@@ -60,42 +60,47 @@
 }
 
 /// Plays schedules of one seed after another until one breaks a rule, all are played or it is stopped.
-pub fn play_until_broken(
+pub fn run_until_broken(
     schedules: u64,
     seed: u64,
     mutation: Option<Mutation>,
     mut stop: impl FnMut() -> bool,
-) -> Ended {
+) -> CampaignResult {
     let began = Instant::now();
-    let mut ended =
-        Ended { schedules: 0, took: Duration::ZERO, broken: None, settled: Vec::new(), sums: (0, 0, 0) };
+    let mut results = CampaignResult {
+        schedules: 0,
+        duration: Duration::ZERO,
+        broken: None,
+        settled: Vec::new(),
+        sums: (0, 0, 0),
+    };
     for number in 0..schedules {
         if stop() {
             break;
         }
-        let played = play_one(&Schedule::draw(seed + number), mutation);
-        ended.schedules += 1;
-        ended.settled.push(played.settled_after);
-        ended.sums.0 += played.turns.0;
-        ended.sums.1 += played.turns.1;
-        ended.sums.2 += played.acknowledged;
-        if !played.broken.is_empty() {
-            ended.broken = Some(played);
+        let result = run_schedule(&Schedule::draw(seed + number), mutation);
+        results.schedules += 1;
+        results.settled.push(result.settled_after);
+        results.sums.0 += result.turns.0;
+        results.sums.1 += result.turns.1;
+        results.sums.2 += result.acknowledged;
+        if !result.broken.is_empty() {
+            results.broken = Some(result);
             break;
         }
     }
-    ended.took = began.elapsed();
-    ended
+    results.duration = began.elapsed();
+    results
 }
 
 /// The shortest schedule, by leaving faults out, that still breaks the first rule that this one broke.
-pub async fn shortest(played: &Played, mutation: Option<Mutation>) -> Played {
-    let Some(rule) = played.broken.first().map(|broken| broken.rule) else { return played.clone() };
-    let with = |faults: &[Fault]| Schedule { faults: faults.to_vec(), ..played.schedule.clone() };
-    let breaks = |played: &Played, rule: Rule| played.broken.iter().any(|broken| broken.rule == rule);
-    let left = smallest(played.schedule.faults.clone(), async |faults: &[Fault]| {
-        breaks(&play_one(&with(faults), mutation), rule)
+pub async fn shortest(result: &ScheduleResult, mutation: Option<Mutation>) -> ScheduleResult {
+    let Some(rule) = result.broken.first().map(|broken| broken.rule) else { return result.clone() };
+    let with = |faults: &[Fault]| Schedule { faults: faults.to_vec(), ..result.schedule.clone() };
+    let breaks = |result: &ScheduleResult, rule: Rule| result.broken.iter().any(|broken| broken.rule == rule);
+    let left = smallest(result.schedule.faults.clone(), async |faults: &[Fault]| {
+        breaks(&run_schedule(&with(faults), mutation), rule)
     })
     .await;
-    play_one(&with(&left), mutation)
+    run_schedule(&with(&left), mutation)
 }
--- a/testbed/src/system/mod.rs
+++ b/testbed/src/system/mod.rs
@@ -22,11 +22,11 @@
 mod storage_node;
 mod timing_rules;
 
-pub use campaign::{Ended, Played, play_one, play_until_broken, shortest};
+pub use campaign::{CampaignResult, ScheduleResult, run_schedule, run_until_broken, shortest};
 pub use check::{Broken, Rule, check};
 pub use history::{Disturbance, Fact, History, LookupResult, OrderAnswer};
 pub use measure::{Isolated, Measured};
-pub use run::{SETTLED_MS, play};
+pub use run::{SETTLED_MS, simulate};
 pub use scenario::{Case, CaseResult, SCENARIOS, Scenario, thousand_changes};
 pub use schedule::{
     Class, Fault, FaultKind, ISOLATIONS, Isolation, Machine, MembershipStep, Schedule, Target, Victim,
--- a/testbed/src/system/run.rs
+++ b/testbed/src/system/run.rs
@@ -52,7 +52,7 @@
 }
 
 /// Plays a schedule; what was done and seen.
-pub fn play(schedule: &Schedule, mutation: Option<Mutation>) -> History {
+pub fn simulate(schedule: &Schedule, mutation: Option<Mutation>) -> History {
     // On a thread that no runtime drives: within one, its channels would want to yield to it.
     std::thread::scope(|scope| {
         let result = scope.spawn(|| simulate_on_this_thread(schedule, mutation)).join();
--- a/testbed/src/system/scenario.rs
+++ b/testbed/src/system/scenario.rs
@@ -49,17 +49,17 @@
     /// What it is about.
     pub name: String,
     /// What was done and seen, and the rules that it broke.
-    pub played: super::Played,
+    pub result: super::ScheduleResult,
     /// Its figures.
     pub measured: Measured,
 }
 
 impl Case {
     /// Plays it.
-    pub fn play(&self, mutation: Option<Mutation>) -> CaseResult {
-        let played = super::play_one(&self.schedule, mutation);
-        let measured = Measured::of(&played.history);
-        CaseResult { name: self.name.clone(), played, measured }
+    pub fn run(&self, mutation: Option<Mutation>) -> CaseResult {
+        let result = super::run_schedule(&self.schedule, mutation);
+        let measured = Measured::of(&result.history);
+        CaseResult { name: self.name.clone(), result, measured }
     }
 }
 
--- a/testbed/tests/system.rs
+++ b/testbed/tests/system.rs
@@ -3,18 +3,19 @@
 use fleet_model::{Ballot, rendezvous_rank};
 use googletest::prelude::*;
 use testbed::system::{
-    Fact, History, LookupResult, Mutation, Rule, Schedule, check, play, play_one, play_until_broken, shortest,
+    Fact, History, LookupResult, Mutation, Rule, Schedule, check, run_schedule, run_until_broken, shortest,
+    simulate,
 };
 
 const SCHEDULES: u64 = 200;
 
 #[gtest]
 fn no_schedule_breaks_a_rule() {
-    let ended = play_until_broken(SCHEDULES, 1, None, || false);
-    let broken = ended.broken.map(|played| (played.schedule.seed, played.broken));
+    let results = run_until_broken(SCHEDULES, 1, None, || false);
+    let broken = results.broken.map(|result| (result.schedule.seed, result.broken));
     expect_that!(broken, none());
     // Schedules in which little is done would show little.
-    let (whole, looked_up, acknowledged) = ended.sums;
+    let (whole, looked_up, acknowledged) = results.sums;
     expect_that!(whole as u64, gt(SCHEDULES * 100));
     expect_that!(looked_up as u64, gt(SCHEDULES * 200));
     expect_that!(acknowledged as u64, gt(SCHEDULES * 20));
@@ -23,13 +24,13 @@
 #[gtest]
 fn a_schedule_played_again_has_the_same_history() {
     let schedule = Schedule::draw(3);
-    expect_that!(play(&schedule, None) == play(&schedule, None), eq(true));
+    expect_that!(simulate(&schedule, None) == simulate(&schedule, None), eq(true));
 }
 
 /// The rule that some of the first schedules breaks with this mutation.
 fn caught(mutation: Mutation, schedules: u64) -> Option<Rule> {
-    let ended = play_until_broken(schedules, 1, Some(mutation), || false);
-    ended.broken.and_then(|played| played.broken.first().map(|broken| broken.rule))
+    let results = run_until_broken(schedules, 1, Some(mutation), || false);
+    results.broken.and_then(|result| result.broken.first().map(|broken| broken.rule))
 }
 
 #[gtest]
@@ -61,8 +62,8 @@
 async fn the_shortest_schedule_breaks_the_same_rule_again() {
     // Given a schedule that breaks a rule,
     let mutation = Some(Mutation::NextCountsUnfilled);
-    let ended = play_until_broken(60, 1, mutation, || false);
-    let broken = ended.broken.expect("it is caught");
+    let results = run_until_broken(60, 1, mutation, || false);
+    let broken = results.broken.expect("it is caught");
     let rule = broken.broken[0].rule;
     // when faults are left out as far as it goes, and it is read from its text and played again,
     let shortest = shortest(&broken, mutation).await;
@@ -70,9 +71,9 @@
     let text = serde_json::to_string(&shortest.schedule).expect("plain");
     let again: Schedule = serde_json::from_str(&text).expect("as it was written");
     // then the same rule is broken in the same way.
-    let played = play_one(&again, mutation);
-    assert!(played.broken.iter().any(|broken| broken.rule == rule), "{:?}", played.broken);
-    assert_eq!(played.broken, shortest.broken);
+    let result = run_schedule(&again, mutation);
+    assert!(result.broken.iter().any(|broken| broken.rule == rule), "{:?}", result.broken);
+    assert_eq!(result.broken, shortest.broken);
 }
 
 fn ballot(round: u64) -> Ballot {
--- a/testbed/tests/system_scenarios.rs
+++ b/testbed/tests/system_scenarios.rs
@@ -1,14 +1,14 @@
 //! The worst days of the control side, as named scenarios: no case breaks a rule, and each mechanism that is taken out is missed.
 
 use googletest::prelude::*;
-use testbed::system::{Case, Measured, Mutation, Rule, Scenario, play_until_broken, thousand_changes};
+use testbed::system::{Case, Measured, Mutation, Rule, Scenario, run_until_broken, thousand_changes};
 
 /// The rules that these cases break, each with its case.
 fn broken(cases: &[Case], mutation: Option<Mutation>) -> Vec<(String, Rule)> {
     let broken = |case: &Case| {
-        let ended = case.play(mutation);
+        let results = case.run(mutation);
         let rules: Vec<_> =
-            ended.played.broken.iter().map(|broken| (ended.name.clone(), broken.rule)).collect();
+            results.result.broken.iter().map(|broken| (results.name.clone(), broken.rule)).collect();
         rules
     };
     cases.iter().flat_map(broken).collect()
@@ -16,13 +16,13 @@
 
 /// The first rule that a case breaks with this mutation.
 fn caught(scenario: Scenario, mutation: Mutation) -> Option<Rule> {
-    let broken = |case: &Case| case.play(Some(mutation)).played.broken.first().map(|broken| broken.rule);
+    let broken = |case: &Case| case.run(Some(mutation)).result.broken.first().map(|broken| broken.rule);
     scenario.cases().iter().find_map(broken)
 }
 
 fn figures(cases: &[Case]) -> Measured {
     let mut sum = Measured::default();
-    cases.iter().for_each(|case| sum.join(case.play(None).measured));
+    cases.iter().for_each(|case| sum.join(case.run(None).measured));
     sum
 }
 
@@ -33,7 +33,7 @@
     // then no rule is broken, the others answer, and so does it after its return.
     expect_that!(broken(&cases, None), is_empty());
     for case in &cases {
-        for isolated in case.play(None).measured.isolated {
+        for isolated in case.run(None).measured.isolated {
             expect_that!(isolated.others_clear_after, some(lt(4_000)), "{}", case.name);
             expect_that!(isolated.own_clear_after, some(lt(4_000)), "{}", case.name);
         }
@@ -57,7 +57,7 @@
 fn hundreds_of_changes_and_a_return_in_a_flood_break_no_rule() {
     let case = thousand_changes(1, 300);
     expect_that!(broken(std::slice::from_ref(&case), None), is_empty());
-    let figures = case.play(None).measured;
+    let figures = case.run(None).measured;
     expect_that!(figures.confirmed, gt(300));
     expect_that!(figures.most_missed, gt(300));
 }
@@ -93,7 +93,7 @@
 
 #[gtest]
 fn an_outdated_record_is_caught() {
-    let ended = play_until_broken(20, 1, Some(Mutation::RecordOutdated), || false);
-    let rule = ended.broken.and_then(|played| played.broken.first().map(|broken| broken.rule));
+    let results = run_until_broken(20, 1, Some(Mutation::RecordOutdated), || false);
+    let rule = results.broken.and_then(|result| result.broken.first().map(|broken| broken.rule));
     expect_that!(rule, some(any![eq(Rule::OneValue), eq(Rule::Acknowledged)]));
 }
