--- a/testbed/src/system/campaign.rs
+++ b/testbed/src/system/campaign.rs
@@ -1,4 +1,4 @@
-//! Many schedules, one after another, and the shortest that still breaks a rule.
+//! Campaigns of random schedules, and reduction of a failing schedule to the shortest one that still breaks a rule.
 
 use super::check::{Broken, Rule, check};
 use super::history::{Fact, History};
@@ -8,24 +8,24 @@
 use crate::peers::shrink::smallest;
 use std::time::{Duration, Instant};
 
-/// What came of a schedule.
+/// The result of one schedule.
 #[derive(Clone, Debug)]
 pub struct ScheduleResult {
     /// The schedule.
     pub schedule: Schedule,
     /// The rules that it broke.
     pub broken: Vec<Broken>,
-    /// Milliseconds until all was as it should be after the last fault.
+    /// Milliseconds until convergence after the last fault.
     pub settled_after: u64,
-    /// Turns answered whole, and how many answers "no such turn" or a text were looked at.
+    /// Completed turns, and lookups with a definite result.
     pub turns: (usize, usize),
     /// Configurations acknowledged.
     pub acknowledged: usize,
-    /// What was done and seen.
+    /// The recorded history.
     pub history: History,
 }
 
-/// Plays one schedule.
+/// Runs and checks one schedule.
 pub fn run_schedule(schedule: &Schedule, mutation: Option<Mutation>) -> ScheduleResult {
     let history = simulate(schedule, mutation);
     let count = |wanted: &dyn Fn(&Fact) -> bool| history.iter().filter(|(_, fact)| wanted(fact)).count();
@@ -44,22 +44,22 @@
     }
 }
 
-/// What came of many schedules.
+/// The result of a campaign.
 #[derive(Clone, Debug)]
 pub struct CampaignResult {
-    /// Schedules played.
+    /// Schedules that were run.
     pub schedules: u64,
-    /// How long that took.
+    /// Wall-clock duration.
     pub duration: Duration,
     /// The first that broke a rule.
     pub broken: Option<ScheduleResult>,
-    /// Milliseconds after the last fault until all was as it should be, of each.
+    /// Milliseconds until convergence after the last fault, of each schedule.
     pub settled: Vec<u64>,
-    /// Turns answered whole, answers looked at, configurations acknowledged.
+    /// Completed turns, definite lookups, and acknowledged configurations.
     pub sums: (usize, usize, usize),
 }
 
-/// Plays schedules of one seed after another until one breaks a rule, all are played or it is stopped.
+/// Runs schedules of consecutive seeds until one breaks a rule, all are done, or `stop` returns true.
 pub fn run_until_broken(
     schedules: u64,
     seed: u64,
@@ -93,7 +93,7 @@
     results
 }
 
-/// The shortest schedule, by leaving faults out, that still breaks the first rule that this one broke.
+/// Leaves out faults as long as the schedule still breaks the first rule that `result` broke; the result of the shortest.
 pub async fn shortest(result: &ScheduleResult, mutation: Option<Mutation>) -> ScheduleResult {
     let Some(rule) = result.broken.first().map(|broken| broken.rule) else { return result.clone() };
     let with = |faults: &[Fault]| Schedule { faults: faults.to_vec(), ..result.schedule.clone() };
--- a/testbed/src/system/check.rs
+++ b/testbed/src/system/check.rs
@@ -1,4 +1,4 @@
-//! The rules of the whole system, read from a history alone.
+//! The checker: the safety and liveness rules of the system, evaluated on a recorded history.
 
 use super::history::{Fact, History, LookupResult};
 use super::{order_rules, timing_rules};
@@ -6,56 +6,56 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A control node that is back knows what was chosen by then within this.
+/// Deadline for a returned control node to learn what was chosen by then.
 const CATCH_UP_MS: u64 = 4_100;
-/// So many versions a value remembers.
+/// Committed versions that a register value remembers.
 const MAX_COMMITTED_VERSIONS: usize = 512;
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One ballot chooses one value, and each later one holds all versions of the one before.
+    /// One ballot chooses one value, and each later value contains all versions of the previous one.
     OneValue,
     /// What was acknowledged is in every value chosen later and in what is read back.
     Acknowledged,
     /// Of two changes on top of one version at most one is acknowledged.
     OneOfTwo,
-    /// A process goes back to no older value, configuration or list in one life.
+    /// Within one incarnation a process never returns to an older value, configuration or list.
     Forward,
-    /// One life holds the duty under a fence.
+    /// Each fencing token belongs to one incarnation of one process.
     OneHolder,
-    /// A program is handed no more than its budget and one turn's most.
+    /// A program is served no more tokens than its budget plus the maximum of one turn.
     Budget,
-    /// A turn that was answered whole is found.
+    /// A completed turn is found by later lookups.
     Found,
-    /// What is found is the turns' texts, in order.
+    /// A lookup returns the texts of the chain's turns, in order.
     Text,
-    /// After the last fault all is as it should be within the stated time.
+    /// The system converges within the time limit after the last fault.
     Settles,
-    /// At most one order is confirmed under a number.
+    /// At most one change is confirmed under a version number.
     OneOrder,
-    /// What is refused never comes into force, what is in force is not refused, and a refusal's reason is true.
+    /// A rejected change is never committed, a committed one is never rejected, and the reason of a rejection is true.
     Refused,
-    /// Who reaches no majority gives no clear answer.
+    /// A control node that reaches no majority gives no definite answer.
     Alone,
-    /// A machine in touch goes by no configuration older than one acknowledged longer ago than the bound.
+    /// A connected machine applies an acknowledged configuration within the bound.
     Fresh,
-    /// A machine in touch goes by no list older than the bound.
+    /// A connected machine applies a new endpoint list within the bound.
     Drain,
-    /// While the core is stable an operator has a clear answer within the bound.
+    /// While the control nodes are stable an operator receives a definite answer within the bound.
     AnswerTime,
-    /// Who comes back knows within the bound all that was chosen by then.
+    /// A returned control node learns within the bound all that was chosen by then.
     CatchUp,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Broken {
-    /// Which.
+    /// The violated rule.
     pub rule: Rule,
-    /// When it was seen, in milliseconds.
+    /// When it was detected, in milliseconds.
     pub at: u64,
-    /// How.
+    /// Description of the violation.
     pub what: String,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// All rules that a history breaks; each once, in the order of their times.
+/// Returns the violations in a history: the first of each rule, in order of time.
 pub fn check(history: &History) -> Vec<Broken> {
     let mut broken = Vec::new();
     register(history, &mut broken);
@@ -87,7 +87,7 @@
     broken
 }
 
-/// Who is back knows in time what was chosen by then, where nothing else goes wrong meanwhile.
+/// Checks [`Rule::CatchUp`] for returns without another disturbance at the same time.
 fn returns(history: &History, broken: &mut Vec<Broken>) {
     let period = |at: &u64, fact: &Fact| match fact {
         Fact::Disturbed { until, .. } | Fact::PathCut { until, .. } | Fact::Lossy { until } => {
@@ -164,8 +164,8 @@
     }
 }
 
-/// Whether the versions that a value remembers are those of an earlier one and further ones: only the oldest are forgotten, and
-/// only when there are too many.
+/// Whether a value's remembered versions extend those of an earlier value. Only the oldest versions are dropped, and only
+/// beyond [`MAX_COMMITTED_VERSIONS`].
 fn continues(before: &[u64], after: &[u64]) -> bool {
     if after.len() < MAX_COMMITTED_VERSIONS {
         return after.starts_with(before);
--- a/testbed/src/system/cluster.rs
+++ b/testbed/src/system/cluster.rs
@@ -1,4 +1,4 @@
-//! Machines, their processes, and what lies between them: calls, links and cuts, in simulated time.
+//! The simulated cluster: machines, their processes, and the network between them with calls, feed links and partitions.
 
 use super::Mutation;
 use super::disk::Disk;
@@ -17,20 +17,20 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Time begins far from zero, since ages are taken off it.
+/// Start of the clock; far from zero because ages are subtracted from it.
 const START_US: u64 = 1_000_000_000_000;
-/// What waits longer behind a cut is lost with its connection.
+/// A message delayed longer by a partition is lost with its connection (TCP user time-out).
 const USER_TIMEOUT_US: u64 = 2_000_000;
-/// What a slow machine sends is so late, and up to as much again.
+/// Minimum extra latency of a slow machine's messages; the maximum is twice as much.
 const SLOW_US: u64 = 400_000;
-/// Core machines that found the register.
+/// Number of control nodes that found the register.
 const SEEDS: usize = 3;
-/// Ports of peers.
+/// Port of all peers.
 pub const PORT: u16 = 7_000;
 
-/// What a process answers with.
+/// The future of a process's answer.
 pub type AnswerFuture = Pin<Box<dyn Future<Output = Answer>>>;
-/// How a process answers.
+/// A process's request handler.
 pub type Handler = Rc<dyn Fn(Ipv4Addr, Call, Option<Pusher>) -> AnswerFuture>;
 
 /// A process of a machine.
@@ -40,7 +40,7 @@
     disk: Rc<Disk>,
     incarnation: u64,
     running: Option<ProcessId>,
-    /// Without power: nobody is told that it is gone.
+    /// The machine lost power: its connections are not reset.
     power_lost: bool,
     handler: Option<Handler>,
     started: bool,
@@ -50,7 +50,7 @@
 struct Link {
     from: (usize, u64),
     to: (usize, u64),
-    /// Where pushes go; none once it is closed.
+    /// The subscriber's queue; none once the link is closed.
     pushes: Option<mpsc::UnboundedSender<Push>>,
     last: u64,
 }
@@ -60,41 +60,41 @@
     Lost,
 }
 
-/// The whole fleet.
+/// The whole simulated fleet.
 pub struct Cluster {
-    /// Runs the processes.
+    /// Executor of all processes.
     pub executor: Executor,
-    /// Who makes the world go: faults, clients, the network.
+    /// Process of the simulation itself: faults, clients, the network.
     pub driver: ProcessId,
     /// Machines that may be lost at once.
     pub tolerance: usize,
-    /// What is broken on purpose.
+    /// The active mutation.
     pub mutation: Option<Mutation>,
     /// All machines of the schedule.
     pub machines: Vec<Machine>,
-    /// Those that everybody is told at the start.
+    /// Seed addresses known to all processes at start.
     pub seeds: Vec<Ipv4Addr>,
     nodes: RefCell<Vec<Node>>,
     links: RefCell<BTreeMap<u64, Link>>,
     last_link: Cell<u64>,
     path_cuts: RefCell<BTreeMap<(usize, usize), u64>>,
-    /// Until when so many of a thousand messages are lost or late.
+    /// End time, and how many of a thousand messages are lost or late until then.
     lossy: Cell<(u64, u64)>,
-    /// The same for answers to operators.
+    /// The same for responses to operators.
     answers_lost: Cell<(u64, u64)>,
-    /// Until when what a machine sends is late.
+    /// By machine, until when its messages are slow.
     slow: RefCell<BTreeMap<usize, u64>>,
     rng: RefCell<ChaCha8Rng>,
     seed: u64,
     history: RefCell<History>,
     platform: Cell<u64>,
     last_disk: Cell<u64>,
-    /// Calls without an answer: whoever waits for one gives up by himself.
+    /// Calls that stay unanswered; the callers time out.
     unanswered: RefCell<Vec<oneshot::Sender<Answer>>>,
 }
 
 impl Cluster {
-    /// A world in which nothing runs yet.
+    /// Creates a cluster in which no process runs yet.
     pub fn new(seed: u64, tolerance: usize, machines: Vec<Machine>, mutation: Option<Mutation>) -> Rc<Self> {
         let executor = Executor::new(START_US);
         let driver = executor.begin();
@@ -145,7 +145,7 @@
         cluster
     }
 
-    /// Ends everything; returns what was seen.
+    /// Ends all processes and returns the history.
     pub fn finish(&self) -> History {
         let processes: Vec<ProcessId> = self.nodes.borrow().iter().filter_map(|node| node.running).collect();
         processes.into_iter().for_each(|process| self.executor.end(process));
@@ -156,27 +156,27 @@
         std::mem::take(&mut *self.history.borrow_mut())
     }
 
-    /// Milliseconds since the beginning.
+    /// Milliseconds since the start.
     pub fn elapsed_ms(&self) -> u64 {
         (self.executor.now() - START_US) / 1_000
     }
 
-    /// Lets so much time pass.
+    /// Advances the virtual time by `for_ms` milliseconds.
     pub fn run_ms(&self, for_ms: u64) {
         self.executor.run_until(self.executor.now() + for_ms * 1_000);
     }
 
-    /// Puts something into the history.
+    /// Appends an event to the history.
     pub fn record(&self, fact: Fact) {
         self.history.borrow_mut().push((self.elapsed_ms(), fact));
     }
 
-    /// A number by chance.
+    /// A random number.
     pub fn random_below(&self, below: u64) -> u64 {
         self.rng.borrow_mut().next_u64() % below.max(1)
     }
 
-    /// Whether this is broken on purpose.
+    /// Whether this mutation is active.
     pub fn breaks(&self, mutation: Mutation) -> bool {
         self.mutation == Some(mutation)
     }
@@ -186,7 +186,7 @@
         self.last_disk.get()
     }
 
-    /// Processes of a machine.
+    /// Indexes of a machine's processes.
     pub fn nodes_of(&self, machine: usize) -> Vec<usize> {
         let nodes = self.nodes.borrow();
         (0..nodes.len()).filter(|node| nodes[*node].machine == machine).collect()
@@ -202,7 +202,7 @@
         &self.machines[self.nodes.borrow()[node].machine]
     }
 
-    /// The number of a process's machine.
+    /// Index of a process's machine.
     pub fn machine_index_of(&self, node: usize) -> usize {
         self.nodes.borrow()[node].machine
     }
@@ -212,7 +212,7 @@
         self.nodes.borrow()[node].disk.clone()
     }
 
-    /// Begins a life of a process; none if it runs. The flag tells whether it never ran before.
+    /// Starts a process; none if it already runs. The flag is true at its first start.
     pub fn start_process(self: &Rc<Self>, node: usize) -> Option<(Host, bool)> {
         let (process, incarnation, class, first) = {
             let mut nodes = self.nodes.borrow_mut();
@@ -248,12 +248,12 @@
         Some((host, first))
     }
 
-    /// From now on the process answers calls.
+    /// Sets the handler of calls to a process.
     pub fn serve(&self, host: &Host, handler: Handler) {
         self.nodes.borrow_mut()[host.node].handler = Some(handler);
     }
 
-    /// Ends a process. `dark`: with the machine's power.
+    /// Ends a process. `power_lost`: its machine loses power, so unsynced writes may be lost and connections are not reset.
     pub fn end(&self, node: usize, power_lost: bool) {
         let process = {
             let mut nodes = self.nodes.borrow_mut();
@@ -281,14 +281,14 @@
         self.disk_of(node).wipe(self.new_disk());
     }
 
-    /// Freezes a process's life, if it runs.
+    /// Freezes a process, if it runs.
     pub fn freeze(&self, node: usize) -> Option<ProcessId> {
         let process = self.nodes.borrow()[node].running?;
         self.executor.freeze(process);
         Some(process)
     }
 
-    /// What goes from one machine to another is held up until this time, in microseconds.
+    /// Partitions one direction between two machines for `for_ms` milliseconds.
     pub fn cut(&self, from: usize, to: usize, for_ms: u64) {
         let until = self.executor.now() + for_ms * 1_000;
         let mut path_cuts = self.path_cuts.borrow_mut();
@@ -297,25 +297,25 @@
         self.record(Fact::PathCut { from, to, until: self.elapsed_ms() + for_ms });
     }
 
-    /// For so long so many of a thousand messages are lost or late.
+    /// Loses or delays `of_thousand` of a thousand messages for `for_ms` milliseconds.
     pub fn lose_messages(&self, for_ms: u64, of_thousand: u64) {
         self.lossy.set((self.executor.now() + for_ms * 1_000, of_thousand));
         self.record(Fact::Lossy { until: self.elapsed_ms() + for_ms });
     }
 
-    /// For so long so many of a thousand answers to operators are lost.
+    /// Loses `of_thousand` of a thousand responses to operators for `for_ms` milliseconds.
     pub fn lose_answers(&self, for_ms: u64, of_thousand: u64) {
         self.answers_lost.set((self.executor.now() + for_ms * 1_000, of_thousand));
         self.record(Fact::Lossy { until: self.elapsed_ms() + for_ms });
     }
 
-    /// Whether this answer to an operator is lost.
+    /// Draws whether a response to an operator is lost.
     pub fn loses_answer(&self) -> bool {
         let (until, of_thousand) = self.answers_lost.get();
         self.executor.now() < until && self.random_below(1_000) < of_thousand
     }
 
-    /// For so long what a machine sends arrives after its askers have given up.
+    /// Delays a machine's messages beyond the callers' time-outs for `for_ms` milliseconds.
     pub fn slow_down(&self, machine: usize, for_ms: u64) {
         self.slow.borrow_mut().insert(machine, self.executor.now() + for_ms * 1_000);
         let until = self.elapsed_ms() + for_ms;
@@ -479,7 +479,7 @@
         true
     }
 
-    /// Broken on purpose: links do not tell how old what they bring may be.
+    /// Mutation: heartbeats do not carry the age of the data.
     fn without_age(&self, push: Push) -> Push {
         match push {
             Push::Heartbeat { proxies, .. } if self.breaks(Mutation::AgeNotCarried) => {
@@ -489,13 +489,13 @@
         }
     }
 
-    /// The platform's list changes.
+    /// Changes the platform's endpoint list.
     pub fn change_list(&self) {
         self.platform.set(self.platform.get() + 1);
         self.record(Fact::Platform { list: self.platform.get() });
     }
 
-    /// What the platform lists; the names of instances tell which list it is.
+    /// The platform's current endpoint list; instance names contain the list's number.
     pub fn listed_endpoints(&self) -> Vec<Endpoint> {
         let list = self.platform.get();
         (0..2)
@@ -511,13 +511,13 @@
     }
 }
 
-/// The count of a list that [`Cluster::listed_endpoints`] gave; 0 of none.
+/// The number of a list that [`Cluster::listed_endpoints`] gave; 0 of none.
 pub fn list_of(endpoints: &[Endpoint]) -> u64 {
     let first = endpoints.first().and_then(|endpoint| endpoint.instance_id.split_once('-'));
     first.and_then(|(list, _)| list.parse().ok()).unwrap_or_default()
 }
 
-/// The server's end of a link.
+/// The server side of a feed link.
 #[derive(Clone)]
 pub struct Pusher {
     cluster: Weak<Cluster>,
@@ -536,7 +536,7 @@
     }
 }
 
-/// The client's end of a link: it closes with this.
+/// The client side of a feed link, which closes on drop.
 pub struct Pushes {
     cluster: Weak<Cluster>,
     link: u64,
@@ -558,16 +558,16 @@
     }
 }
 
-/// What a life of a process has of its machine.
+/// One incarnation of a process, with access to its machine.
 #[derive(Clone)]
 pub struct Host {
     cluster: Weak<Cluster>,
     executor: Executor,
-    /// Its number.
+    /// Index of the process.
     pub node: usize,
-    /// What it is.
+    /// Role of the process.
     pub class: Class,
-    /// Which life of it.
+    /// Number of this start of the process, from 1.
     pub incarnation: u64,
     process: ProcessId,
     rng: Rc<RefCell<ChaCha8Rng>>,
@@ -577,27 +577,27 @@
 }
 
 impl Host {
-    /// The world; only while it lasts.
+    /// The cluster, while it exists.
     pub fn cluster(&self) -> Option<Rc<Cluster>> {
         self.cluster.upgrade()
     }
 
-    /// Time for the feed.
+    /// Virtual time.
     pub fn now(&self) -> Duration {
         Duration::from_micros(self.executor.now())
     }
 
-    /// Time in milliseconds.
+    /// Virtual time in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.executor.now() / 1_000
     }
 
-    /// A number by chance.
+    /// A random number.
     pub fn random_u64(&self) -> u64 {
         self.rng.borrow_mut().next_u64()
     }
 
-    /// A number by chance between these.
+    /// A random number from `from` to `to`, both included.
     pub fn random_between(&self, from: u64, to: u64) -> u64 {
         from + self.random_u64() % (to - from + 1)
     }
@@ -607,12 +607,12 @@
         self.cluster().map_or(0, |cluster| cluster.tolerance)
     }
 
-    /// Whether this is broken on purpose.
+    /// Whether this mutation is active.
     pub fn breaks(&self, mutation: Mutation) -> bool {
         self.cluster().is_some_and(|cluster| cluster.breaks(mutation))
     }
 
-    /// Whether writes are synced before they are told to be.
+    /// Whether writes are synced before they are acknowledged.
     pub fn syncs(&self) -> bool {
         !self.breaks(Mutation::NoSync)
     }
@@ -622,29 +622,29 @@
         &self.disk
     }
 
-    /// Puts something into the history.
+    /// Appends an event to the history.
     pub fn record(&self, fact: Fact) {
         if let Some(cluster) = self.cluster() {
             cluster.record(fact);
         }
     }
 
-    /// Waits so many milliseconds.
+    /// Sleeps for `for_ms` milliseconds.
     pub async fn sleep(&self, for_ms: u64) {
         self.executor.sleep(for_ms * 1_000).await;
     }
 
-    /// Waits so many microseconds.
+    /// Sleeps for `for_us` microseconds.
     pub async fn sleep_us(&self, for_us: u64) {
         self.executor.sleep(for_us).await;
     }
 
-    /// What the work comes to, if it does in so many milliseconds.
+    /// The output of `work`, or none after `for_ms` milliseconds.
     pub async fn timeout<F: Future>(&self, for_ms: u64, work: F) -> Option<F::Output> {
         self.executor.timeout(for_ms * 1_000, work).await
     }
 
-    /// Begins a task that ends with this life.
+    /// Spawns a task that ends with this incarnation.
     pub fn spawn(&self, work: impl Future<Output = ()> + 'static) -> u64 {
         self.executor.spawn(self.process, work)
     }
@@ -654,7 +654,7 @@
         self.executor.abort(task);
     }
 
-    /// Calls the process of another machine.
+    /// Calls the process of another machine; none on a time-out or failure.
     pub async fn call(&self, to: Ipv4Addr, call: Call, timeout_ms: u64) -> Option<Answer> {
         let answer = self.cluster()?.call(self, to, call, None);
         self.timeout(timeout_ms, answer).await?.ok()
--- a/testbed/src/system/disk.rs
+++ b/testbed/src/system/disk.rs
@@ -1,4 +1,4 @@
-//! A simulated machine's disk: what is written is read back at once, what is not synced may be gone once power is lost.
+//! A simulated disk: writes are visible at once, and unsynced writes may be lost on a power failure.
 
 use super::cluster::Host;
 use bytes::Bytes;
@@ -12,29 +12,29 @@
 
 type Records = BTreeMap<(&'static str, Vec<u8>), Bytes>;
 
-/// What is on a disk, and how far it would outlive a loss of power.
+/// The contents of a disk, and which of them survive a power failure.
 #[derive(Default)]
 pub struct Disk {
     number: Cell<u64>,
-    /// As read back now.
+    /// Contents as read now.
     seen: RefCell<Records>,
-    /// As after a loss of power that takes all it can.
+    /// Contents that survive any power failure.
     synced: RefCell<Records>,
-    /// Written and not synced, in order.
+    /// Unsynced batches, in order.
     written: RefCell<Vec<Vec<Write>>>,
-    /// Not written yet: these go with the process.
+    /// Batches not written yet; lost when the process ends.
     queued: RefCell<Vec<Vec<Write>>>,
-    /// Batches written so far, and those of them that are synced.
+    /// Number of batches written so far, and of those synced.
     counts: Cell<(u64, u64)>,
-    /// A record was damaged: whoever opens the disk is told once.
+    /// A record was damaged; reported once at the next open.
     damaged: Cell<bool>,
-    /// Until then, in microseconds, nothing is written or synced, and who writes waits.
+    /// Writes and syncs block until this time, in microseconds.
     stalled_until: Cell<u64>,
-    /// Until then, in microseconds, writes are refused.
+    /// Writes fail until this time, in microseconds.
     full_until: Cell<u64>,
-    /// The next sync is refused.
+    /// The next sync fails.
     refuses_sync: Cell<bool>,
-    /// Records of an acceptor as they were before the last one, oldest first; only kept for a mutation.
+    /// Earlier versions of the acceptor record, oldest first; only stored for a mutation.
     former_records: RefCell<VecDeque<Bytes>>,
 }
 
@@ -42,13 +42,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused(pub &'static str);
 
-/// A write that found the disk full, or a sync that was refused, is tried again after this.
+/// Interval between retries of failed writes and syncs.
 const RETRY_INTERVAL_MS: u64 = 20;
-/// So many writes an outdated record of an acceptor is old.
+/// Age, in writes, of the record restored by `Mutation::RecordOutdated`.
 const OUTDATED_BY: usize = 8;
-/// Where an acceptor's record is kept.
+/// Keyspace of the acceptor record.
 pub const ACCEPTOR_SPACE: &str = "records";
-/// Its key.
+/// Key of the acceptor record.
 pub const ACCEPTOR_RECORD: &[u8] = b"acceptor";
 
 fn apply(records: &mut Records, batch: &[Write]) {
@@ -69,12 +69,12 @@
         disk
     }
 
-    /// Drawn when the disk was made.
+    /// The disk's identity; a wiped disk has a new one.
     pub fn number(&self) -> u64 {
         self.number.get()
     }
 
-    /// All of it goes; another number is drawn.
+    /// Erases the disk and gives it a new number.
     pub fn wipe(&self, number: u64) {
         self.number.set(number);
         self.seen.borrow_mut().clear();
@@ -86,27 +86,27 @@
         self.damaged.set(false);
     }
 
-    /// The process ends; what it has written stays.
+    /// Drops queued batches when the process ends; written ones stay.
     pub fn end_process(&self) {
         self.queued.borrow_mut().clear();
     }
 
-    /// Until then, in microseconds, nothing is written or synced, and who writes waits.
+    /// Writes and syncs block until this time, in microseconds.
     pub fn stall(&self, until: u64) {
         self.stalled_until.set(until.max(self.stalled_until.get()));
     }
 
-    /// Until then, in microseconds, writes are refused.
+    /// Writes fail until this time, in microseconds.
     pub fn fill_up(&self, until: u64) {
         self.full_until.set(until.max(self.full_until.get()));
     }
 
-    /// The next sync is refused.
+    /// The next sync fails.
     pub fn refuse_sync(&self) {
         self.refuses_sync.set(true);
     }
 
-    /// Bytes of a record.
+    /// Length of a record in bytes.
     pub fn length(&self, space: &'static str, key: &[u8]) -> usize {
         self.get(space, key).map_or(0, |record| record.len())
     }
@@ -143,7 +143,7 @@
         self.counts.set((count, count));
     }
 
-    /// One turn, by chance, cannot be read any more: it is set aside, and whoever opens the disk is told.
+    /// Damages a random turn; this is reported at the next open.
     pub fn damage(&self, random: u64) {
         let turns: Vec<Vec<u8>> = self
             .seen
@@ -158,7 +158,7 @@
         self.damaged.set(true);
     }
 
-    /// Batches that a loss of power may take.
+    /// Number of batches that a power failure may lose.
     pub fn unsynced(&self) -> usize {
         self.written.borrow().len()
     }
@@ -168,7 +168,7 @@
         self.seen.borrow().get(&(space, key.to_vec())).cloned()
     }
 
-    /// Written with the next batch, or soon.
+    /// Queues writes for the next batch, without waiting.
     pub fn write_lazily(&self, host: &Host, writes: Vec<Write>) {
         if writes.is_empty() {
             return;
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Broken on purpose: an acceptor finds its record as it was some writes ago.
+    /// Mutation: restores the acceptor record as it was [`OUTDATED_BY`] writes ago.
     pub fn restore_outdated_record(&self) {
         let former_records = std::mem::take(&mut *self.former_records.borrow_mut());
         if former_records.len() < OUTDATED_BY {
@@ -219,7 +219,7 @@
         self.written.borrow_mut().extend(queued);
     }
 
-    /// Writes these; they are synced, with all earlier writes, when this returns. A disk that refuses is waited for.
+    /// Writes and syncs a batch together with all earlier writes; retries while the disk refuses.
     pub async fn write(&self, host: &Host, writes: Vec<Write>, syncs: bool) {
         self.queued.borrow_mut().push(writes);
         host.sleep_us(host.random_between(200, 1_500)).await;
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Writes these as [`Disk::write`] does, and gives up where the disk refuses.
+    /// Like [`Disk::write`], but fails at once if the disk refuses.
     pub async fn try_write(&self, host: &Host, writes: Vec<Write>, syncs: bool) -> Result<(), Refused> {
         if self.is_full(host) {
             return Err(Refused("no space is left"));
@@ -267,7 +267,7 @@
         self.counts.set((written, synced + due as u64));
     }
 
-    /// What a store finds when it starts; a damaged record makes it fill again.
+    /// The records that a storage node recovers at start; a damaged record causes a backfill.
     pub fn stored(&self) -> Stored {
         let seen = self.seen.borrow();
         let mut stored = Stored::default();
--- a/testbed/src/system/executor.rs
+++ b/testbed/src/system/executor.rs
@@ -1,5 +1,5 @@
-//! Tasks of simulated processes in simulated time, on one thread: a process can be frozen, thawed and ended, and the same
-//! tasks run in the same order each time.
+//! A deterministic single-threaded executor in virtual time. Tasks belong to simulated processes, which can be frozen, thawed
+//! and ended; the same tasks always run in the same order.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -13,16 +13,16 @@
 type Work = Pin<Box<dyn Future<Output = ()>>>;
 type Ready = Arc<Mutex<VecDeque<u64>>>;
 
-/// More than are ever due at one moment.
+/// Maximum polls at one moment of virtual time; more indicate a livelock.
 const MAX_POLLS: u64 = 1_000_000;
 
-/// Names a process; each life of one has another.
+/// Identifies one incarnation of a process.
 pub type ProcessId = u64;
 
-/// Whether a process runs. One that is not known has ended.
+/// State of a process; a process that is not known has ended.
 enum TaskState {
     Running,
-    /// These of its tasks have something to do.
+    /// Its tasks that became ready meanwhile.
     Frozen(Vec<u64>),
 }
 
@@ -39,13 +39,13 @@
 
 #[derive(Default)]
 struct Timers {
-    /// When, and under which number.
+    /// Due time in microseconds, and timer number.
     due: BinaryHeap<Reverse<(u64, u64)>>,
     wakers: HashMap<u64, Waker>,
     last: u64,
 }
 
-/// Runs the tasks. Times are microseconds.
+/// The executor. Times are microseconds.
 #[derive(Clone, Default)]
 pub struct Executor(Rc<Shared>);
 
@@ -61,19 +61,19 @@
 }
 
 impl Executor {
-    /// Begins at this time.
+    /// Creates an executor whose clock starts at `now`.
     pub fn new(now: u64) -> Self {
         let executor = Self::default();
         executor.0.now.set(now);
         executor
     }
 
-    /// The time.
+    /// The current virtual time.
     pub fn now(&self) -> u64 {
         self.0.now.get()
     }
 
-    /// A process begins.
+    /// Registers a new process.
     pub fn begin(&self) -> ProcessId {
         let process = self.0.last_process.get() + 1;
         self.0.last_process.set(process);
@@ -81,7 +81,7 @@
         process
     }
 
-    /// It ends, with all its tasks.
+    /// Ends a process and drops all its tasks.
     pub fn end(&self, process: ProcessId) {
         self.0.processes.borrow_mut().remove(&process);
         let tasks_of_process: Vec<u64> = self
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Its tasks stand still until it is thawed.
+    /// Suspends a process's tasks until it is thawed.
     pub fn freeze(&self, process: ProcessId) {
         if let Some(state @ TaskState::Running) = self.0.processes.borrow_mut().get_mut(&process) {
             *state = TaskState::Frozen(Vec::new());
         }
     }
 
-    /// Its tasks go on.
+    /// Resumes a frozen process's tasks.
     pub fn thaw(&self, process: ProcessId) {
         let mut processes = self.0.processes.borrow_mut();
         let Some(state) = processes.get_mut(&process) else { return };
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Begins a task of a process; none of one that has ended.
+    /// Spawns a task of a process; ignored if the process has ended.
     pub fn spawn(&self, process: ProcessId, work: impl Future<Output = ()> + 'static) -> u64 {
         let task = self.0.last_task.get() + 1;
         self.0.last_task.set(task);
@@ -126,13 +126,13 @@
         task
     }
 
-    /// Ends one task.
+    /// Aborts a task.
     pub fn abort(&self, task: u64) {
         let work = self.0.tasks.borrow_mut().remove(&task);
         drop(work);
     }
 
-    /// Runs until this time.
+    /// Runs all tasks until the clock reaches `end`.
     pub fn run_until(&self, end: u64) {
         loop {
             let mut polls = 0;
@@ -188,12 +188,12 @@
         }
     }
 
-    /// Passes when so many microseconds are over.
+    /// Sleeps for `for_us` microseconds of virtual time.
     pub fn sleep(&self, for_us: u64) -> Sleep {
         Sleep { executor: self.clone(), until: self.now().saturating_add(for_us), timer: None }
     }
 
-    /// What the work comes to, if it does in this time.
+    /// The output of `work`, or none after `for_us` microseconds.
     pub async fn timeout<F: Future>(&self, for_us: u64, work: F) -> Option<F::Output> {
         let (mut work, mut over) = (pin!(work), pin!(self.sleep(for_us)));
         poll_fn(|cx| match work.as_mut().poll(cx) {
--- a/testbed/src/system/history.rs
+++ b/testbed/src/system/history.rs
@@ -1,33 +1,33 @@
-//! What was done and seen in a play of the whole system, for the checker, which reads nothing else.
+//! The recorded history of a simulation run: the only input of the checker.
 
 use super::schedule::Class;
 use fleet_model::Ballot;
 
-/// What one asked for a turn was told.
+/// The result of looking up a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LookupResult {
-    /// This chain, by its hash.
+    /// The chain was found; the hash of its text.
     Text(u64),
     /// There is no such turn.
     NoSuchTurn,
-    /// Not now.
+    /// The lookup failed for now.
     Unavailable,
 }
 
-/// What a process of the core tells of an order, or that it tells nothing clear.
+/// A control node's answer to a configuration change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// 200: it is in force, or was.
+    /// 200: the change is committed.
     Confirmed,
-    /// 412: this version is current.
+    /// 412: another version is current; that version.
     OtherVersion(u64),
     /// 400: its version is not above the current one.
     NotAbove,
-    /// 503, silence, or an answer that was lost on its way.
+    /// 503, a timeout, or a lost response: the outcome is unknown.
     Unclear,
 }
 
-/// In which way a machine is disturbed.
+/// The kind of a machine's disturbance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
     /// Its processes do not run.
@@ -38,33 +38,33 @@
     Disk,
 }
 
-/// One thing that was done or seen.
+/// One event of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fact {
     /// A fault begins, as the schedule names it.
     Fault(String),
-    /// A keeper takes a value as chosen: the versions it remembers and a hash of all of it.
+    /// A control node learns that a value is chosen.
     Chosen {
-        /// Of the keeper.
+        /// Index of the control node's process.
         node: usize,
-        /// Under which it was chosen.
+        /// The ballot under which the value was chosen.
         ballot: Ballot,
-        /// Versions taken, oldest first.
+        /// Committed versions that the value remembers, oldest first.
         versions: Vec<u64>,
-        /// Of payload and voters.
+        /// Hash of payload and voters.
         hash: u64,
     },
-    /// A keeper takes another roster as chosen: its disks.
+    /// A control node learns that another roster is chosen. Members are given by their disk numbers.
     Roster {
-        /// Of the keeper.
+        /// Index of the control node's process.
         node: usize,
         /// The roster's epoch.
         epoch: u64,
-        /// What counts.
+        /// Members of the current set.
         current: Vec<u64>,
-        /// What is to count.
+        /// Members of the next set, during a change.
         next: Option<Vec<u64>>,
-        /// Those that have told they are full.
+        /// Members of the next set that have reported to be in sync.
         in_sync: Vec<u64>,
     },
     /// A configuration was acknowledged.
@@ -76,34 +76,34 @@
     },
     /// A configuration was read back.
     ReadBack {
-        /// When it was asked for.
+        /// When the request was sent, in milliseconds.
         started_at: u64,
-        /// What came.
+        /// The outcome.
         version: u64,
     },
-    /// A keeper's life begins to hold the duty.
+    /// An incarnation of a control node acquires the lease of the endpoint discovery task.
     Holds {
-        /// Of the keeper.
+        /// Index of the control node's process.
         node: usize,
-        /// Its life.
+        /// The process's incarnation.
         incarnation: u64,
-        /// Under which fence.
+        /// The fencing token.
         token: u64,
     },
-    /// What a process on an edge machine goes by from now on.
+    /// A process on an edge machine applies new state from the feed.
     Knows {
-        /// Of the process.
+        /// Index of the process.
         node: usize,
-        /// Its life.
+        /// The process's incarnation.
         incarnation: u64,
-        /// The register's value.
+        /// Ballot of the register's value.
         ballot: Ballot,
-        /// Its configuration.
+        /// Version of the configuration.
         version: u64,
-        /// The list's reading, by the platform's count.
+        /// Number of the endpoint list, by the platform's count.
         list: u64,
     },
-    /// The platform's list is another one.
+    /// The platform's endpoint list changes.
     Platform {
         /// Its count.
         list: u64,
@@ -112,19 +112,19 @@
     Program {
         /// Its name.
         program: String,
-        /// What it may be handed.
+        /// Tokens that the program may be served in total.
         budget: u64,
-        /// What one turn may be handed at most.
+        /// Maximum tokens of one turn.
         max_turn_tokens: u64,
     },
-    /// A client got tokens.
+    /// Tokens were streamed to a client.
     Handed {
         /// The program.
         program: String,
-        /// So many.
+        /// Number of tokens.
         tokens: u64,
     },
-    /// A turn was answered whole.
+    /// A turn was answered completely.
     Completed {
         /// Its `Attempt-Id`.
         attempt: String,
@@ -133,30 +133,30 @@
         /// Its input and output.
         text: String,
     },
-    /// A turn was asked for.
+    /// A turn was looked up.
     LookedUp {
-        /// When.
+        /// When the lookup began, in milliseconds.
         started_at: u64,
         /// Its `Attempt-Id`.
         attempt: String,
-        /// What came.
+        /// The outcome.
         result: LookupResult,
     },
-    /// The machines of the play, by number.
+    /// The machines of the run, by index.
     Fleet {
-        /// What each is there for.
+        /// The role of each machine.
         classes: Vec<Class>,
     },
-    /// A process begins a life.
+    /// A process starts.
     ProcessStarted {
-        /// Of the process.
+        /// Index of the process.
         node: usize,
-        /// Its life.
+        /// The process's incarnation.
         incarnation: u64,
         /// Its machine.
         machine: usize,
     },
-    /// A machine is gone for good.
+    /// A machine is removed permanently.
     Removed {
         /// The machine.
         machine: usize,
@@ -165,89 +165,89 @@
     Disturbed {
         /// The machine.
         machine: usize,
-        /// In which way.
+        /// The kind of disturbance.
         how: Disturbance,
-        /// Until when.
+        /// End, in milliseconds.
         until: u64,
     },
-    /// What one machine sends does not reach another.
+    /// A one-way network partition between two machines.
     PathCut {
         /// The sender.
         from: usize,
-        /// The other.
+        /// The receiver.
         to: usize,
-        /// Until when.
+        /// End, in milliseconds.
         until: u64,
     },
-    /// A machine is kept from others on purpose.
+    /// A machine is isolated by the schedule.
     Isolated {
         /// The machine.
         machine: usize,
-        /// Until when.
+        /// End, in milliseconds.
         until: u64,
     },
-    /// Messages, or answers to operators, are lost here and there.
+    /// Some messages, or responses to operators, are lost at random.
     Lossy {
-        /// Until when.
+        /// End, in milliseconds.
         until: u64,
     },
-    /// An operator sent an order to a machine, and this came of it.
+    /// An operator sent a configuration change to a control node, with this outcome.
     Ordered {
-        /// Names the order, whose bytes are always the same.
+        /// Identifies the change; its bytes are the same in each attempt.
         order: u64,
-        /// The version that it brings.
+        /// The version of the new configuration.
         number: u64,
-        /// The version on which it builds.
+        /// The version that it replaces.
         on: u64,
-        /// The core machine that was asked.
+        /// The control node's machine.
         machine: usize,
-        /// When it was asked.
+        /// When the request was sent, in milliseconds.
         started_at: u64,
-        /// What came.
+        /// The outcome.
         answer: OrderAnswer,
     },
-    /// A read at a machine, and whether a clear answer came.
+    /// A read of the configuration at a control node.
     Read {
-        /// The core machine that was asked.
+        /// The control node's machine.
         machine: usize,
-        /// When it was asked.
+        /// When the request was sent, in milliseconds.
         started_at: u64,
-        /// Whether a version came.
+        /// Whether a version was returned.
         clear: bool,
     },
-    /// An order is seen in a control node's replicated state for the first time.
+    /// A change appears in a control node's replicated state for the first time.
     InForce {
-        /// Names the order.
+        /// Identifies the change.
         order: u64,
-        /// The version that it brings.
+        /// The version of the new configuration.
         number: u64,
     },
-    /// A control node that came back, or into touch, knows all that was chosen by then.
+    /// A control node that restarted or was reconnected has learned all that was chosen by then.
     CaughtUp {
-        /// Of the process.
+        /// Index of the process.
         node: usize,
-        /// Its changes that it had missed.
+        /// Versions that it had missed.
         missed: u64,
-        /// Milliseconds after it was back.
+        /// Milliseconds after its return.
         after: u64,
     },
-    /// Sizes at the end of a play.
+    /// Sizes at the end of a run.
     Sizes {
         /// Bytes of the longest record of an acceptor.
         record: usize,
-        /// Bytes of the longest payload, as it goes in messages.
+        /// Bytes of the longest payload, as sent in messages.
         payload: usize,
     },
     /// The last fault is over.
     Calm,
-    /// After this all is as it should be, or what is not.
+    /// The system has converged after the last fault, or has failed to.
     Settled {
         /// Milliseconds after the last fault.
         after: u64,
-        /// What is not as it should be; empty where all is.
+        /// Conditions that are not met; empty after convergence.
         unmet: Vec<String>,
     },
 }
 
-/// All of it, in order, each with its time in milliseconds.
+/// All events in order, each with its time in milliseconds.
 pub type History = Vec<(u64, Fact)>;
--- a/testbed/src/system/mod.rs
+++ b/testbed/src/system/mod.rs
@@ -1,6 +1,8 @@
-//! The whole system in simulated time, as one fleet: the register with changes of its voters, the feed's tree, duties, the
-//! roster, turns and accounts, all by the crates under `system/`; what carries their calls here is what the programs do.
-//! Histories are checked alone.
+//! Deterministic simulation of the whole serving tier in virtual time.
+//!
+//! One simulated fleet runs the production crates under `system/`: the replicated register with changes of its voters, the
+//! state feed's distribution tree, singleton leases, the storage roster, turns and accounts. The simulated hosts carry their
+//! calls in place of the programs. The checker reads only the recorded history.
 
 mod campaign;
 mod catch_up;
@@ -34,46 +36,46 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Ways to break the system on purpose: the checker is to be seen to catch them. None is in the crates: each changes what a
-/// simulated process hands to them or takes from them.
+/// Deliberate faults in the implementation (mutation tests): the checker has to detect each of them. No production crate is
+/// changed; a mutation alters what a simulated process passes to the crates or receives from them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mutation {
-    /// Writes are told to be synced and are not.
+    /// Writes are reported as synced and are not.
     NoSync,
-    /// A keeper with an empty disk votes as if it never had.
+    /// A control node with an empty disk votes as if it had never voted.
     NoAmnesiaGuard,
-    /// Voters that do not answer are not counted.
+    /// Voters that do not answer do not count towards the quorum size.
     MajorityOfLiving,
-    /// A turn has one copy less.
+    /// A turn is stored on one replica too few.
     CopiesOneShort,
-    /// Whoever takes a duty over does not look who did so before.
+    /// A node acquires a lease without checking the current fencing token.
     FenceNotChecked,
-    /// A storage machine answers under whatever roster it is asked.
+    /// A storage node answers requests of any roster epoch.
     EpochNotChecked,
-    /// Members of the next set count as full before they have filled.
+    /// Members of the next set count as in sync before their backfill is complete.
     NextCountsUnfilled,
-    /// A storage machine that is not full says that there is no such turn.
+    /// A storage node that is not in sync reports a turn as absent.
     EmptyStoreSaysNone,
-    /// What others have reserved and not settled is not counted.
+    /// Unsettled reservations of other attempts are not counted.
     UnsettledNotCounted,
-    /// Values and lists are taken as they come, whatever their versions.
+    /// Values and endpoint lists are accepted as they arrive, whatever their versions.
     RelayWithoutVersions,
-    /// A control node answers orders by its own replicated state, without a majority.
+    /// A control node answers configuration changes from its own replicated state, without a majority.
     AnsweredAlone,
-    /// A control node answers reads by its own replicated state, without a quorum read.
+    /// A control node answers reads from its own replicated state, without a quorum read.
     FreshnessNotChecked,
-    /// The feed's links do not tell how old what they bring may be.
+    /// The feed's links do not carry the age of their data.
     AgeNotCarried,
-    /// Only the newest order is known to have been committed.
+    /// Only the newest committed version is remembered.
     TakenForgotten,
-    /// A retire counts as completed as soon as it is agreed.
+    /// A retirement is reported as completed as soon as it is agreed.
     CompletedEarly,
-    /// An acceptor starts from its record as it was some writes ago.
+    /// An acceptor starts from an outdated record, several writes old.
     RecordOutdated,
 }
 
-/// All of them.
+/// All mutations.
 pub const MUTATIONS: [Mutation; 16] = [
     Mutation::NoSync,
     Mutation::NoAmnesiaGuard,
--- a/testbed/src/system/order_rules.rs
+++ b/testbed/src/system/order_rules.rs
@@ -1,4 +1,4 @@
-//! The rules of orders, read from a history alone: what an operator was told stands.
+//! Rules of configuration changes, evaluated on a history: the answers that operators receive are true and stay true.
 
 use super::check::{Broken, Rule};
 use super::history::{Fact, History, OrderAnswer};
@@ -16,7 +16,7 @@
     answer: OrderAnswer,
 }
 
-/// What one machine's messages to another were held up, from and until.
+/// A one-way partition between two machines. Times are milliseconds.
 #[derive(Clone, Copy)]
 struct Cut {
     from: usize,
@@ -83,7 +83,7 @@
         before.map(|(_, version)| *version).max().unwrap_or_default()
     }
 
-    /// Whether a core machine had, throughout this time, a path cut to or from each other one.
+    /// Whether a control node was partitioned, in at least one direction, from each other one during the whole period.
     fn was_alone(&self, machine: usize, since: u64, until: u64) -> bool {
         let is_cut = |other: usize| {
             self.partitions.iter().any(|cut| {
@@ -95,7 +95,7 @@
     }
 }
 
-/// What a history breaks of these rules.
+/// Appends a history's violations of these rules.
 pub fn check(history: &History, broken: &mut Vec<Broken>) {
     let orders = Orders::read(history);
     one_order_a_number(&orders, broken);
@@ -124,7 +124,7 @@
     }
 }
 
-/// Why an answer does not hold.
+/// Why an answer is wrong; none if it is right.
 fn violation(orders: &Orders, answer: &OperatorAnswer) -> Option<(Rule, String)> {
     let number = answer.number;
     let is_in_force = orders.in_force.contains_key(&answer.order);
--- a/testbed/src/system/run.rs
+++ b/testbed/src/system/run.rs
@@ -1,5 +1,5 @@
-//! A play of the whole system: its machines start, clients and operators come, faults happen by the schedule, and after the
-//! last one all is to be as it should be again.
+//! One simulation run: the machines start, clients and operators send requests, faults are injected by the schedule, and after
+//! the last fault the system has to converge.
 
 use super::Mutation;
 use super::cluster::{Cluster, Host};
@@ -18,18 +18,18 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// By then after the last fault all is to be as it should be.
+/// Time limit for convergence after the last fault, in milliseconds.
 pub const SETTLED_MS: u64 = 20_000;
-/// What a process knows is to be no older than this then.
+/// Maximum age of a process's feed state after convergence.
 const FRESH: Duration = Duration::from_millis(2_000);
-/// Between two looks at what is in force.
+/// Interval between two checks for newly committed changes.
 const CHECK_INTERVAL_MS: u64 = 50;
 const OPERATORS: usize = 2;
 const PROGRAMS: usize = 3;
 const BRANCHES: usize = 2;
 const BUDGETS: [u32; 3] = [25, 40, 60];
 
-/// A play under way.
+/// A run in progress.
 pub(super) struct SystemRun {
     pub(super) cluster: Rc<Cluster>,
     pub(super) schedule: Schedule,
@@ -38,11 +38,11 @@
     stores: RefCell<BTreeMap<usize, Rc<SimulatedStorageNode>>>,
     agents: RefCell<BTreeMap<usize, (Host, Rc<Feed>)>>,
     proxies: RefCell<BTreeMap<usize, Rc<Proxy>>>,
-    /// Machines that are gone for good.
+    /// Machines that were removed permanently.
     removed: RefCell<Vec<usize>>,
     retired: RefCell<Vec<usize>>,
     last_attempt: Cell<u64>,
-    /// Turns answered whole.
+    /// `Attempt-Id`s of completed turns.
     completed_turns: RefCell<Vec<String>>,
     pub(super) calm: Cell<bool>,
     /// The last fault, which waits for a configuration to be acknowledged.
@@ -51,7 +51,7 @@
     pub(super) acknowledged: Cell<bool>,
 }
 
-/// Plays a schedule; what was done and seen.
+/// Runs a schedule and returns its history.
 pub fn simulate(schedule: &Schedule, mutation: Option<Mutation>) -> History {
     // On a thread that no runtime drives: within one, its channels would want to yield to it.
     std::thread::scope(|scope| {
@@ -178,7 +178,7 @@
         self.cluster.nodes_of(machine).into_iter().for_each(|node| self.end_process(node, power));
     }
 
-    /// A machine is gone for good.
+    /// Removes a machine permanently.
     pub(super) fn remove_machine(&self, machine: usize) {
         self.removed.borrow_mut().push(machine);
         self.cluster.record(Fact::Removed { machine });
@@ -190,7 +190,7 @@
         self.cluster.record(Fact::Disturbed { machine, how: Disturbance::Lost, until });
     }
 
-    /// A machine's processes end and come back.
+    /// Stops a machine's processes and restarts them after `back_ms`.
     pub(super) fn restart_machine(self: &Rc<Self>, machine: usize, power: bool, wiped: bool, back_ms: u64) {
         self.record_disturbance(machine, back_ms);
         self.end(machine, power);
@@ -200,7 +200,7 @@
         self.run_after(back_ms, move |run| run.start_and_watch(machine));
     }
 
-    /// A machine is there, again or for the first time.
+    /// Starts a machine, again or for the first time, and measures its catch-up.
     fn start_and_watch(self: &Rc<Self>, machine: usize) {
         self.start(machine);
         self.watch_return(machine);
@@ -300,12 +300,12 @@
         (0..machines.len()).filter(|machine| machines[*machine].class == class).collect()
     }
 
-    /// Something goes on beside the schedule.
+    /// Spawns a task that is not part of a simulated process.
     fn spawn(&self, work: impl Future<Output = ()> + 'static) {
         self.cluster.executor.spawn(self.cluster.driver, work);
     }
 
-    /// Keeps a machine from others. To a core machine operators send changes meanwhile, and one in the moment of its return.
+    /// Isolates a machine. If it is a control node, operators send it changes meanwhile, and one at the moment of its return.
     fn isolate(self: &Rc<Self>, target: Target, how: Isolation, for_ms: u64) {
         let machine = match target {
             Target::Machine(machine) => Some(machine),
@@ -364,7 +364,7 @@
         });
     }
 
-    /// The last fault, if it has not been yet.
+    /// Injects the last fault unless that has already happened.
     pub(super) fn inject_last_fault(self: &Rc<Self>) {
         let Some((power, disks, back_ms)) = self.last_fault.borrow_mut().take() else { return };
         self.cluster.record(Fact::Fault("all go down".to_owned()));
@@ -385,7 +385,7 @@
         all.values().nth(index).cloned()
     }
 
-    /// Has a process do something; none if it takes too long or ends.
+    /// Runs work on a process; none on a time-out or if the process ends.
     pub(super) async fn call_process<T: 'static>(
         &self,
         host: &Host,
@@ -417,7 +417,7 @@
         }
     }
 
-    /// Turns one after another, each on top of one of the program's, until its budget is spent.
+    /// Sends turns one after another, each continuing one of the program's turns, until its budget is spent.
     async fn branch(&self, program: &str, budget: u32, turns: &RefCell<Vec<String>>) {
         let mut failed = 0;
         while failed < 6 && !self.calm.get() {
@@ -447,7 +447,7 @@
 
     // How it ends.
 
-    /// Waits until all is as it should be, and that for a turn of looks.
+    /// Waits until all conditions are met and all completed turns can be looked up.
     fn settle(self: &Rc<Self>) -> Fact {
         let started_at = self.cluster.elapsed_ms();
         loop {
@@ -463,7 +463,7 @@
         }
     }
 
-    /// Asks for each turn that was answered whole; how many were not found.
+    /// Looks up each completed turn and reports how many were not found.
     fn missing_turns(self: &Rc<Self>) -> Option<String> {
         let missing = Rc::new(Cell::new(0));
         let attempts = self.completed_turns.borrow().clone();
@@ -488,7 +488,7 @@
         (missing.get() > 0).then(|| format!("{} turns are not to be had", missing.get()))
     }
 
-    /// What is not as it should be.
+    /// The convergence conditions that are not met.
     fn unmet_conditions(&self) -> Vec<String> {
         let mut unmet = Vec::new();
         let control_nodes = self.control_nodes.borrow();
--- a/testbed/src/system/timing_rules.rs
+++ b/testbed/src/system/timing_rules.rs
@@ -1,8 +1,8 @@
-//! The rules bound by time, read from a history alone: how soon a configuration and a list reach the proxies in touch, and how
-//! soon an operator gets a clear answer.
+//! Rules with time limits, evaluated on a history: how soon a configuration and an endpoint list reach the connected proxies,
+//! and how soon an operator receives a definite answer.
 //!
-//! The history is walked in ticks. At each one it is known which machines are lost, which paths are cut, and when the core was
-//! disturbed last; "in touch" and "stable" are the operators' own words and are taken as their pages define them.
+//! The history is walked in ticks. Each tick knows which machines are lost, which paths are partitioned, and when the control
+//! nodes were last disturbed. "In touch" and "stable" have the meaning that the operators' pages define.
 
 use super::check::{Broken, Rule};
 use super::history::{Disturbance, Fact, History, OrderAnswer};
@@ -40,16 +40,16 @@
     until: u64,
 }
 
-/// What a proxy's process goes by, from a time on.
+/// The state that a proxy's process applies from a time on.
 #[derive(Clone, Copy)]
 struct Known {
     at: u64,
     machine: usize,
-    /// Version and list; none before the first in its life.
+    /// Configuration version and list number; none before the first ones of an incarnation.
     known_versions: Option<(u64, u64)>,
 }
 
-/// An order, from its first sending to its first clear answer.
+/// A configuration change, from its first request to its first definite answer.
 struct RequestRecord {
     started_at: u64,
     clear_at: Option<u64>,
@@ -210,12 +210,12 @@
     }
 }
 
-/// When things were last as they should not be, by the time of the walk.
+/// When each condition was last violated, up to the current tick. Times are milliseconds.
 #[derive(Default)]
 struct Walk {
     own: BTreeMap<usize, u64>,
     core: u64,
-    /// Most of the core was lost.
+    /// No majority of the control nodes was connected.
     majority_lost: u64,
     link: u64,
     /// By core machine.
@@ -266,7 +266,7 @@
     }
 }
 
-/// Checks all of them.
+/// Appends a history's violations of these rules.
 pub fn check(history: &History, broken: &mut Vec<Broken>) {
     let line = Timeline::read(history);
     if line.classes.is_empty() {
@@ -326,7 +326,7 @@
     }
 }
 
-/// In a stretch in which the core was stable each order has a clear answer in time.
+/// Checks that each change sent during a stable stretch has a definite answer in time.
 fn check_answers(line: &Timeline, stretches: &[(u64, u64)], broken: &mut Vec<Broken>) {
     for request in line.requests.values() {
         let due = request.started_at + ACK_MS;
