--- a/testbed/src/commands/system_simulation.rs
+++ b/testbed/src/commands/system_simulation.rs
@@ -22,9 +22,9 @@
          in the middle and {} ms at worst",
         ended.schedules,
         ended.duration.as_secs_f64(),
-        ended.sums.0,
-        ended.sums.1,
-        ended.sums.2,
+        ended.totals.completed_turns,
+        ended.totals.lookups,
+        ended.totals.acknowledged,
         quantile(&ended.settled, 0.5),
         ended.settled.last().copied().unwrap_or_default(),
     );
--- a/testbed/src/system/campaign.rs
+++ b/testbed/src/system/campaign.rs
@@ -17,8 +17,10 @@
     pub broken: Vec<Broken>,
     /// Milliseconds until convergence after the last fault.
     pub settled_after: u64,
-    /// Completed turns, and lookups with a definite result.
-    pub turns: (usize, usize),
+    /// Completed turns.
+    pub completed_turns: usize,
+    /// Lookups with a definite result.
+    pub lookups: usize,
     /// Configurations acknowledged.
     pub acknowledged: usize,
     /// The recorded history.
@@ -37,13 +39,25 @@
     ScheduleResult {
         broken: check(&history),
         settled_after: settled.unwrap_or_default(),
-        turns: (count(&|fact| matches!(fact, Fact::Completed { .. })), count(&is_lookup)),
+        completed_turns: count(&|fact| matches!(fact, Fact::Completed { .. })),
+        lookups: count(&is_lookup),
         acknowledged: count(&|fact| matches!(fact, Fact::Acknowledged { .. })),
         schedule: schedule.clone(),
         history,
     }
 }
 
+/// Sums over the schedules of a campaign.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct CampaignTotals {
+    /// Completed turns.
+    pub completed_turns: usize,
+    /// Lookups with a definite result.
+    pub lookups: usize,
+    /// Acknowledged configurations.
+    pub acknowledged: usize,
+}
+
 /// The result of a campaign.
 #[derive(Clone, Debug)]
 pub struct CampaignResult {
@@ -55,8 +69,8 @@
     pub broken: Option<ScheduleResult>,
     /// Milliseconds until convergence after the last fault, of each schedule.
     pub settled: Vec<u64>,
-    /// Completed turns, definite lookups, and acknowledged configurations.
-    pub sums: (usize, usize, usize),
+    /// Sums over all schedules.
+    pub totals: CampaignTotals,
 }
 
 /// Runs schedules of consecutive seeds until one breaks a rule, all are done, or `stop` returns true.
@@ -72,7 +86,7 @@
         duration: Duration::ZERO,
         broken: None,
         settled: Vec::new(),
-        sums: (0, 0, 0),
+        totals: CampaignTotals::default(),
     };
     for number in 0..schedules {
         if stop() {
@@ -81,9 +95,9 @@
         let result = run_schedule(&Schedule::draw(seed + number), mutation);
         results.schedules += 1;
         results.settled.push(result.settled_after);
-        results.sums.0 += result.turns.0;
-        results.sums.1 += result.turns.1;
-        results.sums.2 += result.acknowledged;
+        results.totals.completed_turns += result.completed_turns;
+        results.totals.lookups += result.lookups;
+        results.totals.acknowledged += result.acknowledged;
         if !result.broken.is_empty() {
             results.broken = Some(result);
             break;
--- a/testbed/src/system/edge.rs
+++ b/testbed/src/system/edge.rs
@@ -377,8 +377,7 @@
         });
         let Some(preferred) = copies_needed(roster, &stores, copies) else { return Round::Retry };
         let store_copy = async |store: &StorageNode, replicas: Vec<u64>| {
-            let call =
-                Call::StoreTurn { epoch: roster.epoch, turn: Turn { replicas: replicas, ..turn.clone() } };
+            let call = Call::StoreTurn { epoch: roster.epoch, turn: Turn { replicas, ..turn.clone() } };
             (store.disk, self.call_store(store, call, CALL_TIMEOUT_MS).await)
         };
         let mut waiting = stores.iter().copied();
--- a/testbed/src/system/mod.rs
+++ b/testbed/src/system/mod.rs
@@ -24,7 +24,9 @@
 mod storage_node;
 mod timing_rules;
 
-pub use campaign::{CampaignResult, ScheduleResult, run_schedule, run_until_broken, shortest};
+pub use campaign::{
+    CampaignResult, CampaignTotals, ScheduleResult, run_schedule, run_until_broken, shortest,
+};
 pub use check::{Broken, Rule, check};
 pub use history::{Disturbance, Fact, History, LookupResult, OrderAnswer};
 pub use measure::{Isolated, Measured};
--- a/testbed/src/system/timing_rules.rs
+++ b/testbed/src/system/timing_rules.rs
@@ -213,13 +213,13 @@
 /// When each condition was last violated, up to the current tick. Times are milliseconds.
 #[derive(Default)]
 struct Walk {
-    own: BTreeMap<usize, u64>,
+    last_edge_fault: BTreeMap<usize, u64>,
     core: u64,
     /// No majority of the control nodes was connected.
-    majority_lost: u64,
-    link: u64,
+    last_majority_loss: u64,
+    last_message_loss: u64,
     /// By core machine.
-    fine: BTreeMap<usize, u64>,
+    last_unhealthy: BTreeMap<usize, u64>,
 }
 
 impl Walk {
@@ -228,38 +228,39 @@
         for machine in edges {
             let no_path = now.connected.iter().any(|core| now.is_cut(machine, *core));
             if now.lossy || no_path || now.troubled.contains(&machine) {
-                self.own.insert(machine, tick);
+                self.last_edge_fault.insert(machine, tick);
             }
         }
         if now.core_disturbed || now.lossy {
             self.core = tick;
         }
         if !now.has_majority() {
-            self.majority_lost = tick;
+            self.last_majority_loss = tick;
         }
         if now.lossy {
-            self.link = tick;
+            self.last_message_loss = tick;
         }
         for machine in &now.core {
             if !now.connected.contains(machine) || now.troubled.contains(machine) || now.lossy {
-                self.fine.insert(*machine, tick);
+                self.last_unhealthy.insert(*machine, tick);
             }
         }
     }
 
     fn is_stable(&self, tick: u64) -> bool {
-        tick > self.core + CONTACT_MS + TICK_MS && tick > self.majority_lost + CONTACT_AFTER_MOST_MS + TICK_MS
+        tick > self.core + CONTACT_MS + TICK_MS
+            && tick > self.last_majority_loss + CONTACT_AFTER_MOST_MS + TICK_MS
     }
 
     fn has_paths(&self, machine: usize, tick: u64) -> bool {
-        let last = self.own.get(&machine).copied().unwrap_or_default();
+        let last = self.last_edge_fault.get(&machine).copied().unwrap_or_default();
         tick > last + CONTACT_MS + TICK_MS
     }
 
     /// More than half of the core was well for as long as a configuration may take beside an unstable core.
     fn majority_was_fine(&self, now: &Tick, tick: u64) -> bool {
         let since = |machine: &&usize| {
-            let last = self.fine.get(machine).copied().unwrap_or_default();
+            let last = self.last_unhealthy.get(machine).copied().unwrap_or_default();
             tick > last + CONFIG_APPLY_MS + MAX_STRETCH_MS + TICK_MS
         };
         2 * now.core.iter().filter(since).count() > now.core.len()
--- a/testbed/tests/system.rs
+++ b/testbed/tests/system.rs
@@ -15,10 +15,10 @@
     let broken = results.broken.map(|result| (result.schedule.seed, result.broken));
     expect_that!(broken, none());
     // Schedules in which little is done would show little.
-    let (completed, looked_up, acknowledged) = results.sums;
-    expect_that!(completed as u64, gt(SCHEDULES * 100));
-    expect_that!(looked_up as u64, gt(SCHEDULES * 200));
-    expect_that!(acknowledged as u64, gt(SCHEDULES * 20));
+    let totals = results.totals;
+    expect_that!(totals.completed_turns as u64, gt(SCHEDULES * 100));
+    expect_that!(totals.lookups as u64, gt(SCHEDULES * 200));
+    expect_that!(totals.acknowledged as u64, gt(SCHEDULES * 20));
 }
 
 #[gtest]
