--- a/testbed/src/system/campaign.rs
+++ b/testbed/src/system/campaign.rs
@@ -1,101 +1,120 @@
-//! Many schedules, one after another, and the shortest that still breaks a rule.
+//! Campaigns of random schedules, and reduction of a failing schedule to the shortest one that still breaks a rule.
 
 use super::check::{Broken, Rule, check};
 use super::history::{Fact, History};
-use super::play::play;
+use super::run::simulate;
 use super::schedule::{Fault, Schedule};
 use super::{Mutation, history};
 use crate::peers::shrink::smallest;
 use std::time::{Duration, Instant};
 
-/// What came of a schedule.
+/// The result of one schedule.
 #[derive(Clone, Debug)]
-pub struct Played {
+pub struct ScheduleResult {
     /// The schedule.
     pub schedule: Schedule,
     /// The rules that it broke.
     pub broken: Vec<Broken>,
-    /// Milliseconds until all was as it should be after the last fault.
+    /// Milliseconds until convergence after the last fault.
     pub settled_after: u64,
-    /// Turns answered whole, and how many answers "no such turn" or a text were looked at.
-    pub turns: (usize, usize),
+    /// Completed turns.
+    pub completed_turns: usize,
+    /// Lookups with a definite result.
+    pub lookups: usize,
     /// Configurations acknowledged.
     pub acknowledged: usize,
-    /// What was done and seen.
+    /// The recorded history.
     pub history: History,
 }
 
-/// Plays one schedule.
-pub fn play_one(schedule: &Schedule, mutation: Option<Mutation>) -> Played {
-    let history = play(schedule, mutation);
+/// Runs and checks one schedule.
+pub fn run_schedule(schedule: &Schedule, mutation: Option<Mutation>) -> ScheduleResult {
+    let history = simulate(schedule, mutation);
     let count = |wanted: &dyn Fn(&Fact) -> bool| history.iter().filter(|(_, fact)| wanted(fact)).count();
     let settled = history.iter().find_map(|(_, fact)| match fact {
         Fact::Settled { after, .. } => Some(*after),
         _ => None,
     });
-    let asked = |fact: &Fact| matches!(fact, Fact::Asked { told, .. } if *told != history::Told::Unavailable);
-    Played {
+    let is_lookup = |fact: &Fact| matches!(fact, Fact::LookedUp { result, .. } if *result != history::LookupResult::Unavailable);
+    ScheduleResult {
         broken: check(&history),
         settled_after: settled.unwrap_or_default(),
-        turns: (count(&|fact| matches!(fact, Fact::Whole { .. })), count(&asked)),
+        completed_turns: count(&|fact| matches!(fact, Fact::Completed { .. })),
+        lookups: count(&is_lookup),
         acknowledged: count(&|fact| matches!(fact, Fact::Acknowledged { .. })),
         schedule: schedule.clone(),
         history,
     }
 }
 
-/// What came of many schedules.
+/// Sums over the schedules of a campaign.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct CampaignTotals {
+    /// Completed turns.
+    pub completed_turns: usize,
+    /// Lookups with a definite result.
+    pub lookups: usize,
+    /// Acknowledged configurations.
+    pub acknowledged: usize,
+}
+
+/// The result of a campaign.
 #[derive(Clone, Debug)]
-pub struct Ended {
-    /// Schedules played.
+pub struct CampaignResult {
+    /// Schedules that were run.
     pub schedules: u64,
-    /// How long that took.
-    pub took: Duration,
+    /// Wall-clock duration.
+    pub duration: Duration,
     /// The first that broke a rule.
-    pub broken: Option<Played>,
-    /// Milliseconds after the last fault until all was as it should be, of each.
+    pub broken: Option<ScheduleResult>,
+    /// Milliseconds until convergence after the last fault, of each schedule.
     pub settled: Vec<u64>,
-    /// Turns answered whole, answers looked at, configurations acknowledged.
-    pub sums: (usize, usize, usize),
+    /// Sums over all schedules.
+    pub totals: CampaignTotals,
 }
 
-/// Plays schedules of one seed after another until one breaks a rule, all are played or it is stopped.
-pub fn play_until_broken(
+/// Runs schedules of consecutive seeds until one breaks a rule, all are done, or `stop` returns true.
+pub fn run_until_broken(
     schedules: u64,
     seed: u64,
     mutation: Option<Mutation>,
     mut stop: impl FnMut() -> bool,
-) -> Ended {
+) -> CampaignResult {
     let began = Instant::now();
-    let mut ended =
-        Ended { schedules: 0, took: Duration::ZERO, broken: None, settled: Vec::new(), sums: (0, 0, 0) };
+    let mut results = CampaignResult {
+        schedules: 0,
+        duration: Duration::ZERO,
+        broken: None,
+        settled: Vec::new(),
+        totals: CampaignTotals::default(),
+    };
     for number in 0..schedules {
         if stop() {
             break;
         }
-        let played = play_one(&Schedule::draw(seed + number), mutation);
-        ended.schedules += 1;
-        ended.settled.push(played.settled_after);
-        ended.sums.0 += played.turns.0;
-        ended.sums.1 += played.turns.1;
-        ended.sums.2 += played.acknowledged;
-        if !played.broken.is_empty() {
-            ended.broken = Some(played);
+        let result = run_schedule(&Schedule::draw(seed + number), mutation);
+        results.schedules += 1;
+        results.settled.push(result.settled_after);
+        results.totals.completed_turns += result.completed_turns;
+        results.totals.lookups += result.lookups;
+        results.totals.acknowledged += result.acknowledged;
+        if !result.broken.is_empty() {
+            results.broken = Some(result);
             break;
         }
     }
-    ended.took = began.elapsed();
-    ended
+    results.duration = began.elapsed();
+    results
 }
 
-/// The shortest schedule, by leaving faults out, that still breaks the first rule that this one broke.
-pub async fn shortest(played: &Played, mutation: Option<Mutation>) -> Played {
-    let Some(rule) = played.broken.first().map(|broken| broken.rule) else { return played.clone() };
-    let with = |faults: &[Fault]| Schedule { faults: faults.to_vec(), ..played.schedule.clone() };
-    let breaks = |played: &Played, rule: Rule| played.broken.iter().any(|broken| broken.rule == rule);
-    let left = smallest(played.schedule.faults.clone(), async |faults: &[Fault]| {
-        breaks(&play_one(&with(faults), mutation), rule)
+/// Leaves out faults as long as the schedule still breaks the first rule that `result` broke; the result of the shortest.
+pub async fn shortest(result: &ScheduleResult, mutation: Option<Mutation>) -> ScheduleResult {
+    let Some(rule) = result.broken.first().map(|broken| broken.rule) else { return result.clone() };
+    let with = |faults: &[Fault]| Schedule { faults: faults.to_vec(), ..result.schedule.clone() };
+    let breaks = |result: &ScheduleResult, rule: Rule| result.broken.iter().any(|broken| broken.rule == rule);
+    let left = smallest(result.schedule.faults.clone(), async |faults: &[Fault]| {
+        breaks(&run_schedule(&with(faults), mutation), rule)
     })
     .await;
-    play_one(&with(&left), mutation)
+    run_schedule(&with(&left), mutation)
 }
--- a/testbed/src/system/world.rs
+++ b/testbed/src/system/cluster.rs
@@ -1,4 +1,4 @@
-//! Machines, their processes, and what lies between them: calls, links and cuts, in simulated time.
+//! The simulated cluster: machines, their processes, and the network between them with calls, feed links and partitions.
 
 use super::Mutation;
 use super::disk::Disk;
@@ -17,32 +17,32 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Time begins far from zero, since ages are taken off it.
+/// Start of the clock; far from zero because ages are subtracted from it.
 const START_US: u64 = 1_000_000_000_000;
-/// What waits longer behind a cut is lost with its connection.
+/// A message delayed longer by a partition is lost with its connection (TCP user time-out).
 const USER_TIMEOUT_US: u64 = 2_000_000;
-/// What a slow machine sends is so late, and up to as much again.
+/// Minimum extra latency of a slow machine's messages; the maximum is twice as much.
 const SLOW_US: u64 = 400_000;
-/// Core machines that found the register.
+/// Number of control nodes that found the register.
 const SEEDS: usize = 3;
-/// Ports of peers.
+/// Port of all peers.
 pub const PORT: u16 = 7_000;
 
-/// What a process answers with.
-pub type Answering = Pin<Box<dyn Future<Output = Answer>>>;
-/// How a process answers.
-pub type Handler = Rc<dyn Fn(Ipv4Addr, Call, Option<Pusher>) -> Answering>;
+/// The future of a process's answer.
+pub type AnswerFuture = Pin<Box<dyn Future<Output = Answer>>>;
+/// A process's request handler.
+pub type Handler = Rc<dyn Fn(Ipv4Addr, Call, Option<Pusher>) -> AnswerFuture>;
 
 /// A process of a machine.
 struct Node {
     class: Class,
     machine: usize,
     disk: Rc<Disk>,
-    life: u64,
+    incarnation: u64,
     running: Option<ProcessId>,
-    /// Without power: nobody is told that it is gone.
-    dark: bool,
-    serves: Option<Handler>,
+    /// The machine lost power: its connections are not reset.
+    power_lost: bool,
+    handler: Option<Handler>,
     started: bool,
 }
 
@@ -50,7 +50,7 @@
 struct Link {
     from: (usize, u64),
     to: (usize, u64),
-    /// Where pushes go; none once it is closed.
+    /// The subscriber's queue; none once the link is closed.
     pushes: Option<mpsc::UnboundedSender<Push>>,
     last: u64,
 }
@@ -60,47 +60,47 @@
     Lost,
 }
 
-/// The whole fleet.
-pub struct World {
-    /// Runs the processes.
+/// The whole simulated fleet.
+pub struct Cluster {
+    /// Executor of all processes.
     pub executor: Executor,
-    /// Who makes the world go: faults, clients, the network.
+    /// Process of the simulation itself: faults, clients, the network.
     pub driver: ProcessId,
     /// Machines that may be lost at once.
     pub tolerance: usize,
-    /// What is broken on purpose.
+    /// The active mutation.
     pub mutation: Option<Mutation>,
     /// All machines of the schedule.
     pub machines: Vec<Machine>,
-    /// Those that everybody is told at the start.
+    /// Seed addresses known to all processes at start.
     pub seeds: Vec<Ipv4Addr>,
     nodes: RefCell<Vec<Node>>,
     links: RefCell<BTreeMap<u64, Link>>,
     last_link: Cell<u64>,
-    cuts: RefCell<BTreeMap<(usize, usize), u64>>,
-    /// Until when so many of a thousand messages are lost or late.
+    path_cuts: RefCell<BTreeMap<(usize, usize), u64>>,
+    /// End time, and how many of a thousand messages are lost or late until then.
     lossy: Cell<(u64, u64)>,
-    /// The same for answers to operators.
+    /// The same for responses to operators.
     answers_lost: Cell<(u64, u64)>,
-    /// Until when what a machine sends is late.
+    /// By machine, until when its messages are slow.
     slow: RefCell<BTreeMap<usize, u64>>,
     rng: RefCell<ChaCha8Rng>,
     seed: u64,
     history: RefCell<History>,
     platform: Cell<u64>,
     last_disk: Cell<u64>,
-    /// Calls without an answer: whoever waits for one gives up by himself.
+    /// Calls that stay unanswered; the callers time out.
     unanswered: RefCell<Vec<oneshot::Sender<Answer>>>,
 }
 
-impl World {
-    /// A world in which nothing runs yet.
+impl Cluster {
+    /// Creates a cluster in which no process runs yet.
     pub fn new(seed: u64, tolerance: usize, machines: Vec<Machine>, mutation: Option<Mutation>) -> Rc<Self> {
         let executor = Executor::new(START_US);
         let driver = executor.begin();
         let first = |machine: &&Machine| machine.first && machine.class == Class::ControlNode;
         let seeds = machines.iter().filter(first).map(|machine| machine.ip).take(SEEDS).collect();
-        let world = Rc::new(Self {
+        let cluster = Rc::new(Self {
             executor,
             driver,
             tolerance,
@@ -109,7 +109,7 @@
             nodes: RefCell::default(),
             links: RefCell::default(),
             last_link: Cell::new(0),
-            cuts: RefCell::default(),
+            path_cuts: RefCell::default(),
             lossy: Cell::new((0, 0)),
             answers_lost: Cell::new((0, 0)),
             slow: RefCell::default(),
@@ -121,7 +121,7 @@
             unanswered: RefCell::default(),
             machines,
         });
-        for (number, machine) in world.machines.iter().enumerate() {
+        for (number, machine) in cluster.machines.iter().enumerate() {
             let classes: &[Class] = match machine.class {
                 Class::Agent => &[Class::Agent, Class::Proxy],
                 Class::ControlNode => &[Class::ControlNode],
@@ -129,23 +129,23 @@
                 Class::Proxy => &[],
             };
             for class in classes {
-                let disk = Rc::new(Disk::new(world.new_disk()));
-                world.nodes.borrow_mut().push(Node {
+                let disk = Rc::new(Disk::new(cluster.new_disk()));
+                cluster.nodes.borrow_mut().push(Node {
                     class: *class,
                     machine: number,
                     disk,
-                    life: 0,
+                    incarnation: 0,
                     running: None,
-                    dark: false,
-                    serves: None,
+                    power_lost: false,
+                    handler: None,
                     started: false,
                 });
             }
         }
-        world
+        cluster
     }
 
-    /// Ends everything; returns what was seen.
+    /// Ends all processes and returns the history.
     pub fn finish(&self) -> History {
         let processes: Vec<ProcessId> = self.nodes.borrow().iter().filter_map(|node| node.running).collect();
         processes.into_iter().for_each(|process| self.executor.end(process));
@@ -156,27 +156,27 @@
         std::mem::take(&mut *self.history.borrow_mut())
     }
 
-    /// Milliseconds since the beginning.
+    /// Milliseconds since the start.
     pub fn elapsed_ms(&self) -> u64 {
         (self.executor.now() - START_US) / 1_000
     }
 
-    /// Lets so much time pass.
+    /// Advances the virtual time by `for_ms` milliseconds.
     pub fn run_ms(&self, for_ms: u64) {
         self.executor.run_until(self.executor.now() + for_ms * 1_000);
     }
 
-    /// Puts something into the history.
-    pub fn note(&self, fact: Fact) {
+    /// Appends an event to the history.
+    pub fn record(&self, fact: Fact) {
         self.history.borrow_mut().push((self.elapsed_ms(), fact));
     }
 
-    /// A number by chance.
-    pub fn draw(&self, below: u64) -> u64 {
+    /// A random number.
+    pub fn random_below(&self, below: u64) -> u64 {
         self.rng.borrow_mut().next_u64() % below.max(1)
     }
 
-    /// Whether this is broken on purpose.
+    /// Whether this mutation is active.
     pub fn breaks(&self, mutation: Mutation) -> bool {
         self.mutation == Some(mutation)
     }
@@ -186,7 +186,7 @@
         self.last_disk.get()
     }
 
-    /// Processes of a machine.
+    /// Indexes of a machine's processes.
     pub fn nodes_of(&self, machine: usize) -> Vec<usize> {
         let nodes = self.nodes.borrow();
         (0..nodes.len()).filter(|node| nodes[*node].machine == machine).collect()
@@ -202,8 +202,8 @@
         &self.machines[self.nodes.borrow()[node].machine]
     }
 
-    /// The number of a process's machine.
-    pub fn machine_number(&self, node: usize) -> usize {
+    /// Index of a process's machine.
+    pub fn machine_index_of(&self, node: usize) -> usize {
         self.nodes.borrow()[node].machine
     }
 
@@ -212,34 +212,34 @@
         self.nodes.borrow()[node].disk.clone()
     }
 
-    /// Begins a life of a process; none if it runs. The flag tells whether it never ran before.
-    pub fn begin(self: &Rc<Self>, node: usize) -> Option<(Host, bool)> {
-        let (process, life, class, first) = {
+    /// Starts a process; none if it already runs. The flag is true at its first start.
+    pub fn start_process(self: &Rc<Self>, node: usize) -> Option<(Host, bool)> {
+        let (process, incarnation, class, first) = {
             let mut nodes = self.nodes.borrow_mut();
-            let begun = &mut nodes[node];
-            if begun.running.is_some() {
+            let node_state = &mut nodes[node];
+            if node_state.running.is_some() {
                 return None;
             }
             let process = self.executor.begin();
-            begun.running = Some(process);
-            begun.life += 1;
-            begun.dark = false;
-            let first = !std::mem::replace(&mut begun.started, true);
-            (process, begun.life, begun.class, first)
+            node_state.running = Some(process);
+            node_state.incarnation += 1;
+            node_state.power_lost = false;
+            let first = !std::mem::replace(&mut node_state.started, true);
+            (process, node_state.incarnation, node_state.class, first)
         };
         self.close_links_of(node);
         let machine = self.nodes.borrow()[node].machine;
-        self.note(Fact::Begun { node, life, machine });
+        self.record(Fact::ProcessStarted { node, incarnation, machine });
         if self.breaks(Mutation::RecordOutdated) {
-            self.disk_of(node).go_back();
+            self.disk_of(node).restore_outdated_record();
         }
-        let rng = ChaCha8Rng::seed_from_u64(self.seed ^ (node as u64 + 1) << 32 ^ life << 48);
+        let rng = ChaCha8Rng::seed_from_u64(self.seed ^ (node as u64 + 1) << 32 ^ incarnation << 48);
         let host = Host {
-            world: Rc::downgrade(self),
+            cluster: Rc::downgrade(self),
             executor: self.executor.clone(),
             node,
             class,
-            life,
+            incarnation,
             process,
             rng: Rc::new(RefCell::new(rng)),
             disk: self.disk_of(node),
@@ -248,17 +248,17 @@
         Some((host, first))
     }
 
-    /// From now on the process answers calls.
+    /// Sets the handler of calls to a process.
     pub fn serve(&self, host: &Host, handler: Handler) {
-        self.nodes.borrow_mut()[host.node].serves = Some(handler);
+        self.nodes.borrow_mut()[host.node].handler = Some(handler);
     }
 
-    /// Ends a process. `dark`: with the machine's power.
-    pub fn end(&self, node: usize, dark: bool) {
+    /// Ends a process. `power_lost`: its machine loses power, so unsynced writes may be lost and connections are not reset.
+    pub fn end(&self, node: usize, power_lost: bool) {
         let process = {
             let mut nodes = self.nodes.borrow_mut();
-            nodes[node].dark |= dark;
-            nodes[node].serves = None;
+            nodes[node].power_lost |= power_lost;
+            nodes[node].handler = None;
             nodes[node].running.take()
         };
         let disk = self.disk_of(node);
@@ -266,11 +266,11 @@
         if let Some(process) = process {
             self.executor.end(process);
         }
-        if dark {
+        if power_lost {
             let unsynced = disk.unsynced() as u64;
-            // Some losses of power take all that they may.
-            let kept = if self.draw(3) == 0 { 0 } else { self.draw(unsynced + 1) };
-            disk.lose_power(kept as usize);
+            // Some power failures lose all unsynced writes.
+            let surviving = if self.random_below(3) == 0 { 0 } else { self.random_below(unsynced + 1) };
+            disk.lose_power(surviving as usize);
         } else {
             self.close_links_of(node);
         }
@@ -281,69 +281,69 @@
         self.disk_of(node).wipe(self.new_disk());
     }
 
-    /// Freezes a process's life, if it runs.
+    /// Freezes a process, if it runs.
     pub fn freeze(&self, node: usize) -> Option<ProcessId> {
         let process = self.nodes.borrow()[node].running?;
         self.executor.freeze(process);
         Some(process)
     }
 
-    /// What goes from one machine to another is held up until this time, in microseconds.
+    /// Partitions one direction between two machines for `for_ms` milliseconds.
     pub fn cut(&self, from: usize, to: usize, for_ms: u64) {
         let until = self.executor.now() + for_ms * 1_000;
-        let mut cuts = self.cuts.borrow_mut();
-        let standing = cuts.entry((from, to)).or_default();
-        *standing = until.max(*standing);
-        self.note(Fact::PathCut { from, to, until: self.elapsed_ms() + for_ms });
+        let mut path_cuts = self.path_cuts.borrow_mut();
+        let cut_until = path_cuts.entry((from, to)).or_default();
+        *cut_until = until.max(*cut_until);
+        self.record(Fact::PathCut { from, to, until: self.elapsed_ms() + for_ms });
     }
 
-    /// For so long so many of a thousand messages are lost or late.
-    pub fn lose(&self, for_ms: u64, of_thousand: u64) {
+    /// Loses or delays `of_thousand` of a thousand messages for `for_ms` milliseconds.
+    pub fn lose_messages(&self, for_ms: u64, of_thousand: u64) {
         self.lossy.set((self.executor.now() + for_ms * 1_000, of_thousand));
-        self.note(Fact::Lossy { until: self.elapsed_ms() + for_ms });
+        self.record(Fact::Lossy { until: self.elapsed_ms() + for_ms });
     }
 
-    /// For so long so many of a thousand answers to operators are lost.
+    /// Loses `of_thousand` of a thousand responses to operators for `for_ms` milliseconds.
     pub fn lose_answers(&self, for_ms: u64, of_thousand: u64) {
         self.answers_lost.set((self.executor.now() + for_ms * 1_000, of_thousand));
-        self.note(Fact::Lossy { until: self.elapsed_ms() + for_ms });
+        self.record(Fact::Lossy { until: self.elapsed_ms() + for_ms });
     }
 
-    /// Whether this answer to an operator is lost.
+    /// Draws whether a response to an operator is lost.
     pub fn loses_answer(&self) -> bool {
         let (until, of_thousand) = self.answers_lost.get();
-        self.executor.now() < until && self.draw(1_000) < of_thousand
+        self.executor.now() < until && self.random_below(1_000) < of_thousand
     }
 
-    /// For so long what a machine sends arrives after its askers have given up.
+    /// Delays a machine's messages beyond the callers' time-outs for `for_ms` milliseconds.
     pub fn slow_down(&self, machine: usize, for_ms: u64) {
         self.slow.borrow_mut().insert(machine, self.executor.now() + for_ms * 1_000);
         let until = self.elapsed_ms() + for_ms;
-        self.note(Fact::Disturbed { machine, how: Disturbance::Slow, until });
+        self.record(Fact::Disturbed { machine, how: Disturbance::Slow, until });
     }
 
     fn lateness(&self, machine: usize) -> u64 {
         let until = self.slow.borrow().get(&machine).copied().unwrap_or_default();
-        if self.executor.now() < until { SLOW_US + self.draw(SLOW_US) } else { 0 }
+        if self.executor.now() < until { SLOW_US + self.random_below(SLOW_US) } else { 0 }
     }
 
     fn transit(&self, from: usize, to: usize) -> Transit {
         if from == to {
-            return Transit::After(20 + self.draw(200));
+            return Transit::After(20 + self.random_below(200));
         }
         let now = self.executor.now();
-        let slow = if self.draw(60) == 0 { self.draw(40_000) } else { 0 };
-        let mut after = 200 + self.draw(2_500) + slow + self.lateness(from);
-        let held = self.cuts.borrow().get(&(from, to)).map_or(0, |until| until.saturating_sub(now));
-        if held > USER_TIMEOUT_US {
+        let slow = if self.random_below(60) == 0 { self.random_below(40_000) } else { 0 };
+        let mut after = 200 + self.random_below(2_500) + slow + self.lateness(from);
+        let held_us = self.path_cuts.borrow().get(&(from, to)).map_or(0, |until| until.saturating_sub(now));
+        if held_us > USER_TIMEOUT_US {
             return Transit::Lost;
         }
-        after += if held > 0 { held + self.draw(200_000) } else { 0 };
+        after += if held_us > 0 { held_us + self.random_below(200_000) } else { 0 };
         let (until, of_thousand) = self.lossy.get();
-        if now < until && self.draw(1_000) < of_thousand {
-            match self.draw(2) {
+        if now < until && self.random_below(1_000) < of_thousand {
+            match self.random_below(2) {
                 0 => return Transit::Lost,
-                _ => after += 200_000 + self.draw(800_000),
+                _ => after += 200_000 + self.random_below(800_000),
             }
         }
         Transit::After(after)
@@ -371,10 +371,10 @@
         match self.transit(here, there) {
             Transit::Lost => self.unanswered.borrow_mut().push(sender),
             Transit::After(after) => {
-                let (world, from) = (self.clone(), host.machine.ip);
+                let (cluster, from) = (self.clone(), host.machine.ip);
                 self.executor.spawn(self.driver, async move {
-                    world.executor.sleep(after).await;
-                    world.arrive(here, from, target, call, link, sender);
+                    cluster.executor.sleep(after).await;
+                    cluster.arrive(here, from, target, call, link, sender);
                 });
             }
         }
@@ -390,14 +390,14 @@
         link: Option<u64>,
         sender: oneshot::Sender<Answer>,
     ) {
-        let (running, dark, serves, there, life) = {
+        let (running, power_lost, handler, there, incarnation) = {
             let nodes = self.nodes.borrow();
             let node = &nodes[target];
-            (node.running, node.dark, node.serves.clone(), node.machine, node.life)
+            (node.running, node.power_lost, node.handler.clone(), node.machine, node.incarnation)
         };
-        let (Some(process), Some(serves)) = (running, serves) else {
-            // A dead port resets, a machine without power says nothing.
-            if dark {
+        let (Some(process), Some(handler)) = (running, handler) else {
+            // A closed port resets the connection; a machine without power stays silent.
+            if power_lost {
                 self.unanswered.borrow_mut().push(sender);
             }
             return;
@@ -405,17 +405,17 @@
         if let Some(link) = link
             && let Some(link) = self.links.borrow_mut().get_mut(&link)
         {
-            link.from = (target, life);
+            link.from = (target, incarnation);
         }
-        let pusher = link.map(|link| Pusher { world: Rc::downgrade(self), link });
-        let world = self.clone();
+        let pusher = link.map(|link| Pusher { cluster: Rc::downgrade(self), link });
+        let cluster = self.clone();
         self.executor.spawn(process, async move {
-            let answer = serves(from, call, pusher).await;
-            match world.transit(there, here) {
-                Transit::Lost => world.unanswered.borrow_mut().push(sender),
+            let answer = handler(from, call, pusher).await;
+            match cluster.transit(there, here) {
+                Transit::Lost => cluster.unanswered.borrow_mut().push(sender),
                 Transit::After(after) => {
-                    let executor = world.executor.clone();
-                    world.executor.spawn(world.driver, async move {
+                    let executor = cluster.executor.clone();
+                    cluster.executor.spawn(cluster.driver, async move {
                         executor.sleep(after).await;
                         let _ = sender.send(answer);
                     });
@@ -428,15 +428,15 @@
         let (pushes, receiver) = mpsc::unbounded_channel();
         let link = self.last_link.get() + 1;
         self.last_link.set(link);
-        let to = (host.node, host.life);
+        let to = (host.node, host.incarnation);
         let opened = Link { from: (usize::MAX, 0), to, pushes: Some(pushes), last: 0 };
         self.links.borrow_mut().insert(link, opened);
         (link, receiver)
     }
 
     fn close_links_of(&self, node: usize) {
-        let is_its = |link: &Link| link.from.0 == node || link.to.0 == node;
-        self.links.borrow_mut().retain(|_, link| !is_its(link));
+        let touches_node = |link: &Link| link.from.0 == node || link.to.0 == node;
+        self.links.borrow_mut().retain(|_, link| !touches_node(link));
     }
 
     fn push(self: &Rc<Self>, number: u64, push: Push) -> bool {
@@ -448,12 +448,12 @@
         let (here, there) = (self.nodes.borrow()[from.0].machine, self.nodes.borrow()[to.0].machine);
         let push = self.without_age(push);
         let now = self.executor.now();
-        let (world, at) = match self.transit(here, there) {
+        let (cluster, at) = match self.transit(here, there) {
             Transit::Lost => {
-                let world = self.clone();
+                let cluster = self.clone();
                 self.executor.spawn(self.driver, async move {
-                    world.executor.sleep(USER_TIMEOUT_US).await;
-                    world.links.borrow_mut().remove(&number);
+                    cluster.executor.sleep(USER_TIMEOUT_US).await;
+                    cluster.links.borrow_mut().remove(&number);
                 });
                 return true;
             }
@@ -463,11 +463,11 @@
             link.last = at;
         }
         self.executor.spawn(self.driver, async move {
-            world.executor.sleep(at - now).await;
-            let nodes = world.nodes.borrow();
-            let mut links = world.links.borrow_mut();
+            cluster.executor.sleep(at - now).await;
+            let nodes = cluster.nodes.borrow();
+            let mut links = cluster.links.borrow_mut();
             let Some(link) = links.get_mut(&number) else { return };
-            match (&link.pushes, nodes[to.0].life == to.1 && nodes[to.0].running.is_some()) {
+            match (&link.pushes, nodes[to.0].incarnation == to.1 && nodes[to.0].running.is_some()) {
                 (Some(pushes), true) => {
                     if pushes.send(push).is_err() {
                         links.remove(&number);
@@ -479,7 +479,7 @@
         true
     }
 
-    /// Broken on purpose: links do not tell how old what they bring may be.
+    /// Mutation: heartbeats do not carry the age of the data.
     fn without_age(&self, push: Push) -> Push {
         match push {
             Push::Heartbeat { proxies, .. } if self.breaks(Mutation::AgeNotCarried) => {
@@ -489,20 +489,20 @@
         }
     }
 
-    /// The platform's list changes.
+    /// Changes the platform's endpoint list.
     pub fn change_list(&self) {
         self.platform.set(self.platform.get() + 1);
-        self.note(Fact::Platform { list: self.platform.get() });
+        self.record(Fact::Platform { list: self.platform.get() });
     }
 
-    /// What the platform lists; the names of instances tell which list it is.
-    pub fn listed(&self) -> Vec<Endpoint> {
+    /// The platform's current endpoint list; instance names contain the list's number.
+    pub fn listed_endpoints(&self) -> Vec<Endpoint> {
         let list = self.platform.get();
         (0..2)
-            .map(|place| Endpoint {
-                instance_id: format!("{list}-{place}"),
+            .map(|index| Endpoint {
+                instance_id: format!("{list}-{index}"),
                 service: "models".to_owned(),
-                address: SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, place), 80),
+                address: SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, index), 80),
                 zone: "z0".to_owned(),
                 capacity_slots: 4,
                 state: EndpointState::Ready,
@@ -511,34 +511,34 @@
     }
 }
 
-/// The count of a list that [`World::listed`] gave; 0 of none.
+/// The number of a list that [`Cluster::listed_endpoints`] gave; 0 of none.
 pub fn list_of(endpoints: &[Endpoint]) -> u64 {
     let first = endpoints.first().and_then(|endpoint| endpoint.instance_id.split_once('-'));
     first.and_then(|(list, _)| list.parse().ok()).unwrap_or_default()
 }
 
-/// The server's end of a link.
+/// The server side of a feed link.
 #[derive(Clone)]
 pub struct Pusher {
-    world: Weak<World>,
+    cluster: Weak<Cluster>,
     link: u64,
 }
 
 impl Pusher {
     /// Pushes; false if the link is closed.
     pub fn push(&self, push: Push) -> bool {
-        self.world.upgrade().is_some_and(|world| world.push(self.link, push))
+        self.cluster.upgrade().is_some_and(|cluster| cluster.push(self.link, push))
     }
 
     /// Whether it is closed.
     pub fn is_closed(&self) -> bool {
-        self.world.upgrade().is_none_or(|world| !world.links.borrow().contains_key(&self.link))
+        self.cluster.upgrade().is_none_or(|cluster| !cluster.links.borrow().contains_key(&self.link))
     }
 }
 
-/// The client's end of a link: it closes with this.
+/// The client side of a feed link, which closes on drop.
 pub struct Pushes {
-    world: Weak<World>,
+    cluster: Weak<Cluster>,
     link: u64,
     pushes: mpsc::UnboundedReceiver<Push>,
 }
@@ -552,23 +552,23 @@
 
 impl Drop for Pushes {
     fn drop(&mut self) {
-        if let Some(world) = self.world.upgrade() {
-            world.links.borrow_mut().remove(&self.link);
+        if let Some(cluster) = self.cluster.upgrade() {
+            cluster.links.borrow_mut().remove(&self.link);
         }
     }
 }
 
-/// What a life of a process has of its machine.
+/// One incarnation of a process, with access to its machine.
 #[derive(Clone)]
 pub struct Host {
-    world: Weak<World>,
+    cluster: Weak<Cluster>,
     executor: Executor,
-    /// Its number.
+    /// Index of the process.
     pub node: usize,
-    /// What it is.
+    /// Role of the process.
     pub class: Class,
-    /// Which life of it.
-    pub life: u64,
+    /// Number of this start of the process, from 1.
+    pub incarnation: u64,
     process: ProcessId,
     rng: Rc<RefCell<ChaCha8Rng>>,
     disk: Rc<Disk>,
@@ -577,42 +577,42 @@
 }
 
 impl Host {
-    /// The world; only while it lasts.
-    pub fn world(&self) -> Option<Rc<World>> {
-        self.world.upgrade()
+    /// The cluster, while it exists.
+    pub fn cluster(&self) -> Option<Rc<Cluster>> {
+        self.cluster.upgrade()
     }
 
-    /// Time for the feed.
+    /// Virtual time.
     pub fn now(&self) -> Duration {
         Duration::from_micros(self.executor.now())
     }
 
-    /// Time in milliseconds.
+    /// Virtual time in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.executor.now() / 1_000
     }
 
-    /// A number by chance.
-    pub fn draw(&self) -> u64 {
+    /// A random number.
+    pub fn random_u64(&self) -> u64 {
         self.rng.borrow_mut().next_u64()
     }
 
-    /// A number by chance between these.
-    pub fn between(&self, from: u64, to: u64) -> u64 {
-        from + self.draw() % (to - from + 1)
+    /// A random number from `from` to `to`, both included.
+    pub fn random_between(&self, from: u64, to: u64) -> u64 {
+        from + self.random_u64() % (to - from + 1)
     }
 
     /// Machines that may be lost at once.
-    pub fn losses(&self) -> usize {
-        self.world().map_or(0, |world| world.tolerance)
+    pub fn tolerance(&self) -> usize {
+        self.cluster().map_or(0, |cluster| cluster.tolerance)
     }
 
-    /// Whether this is broken on purpose.
+    /// Whether this mutation is active.
     pub fn breaks(&self, mutation: Mutation) -> bool {
-        self.world().is_some_and(|world| world.breaks(mutation))
+        self.cluster().is_some_and(|cluster| cluster.breaks(mutation))
     }
 
-    /// Whether writes are synced before they are told to be.
+    /// Whether writes are synced before they are acknowledged.
     pub fn syncs(&self) -> bool {
         !self.breaks(Mutation::NoSync)
     }
@@ -622,29 +622,29 @@
         &self.disk
     }
 
-    /// Puts something into the history.
-    pub fn note(&self, fact: Fact) {
-        if let Some(world) = self.world() {
-            world.note(fact);
+    /// Appends an event to the history.
+    pub fn record(&self, fact: Fact) {
+        if let Some(cluster) = self.cluster() {
+            cluster.record(fact);
         }
     }
 
-    /// Waits so many milliseconds.
+    /// Sleeps for `for_ms` milliseconds.
     pub async fn sleep(&self, for_ms: u64) {
         self.executor.sleep(for_ms * 1_000).await;
     }
 
-    /// Waits so many microseconds.
+    /// Sleeps for `for_us` microseconds.
     pub async fn sleep_us(&self, for_us: u64) {
         self.executor.sleep(for_us).await;
     }
 
-    /// What the work comes to, if it does in so many milliseconds.
+    /// The output of `work`, or none after `for_ms` milliseconds.
     pub async fn timeout<F: Future>(&self, for_ms: u64, work: F) -> Option<F::Output> {
         self.executor.timeout(for_ms * 1_000, work).await
     }
 
-    /// Begins a task that ends with this life.
+    /// Spawns a task that ends with this incarnation.
     pub fn spawn(&self, work: impl Future<Output = ()> + 'static) -> u64 {
         self.executor.spawn(self.process, work)
     }
@@ -654,21 +654,21 @@
         self.executor.abort(task);
     }
 
-    /// Calls the process of another machine.
-    pub async fn call(&self, to: Ipv4Addr, call: Call, patience_ms: u64) -> Option<Answer> {
-        let answer = self.world()?.call(self, to, call, None);
-        self.timeout(patience_ms, answer).await?.ok()
+    /// Calls the process of another machine; none on a time-out or failure.
+    pub async fn call(&self, to: Ipv4Addr, call: Call, timeout_ms: u64) -> Option<Answer> {
+        let answer = self.cluster()?.call(self, to, call, None);
+        self.timeout(timeout_ms, answer).await?.ok()
     }
 
     /// Opens a link of the feed.
-    pub async fn subscribe(&self, to: Ipv4Addr, call: Call, patience_ms: u64) -> Option<(Answer, Pushes)> {
+    pub async fn subscribe(&self, to: Ipv4Addr, call: Call, timeout_ms: u64) -> Option<(Answer, Pushes)> {
         let (link, answer) = {
-            let world = self.world()?;
-            let (link, pushes) = world.open_link(self);
-            let answer = world.call(self, to, call, Some(link));
-            (Pushes { world: self.world.clone(), link, pushes }, answer)
+            let cluster = self.cluster()?;
+            let (link, pushes) = cluster.open_link(self);
+            let answer = cluster.call(self, to, call, Some(link));
+            (Pushes { cluster: self.cluster.clone(), link, pushes }, answer)
         };
-        let answer = self.timeout(patience_ms, answer).await?.ok()?;
+        let answer = self.timeout(timeout_ms, answer).await?.ok()?;
         Some((answer, link))
     }
 }
--- a/testbed/src/system/measure.rs
+++ b/testbed/src/system/measure.rs
@@ -1,58 +1,58 @@
-//! Figures of a play, read from its history alone.
+//! Measurements of a run, computed from its history.
 
 use super::history::{Fact, History, OrderAnswer};
 use std::collections::BTreeMap;
 
-/// A machine that was kept from others, and what came of that. Times are milliseconds.
+/// Measurements of an isolated machine. Times are milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Isolated {
-    /// After its beginning another machine gave the first clear answer.
+    /// Time from the start of the isolation to the first definite answer of another machine.
     pub others_clear_after: Option<u64>,
-    /// Clear answers that the machine gave to what was asked of it meanwhile.
+    /// Definite answers of the machine to requests sent during the isolation.
     pub own_clear_answers: usize,
-    /// After its end the machine gave the first clear answer.
+    /// Time from the end of the isolation to the machine's first definite answer.
     pub own_clear_after: Option<u64>,
-    /// Longest time from the first sending of an order to its first clear answer, of those first sent meanwhile.
+    /// Longest time from a change's first request to its first definite answer, of changes first sent during the isolation.
     pub longest_order: u64,
 }
 
-/// What a play shows in figures. Times are milliseconds.
+/// Measurements of a run. Times are milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Measured {
-    /// Until all was as it should be after the last fault.
+    /// Time until convergence after the last fault.
     pub settled_after: u64,
-    /// Orders that were confirmed.
+    /// Confirmed changes.
     pub confirmed: usize,
-    /// Answers by which orders were refused.
+    /// Answers that rejected a change.
     pub refused: usize,
-    /// Answers that were not clear.
+    /// Attempts of unknown outcome.
     pub unclear: usize,
-    /// Times that an order was sent again after it had been confirmed, and was confirmed again.
+    /// Repeated confirmations of changes that had been confirmed before.
     pub confirmed_again: usize,
-    /// Longest time until a control node that came back knew all that was chosen by then, and versions that it had missed.
+    /// Longest catch-up of a returned control node, and the number of versions that it had missed.
     pub catch_up: (u64, u64),
-    /// Most versions that one had missed.
+    /// Maximum number of versions that one had missed.
     pub most_missed: u64,
-    /// Longest change of the set of storage machines.
+    /// Longest change of the set of storage nodes.
     pub longest_set_change: u64,
     /// Bytes of the longest record of an acceptor.
     pub record_bytes: usize,
     /// Bytes of the longest payload.
     pub payload_bytes: usize,
-    /// Machines that were kept from others.
+    /// The isolated machines.
     pub isolated: Vec<Isolated>,
 }
 
-/// An answer to an operator, or none.
+/// An operator's request and whether its answer was definite.
 struct Answer {
     machine: usize,
-    begun: u64,
+    started_at: u64,
     at: u64,
     clear: bool,
 }
 
 impl Measured {
-    /// Reads them.
+    /// Computes the measurements of a history.
     pub fn of(history: &History) -> Self {
         let mut measured = Self::default();
         let mut confirmed: BTreeMap<u64, usize> = BTreeMap::new();
@@ -89,7 +89,7 @@
         measured
     }
 
-    /// The worse of both, figure by figure; counts are added up.
+    /// Merges another run: the worse of both times and sizes, and the sums of counts.
     pub fn join(&mut self, other: Self) {
         self.settled_after = self.settled_after.max(other.settled_after);
         self.confirmed += other.confirmed;
@@ -107,11 +107,14 @@
 
 fn answers(history: &History) -> Vec<Answer> {
     let answer = |(at, fact): &(u64, Fact)| match fact {
-        Fact::Ordered { machine, begun, answer, .. } => {
-            Some(Answer { machine: *machine, begun: *begun, at: *at, clear: *answer != OrderAnswer::Unclear })
-        }
-        Fact::Read { machine, begun, clear } => {
-            Some(Answer { machine: *machine, begun: *begun, at: *at, clear: *clear })
+        Fact::Ordered { machine, started_at, answer, .. } => Some(Answer {
+            machine: *machine,
+            started_at: *started_at,
+            at: *at,
+            clear: *answer != OrderAnswer::Unclear,
+        }),
+        Fact::Read { machine, started_at, clear } => {
+            Some(Answer { machine: *machine, started_at: *started_at, at: *at, clear: *clear })
         }
         _ => None,
     };
@@ -124,13 +127,13 @@
     let measure = |since: u64, until: u64, machine: usize| {
         let others = answers.iter().filter(clear).filter(|answer| answer.machine != machine);
         let own = answers.iter().filter(clear).filter(|answer| answer.machine == machine);
-        let later = own.clone().filter(|answer| answer.begun >= until);
+        let later = own.clone().filter(|answer| answer.started_at >= until);
         Isolated {
             others_clear_after: others
-                .filter(|answer| answer.begun >= since)
+                .filter(|answer| answer.started_at >= since)
                 .map(|answer| answer.at - since)
                 .min(),
-            own_clear_answers: own.filter(|answer| answer.begun >= since && answer.at < until).count(),
+            own_clear_answers: own.filter(|answer| answer.started_at >= since && answer.at < until).count(),
             own_clear_after: later.map(|answer| answer.at - until).min(),
             longest_order: longest_order(history, since, until),
         }
@@ -146,8 +149,8 @@
     let mut first: BTreeMap<u64, u64> = BTreeMap::new();
     let mut longest = 0;
     for (at, fact) in history {
-        let Fact::Ordered { order, begun, answer, .. } = fact else { continue };
-        let sent = *first.entry(*order).or_insert(*begun);
+        let Fact::Ordered { order, started_at, answer, .. } = fact else { continue };
+        let sent = *first.entry(*order).or_insert(*started_at);
         if *answer != OrderAnswer::Unclear && (since..until).contains(&sent) {
             longest = longest.max(at - sent);
             // Only the first clear answer counts.
--- a/testbed/tests/system_rules.rs
+++ b/testbed/tests/system_rules.rs
@@ -1,4 +1,4 @@
-//! What the checker tells of orders and of times, on histories written by hand.
+//! The rules of changes and of time limits, checked on hand-written histories.
 
 use fleet_model::Ballot;
 use googletest::prelude::*;
@@ -20,8 +20,8 @@
     check(&history).into_iter().map(|broken| broken.rule).collect()
 }
 
-fn ordered(at: u64, begun: u64, order: u64, number: u64, on: u64, answer: OrderAnswer) -> (u64, Fact) {
-    (at, Fact::Ordered { order, number, on, machine: 1, begun, answer })
+fn ordered(at: u64, started_at: u64, order: u64, number: u64, on: u64, answer: OrderAnswer) -> (u64, Fact) {
+    (at, Fact::Ordered { order, number, on, machine: 1, started_at, answer })
 }
 
 fn in_force(at: u64, order: u64, number: u64) -> (u64, Fact) {
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn one_order_is_confirmed_under_a_number() {
+fn one_change_is_confirmed_under_a_version() {
     let facts = |second: OrderAnswer| {
         [
             in_force(5, 70, 7),
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn what_is_refused_is_never_in_force() {
+fn a_rejected_change_is_never_committed() {
     let other = OrderAnswer::OtherVersion(3);
     let refused = ordered(10, 0, 70, 7, 0, other);
     expect_that!(rules(&[in_force(1, 30, 3), refused.clone()]), is_empty());
@@ -73,9 +73,9 @@
 }
 
 #[gtest]
-fn who_reaches_nobody_gives_no_clear_answer() {
+fn a_partitioned_control_node_gives_no_definite_answer() {
     let cut = |from, to| (100, Fact::PathCut { from, to, until: 5_000 });
-    let read = |begun, at| (at, Fact::Read { machine: 1, begun, clear: true });
+    let read = |started_at, at| (at, Fact::Read { machine: 1, started_at, clear: true });
     let alone = [fleet(), cut(1, 0), cut(2, 1)];
     let with = |fact: (u64, Fact)| rules(&[alone.to_vec(), vec![fact]].concat());
     expect_that!(with(read(200, 300)), elements_are![eq(&Rule::Alone)]);
@@ -84,10 +84,11 @@
     expect_that!(rules(&[fleet(), cut(1, 0), read(200, 300)]), is_empty());
 }
 
-/// A fleet that has run since the beginning, whose proxy goes by a first configuration and list.
+/// A fleet that has run since the start, whose proxy has applied a first configuration and list.
 fn calm_fleet() -> Vec<(u64, Fact)> {
-    let begun = |node, machine| (10, Fact::Begun { node, life: 1, machine });
-    let processes = [begun(0, 0), begun(1, 1), begun(2, 2), begun(3, 3), begun(4, EDGE), begun(PROXY, EDGE)];
+    let started = |node, machine| (10, Fact::ProcessStarted { node, incarnation: 1, machine });
+    let processes =
+        [started(0, 0), started(1, 1), started(2, 2), started(3, 3), started(4, EDGE), started(PROXY, EDGE)];
     let mut facts = vec![fleet()];
     facts.extend(processes);
     facts.push(knows(500, 1, 1));
@@ -96,11 +97,11 @@
 
 fn knows(at: u64, version: u64, list: u64) -> (u64, Fact) {
     let ballot = Ballot { round: at, proposer: 1, incarnation: 1 };
-    (at, Fact::Knows { node: PROXY, life: 1, ballot, version, list })
+    (at, Fact::Knows { node: PROXY, incarnation: 1, ballot, version, list })
 }
 
 fn end(at: u64) -> (u64, Fact) {
-    (at, Fact::Settled { after: 0, lacks: Vec::new() })
+    (at, Fact::Settled { after: 0, unmet: Vec::new() })
 }
 
 fn with(facts: &[(u64, Fact)]) -> Vec<Rule> {
@@ -115,19 +116,19 @@
 }
 
 #[gtest]
-fn a_proxy_in_touch_goes_by_a_fresh_configuration() {
+fn a_connected_proxy_applies_a_fresh_configuration() {
     let change = [in_force(9_000, 2, 2), acknowledged(10_000, 2, 1)];
     let late = [change.to_vec(), vec![end(13_000)]].concat();
     expect_that!(with(&late), elements_are![eq(&Rule::Fresh)]);
     expect_that!(with(&[change.to_vec(), vec![end(12_000)]].concat()), is_empty());
     expect_that!(with(&[change.to_vec(), vec![knows(11_900, 2, 1), end(20_000)]].concat()), is_empty());
     // Not where it, or its path to the core, or most of the core was disturbed,
-    for trouble in [
+    for kind in [
         vec![disturbed(10_500, EDGE, 11_000)],
         vec![(10_500, Fact::PathCut { from: 0, to: EDGE, until: 11_000 })],
         vec![disturbed(10_500, 0, 14_000), disturbed(10_500, 1, 14_000)],
     ] {
-        expect_that!(with(&[late.clone(), trouble].concat()), is_empty());
+        expect_that!(with(&[late.clone(), kind].concat()), is_empty());
     }
     // later where one core machine was,
     let one = [change.to_vec(), vec![disturbed(10_500, 0, 11_000)]].concat();
@@ -139,7 +140,7 @@
 }
 
 #[gtest]
-fn a_proxy_in_touch_goes_by_a_fresh_list() {
+fn a_connected_proxy_applies_a_fresh_list() {
     let change = (10_000, Fact::Platform { list: 2 });
     expect_that!(with(&[change.clone(), end(12_900)]), is_empty());
     expect_that!(with(&[change.clone(), end(14_000)]), elements_are![eq(&Rule::Drain)]);
@@ -151,8 +152,8 @@
 }
 
 #[gtest]
-fn an_operator_has_a_clear_answer_in_time() {
-    let sent = |at, begun, answer| ordered(at, begun, 70, 7, 0, answer);
+fn an_operator_receives_a_definite_answer_in_time() {
+    let sent = |at, started_at, answer| ordered(at, started_at, 70, 7, 0, answer);
     let unclear = sent(10_900, 10_000, OrderAnswer::Unclear);
     let clear = |at| sent(at, at - 10, OrderAnswer::OtherVersion(1));
     let first = in_force(1, 1, 1);
@@ -163,7 +164,7 @@
 }
 
 #[gtest]
-fn who_comes_back_catches_up_in_time() {
+fn a_returned_control_node_catches_up_in_time() {
     let caught_up = |after| (20_000 + after, Fact::CaughtUp { node: 0, missed: 3, after });
     expect_that!(with(&[disturbed(10_000, 0, 20_000), caught_up(4_000)]), is_empty());
     expect_that!(with(&[disturbed(10_000, 0, 20_000), caught_up(4_500)]), elements_are![eq(&Rule::CatchUp)]);
