--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,19 +1,24 @@
 //! Several processes of the program that know one another: V1, V2, V4 and V6 of `docs/fleet.md` on sockets.
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
 /// Far longer than anything here takes: only a failure waits for it.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// An address that was free a moment ago, for datagrams and connections.
+/// An address for datagrams and connections that nothing else takes. Each has a loopback IP of its own: a port that was free a
+/// moment ago at 127.0.0.1 can be given to any connection or listener there before its sender binds it.
 fn free() -> SocketAddr {
+    static GIVEN: AtomicU32 = AtomicU32::new(0);
     loop {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let [.., high, low] = GIVEN.fetch_add(1, Ordering::Relaxed).to_be_bytes();
+        let network = 64 + (std::process::id() % 128) as u8;
+        let listener = TcpListener::bind((Ipv4Addr::new(127, network, high, low), 0)).unwrap();
         let address = listener.local_addr().unwrap();
         if UdpSocket::bind(address).is_ok() {
             return address;
