--- a/system/control-node/src/coordination/founding.rs
+++ b/system/control-node/src/coordination/founding.rs
@@ -50,11 +50,11 @@
         if members.len() <= voters.len() / 2 {
             return;
         }
-        let wanted = |state: &ControlState| {
+        let make_change = |state: &ControlState| {
             with_founders(state, &members)
                 .map_or(ProposedChange::Keep, |state| ProposedChange::State(Box::new(state)))
         };
-        self.change(FOUNDING_TIMEOUT, wanted).await;
+        self.change(FOUNDING_TIMEOUT, make_change).await;
     }
 
     async fn locate_member(self: &Rc<Self>, ip: Ipv4Addr) -> Option<LogMember> {
--- a/system/control-node/src/coordination/leader.rs
+++ b/system/control-node/src/coordination/leader.rs
@@ -73,9 +73,9 @@
     }
 
     /// Ends a leadership of this node before its process ends, and begins no other.
-    pub async fn resign(self: &Rc<Self>, within: Duration) {
+    pub async fn resign(self: &Rc<Self>, max_wait: Duration) {
         self.coordination.is_shutting_down.set(true);
-        let deadline = self.runtime.now() + within;
+        let deadline = self.runtime.now() + max_wait;
         while let Some(leadership) = self.coordination.leadership()
             && self.runtime.now() < deadline
         {
--- a/system/control-node/src/durable_acceptor.rs
+++ b/system/control-node/src/durable_acceptor.rs
@@ -1,21 +1,22 @@
 //! An acceptor whose votes count only once they are on disk, as section 2.4 of *Paxos Made Simple* requires: stable storage is
 //! written before the reply is sent.
 //!
-//! It has two states: the newest one, which votes change, and the synced one, which the disk is known to have. The reply to a
-//! vote may be sent once the write that contains it is synced. Reads are answered from the synced state, as if they had
-//! arrived before the votes whose writes are in flight, whose replies have not been sent either. So no read waits for the
+//! The acceptor keeps two states: the newest one, which votes change, and the synced one, which is known to be on disk. The reply
+//! to a vote may be sent once the write that contains the vote is synced. Reads are answered from the synced state, as if they
+//! had arrived before the votes whose writes are in flight and whose replies have not been sent. So reads never wait for the
 //! disk.
 //!
-//! When a write fails and no later one is in flight, the newest state reverts to the synced one: a promise without a reply was
-//! never made. Each write contains the complete record, so a later one supersedes those before it. Writes are to be done one
-//! after another in their order, and one may be omitted if a later one is written instead.
+//! When a write fails and no later one is in flight, the newest state reverts to the synced one: no peer has seen the votes that
+//! are dropped, because their replies were not sent. Each write contains the complete record, so a later write supersedes the
+//! earlier ones. The caller must perform writes one at a time in order, and may skip a write if it performs a later one
+//! instead.
 
 use config_register::{Acceptor, AcceptorRecord, AcceptorResponse};
 use fleet_model::{AcceptedValue, Ballot, RegisterReply, RegisterRequest};
 use std::collections::BTreeMap;
 
-/// Identifies a write. Writes of one generation build on one another; a new generation begins after a reversion to the synced
-/// state.
+/// Identifies a write. Each write of a generation contains the votes of the earlier ones; a new generation starts when the state
+/// reverts to the synced one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WriteNumber {
     generation: u64,
@@ -25,40 +26,40 @@
 /// The state of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It is on disk.
+    /// The write, or a later one of its generation, is on disk.
     Synced,
-    /// It is in flight.
+    /// The write has not completed yet.
     Pending,
-    /// It failed.
+    /// The write failed. It becomes `Synced` if a later write of its generation succeeds.
     Failed,
 }
 
 /// Whether the disk accepts writes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskState {
-    /// Whether the write that completed last has failed.
+    /// Whether the most recently completed write failed.
     pub is_refusing: bool,
     /// Number of failed writes in this incarnation.
     pub refusals: u64,
 }
 
-/// A write to begin.
+/// A write for the caller to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingWrite {
-    /// Its identifier.
+    /// Identifies the write in [`DurableAcceptor::on_write_completed`].
     pub number: WriteNumber,
-    /// The record to write.
+    /// The acceptor's complete record.
     pub record: AcceptorRecord,
 }
 
 /// A reply, and the write after which it may be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingReply {
-    /// The reply.
+    /// The reply, which must not be sent before the write in `after` is synced.
     pub reply: RegisterReply,
-    /// The write that must be synced before the reply is sent; it may be sent at once if there is none.
+    /// The write that must be synced before the reply is sent; without one the reply may be sent immediately.
     pub after: Option<WriteNumber>,
-    /// A write to begin in any case.
+    /// A write that the caller must start, whether or not the reply depends on it.
     pub write: Option<PendingWrite>,
 }
 
@@ -77,7 +78,8 @@
 }
 
 impl DurableAcceptor {
-    /// An acceptor with the record on disk. Without one it does not vote until [`DurableAcceptor::recover`] has written one.
+    /// Creates an acceptor from the record on disk. Without a record, it does not vote until the record from
+    /// [`DurableAcceptor::recover`] is synced.
     pub fn new(record: Option<AcceptorRecord>) -> Self {
         let acceptor = record.map_or_else(Acceptor::recovering, Acceptor::new);
         Self {
@@ -91,17 +93,17 @@
         }
     }
 
-    /// Whether it has a record on disk, so that it may vote.
+    /// Whether the acceptor has a record on disk and may vote.
     pub fn has_record(&self) -> bool {
         self.synced.record().is_some()
     }
 
-    /// The value accepted last, even if it is not on disk yet.
+    /// The value accepted last, even if it is not synced yet.
     pub fn accepted(&self) -> Option<&AcceptedValue> {
         self.newest.record()?.accepted.as_ref()
     }
 
-    /// The record on disk.
+    /// The record on disk; `None` while the acceptor is recovering.
     pub fn synced_record(&self) -> Option<&AcceptorRecord> {
         self.synced.record()
     }
@@ -111,18 +113,18 @@
         self.newest.record()
     }
 
-    /// Whether the disk accepts writes.
+    /// The result of the most recent write, and the number of failures.
     pub fn disk(&self) -> DiskState {
         self.disk
     }
 
-    /// Notes that a value is chosen. That need not be synced.
+    /// Records that a value is chosen. This need not be synced.
     pub fn learn_value(&mut self, chosen: &AcceptedValue) {
         self.newest.learn_value(chosen);
         self.synced.learn_value(chosen);
     }
 
-    /// Handles a request.
+    /// Handles a request. The caller starts the write of the result, and sends the reply once the write in `after` is synced.
     pub fn handle(&mut self, request: &RegisterRequest) -> PendingReply {
         match request {
             RegisterRequest::Prepare(_) | RegisterRequest::Accept(_) => self.vote(request),
@@ -135,44 +137,45 @@
     }
 
     fn vote(&mut self, request: &RegisterRequest) -> PendingReply {
-        let AcceptorResponse { reply, record_changed: changed } = self.newest.handle(request);
-        let write = if changed { self.write_newest() } else { None };
-        // The promise or value in a reply is synced before the reply is sent, whichever request caused the write.
+        let AcceptorResponse { reply, record_changed: is_changed } = self.newest.handle(request);
+        let write = if is_changed { self.write_newest() } else { None };
+        // The reply waits for the newest write even if another request caused it, because it reveals that write's promise or
+        // value.
         let after = (self.outcome(self.newest_write) != WriteOutcome::Synced).then_some(self.newest_write);
         PendingReply { reply, after, write }
     }
 
-    /// The fact that a value is chosen is written eventually; the reply does not wait for it.
+    /// A newly learned chosen ballot is written, but the reply does not wait for the write.
     fn poll(&mut self, chosen: Ballot) -> PendingReply {
-        let newest_changed = self.newest.learn_chosen(chosen);
-        let AcceptorResponse { reply, record_changed: synced_changed } =
+        let is_newest_changed = self.newest.learn_chosen(chosen);
+        let AcceptorResponse { reply, record_changed: is_synced_changed } =
             self.synced.handle(&RegisterRequest::Poll { chosen });
-        let write = if newest_changed || synced_changed { self.write_newest() } else { None };
+        let write = if is_newest_changed || is_synced_changed { self.write_newest() } else { None };
         PendingReply { reply, after: None, write }
     }
 
-    /// A write of the newest record, if there is one, to find out whether the disk accepts it.
+    /// Returns a write of the newest record; `None` without a record. Also used to find out whether the disk has recovered.
     pub fn write_newest(&mut self) -> Option<PendingWrite> {
         let record = self.newest.record()?.clone();
-        let write = self.begin(record);
+        let write = self.start_write(record);
         self.newest_write = write.number;
         Some(write)
     }
 
-    /// A write of a record for an acceptor without one, which may vote once it is synced.
+    /// Returns a write of a record for an acceptor without one. The acceptor may vote once the write is synced.
     pub fn recover(&mut self, record: AcceptorRecord) -> PendingWrite {
-        self.begin(record)
+        self.start_write(record)
     }
 
-    fn begin(&mut self, record: AcceptorRecord) -> PendingWrite {
+    fn start_write(&mut self, record: AcceptorRecord) -> PendingWrite {
         self.last_write.number += 1;
         let number = self.last_write;
         self.in_flight.insert(number, record.clone());
         PendingWrite { number, record }
     }
 
-    /// Notes that a write has completed, and with it the earlier ones that it supersedes. Returns whether the disk began or ceased
-    /// to refuse writes.
+    /// Records that a write has completed, which also completes the earlier writes that it supersedes. Returns whether the disk
+    /// has started or stopped failing.
     pub fn on_write_completed(&mut self, number: WriteNumber, succeeded: bool) -> bool {
         let Some(record) = self.in_flight.remove(&number) else { return false };
         self.in_flight.retain(|other, _| *other > number);
@@ -206,7 +209,7 @@
         self.last_write = WriteNumber { generation: self.last_write.generation + 1, number: 0 };
     }
 
-    /// The state of a write. One that was synced before a reversion to the synced state may be reported as failed.
+    /// The state of a write. A write that was synced in an earlier generation may be reported as failed.
     pub fn outcome(&self, number: WriteNumber) -> WriteOutcome {
         let is_synced =
             number.generation == self.synced_write.generation && number.number <= self.synced_write.number;
--- a/system/control-node/src/endpoint_discovery.rs
+++ b/system/control-node/src/endpoint_discovery.rs
@@ -1,5 +1,5 @@
-//! The singleton task of endpoint discovery: the holder of its lease reads the platform's endpoint list, all others follow the
-//! holder's list. Who may acquire the lease is decided in [`controllers::LeaseCandidate`].
+//! The singleton task of endpoint discovery: the lease holder reads the platform's endpoint list, and all other nodes follow the
+//! holder's list. [`controllers::LeaseCandidate`] decides which node may acquire the lease.
 
 use crate::membership::CHANGE_TIMEOUT;
 use crate::{ControlBackend, ControlEvent, ControlNode, ENDPOINT_DISCOVERY_TASK};
@@ -10,15 +10,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long after its start a node waits before it acquires a lease: before, it does not know which voters are alive.
+/// Delay after the start of a node before it may acquire a lease: until then it does not know which voters are alive.
 const LIVENESS_DISCOVERY_DELAY: Duration = Duration::from_millis(300);
-/// Interval between checks whether the state is fresh, if no poll completes before.
+/// Maximum interval between checks whether the state is fresh; a completed poll triggers a check earlier.
 const FRESHNESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval between checks which node holds the lease, to follow its list.
+/// Delay before the lease holder is looked up again, to follow its endpoint list.
 const FOLLOW_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// The node that holds the lease of the singleton task.
+    /// The holder of the lease of [`ENDPOINT_DISCOVERY_TASK`].
     fn lease_holder(&self) -> Option<Ipv4Addr> {
         self.feed.state().leases.get(ENDPOINT_DISCOVERY_TASK).and_then(|lease| lease.holder)
     }
@@ -27,14 +27,19 @@
     async fn acquire_lease(&self) {
         let value = self.feed.value();
         let previous: Option<Lease> = {
-            let core = self.voter_controller.borrow();
+            let voter_controller = self.voter_controller.borrow();
             let now = self.runtime.now_ms();
-            self.candidate.borrow_mut().lease_to_acquire(now, &self.feed.state(), &value.voters, &core)
+            self.candidate.borrow_mut().lease_to_acquire(
+                now,
+                &self.feed.state(),
+                &value.voters,
+                &voter_controller,
+            )
         };
         let Some(previous) = previous else { return };
-        let wanted =
+        let make_change =
             |state: &ControlState| self.backend.acquire(&self.candidate.borrow(), state, &previous).into();
-        if self.change(CHANGE_TIMEOUT, wanted).await {
+        if self.change(CHANGE_TIMEOUT, make_change).await {
             let token = self.candidate.borrow_mut().change_committed(&self.feed.state(), &previous);
             if let Some(token) = token {
                 self.backend.on_event(&ControlEvent::LeaseAcquired { task: ENDPOINT_DISCOVERY_TASK, token });
@@ -42,8 +47,8 @@
         }
     }
 
-    /// Reads the endpoint list while this node holds the lease and a majority confirms its state; tries to acquire the lease
-    /// otherwise.
+    /// Reads the endpoint list while this node holds the lease and a majority confirms its state; otherwise tries to acquire the
+    /// lease.
     pub(crate) async fn run_endpoint_discovery(self: Rc<Self>) {
         if !self.backend.discovers_endpoints() {
             return;
@@ -51,11 +56,13 @@
         let mut polls = DiscoveryPolls::default();
         let started_at = self.runtime.now();
         loop {
-            // It is not known at once which nodes are alive. A node that held the lease in its former incarnation need not know.
-            let knows_live_nodes = self.lease_holder() == Some(self.me)
+            // After a start the node does not know yet which voters are alive. It need not know that if its previous incarnation
+            // held the lease.
+            let is_liveness_known = self.lease_holder() == Some(self.me)
                 || self.runtime.now() - started_at >= LIVENESS_DISCOVERY_DELAY;
-            if !self.is_fresh() || !knows_live_nodes {
-                let _ = timeout(&self.runtime, FRESHNESS_CHECK_INTERVAL, self.polled.notified()).await;
+            if !self.is_fresh() || !is_liveness_known {
+                let _ =
+                    timeout(&self.runtime, FRESHNESS_CHECK_INTERVAL, self.poll_completed.notified()).await;
                 continue;
             }
             let Some(token) = self.discovery_token() else {
@@ -76,7 +83,8 @@
 
     async fn poll_endpoints(&self, polls: &mut DiscoveryPolls, requested_at: u64, token: u64) {
         match self.backend.discover_endpoints().await {
-            // The lease may have passed to another node since: the list then carries an old token, and is superseded.
+            // Another node may have acquired the lease meanwhile. The list then has an outdated token, and the list of the new
+            // holder supersedes it.
             Ok(endpoints) => {
                 let now = self.runtime.now_ms();
                 if let Some(list) = polls.accept_poll(now, requested_at, token, &self.feed.list(), endpoints)
--- a/system/control-node/src/event.rs
+++ b/system/control-node/src/event.rs
@@ -1,4 +1,4 @@
-//! Events that a control node reports to its host, and their log lines.
+//! Events that a control node reports to its host, and their log messages.
 
 use config_register::AcceptorRecord;
 use controllers::LossTolerance;
@@ -6,27 +6,27 @@
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// How many losses of storage nodes are to be tolerated, and how many are.
+/// The number of storage node losses that are configured to be tolerated, and the number that can be tolerated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StorageLosses {
-    /// From the settings.
+    /// The number of losses to tolerate, from the program's settings.
     pub configured: usize,
-    /// With the current members.
+    /// The losses that the current members can tolerate.
     pub tolerated: LossTolerance,
 }
 
-/// A change of a control node's state. Its `Display` form is a log line.
+/// An event at a control node. Its `Display` form is the log message.
 #[derive(Debug)]
 pub enum ControlEvent<'a> {
-    /// A value is known to be chosen; it may have been known before.
+    /// A value is known to be chosen. The event may repeat for the same value.
     Chosen(&'a AcceptedValue),
     /// The node has adopted a newer value.
     Adopted {
-        /// The value.
+        /// The adopted value, with its ballot and voters.
         value: &'a ChosenValue,
         /// The state decoded from it.
         state: &'a ControlState,
-        /// The previous state.
+        /// The state before the adoption.
         before: &'a ControlState,
         /// Whether the configuration or the voters differ from the previous ones.
         is_changed: bool,
@@ -35,7 +35,7 @@
     Unreadable(&'a str),
     /// This incarnation of the node has acquired the lease of a singleton task.
     LeaseAcquired {
-        /// The task.
+        /// The name of the task's lease in the register.
         task: &'static str,
         /// The lease's fencing token.
         token: u64,
@@ -44,7 +44,7 @@
     DiscoveryFailed(&'a str),
     /// An unresponsive storage node is about to be removed from the members.
     EvictingStorageNode {
-        /// The storage node.
+        /// The node that is removed, as listed in the roster.
         node: &'a StorageNode,
         /// How long it has been unresponsive, in milliseconds.
         unresponsive_ms: u64,
@@ -53,21 +53,21 @@
     StorageLosses(StorageLosses),
     /// An unresponsive voter is about to be removed.
     RemovingVoter {
-        /// The voter.
+        /// The address of the voter that is removed.
         voter: Ipv4Addr,
         /// How long it has been unresponsive, in milliseconds.
         unresponsive_ms: u64,
     },
-    /// A replica that had lost its state may vote again.
+    /// The node has recovered its lost record from its peers and may vote again.
     Recovered(&'a AcceptorRecord),
-    /// This node leads the log of the coordination service.
+    /// This node has become the leader of the coordination log.
     LeadsCoordination {
-        /// Its ballot.
+        /// The ballot under which it leads.
         ballot: Ballot,
     },
-    /// The disk has begun to refuse writes: the node does not vote.
+    /// Writes of the acceptor's record have begun to fail: the node does not vote.
     DiskRefuses(&'a str),
-    /// The disk accepts writes again: the node votes.
+    /// Writes of the acceptor's record succeed again: the node votes.
     DiskAccepts,
 }
 
--- a/system/control-node/src/failure_detection.rs
+++ b/system/control-node/src/failure_detection.rs
@@ -1,5 +1,5 @@
-//! Failure detection: every control node probes the storage nodes and observes the voters, so that whichever acquires the lease
-//! can act at once; the holder of the lease removes those that do not respond. What is to be done is decided in
+//! Failure detection: every control node probes the storage nodes and tracks the voters, so that a node that acquires the lease
+//! can act immediately; only the lease holder removes unresponsive nodes. The decisions are made in
 //! [`controllers::StorageController`] and [`VoterController`].
 
 use crate::membership::CHANGE_TIMEOUT;
@@ -13,14 +13,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long to wait for a storage node's reply to a probe.
+/// Timeout of a probe of a storage node.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Probes the storage nodes and observes the voters; removes unresponsive ones while this node holds the lease.
+    /// Probes the storage nodes and tracks the voters; removes unresponsive nodes while this node holds the lease.
     pub(crate) async fn run_failure_detection(self: Rc<Self>) {
         loop {
-            self.observe();
+            self.update_controllers();
             if self.storage_nodes.borrow().is_probe_due(self.runtime.now_ms()) {
                 self.probe_storage_nodes().await;
                 if self.is_fresh()
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Updates the controllers with the current voters and storage nodes.
-    fn observe(&self) {
+    /// Updates the controllers with the current voters and storage nodes, and reports a change of the loss tolerance.
+    fn update_controllers(&self) {
         let now = self.runtime.now_ms();
         self.voter_controller.borrow_mut().observe(now, &self.feed.value().voters);
         let state = self.feed.state();
@@ -54,12 +54,12 @@
     async fn probe_storage_nodes(&self) {
         let state = self.feed.state();
         let roster = &state.roster;
-        let mut members = roster.current.clone();
+        let mut probed_nodes = roster.current.clone();
         let proposed =
             controllers::proposed_nodes(roster).iter().filter(|node| !roster.current.contains(node));
-        members.extend(proposed.cloned());
+        probed_nodes.extend(proposed.cloned());
         self.storage_nodes.borrow_mut().begin_probe_round(self.runtime.now_ms());
-        join_all(members.iter().map(|node| self.probe(node))).await;
+        join_all(probed_nodes.iter().map(|node| self.probe(node))).await;
     }
 
     async fn probe(&self, node: &StorageNode) {
@@ -74,13 +74,14 @@
     }
 
     async fn update_storage_nodes(&self, token: u64) {
-        self.observe();
+        self.update_controllers();
         let state = self.feed.state();
         let epoch = state.roster.epoch;
         let min_storage_nodes = self.min_storage_nodes();
         let step = self.storage_nodes.borrow().step(self.runtime.now_ms(), &state, self.backend.tolerance());
-        // A holder that was suspended may have lost the lease to a node with newer observations.
-        let still_holds = |state: &ControlState| holds_lease(state, ENDPOINT_DISCOVERY_TASK, self.me, token);
+        // A holder whose process was suspended may have lost the lease to a node with newer observations.
+        let still_holds_lease =
+            |state: &ControlState| holds_lease(state, ENDPOINT_DISCOVERY_TASK, self.me, token);
         if let RosterStep::RemoveNode { store, unresponsive_ms, .. } = &step {
             self.backend.on_event(&ControlEvent::EvictingStorageNode {
                 node: store,
@@ -88,7 +89,7 @@
             });
         }
         if step != RosterStep::NoChange {
-            let change = |state: &ControlState| match still_holds(state) {
+            let change = |state: &ControlState| match still_holds_lease(state) {
                 true => step.apply_to(state, epoch, min_storage_nodes).into(),
                 false => ProposedChange::Keep,
             };
--- a/system/control-node/src/lib.rs
+++ b/system/control-node/src/lib.rs
@@ -1,10 +1,11 @@
 //! A control node: an acceptor, proposer and learner of the replicated register, with the services built on it. It answers other
 //! proposers, makes the changes that operators and storage nodes request, confirms by quorum reads that its state is current,
-//! feeds agents, and runs the singleton tasks while it holds their lease.
+//! publishes the state to agents, and runs the singleton tasks while it holds their lease.
 //!
-//! The decisions are made in `config-register` and `controllers`; here they are carried out, over [`node_runtime::Runtime`] and
-//! [`ControlBackend`]. The program in service and the simulation run the same code. Nothing here does I/O, reads a clock or
-//! draws random numbers by itself. The page is `docs/control-safety.md`.
+//! The decision logic is in `config-register` and `controllers`; this crate executes the decisions through
+//! [`node_runtime::Runtime`] and [`ControlBackend`]. The production program and the simulation run the same code: nothing in
+//! this crate performs I/O, reads a clock or generates random numbers directly. The safety argument is in
+//! `docs/control-safety.md`.
 
 mod coordination;
 mod durable_acceptor;
@@ -37,11 +38,11 @@
 use replicated_log::JournalWrite;
 use std::time::Duration;
 
-/// The singleton task whose lease holder reads the platform's endpoint list and removes unresponsive nodes. The name is stored in
-/// the register.
+/// Lease name of the singleton task that reads the platform's endpoint list and removes unresponsive nodes. The name is stored
+/// in the register.
 pub const ENDPOINT_DISCOVERY_TASK: &str = "list";
 
-/// The disk refused a write. Whether the disk has the record or not is unknown.
+/// A disk write failed. Whether the record reached the disk is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct PersistError(pub String);
@@ -51,29 +52,29 @@
 #[error("{0}")]
 pub struct DiscoveryError(pub String);
 
-/// What a control node needs from its host besides a [`node_runtime::Runtime`].
+/// The services that a host provides to its control node, in addition to a [`node_runtime::Runtime`].
 #[allow(async_fn_in_trait, reason = "the futures run on one thread and need not be `Send`")]
 pub trait ControlBackend: 'static {
-    /// The number of nodes whose simultaneous loss must be tolerated, from the settings.
+    /// The number of nodes whose simultaneous loss must be tolerated, from the program's settings.
     fn tolerance(&self) -> usize;
 
-    /// Writes the acceptor's complete record; it is synced when this returns. Calls do not overlap. After an error it is called
-    /// again later; the later write then replaces the failed one, also after a restart.
+    /// Writes the acceptor's complete record and syncs it before returning. Calls do not overlap. After an error, a later call
+    /// writes a newer record, which must replace the failed one, even across a restart.
     ///
     /// # Errors
     ///
-    /// If the disk refused the write.
+    /// If the write or the sync failed.
     async fn persist(&self, record: &AcceptorRecord) -> Result<(), PersistError>;
 
-    /// Writes to the journal of the coordination service's replica; the write is synced when this returns. Calls do not overlap.
-    /// After an error the next write is a checkpoint.
+    /// Writes to the journal of the coordination log's replica and syncs it before returning. Calls do not overlap. After an
+    /// error the next write is a checkpoint.
     ///
     /// # Errors
     ///
-    /// If the disk refused the write.
+    /// If the write or the sync failed.
     async fn write_journal(&self, write: JournalWrite) -> Result<(), PersistError>;
 
-    /// For how long events of watched keys are retained, from the settings.
+    /// How long events of watched keys are retained, from the program's settings.
     fn history(&self) -> Duration;
 
     /// Whether the settings name a platform from which to read endpoints.
@@ -86,11 +87,11 @@
     /// If the list could not be read.
     async fn discover_endpoints(&self) -> Result<Vec<Endpoint>, DiscoveryError>;
 
-    /// Called on each change of state.
+    /// Reports an event, for the host to log or to check.
     fn on_event(&self, event: &ControlEvent<'_>);
 
-    /// The state in which this node holds a lease, if the lease is still as in `from`. Overridden only by a simulation that
-    /// breaks the fencing on purpose.
+    /// The state in which this node holds a lease; `None` if the lease no longer equals `from`. Overridden only by a simulation
+    /// that disables fencing deliberately.
     fn acquire(
         &self,
         candidate: &LeaseCandidate,
--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -1,4 +1,4 @@
-//! Membership changes that nodes request: a control node joins the voters, a storage node joins or has completed its backfill.
+//! Membership changes requested by nodes: a control node joins the voters, a storage node joins or has completed its backfill.
 
 use crate::proposer::ProposedChange;
 use crate::{ControlBackend, ControlNode};
@@ -8,7 +8,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// How long to try to make a change of the members.
+/// Deadline for committing a membership change.
 pub(crate) const CHANGE_TIMEOUT: Duration = Duration::from_millis(600);
 
 fn answer(succeeded: bool) -> Answer {
@@ -26,11 +26,11 @@
         if self.feed.value().voters.contains(&ip) {
             return Answer::Done;
         }
-        let wanted = |_: &ControlState, voters: &[Ipv4Addr]| match voters.contains(&ip) {
+        let make_change = |_: &ControlState, voters: &[Ipv4Addr]| match voters.contains(&ip) {
             true => ProposedChange::Keep,
             false => ProposedChange::Voters(voters.iter().copied().chain([ip]).collect()),
         };
-        answer(self.propose(CHANGE_TIMEOUT, wanted).await)
+        answer(self.propose(CHANGE_TIMEOUT, make_change).await)
     }
 
     pub(crate) async fn join_storage(&self, node: StorageNode, is_founder: bool) -> Answer {
@@ -49,7 +49,7 @@
         answer(self.change(CHANGE_TIMEOUT, |state| join(state, &node, min_storage_nodes).into()).await)
     }
 
-    pub(crate) async fn complete_backfill_of(&self, disk: u64, epoch: u64) -> Answer {
+    pub(crate) async fn complete_node_backfill(&self, disk: u64, epoch: u64) -> Answer {
         self.storage_nodes.borrow_mut().record_response(self.runtime.now_ms(), disk);
         let min_storage_nodes = self.min_storage_nodes();
         answer(
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: its state, and its answers to peers.
+//! The control node's state and its replies to peers.
 
 use crate::coordination::CoordinationService;
 use crate::orders::OrderQueue;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio::sync::{Mutex, Notify};
 
-/// Interval between checks whether a quorum read has confirmed the state.
+/// Delay before another quorum read is requested, if the last one did not confirm the state.
 const CONFIRM_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The durable state with which a replica of the register starts.
@@ -29,12 +29,12 @@
     Existing(AcceptorRecord),
     /// The node has never voted; this record is written before it does.
     New(AcceptorRecord),
-    /// The record was lost, so the node may have voted: it does not vote before it has recovered from its peers.
+    /// The record was lost. The node may have voted, so it must not vote before it has recovered its record from its peers.
     Recovering,
 }
 
 impl InitialState {
-    /// The state of a node that has never voted: a seed founds the register, any other node starts empty.
+    /// The state of a node that has never voted. A seed starts with the register's initial value, any other node starts empty.
     pub fn never_voted(me: Ipv4Addr, seeds: &[Ipv4Addr]) -> Self {
         if seeds.contains(&me) {
             return Self::New(config_register::founding_record(seeds.to_vec()));
@@ -55,7 +55,7 @@
     }
 }
 
-/// The number of ballots that this node has started, and of those that were lost.
+/// The number of ballots that this incarnation of the node has started, and of those that were lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoundCounts {
     /// Ballots started.
@@ -64,48 +64,47 @@
     pub lost: u64,
 }
 
-/// A control node, in one incarnation of its process.
+/// A control node in one incarnation of its process.
 pub struct ControlNode<R: Runtime, B> {
     pub(crate) runtime: R,
     pub(crate) backend: Rc<B>,
     pub(crate) me: Ipv4Addr,
-    /// The state that the node knows and feeds to its subscribers.
+    /// The newest state that the node knows; published to its subscribers.
     pub feed: Rc<Feed<R>>,
     pub(crate) replica: Rc<Replica<R, B>>,
-    /// The record to write before the first vote of a new node.
-    pub(crate) founding: RefCell<Option<AcceptorRecord>>,
-    /// Observes the voters.
+    /// The record that a new node writes before its first vote; `None` once it is written.
+    pub(crate) initial_record: RefCell<Option<AcceptorRecord>>,
+    /// Tracks which voters respond.
     pub(crate) voter_controller: RefCell<VoterController>,
-    /// Known control nodes, voters or not.
+    /// All known control nodes, whether or not they are voters.
     pub(crate) known_core_nodes: RefCell<BTreeSet<Ipv4Addr>>,
     /// The newest value known to be chosen, with its voters' epoch.
-    pub(crate) known: RefCell<Option<RegisterValue>>,
-    /// The ballots of this incarnation.
+    pub(crate) known_value: RefCell<Option<RegisterValue>>,
     pub(crate) ballots: RefCell<BallotSource>,
     /// This incarnation's candidacy for the lease of the singleton task.
     pub(crate) candidate: RefCell<LeaseCandidate>,
-    /// Held during a proposal: one at a time.
-    pub(crate) proposing: Mutex<()>,
-    /// Operators' orders that wait for a ballot of this node.
+    /// Held during a proposal: this node runs one ballot at a time.
+    pub(crate) proposal_lock: Mutex<()>,
+    /// Operators' orders that are waiting for a ballot of this node.
     pub(crate) orders: OrderQueue,
-    /// Decides to which node orders are forwarded.
+    /// Selects the node to which orders are forwarded.
     pub(crate) proposers: RefCell<ProposerSelection>,
-    /// When the next ballot may start.
+    /// Decides when the next ballot may start.
     pub(crate) backoff: RefCell<ProposerBackoff>,
     pub(crate) rounds: Cell<RoundCounts>,
-    /// Requests a poll.
-    pub(crate) poll_now: Notify,
-    /// Notified when a poll has ended.
-    pub(crate) polled: Notify,
-    /// Observes the storage nodes.
+    /// Notified to start a poll immediately.
+    pub(crate) poll_requested: Notify,
+    /// Notified when a poll has ended, whatever its outcome.
+    pub(crate) poll_completed: Notify,
+    /// Tracks which storage nodes respond, and decides on changes of their membership.
     pub(crate) storage_nodes: RefCell<StorageController>,
-    /// Locks, numbers and keys of applications.
+    /// Locks, counters and watched keys of applications.
     pub(crate) coordination: CoordinationService,
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Creates a node; it is inactive until [`ControlNode::run`]. `ballots` must be new in this incarnation of the process;
-    /// `journal` is that of the coordination service's replica.
+    /// Creates a node, which is inactive until [`ControlNode::run`]. `ballots` must not have been used by an earlier incarnation
+    /// of the process; `journal` is that of the coordination log's replica.
     pub fn new(
         runtime: R,
         backend: B,
@@ -116,13 +115,13 @@
     ) -> Rc<Self> {
         let (me, backend) = (runtime.ip(), Rc::new(backend));
         let record = initial_state.record().cloned();
-        let known = record.as_ref().and_then(|record| record.chosen_voters.clone());
-        let known_core_nodes = known.iter().flat_map(|known| known.voters.clone());
+        let known_value = record.as_ref().and_then(|record| record.chosen_voters.clone());
+        let known_core_nodes = known_value.iter().flat_map(|known| known.voters.clone());
         let known_core_nodes = known_core_nodes.chain(runtime.seeds()).chain([me]).collect();
         if let Some(record) = &record {
             ballots.observe(record.promised);
         }
-        let (existing, founding) = match initial_state {
+        let (existing, initial_record) = match initial_state {
             InitialState::Existing(record) => (Some(record), None),
             InitialState::New(record) => (None, Some(record)),
             InitialState::Recovering => (None, None),
@@ -133,19 +132,19 @@
             me,
             feed,
             replica: Replica::new(runtime.clone(), backend.clone(), existing),
-            founding: RefCell::new(founding),
+            initial_record: RefCell::new(initial_record),
             voter_controller: RefCell::new(VoterController::new(me)),
             known_core_nodes: RefCell::new(known_core_nodes),
-            known: RefCell::new(known),
+            known_value: RefCell::new(known_value),
             ballots: RefCell::new(ballots),
             candidate: RefCell::new(LeaseCandidate::new(ENDPOINT_DISCOVERY_TASK, me)),
-            proposing: Mutex::new(()),
+            proposal_lock: Mutex::new(()),
             orders: OrderQueue::default(),
             proposers: RefCell::default(),
             backoff: RefCell::default(),
             rounds: Cell::default(),
-            poll_now: Notify::new(),
-            polled: Notify::new(),
+            poll_requested: Notify::new(),
+            poll_completed: Notify::new(),
             storage_nodes: RefCell::default(),
             coordination,
             runtime,
@@ -164,7 +163,7 @@
         self.runtime.spawn(self.clone().run_election());
     }
 
-    /// Answers a call of a peer; `subscriber` is the call's connection, if it can receive pushes.
+    /// Answers a call from a peer; `subscriber` is the call's connection, if it can receive pushes.
     pub async fn answer(
         self: &Rc<Self>,
         from: Ipv4Addr,
@@ -182,7 +181,7 @@
             (Call::JoinCore { ip }, _) => self.join_core(ip).await,
             (Call::JoinStorage { store, is_founder }, _) => self.join_storage(store, is_founder).await,
             (Call::Order(order), _) => self.answer_order(order).await,
-            (Call::InSync { disk, epoch }, _) => self.complete_backfill_of(disk, epoch).await,
+            (Call::InSync { disk, epoch }, _) => self.complete_node_backfill(disk, epoch).await,
             (Call::Coordination(call), _) => {
                 self.answer_coordination(from, call).await.map_or(Answer::NotReady, Answer::Coordination)
             }
@@ -190,27 +189,27 @@
         }
     }
 
-    /// Notes another control node, learned for example from the membership.
+    /// Adds a control node that was learned by other means than the register, for example from the fleet's membership.
     pub fn add_known_core_node(&self, node: Ipv4Addr) {
         self.known_core_nodes.borrow_mut().insert(node);
     }
 
-    /// The number of known control nodes, voters or not.
+    /// The number of known control nodes, including those that are not voters.
     pub fn known_core_nodes(&self) -> usize {
         self.known_core_nodes.borrow().len()
     }
 
-    /// Whether the node has a record, so that it may vote; one that lost it is recovering.
+    /// Whether the node has a record on disk and may vote. A node without a record is still recovering.
     pub fn can_vote(&self) -> bool {
         self.replica.has_record()
     }
 
-    /// Whether the disk accepts writes; while it refuses them, the node does not vote.
+    /// Whether the disk accepts writes. While writes fail, the node does not vote.
     pub fn disk(&self) -> DiskState {
         self.replica.disk()
     }
 
-    /// The number of storage node losses to tolerate, and the number that can be tolerated.
+    /// The number of storage node losses to tolerate, and the number that the current members can tolerate.
     pub fn storage_losses(&self) -> StorageLosses {
         let configured = self.backend.tolerance();
         StorageLosses {
@@ -219,17 +218,17 @@
         }
     }
 
-    /// The ballots of this node so far.
+    /// Counts of this incarnation's ballots.
     pub fn rounds(&self) -> RoundCounts {
         self.rounds.get()
     }
 
-    /// Whether a majority has recently confirmed the state of this node.
+    /// Whether a majority has confirmed this node's state within [`MAX_STATE_AGE`].
     pub fn is_fresh(&self) -> bool {
         self.feed.age().is_some_and(|age| age < MAX_STATE_AGE)
     }
 
-    /// The fencing token under which this incarnation holds the lease of the singleton task.
+    /// The fencing token under which this incarnation holds the lease of [`ENDPOINT_DISCOVERY_TASK`]; `None` if it does not.
     pub fn discovery_token(&self) -> Option<u64> {
         self.candidate.borrow().held_token(&self.feed.state())
     }
@@ -254,7 +253,7 @@
         }
     }
 
-    /// Answers as acceptor. Promised and accepted ballots are on disk before the reply is sent.
+    /// Answers a register request as an acceptor. Promised and accepted ballots are synced before the reply is sent.
     async fn answer_register(&self, from: Ipv4Addr, request: RegisterRequest) -> Option<RegisterReply> {
         if let RegisterRequest::Prepare(ballot) = &request {
             self.observe_ballot(*ballot);
@@ -268,7 +267,7 @@
         reply
     }
 
-    /// Notes another node's ballot that was promised or accepted here.
+    /// Records another node's ballot that this acceptor has promised or accepted, so that this node backs off.
     fn note_competing_ballot(&self, from: Ipv4Addr, request: &RegisterRequest, reply: &RegisterReply) {
         let ballot = match request {
             RegisterRequest::Prepare(ballot) => *ballot,
@@ -280,19 +279,20 @@
         }
     }
 
-    /// Handles the report that a ballot is chosen: its value is stored here, or at the node that reports it.
+    /// Handles a report that a ballot is chosen: adopts its value if this acceptor has accepted it, and otherwise starts a poll
+    /// to find it.
     fn learn_chosen(&self, from: Ipv4Addr, chosen: Ballot) {
         if chosen <= self.feed.value().ballot {
             return;
         }
         match self.replica.accepted() {
             Some(accepted) if accepted.ballot == chosen => self.adopt(accepted),
-            _ if from != self.me => self.poll_now.notify_one(),
+            _ if from != self.me => self.poll_requested.notify_one(),
             _ => {}
         }
     }
 
-    /// Adopts a chosen value.
+    /// Adopts a chosen value, unless a newer one is known.
     pub(crate) fn adopt(&self, accepted: AcceptedValue) {
         self.replica.learn_value(&accepted);
         self.backoff.borrow_mut().on_chosen(accepted.ballot);
@@ -300,16 +300,16 @@
         if accepted.ballot < self.feed.value().ballot {
             return;
         }
-        *self.known.borrow_mut() = Some(accepted.value.clone());
+        *self.known_value.borrow_mut() = Some(accepted.value.clone());
         let (state_before, value_before) = (self.feed.state(), self.feed.value());
         let voters = accepted.value.voters.clone();
         self.known_core_nodes.borrow_mut().extend(voters.iter().copied());
-        let learned = self.feed.update_value(ChosenValue {
+        let is_adopted = self.feed.update_value(ChosenValue {
             ballot: accepted.ballot,
             voters,
             payload: accepted.value.payload,
         });
-        if learned {
+        if is_adopted {
             let (state, value) = (self.feed.state(), self.feed.value());
             let is_changed = state.version() != state_before.version() || value.voters != value_before.voters;
             self.backend.on_event(&ControlEvent::Adopted {
@@ -322,19 +322,19 @@
     }
 
     /// Waits until a quorum read that began after this call has confirmed the state.
-    pub(crate) async fn confirm_now(&self, within: Duration) -> bool {
+    pub(crate) async fn confirm_now(&self, max_wait: Duration) -> bool {
         let requested_at = self.runtime.now();
         let is_confirmed = || self.feed.confirmed_at().is_some_and(|at| at >= requested_at);
         let confirmed = async {
             while !is_confirmed() {
-                let polled = self.polled.notified();
-                self.poll_now.notify_one();
-                polled.await;
+                let poll_completed = self.poll_completed.notified();
+                self.poll_requested.notify_one();
+                poll_completed.await;
                 if !is_confirmed() {
                     self.runtime.sleep(CONFIRM_RETRY_INTERVAL).await;
                 }
             }
         };
-        timeout(&self.runtime, within, confirmed).await.is_some()
+        timeout(&self.runtime, max_wait, confirmed).await.is_some()
     }
 }
--- a/system/control-node/src/operator_requests.rs
+++ b/system/control-node/src/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of operators and their outcomes; the host translates them to and from HTTP.
+//! Operator requests and their outcomes; the host translates them from and to HTTP.
 
 use crate::{ControlBackend, ControlNode};
 use bytes::Bytes;
@@ -8,7 +8,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Deadline for the reply to an operator, who waits about a second; without a majority it is `Unavailable`.
+/// Deadline for the reply to an operator, whose client waits about a second. Without a majority by then, the reply is
+/// `Unavailable`.
 const OPERATOR_REPLY_TIMEOUT: Duration = Duration::from_millis(850);
 
 /// The outcome of a request to replace the configuration.
@@ -16,11 +17,11 @@
 pub enum PutConfigOutcome {
     /// This version is committed, by this request or an earlier one.
     Committed(u64),
-    /// The request is based on another version than the current one, which is this.
+    /// The request would replace another version than the current one, which is given here.
     OtherVersion(u64),
-    /// Its version is not higher than the current one.
+    /// The configuration's version is not higher than the current one.
     NotAbove,
-    /// The configuration is invalid.
+    /// The configuration was rejected by validation, with these findings.
     Invalid(Findings),
     /// The request does not state the version that it replaces.
     NoBase,
@@ -31,9 +32,9 @@
 /// The configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CurrentConfig {
-    /// There is no configuration yet.
+    /// No configuration has been committed yet.
     Nothing,
-    /// The state with the configuration, confirmed after the request arrived.
+    /// The state with the configuration, confirmed by a quorum read after the request arrived.
     Current(Rc<ControlState>),
     /// Unknown: no majority replied in time.
     Unavailable,
@@ -42,9 +43,9 @@
 /// The outcome of a request to retire a storage node, or of a query about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetireOutcome {
-    /// The progress of the retirement.
+    /// The retirement's state is known.
     Progress {
-        /// The progress.
+        /// How far the retirement has come, or why it is not possible.
         verdict: RetireVerdict,
         /// The number of storage nodes that must remain.
         min_storage_nodes: usize,
@@ -54,7 +55,7 @@
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Replaces the configuration, if the current version is `expected`.
+    /// Replaces the configuration if the current version is `expected`, which the request must state.
     pub async fn put_config(&self, expected: Option<u64>, body: Bytes) -> PutConfigOutcome {
         let config = match OperatorConfig::read(&body) {
             Ok(config) => config,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The configuration in force.
+    /// The configuration in force, confirmed by a quorum read.
     pub async fn config(&self) -> CurrentConfig {
         if !self.confirm_now(OPERATOR_REPLY_TIMEOUT).await {
             return CurrentConfig::Unavailable;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Begins to retire a storage node: its data is moved to the others.
+    /// Starts to retire a storage node: its data is moved to the other storage nodes.
     pub async fn retire(&self, name: &str) -> RetireOutcome {
         let min_storage_nodes = self.min_storage_nodes();
         let order = Order::Retire { machine: name.to_owned() };
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The progress of a retirement.
+    /// The progress of a storage node's retirement, confirmed by a quorum read.
     pub async fn retiring(&self, name: &str) -> RetireOutcome {
         if !self.confirm_now(OPERATOR_REPLY_TIMEOUT).await {
             return RetireOutcome::Unavailable;
--- a/system/control-node/src/orders.rs
+++ b/system/control-node/src/orders.rs
@@ -1,9 +1,9 @@
-//! Orders of operators: a node forwards them to the distinguished proposer, which makes all that wait in one ballot.
+//! Operators' orders: a node forwards them to the distinguished proposer, which executes all pending orders in one ballot.
 //!
-//! Forwarding and batching save ballots; safety does not depend on them. A forwarded order is judged by the proposer on the
-//! state of its own ballot, and its verdict is returned only once that state is chosen. An order whose proposer does not
-//! answer in time goes to the next one: it may then be made twice, which the judgement of orders has to expect anyway, since
-//! operators repeat them.
+//! Forwarding and batching reduce the number of ballots; safety does not depend on them. The proposer evaluates a forwarded order
+//! on the state that its own ballot has read, and returns the verdict only once the resulting state is chosen. If the proposer
+//! does not answer in time, the order is sent to the next one. It may then be executed twice, which the evaluation of orders
+//! must handle anyway because operators retry them.
 
 use crate::proposer::{AttemptOutcome, ProposedChange};
 use crate::{ControlBackend, ControlNode, ENDPOINT_DISCOVERY_TASK};
@@ -17,23 +17,23 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How long a forwarded order may take before it goes to another proposer.
+/// Timeout of a forwarded order, after which it is sent to another proposer.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// An order that waits for its verdict.
+/// An order that is waiting for its verdict.
 pub(crate) struct PendingOrder {
     order: Order,
     verdict: Cell<Option<OrderVerdict>>,
     decided: Notify,
 }
 
-/// The orders that wait at this node, in the order of their arrival.
+/// The orders that are waiting at this node, by arrival.
 #[derive(Default)]
 pub(crate) struct OrderQueue {
     pending: RefCell<Vec<Rc<PendingOrder>>>,
 }
 
-/// An order's place in the queue, which it leaves when this is dropped.
+/// A guard that removes an order from the queue when dropped.
 struct QueuedOrder<'a> {
     queue: &'a OrderQueue,
     order: Rc<PendingOrder>,
@@ -45,8 +45,8 @@
     }
 }
 
-/// The verdicts on the orders of one ballot.
-type Batch = Vec<(Rc<PendingOrder>, OrderVerdict)>;
+/// The orders of one ballot, with their verdicts.
+type EvaluatedOrders = Vec<(Rc<PendingOrder>, OrderVerdict)>;
 
 impl OrderQueue {
     fn push(&self, order: Order) -> QueuedOrder<'_> {
@@ -55,8 +55,13 @@
         QueuedOrder { queue: self, order }
     }
 
-    /// Judges all undecided orders one after the other, each on the state that the one before has left.
-    fn judge(&self, state: &ControlState, min_storage_nodes: usize) -> (Option<ControlState>, Batch) {
+    /// Evaluates all undecided orders in sequence, each on the state that results from the previous one. Returns the changed
+    /// state, if any order changes it.
+    fn evaluate(
+        &self,
+        state: &ControlState,
+        min_storage_nodes: usize,
+    ) -> (Option<ControlState>, EvaluatedOrders) {
         let mut changed: Option<ControlState> = None;
         let mut batch = Vec::new();
         for pending in self.pending.borrow().iter().filter(|pending| pending.verdict.get().is_none()) {
@@ -70,9 +75,10 @@
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Has an order made by the distinguished proposer, or by the next one if that fails; `None` if its outcome is unknown.
-    pub(crate) async fn submit(&self, order: Order, within: Duration) -> Option<OrderVerdict> {
-        let deadline = self.runtime.now() + within;
+    /// Has the distinguished proposer execute an order, or the next proposer if that one does not answer; `None` if the order's
+    /// outcome is unknown.
+    pub(crate) async fn submit(&self, order: Order, max_wait: Duration) -> Option<OrderVerdict> {
+        let deadline = self.runtime.now() + max_wait;
         loop {
             let remaining = deadline.saturating_sub(self.runtime.now());
             let proposer = self.distinguished_proposer();
@@ -87,7 +93,7 @@
         }
     }
 
-    /// Answers a node that has forwarded an order. It is not forwarded again.
+    /// Answers a node that has forwarded an order, which this node does not forward again.
     pub(crate) async fn answer_order(&self, order: Order) -> Answer {
         let verdict = self.propose_order(order, FORWARD_TIMEOUT).await;
         verdict.map_or(Answer::NotReady, Answer::Verdict)
@@ -104,9 +110,9 @@
         )
     }
 
-    /// Proposes an order together with all others that wait here; `None` if its outcome is unknown.
-    async fn propose_order(&self, order: Order, within: Duration) -> Option<OrderVerdict> {
-        let deadline = self.runtime.now() + within;
+    /// Proposes an order together with all other pending ones; `None` if its outcome is unknown.
+    async fn propose_order(&self, order: Order, max_wait: Duration) -> Option<OrderVerdict> {
+        let deadline = self.runtime.now() + max_wait;
         let queued = self.orders.push(order);
         let decided = pin!(queued.order.decided.notified());
         let ballots = pin!(self.propose_pending(&queued.order, deadline));
@@ -114,22 +120,22 @@
         queued.order.verdict.get()
     }
 
-    /// Runs ballots with all orders that wait here, until this one is decided.
+    /// Runs ballots with all pending orders until `order` is decided.
     async fn propose_pending(&self, order: &PendingOrder, deadline: Duration) {
-        let _alone = self.proposing.lock().await;
+        let _proposal_guard = self.proposal_lock.lock().await;
         let min_storage_nodes = self.min_storage_nodes();
-        while order.verdict.get().is_none() && self.wait_for_turn(deadline).await {
-            let mut batch = Batch::new();
-            let mut judge_pending = |state: &ControlState, _: &[Ipv4Addr]| {
-                let (changed, judged) = self.orders.judge(state, min_storage_nodes);
-                batch = judged;
+        while order.verdict.get().is_none() && self.wait_for_backoff(deadline).await {
+            let mut batch = EvaluatedOrders::new();
+            let mut evaluate_pending = |state: &ControlState, _: &[Ipv4Addr]| {
+                let (changed, evaluated) = self.orders.evaluate(state, min_storage_nodes);
+                batch = evaluated;
                 ProposedChange::from(changed)
             };
-            match self.attempt(deadline, &mut judge_pending).await {
+            match self.attempt(deadline, &mut evaluate_pending).await {
                 AttemptOutcome::Chosen { has_change: true } => {
-                    for (decided, verdict) in batch {
-                        decided.verdict.set(Some(verdict));
-                        decided.decided.notify_one();
+                    for (pending, verdict) in batch {
+                        pending.verdict.set(Some(verdict));
+                        pending.decided.notify_one();
                     }
                 }
                 AttemptOutcome::Chosen { has_change: false }
--- a/system/control-node/src/proposer.rs
+++ b/system/control-node/src/proposer.rs
@@ -1,4 +1,4 @@
-//! The node as proposer: it changes the register's value, one attempt at a time.
+//! The proposer role: changes the register's value, one ballot at a time.
 
 use crate::{ControlBackend, ControlEvent, ControlNode};
 use bytes::Bytes;
@@ -9,16 +9,16 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// How long to wait for the reply of an acceptor.
+/// Timeout of a request to an acceptor.
 pub(crate) const REGISTER_CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The change to make to the state that was read.
+/// The change to propose on top of the state that phase 1 has read.
 pub(crate) enum ProposedChange {
-    /// None: the state is as wanted, or the change is impossible.
+    /// Propose the same value: it needs no change, or the change is not possible.
     Keep,
     /// Replace the state.
     State(Box<ControlState>),
-    /// Replace the voters by a set with one node more or fewer.
+    /// Replace the voters with a set that has one node more or one node fewer.
     Voters(Vec<Ipv4Addr>),
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// The parts of the chosen value by which an attempt tells that its change was made.
+/// The parts of the proposed value that the chosen value must contain for the change to have been made.
 #[derive(Default)]
 struct ExpectedValue {
     payload: Option<Bytes>,
@@ -42,29 +42,29 @@
     }
 }
 
-/// The outcome of one attempt.
+/// The outcome of one ballot.
 pub(crate) enum AttemptOutcome {
     /// A value is chosen and adopted.
     Chosen {
-        /// Whether it contains the change.
+        /// Whether the chosen value contains the change.
         has_change: bool,
     },
-    /// A higher ballot was seen.
+    /// An acceptor has promised a higher ballot.
     Lost,
     /// No quorum was reached.
     Failed,
-    /// The deadline passed first.
+    /// The deadline passed before a value was chosen, or the node does not know the voters.
     TimedOut,
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// The ballot of a new attempt.
+    /// Counts an attempt and returns a new ballot for it.
     pub(crate) fn next_ballot(&self) -> Ballot {
         self.count_attempt();
         self.ballots.borrow_mut().next_ballot()
     }
 
-    /// The ballot of a recovery attempt, which is not overtaken by a flood of others' ballots.
+    /// Counts a recovery attempt and returns its ballot, which other nodes cannot overtake by starting many ballots.
     pub(crate) fn recovery_ballot(&self) -> Ballot {
         self.count_attempt();
         self.ballots.borrow_mut().recovery_ballot()
@@ -76,32 +76,33 @@
         self.rounds.set(rounds);
     }
 
-    /// Notes a ballot: later ones of this node are above it.
+    /// Records a ballot, so that this node's next ballots are higher.
     pub(crate) fn observe_ballot(&self, ballot: Ballot) {
         self.ballots.borrow_mut().observe(ballot);
     }
 
-    /// Changes the state. Returns true once the register is as wanted, through this node or another.
+    /// Changes the state. Returns true once the register contains the change, whether this node or another made it.
     pub(crate) async fn change(
         &self,
-        within: Duration,
-        mut wanted: impl FnMut(&ControlState) -> ProposedChange,
+        max_wait: Duration,
+        mut make_change: impl FnMut(&ControlState) -> ProposedChange,
     ) -> bool {
-        self.propose(within, |state, _| wanted(state)).await
+        self.propose(max_wait, |state, _| make_change(state)).await
     }
 
-    /// As [`ControlNode::change`], for changes that depend on the voters or replace them.
+    /// Like [`ControlNode::change`], for changes that depend on the voters or replace them.
     pub(crate) async fn propose(
         &self,
-        within: Duration,
-        mut wanted: impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
+        max_wait: Duration,
+        mut make_change: impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
     ) -> bool {
-        let deadline = self.runtime.now() + within;
-        let Some(_alone) = timeout_at(&self.runtime, deadline, self.proposing.lock()).await else {
+        let deadline = self.runtime.now() + max_wait;
+        let Some(_proposal_guard) = timeout_at(&self.runtime, deadline, self.proposal_lock.lock()).await
+        else {
             return false;
         };
-        while self.wait_for_turn(deadline).await {
-            match self.attempt(deadline, &mut wanted).await {
+        while self.wait_for_backoff(deadline).await {
+            match self.attempt(deadline, &mut make_change).await {
                 AttemptOutcome::Chosen { has_change: true } => return true,
                 AttemptOutcome::Chosen { has_change: false }
                 | AttemptOutcome::Lost
@@ -112,23 +113,23 @@
         false
     }
 
-    /// One attempt, until the deadline.
+    /// Runs one ballot, until the deadline at most.
     pub(crate) async fn attempt(
         &self,
         deadline: Duration,
-        wanted: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
+        make_change: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
     ) -> AttemptOutcome {
-        let Some(known) = self.known.borrow().clone() else { return AttemptOutcome::TimedOut };
-        timeout_at(&self.runtime, deadline, self.run_ballot(&known, wanted))
+        let Some(known) = self.known_value.borrow().clone() else { return AttemptOutcome::TimedOut };
+        timeout_at(&self.runtime, deadline, self.run_ballot(&known, make_change))
             .await
             .unwrap_or(AttemptOutcome::TimedOut)
     }
 
-    /// Waits until no competing ballot is in progress and the backoff after a lost one is over; false if that is after the
-    /// deadline.
-    pub(crate) async fn wait_for_turn(&self, deadline: Duration) -> bool {
+    /// Waits until no competing ballot is in progress and the backoff after a lost ballot is over. Returns false if the deadline
+    /// passes first.
+    pub(crate) async fn wait_for_backoff(&self, deadline: Duration) -> bool {
         while self.backoff.borrow().remaining_delay_ms(self.runtime.now_ms()) > 0 {
-            // The random part keeps waiting proposers from starting at the same moment.
+            // Random jitter keeps waiting proposers from starting at the same moment.
             let delay = Duration::from_millis(10 + self.runtime.random_u64() % 15);
             if self.runtime.now() + delay >= deadline {
                 return false;
@@ -138,7 +139,7 @@
         true
     }
 
-    /// Counts an attempt that lost to a higher ballot or reached no quorum, and backs off.
+    /// Counts an attempt that lost to a higher ballot or reached no quorum, and starts the backoff.
     pub(crate) fn on_attempt_lost(&self) {
         let mut rounds = self.rounds.get();
         rounds.lost += 1;
@@ -146,11 +147,12 @@
         self.backoff.borrow_mut().on_lost(self.runtime.now_ms(), self.runtime.random_u64());
     }
 
-    /// The change to propose on top of the value that was read.
-    fn proposed(
+    /// The change to propose on top of `read`, and what the chosen value must then contain; no expectation if the change could
+    /// not be computed.
+    fn compute_change(
         &self,
         read: &RegisterValue,
-        wanted: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
+        make_change: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
     ) -> (Change, Option<ExpectedValue>) {
         let state = match ControlState::from_payload(&read.payload) {
             Ok(state) => state,
@@ -159,7 +161,7 @@
                 return (Change::Keep, None);
             }
         };
-        match wanted(&state, &read.voters) {
+        match make_change(&state, &read.voters) {
             ProposedChange::Keep => (Change::Keep, Some(ExpectedValue::default())),
             ProposedChange::State(state) => match state.to_payload() {
                 Ok(payload) => {
@@ -178,12 +180,12 @@
     async fn run_ballot(
         &self,
         known: &RegisterValue,
-        wanted: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
+        make_change: &mut impl FnMut(&ControlState, &[Ipv4Addr]) -> ProposedChange,
     ) -> AttemptOutcome {
-        let mut proposal = Proposer::start(self.next_ballot(), known);
+        let mut proposer = Proposer::start(self.next_ballot(), known);
         let mut expected_value: Option<ExpectedValue> = None;
         let mut change = |read: &RegisterValue| {
-            let (change, new_expected) = self.proposed(read, wanted);
+            let (change, new_expected) = self.compute_change(read, make_change);
             if new_expected.is_some() {
                 expected_value = new_expected;
             }
@@ -193,11 +195,11 @@
         let call = |OutgoingRequest { to, request }: OutgoingRequest| async move {
             (to, self.call_register(to, request, REGISTER_CALL_TIMEOUT).await)
         };
-        calls.extend(proposal.outbox().into_iter().map(call));
+        calls.extend(proposer.outbox().into_iter().map(call));
         while let Some((ip, reply)) = calls.next().await {
             let step = match reply {
-                Some(reply) => proposal.on_reply(ip, &reply, &mut change),
-                None => proposal.on_failure(ip, &mut change),
+                Some(reply) => proposer.on_reply(ip, &reply, &mut change),
+                None => proposer.on_failure(ip, &mut change),
             };
             match step {
                 ProposerStep::Wait => {}
@@ -208,7 +210,7 @@
                         .is_some_and(|expected_value| expected_value.matches(&value.value));
                     self.backoff.borrow_mut().reset();
                     self.adopt(value);
-                    self.poll_now.notify_one();
+                    self.poll_requested.notify_one();
                     return AttemptOutcome::Chosen { has_change };
                 }
                 ProposerStep::Lost { seen } => {
--- a/system/control-node/src/recovery.rs
+++ b/system/control-node/src/recovery.rs
@@ -1,5 +1,5 @@
-//! How a node becomes able to vote: a new node writes its founding record, one that lost its record recovers it from its peers, one
-//! that is no voter requests to become one, and a disk that refuses writes is probed.
+//! Keeps the node able to vote: a new node writes its initial record, a node that lost its record recovers it from its peers, a
+//! node that is not a voter requests to become one, and a failing disk is probed.
 
 use crate::proposer::REGISTER_CALL_TIMEOUT;
 use crate::{ControlBackend, ControlEvent, ControlNode};
@@ -12,19 +12,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a recovery waits at most for competing ballots to end.
+/// Maximum time that a recovery waits for competing ballots to end.
 const MAX_RECOVERY_DELAY: Duration = Duration::from_millis(600);
-/// How long to wait for the reply to a request to become a voter.
+/// Timeout of a request to become a voter.
 const JOIN_CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Keeps this node able to vote.
+    /// Runs the steps of this module periodically, as needed.
     pub(crate) async fn run_voting(self: Rc<Self>) {
         loop {
             if !self.can_vote() {
                 self.recover().await;
             } else if !self.feed.value().voters.contains(&self.me) {
-                self.request_vote_membership().await;
+                self.request_voter_membership().await;
             }
             self.replica.probe_disk();
             self.runtime.sleep(Duration::from_millis(250 + self.runtime.random_u64() % 100)).await;
@@ -32,34 +32,34 @@
     }
 
     async fn recover(&self) {
-        let founding = self.founding.borrow().clone();
-        match founding {
+        let initial_record = self.initial_record.borrow().clone();
+        match initial_record {
             Some(record) => {
                 if self.replica.recover(record).await {
-                    self.founding.take();
-                    self.poll_now.notify_one();
+                    self.initial_record.take();
+                    self.poll_requested.notify_one();
                 }
             }
             None => self.recover_from_peers().await,
         }
     }
 
-    /// Known control nodes without this one.
+    /// The known control nodes, without this one.
     fn known_peers(&self) -> Vec<Ipv4Addr> {
         self.known_core_nodes.borrow().iter().copied().filter(|ip| *ip != self.me).collect()
     }
 
-    async fn request_vote_membership(&self) {
+    async fn request_voter_membership(&self) {
         for ip in self.known_peers() {
             let call = Call::JoinCore { ip: self.me };
             if let Some(Answer::Done) = self.runtime.call(ip, call, JOIN_CALL_TIMEOUT).await {
-                self.poll_now.notify_one();
+                self.poll_requested.notify_one();
                 return;
             }
         }
     }
 
-    /// The newest value that one of these nodes knows to be chosen.
+    /// The newest value that any of `peers` knows to be chosen.
     async fn newest_chosen_value(&self, peers: &[Ipv4Addr]) -> Option<RegisterValue> {
         let calls = peers.iter().map(|ip| async move {
             let poll = RegisterRequest::Poll { chosen: Ballot::default() };
@@ -73,12 +73,12 @@
         join_all(calls).await.into_iter().flatten().max_by_key(|known| known.epoch)
     }
 
-    /// Recovers the record of an acceptor from its peers.
+    /// Recovers this node's acceptor record from its peers.
     async fn recover_from_peers(&self) {
-        // It starts in any case: competing ballots that never end must not keep this node from voting.
-        self.wait_for_turn(self.runtime.now() + MAX_RECOVERY_DELAY).await;
+        // The recovery starts even if the wait times out: competing ballots that never end must not keep this node from voting.
+        self.wait_for_backoff(self.runtime.now() + MAX_RECOVERY_DELAY).await;
         let peers = self.known_peers();
-        // With a chosen value to start from, a permanently lost voter need not reply.
+        // A recovery that starts from a chosen value does not need replies from voters that are permanently lost.
         let mut recovery = match self.newest_chosen_value(&peers).await {
             Some(known) => Recovery::start_from(self.me, self.recovery_ballot(), &known, &peers),
             None => Recovery::start(self.me, self.recovery_ballot(), &peers),
@@ -101,18 +101,18 @@
                     return self.observe_ballot(seen);
                 }
                 RecoveryStep::Failed => return self.on_attempt_lost(),
-                RecoveryStep::Done(record) => return self.recovered(record).await,
+                RecoveryStep::Done(record) => return self.on_recovered(record).await,
             }
         }
     }
 
-    async fn recovered(&self, record: AcceptorRecord) {
+    async fn on_recovered(&self, record: AcceptorRecord) {
         if !self.replica.recover(record.clone()).await {
             return;
         }
         self.observe_ballot(record.promised);
         self.backend.on_event(&ControlEvent::Recovered(&record));
-        // The value that a recovery had accepted anew is chosen.
+        // The recovery had a quorum accept this value again under its own ballot, so it is chosen.
         if let Some(accepted) = record.accepted {
             self.adopt(accepted);
         }
--- a/system/control-node/src/replica.rs
+++ b/system/control-node/src/replica.rs
@@ -1,4 +1,4 @@
-//! The node's replica of the register: its acceptor, made durable through the backend.
+//! The node's replica of the register: an acceptor whose record is persisted through the backend.
 
 use crate::durable_acceptor::{
     DiskState, DurableAcceptor, PendingReply, PendingWrite, WriteNumber, WriteOutcome,
@@ -11,16 +11,16 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// An acceptor and its disk.
+/// An acceptor and the writes of its record.
 pub(crate) struct Replica<R, B> {
     runtime: R,
     backend: Rc<B>,
     acceptor: RefCell<DurableAcceptor>,
-    /// The write to begin when the current one has completed.
+    /// The write to start when the current one has completed.
     queued: RefCell<Option<PendingWrite>>,
     is_writing: Cell<bool>,
-    /// Notified when a write completes. Waiters are woken in their order; a `watch` would wake them in any order, which would
-    /// make runs of the simulation irreproducible.
+    /// Notified when a write completes. It wakes waiters in the order in which they wait; a `watch` channel wakes them in any
+    /// order, which would make simulation runs irreproducible.
     write_completed: Notify,
 }
 
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Whether it has a record on disk, so that it may vote.
+    /// Whether the acceptor has a record on disk and may vote.
     pub(crate) fn has_record(&self) -> bool {
         self.acceptor.borrow().has_record()
     }
@@ -47,7 +47,7 @@
         self.acceptor.borrow().accepted().cloned()
     }
 
-    /// Notes that a value is chosen.
+    /// Records that a value is chosen.
     pub(crate) fn learn_value(&self, chosen: &AcceptedValue) {
         self.acceptor.borrow_mut().learn_value(chosen);
     }
@@ -57,32 +57,32 @@
         self.acceptor.borrow().disk()
     }
 
-    /// Handles a request at once; the reply may be sent after [`Replica::release`].
+    /// Handles a request without waiting for the disk; the reply may be sent after [`Replica::release`].
     pub(crate) fn handle(self: &Rc<Self>, request: &RegisterRequest) -> PendingReply {
-        let mut handled = self.acceptor.borrow_mut().handle(request);
-        if let Some(write) = handled.write.take() {
+        let mut pending_reply = self.acceptor.borrow_mut().handle(request);
+        if let Some(write) = pending_reply.write.take() {
             self.write(write);
         }
-        handled
+        pending_reply
     }
 
-    /// Waits until the reply may be sent; `None` if the disk refused the record on which it depends.
-    pub(crate) async fn release(&self, handled: PendingReply) -> Option<RegisterReply> {
-        match handled.after {
-            Some(number) => self.is_synced(number).await.then_some(handled.reply),
-            None => Some(handled.reply),
+    /// Waits until the reply may be sent; `None` if the record on which it depends could not be result.
+    pub(crate) async fn release(&self, pending_reply: PendingReply) -> Option<RegisterReply> {
+        match pending_reply.after {
+            Some(number) => self.wait_until_synced(number).await.then_some(pending_reply.reply),
+            None => Some(pending_reply.reply),
         }
     }
 
-    /// Writes a record that allows the acceptor to vote; returns whether the disk accepted it.
+    /// Writes a record that allows the acceptor to vote; returns whether it was synced.
     pub(crate) async fn recover(self: &Rc<Self>, record: AcceptorRecord) -> bool {
         let write = self.acceptor.borrow_mut().recover(record);
         let number = write.number;
         self.write(write);
-        self.is_synced(number).await
+        self.wait_until_synced(number).await
     }
 
-    /// If the disk has refused writes and none is in flight, writes again to find out whether it still does.
+    /// If the last write has failed and none is in flight, writes the record again to find out whether the disk has recovered.
     pub(crate) fn probe_disk(self: &Rc<Self>) {
         let probe = {
             let mut acceptor = self.acceptor.borrow_mut();
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Writes in a separate task, so that the write completes even if the caller stops waiting. A queued write is replaced by a
-    /// later one, which contains the complete record.
+    /// Writes in a separate task, so that the write completes even if the caller stops waiting. A later write replaces a queued
+    /// one, since each contains the complete record.
     fn write(self: &Rc<Self>, write: PendingWrite) {
         self.queued.replace(Some(write));
         if !self.is_writing.replace(true) {
@@ -108,10 +108,11 @@
     async fn write_queued(self: Rc<Self>) {
         loop {
             let Some(write) = self.queued.take() else { break };
-            let written = self.backend.persist(&write.record).await;
-            let changed = self.acceptor.borrow_mut().on_write_completed(write.number, written.is_ok());
-            if changed {
-                self.report_disk(written.err().map(|error| error.to_string()));
+            let result = self.backend.persist(&write.record).await;
+            let disk_state_changed =
+                self.acceptor.borrow_mut().on_write_completed(write.number, result.is_ok());
+            if disk_state_changed {
+                self.report_disk(result.err().map(|error| error.to_string()));
             }
             self.write_completed.notify_waiters();
         }
@@ -125,7 +126,7 @@
         }
     }
 
-    async fn is_synced(&self, number: WriteNumber) -> bool {
+    async fn wait_until_synced(&self, number: WriteNumber) -> bool {
         loop {
             let write_completed = self.write_completed.notified();
             let outcome = self.acceptor.borrow().outcome(number);
