--- a/system/control-node/src/coordination/application.rs
+++ b/system/control-node/src/coordination/application.rs
@@ -1,50 +1,50 @@
-//! Requests of applications and the replies to them; the host translates them to and from HTTP.
+//! Application requests and their replies; the host translates them from and to HTTP.
 
 use coordination::KeyEvent;
 use fleet_model::{CoordinationCommand, CoordinationOutcome, KeyRevision};
 use std::time::Duration;
 
-/// A request of an application.
+/// A request from an application to the coordination service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplicationRequest {
-    /// Change the state. `AcquireLock` comes without an expired grant.
+    /// Changes the state. The leader sets the `expired_grant` of an `AcquireLock`; the application leaves it empty.
     Command(CoordinationCommand),
-    /// Read a key; linearizable.
+    /// Reads a key; linearizable.
     ReadKey {
-        /// The key.
+        /// The full key, including its group.
         key: String,
     },
-    /// Wait for events of a group.
+    /// Waits for events of a group.
     Watch {
-        /// The group, with its dot.
+        /// The group's name, with the trailing dot.
         group: String,
-        /// The revision after which events are wanted; 0 asks for the present revision only.
+        /// Events after this revision are returned; 0 returns only the current revision, without waiting.
         after: u64,
-        /// For how long to wait for an event.
+        /// Maximum time to wait for an event.
         wait: Duration,
     },
 }
 
-/// The reply to an application.
+/// The reply of the coordination service to an application.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplicationReply {
     /// The outcome of a command.
     Outcome(CoordinationOutcome),
-    /// The key's value; `None` if it was never stored.
+    /// The key's value and revision; `None` if the key was never stored.
     Key(Option<KeyRevision>),
-    /// All events of a group above the requested revision, up to `revision`; none if the wait is over.
+    /// All events of a group after the requested revision, up to `revision`; empty if none occurred during the wait.
     Events {
-        /// The events, by rising revision.
+        /// The events in ascending order of their revisions.
         events: Vec<KeyEvent>,
-        /// The revision up to which they are complete.
+        /// The revision up to which the events are complete.
         revision: u64,
     },
     /// The events after the requested revision are no longer retained.
     EventsPruned,
-    /// Too many requests are waiting; this one was not carried out and will not be.
+    /// Too many requests are pending. This one was not executed and will not be.
     Overloaded,
-    /// The request was not carried out and will not be: no quorum is known.
+    /// No leader or no quorum could be reached in time. The request was not executed and will not be.
     Unavailable,
-    /// The request may have been carried out or not: no answer may be given.
+    /// The request may or may not have been executed, so the application must get neither a success nor a failure.
     Indeterminate,
 }
--- a/system/control-node/src/coordination/founding.rs
+++ b/system/control-node/src/coordination/bootstrap.rs
@@ -1,5 +1,6 @@
-//! The first members of the log. They are agreed once through the configuration register, which keeps them as leases, under names
-//! that begin with [`COORDINATION_FOUNDER_PREFIX`]. So programs that do not know the service keep them too.
+//! The log's initial members. They are agreed on once through the configuration register, which stores them as leases whose names
+//! start with [`COORDINATION_FOUNDER_PREFIX`]. Stored as leases, they are preserved also by program versions without the
+//! coordination service.
 
 use super::election::LOCATE_TIMEOUT;
 use crate::proposer::ProposedChange;
@@ -14,20 +15,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long to try to have the first members chosen.
-const FOUNDING_TIMEOUT: Duration = Duration::from_millis(600);
+/// Deadline for committing the initial members.
+const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The first members of the log, if they are chosen.
-pub(super) fn founders(state: &ControlState) -> Vec<LogMember> {
+/// The log's initial members; empty if they are not chosen yet.
+pub(super) fn initial_members(state: &ControlState) -> Vec<LogMember> {
     let leases = state.leases.iter().filter(|(name, _)| name.starts_with(COORDINATION_FOUNDER_PREFIX));
     leases
         .filter_map(|(_, lease)| Some(LogMember { ip: lease.holder?, replica: ReplicaId(lease.token) }))
         .collect()
 }
 
-/// The state with these first members; `None` if there are others already.
-fn with_founders(state: &ControlState, members: &[LogMember]) -> Option<ControlState> {
-    if !founders(state).is_empty() {
+/// The state with these initial members; `None` if it has initial members already.
+fn with_initial_members(state: &ControlState, members: &[LogMember]) -> Option<ControlState> {
+    if !initial_members(state).is_empty() {
         return None;
     }
     let mut state = state.clone();
@@ -39,9 +40,9 @@
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Has the voters that answer chosen as the first members, if they are a majority of the voters.
-    pub(super) async fn found_log(self: &Rc<Self>) {
-        if !self.confirm_now(FOUNDING_TIMEOUT).await || !founders(&self.feed.state()).is_empty() {
+    /// Commits the voters that respond as the initial members, if they are a majority of the voters.
+    pub(super) async fn bootstrap_log(self: &Rc<Self>) {
+        if !self.confirm_now(BOOTSTRAP_TIMEOUT).await || !initial_members(&self.feed.state()).is_empty() {
             return;
         }
         let voters = self.feed.value().voters.clone();
@@ -51,10 +52,10 @@
             return;
         }
         let make_change = |state: &ControlState| {
-            with_founders(state, &members)
+            with_initial_members(state, &members)
                 .map_or(ProposedChange::Keep, |state| ProposedChange::State(Box::new(state)))
         };
-        self.change(FOUNDING_TIMEOUT, make_change).await;
+        self.change(BOOTSTRAP_TIMEOUT, make_change).await;
     }
 
     async fn locate_member(self: &Rc<Self>, ip: Ipv4Addr) -> Option<LogMember> {
--- a/system/control-node/src/coordination/election.rs
+++ b/system/control-node/src/coordination/election.rs
@@ -1,10 +1,10 @@
 //! Finding the leader of the log, or becoming it.
 //!
-//! A node that has requests and hears no leader asks the other members first. If one of them hears a leader, that one is used;
-//! otherwise, if a majority answers, the node becomes a candidate. So a node that is partitioned from the majority starts no
-//! ballots, and one that was suspended does not depose a leader that is well.
+//! A node that has requests and no contact with a leader first asks the other members. If one of them is in contact with a
+//! leader, the node uses that leader; otherwise, if a majority answers, the node becomes a candidate. So a node that is
+//! partitioned from the majority starts no ballots, and a node that was suspended does not depose a healthy leader.
 
-use super::founding::founders;
+use super::bootstrap::initial_members;
 use super::leadership::Leadership;
 use crate::{ControlBackend, ControlNode};
 use fleet_model::{
@@ -18,81 +18,85 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Time-out for asking a node for the leader it knows.
+/// Timeout of a request for the leader that another node knows.
 pub(super) const LOCATE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time-out for a promise, which includes a sync.
+/// Timeout of a prepare request, which includes a sync.
 const PREPARE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time-out for fetching the state of another replica.
+/// Timeout of fetching the state of another replica.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(600);
-/// Delay of a candidate for each live member of a higher rank.
+/// Delay of a candidate for each member with a higher rank.
 const CANDIDATE_RANK_DELAY: Duration = Duration::from_millis(30);
-/// Time that another candidate is left to gather promises and have its first entry chosen.
-const RIVAL_CAMPAIGN_DURATION: Duration = Duration::from_millis(250);
-/// Maximum of the random delay after the first failed attempt, in milliseconds; it doubles with each further one.
-const MIN_RETRY_DELAY_MS: u64 = 20;
-/// Number of times that the maximum doubles.
+/// Time that a competing candidate is given to collect promises and to get its first entry chosen.
+const COMPETING_CAMPAIGN_DURATION: Duration = Duration::from_millis(250);
+/// Maximum random delay after the first failed attempt, in milliseconds; doubled after each further one.
+const INITIAL_MAX_RETRY_DELAY_MS: u64 = 20;
+/// Maximum number of times that the delay is doubled.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
-/// A leader is needed for this long after the last request that missed one.
-const NEED_DURATION: Duration = Duration::from_millis(1_500);
-/// Interval between checks, while there is no leader, whether the members have to change.
+/// Time for which a leader is still searched for after the last request that found none.
+const LEADER_REQUEST_DURATION: Duration = Duration::from_millis(1_500);
+/// Interval between checks, while there is no leader, whether the members must change.
 const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// For how long a leader that another node has reported is used without being heard.
+/// Time for which a leader that another node has reported is used without direct contact.
 const REPORTED_LEADER_DURATION: Duration = Duration::from_millis(400);
 
-/// The answers of other nodes to the question for the leader.
+/// The result of asking other nodes for the leader.
 #[derive(Default)]
-struct Survey {
+struct LeaderSurvey {
     leader: Option<LogLeader>,
     has_majority: bool,
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Notes that a leader is needed.
-    pub(super) fn need_leader(&self) {
-        self.coordination.needed_at.set(Some(self.runtime.now()));
+    /// Requests that this node finds a leader or becomes one.
+    pub(super) fn request_leader(&self) {
+        self.coordination.leader_requested_at.set(Some(self.runtime.now()));
         if self.live_leader().is_none() {
-            self.coordination.leader_needed.notify_one();
+            self.coordination.leader_requested.notify_one();
         }
     }
 
-    /// The delay before the next attempt: random and growing, so that candidates that disturb each other draw apart.
+    /// The delay before the next attempt, with random jitter and exponential backoff, so that competing candidates do not keep
+    /// colliding. Counts a failed attempt.
     fn retry_delay(&self) -> Duration {
         let failures = self.coordination.failed_elections.get();
         self.coordination.failed_elections.set(failures + 1);
-        let max_ms = MIN_RETRY_DELAY_MS << failures.min(MAX_RETRY_DOUBLINGS);
+        let max_ms = INITIAL_MAX_RETRY_DELAY_MS << failures.min(MAX_RETRY_DOUBLINGS);
         Duration::from_millis(1 + self.runtime.random_u64() % max_ms)
     }
 
-    /// Whether another candidate may be about to lead.
-    fn has_rival(&self) -> bool {
-        let asked_at = self.coordination.rival_campaign_at.get();
-        asked_at.is_some_and(|at| self.runtime.now() < at + RIVAL_CAMPAIGN_DURATION)
+    /// Whether another candidate may be about to become leader.
+    fn has_competing_candidate(&self) -> bool {
+        let campaign_at = self.coordination.competing_campaign_at.get();
+        campaign_at.is_some_and(|at| self.runtime.now() < at + COMPETING_CAMPAIGN_DURATION)
     }
 
-    /// Looks for a leader again if one is still needed after an own leadership is over.
+    /// After this node's leadership, searches for a leader again if one is still needed.
     pub(super) fn resume_election(&self) {
         if self.lacks_leader() {
-            self.coordination.leader_needed.notify_one();
+            self.coordination.leader_requested.notify_one();
         }
     }
 
     fn lacks_leader(&self) -> bool {
-        let is_needed =
-            self.coordination.needed_at.get().is_some_and(|at| self.runtime.now() < at + NEED_DURATION);
+        let is_needed = self
+            .coordination
+            .leader_requested_at
+            .get()
+            .is_some_and(|at| self.runtime.now() < at + LEADER_REQUEST_DURATION);
         is_needed
             && !self.coordination.is_shutting_down.get()
             && self.coordination.leadership().is_none()
             && self.live_leader().is_none()
     }
 
-    /// Looks for a leader whenever one is needed.
+    /// Finds a leader or becomes one whenever a leader is needed.
     pub(crate) async fn run_election(self: Rc<Self>) {
         loop {
-            let needed = self.coordination.leader_needed.notified();
-            if timeout(&self.runtime, MEMBERSHIP_CHECK_INTERVAL, needed).await.is_none()
+            let leader_requested = self.coordination.leader_requested.notified();
+            if timeout(&self.runtime, MEMBERSHIP_CHECK_INTERVAL, leader_requested).await.is_none()
                 && self.has_outdated_members()
             {
-                self.need_leader();
+                self.request_leader();
             }
             while self.lacks_leader() {
                 self.elect().await;
@@ -103,11 +107,11 @@
         }
     }
 
-    /// The members that decide on the next slot; none while the log has no first members.
+    /// The members that decide on the next slot; empty while the log has no initial members.
     pub(super) fn log_members(&self) -> Vec<LogMember> {
         let replica = self.coordination.replica.borrow();
         match replica.applied() {
-            0 => founders(&self.feed.state()),
+            0 => initial_members(&self.feed.state()),
             _ => replica.members().to_vec(),
         }
     }
@@ -120,26 +124,27 @@
         let me = LogMember { ip: self.me, replica: self.replica_id() };
         if !members.contains(&me) {
             let known: Vec<Ipv4Addr> = self.known_core_nodes.borrow().iter().copied().collect();
-            let survey = self.survey(&known, &members).await;
+            let survey = self.ask_for_leader(&known, &members).await;
             self.use_reported_leader(survey.leader);
             if members.is_empty() && survey.leader.is_none() {
-                self.found_log().await;
+                self.bootstrap_log().await;
             }
             return;
         }
         let others: Vec<Ipv4Addr> = members.iter().map(|member| member.ip).collect();
-        let survey = self.survey(&others, &members).await;
+        let survey = self.ask_for_leader(&others, &members).await;
         if survey.leader.is_some() {
             self.use_reported_leader(survey.leader);
         } else if survey.has_majority {
             self.runtime.sleep(self.candidate_delay(&members)).await;
-            if self.lacks_leader() && !self.has_rival() {
+            if self.lacks_leader() && !self.has_competing_candidate() {
                 self.campaign(&members).await;
             }
         }
     }
 
-    /// Candidates that notice the loss of a leader at the same moment start one after another.
+    /// Delay by rank, so that candidates that detect the loss of a leader at the same moment start one after another. The ranking
+    /// changes with each round.
     fn candidate_delay(&self, members: &[LogMember]) -> Duration {
         let round = self.coordination.replica.borrow().promised().round;
         let rank = |ip: Ipv4Addr| (rendezvous_rank(&ip.octets(), round), ip);
@@ -149,31 +154,32 @@
 
     fn use_reported_leader(&self, leader: Option<LogLeader>) {
         if let Some(leader) = leader {
-            let until = self.runtime.now() + REPORTED_LEADER_DURATION;
-            self.coordination.reported_leader.set(Some((leader, until)));
+            let expires_at = self.runtime.now() + REPORTED_LEADER_DURATION;
+            self.coordination.reported_leader.set(Some((leader, expires_at)));
             self.coordination.leader_found.notify_waiters();
         }
     }
 
-    /// Asks nodes for the leader that they hear; ends early once one reports a leader, or a majority of the members none.
-    async fn survey(self: &Rc<Self>, nodes: &[Ipv4Addr], members: &[LogMember]) -> Survey {
+    /// Asks nodes for the leader with which they are in contact; returns early once one reports a leader, or a majority of the
+    /// members reports none.
+    async fn ask_for_leader(self: &Rc<Self>, nodes: &[Ipv4Addr], members: &[LogMember]) -> LeaderSurvey {
         let is_member = members.iter().any(|member| member.replica == self.replica_id());
         let call = CoordinationCall::Locate { needs_leader: !is_member };
-        let (answers, mut received) = mpsc::unbounded_channel();
+        let (answer_sender, mut answers) = mpsc::unbounded_channel();
         for ip in nodes.iter().copied().filter(|ip| *ip != self.me) {
-            let (node, answers, call) = (self.clone(), answers.clone(), call.clone());
+            let (node, answer_sender, call) = (self.clone(), answer_sender.clone(), call.clone());
             self.runtime.spawn(async move {
                 let answer = node.call_coordination(ip, call, LOCATE_TIMEOUT).await;
-                let _ = answers.send(answer);
+                let _ = answer_sender.send(answer);
             });
         }
-        drop(answers);
+        drop(answer_sender);
         let mut votes = VoteCount::new(members);
         votes.record(self.replica_id());
-        let mut survey = Survey { has_majority: votes.is_quorum(), ..Survey::default() };
-        while let Some(answer) = received.recv().await {
+        let mut survey = LeaderSurvey { has_majority: votes.is_quorum(), ..LeaderSurvey::default() };
+        while let Some(answer) = answers.recv().await {
             let Some(CoordinationAnswer::Located { replica, leader }) = answer else { continue };
-            // A leadership of this node that others still hear is over.
+            // This node is not the leader: a report of its own leadership is outdated.
             let leader = leader.filter(|leader| leader.ip != self.me);
             survey.leader = survey.leader.into_iter().chain(leader).max_by_key(|leader| leader.ballot);
             survey.has_majority = votes.record(replica);
@@ -200,7 +206,7 @@
                     let replica = self.coordination.replica.borrow();
                     if replica.applied() == applied && replica.promised() == ballot {
                         drop(replica);
-                        self.begin_leadership(ballot, applied, self.first_entry(applied, entry, members));
+                        self.start_leadership(ballot, applied, self.first_entry(applied, entry, members));
                     }
                     return;
                 }
@@ -208,8 +214,8 @@
         }
     }
 
-    /// What a new leader proposes first: an entry that may be chosen already, the first members, or nothing. Once that is chosen,
-    /// a majority of the present members has on disk that they are the members.
+    /// The first entry that a new leader proposes: the one that may be chosen already, the initial members, or an empty entry.
+    /// Once it is chosen, a majority of the current members has their membership on disk.
     fn first_entry(&self, applied: u64, pending: Option<LogEntry>, members: &[LogMember]) -> LogEntry {
         pending.unwrap_or_else(|| match applied {
             0 => LogEntry::Members(members.to_vec()),
@@ -217,17 +223,17 @@
         })
     }
 
-    fn begin_leadership(self: &Rc<Self>, ballot: fleet_model::Ballot, applied: u64, first: LogEntry) {
+    fn start_leadership(self: &Rc<Self>, ballot: fleet_model::Ballot, applied: u64, first_entry: LogEntry) {
         let leadership = Rc::new(Leadership::new(ballot, applied, self.runtime.now()));
         *self.coordination.leadership.borrow_mut() = Some(leadership.clone());
-        self.runtime.spawn(self.clone().lead(leadership, first));
+        self.runtime.spawn(self.clone().lead(leadership, first_entry));
     }
 
     async fn fetch_state(self: &Rc<Self>, from: Ipv4Addr) {
         let reply = self.call_replica(from, LogRequest::Fetch, FETCH_TIMEOUT).await;
         if let Some(LogReply::Fetched(snapshot)) = reply.map(|reply| reply.reply) {
             self.coordination.replica.borrow_mut().install(snapshot);
-            self.after_log_change();
+            self.on_log_changed();
         }
     }
 }
--- a/system/control-node/src/coordination/forwarding.rs
+++ b/system/control-node/src/coordination/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests of applications on their way to the leader.
+//! Forwards application requests to the leader of the log, and executes them at the leader.
 
 use super::{APPLICATION_TIMEOUT, ApplicationReply, LEADER_TIMEOUT};
 use crate::{ControlBackend, ControlNode};
@@ -12,17 +12,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a request waits for a leader before it is rejected.
-const LEADER_WAIT: Duration = Duration::from_millis(650);
-/// Interval between checks whether the leader to which a request was sent is still heard.
+/// Maximum time that a request waits for a leader before it is rejected.
+const LEADER_WAIT_TIMEOUT: Duration = Duration::from_millis(650);
+/// Interval between checks whether the leader to which a request was sent is still live.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause before a request that a leader has rejected, or that had no answer, is sent again. A call to a peer fails at once
-/// while its connection is in backoff: without a pause the loop would keep the thread from all other work.
+/// Delay before a request that a leader has rejected or not answered is retried. A call to a peer fails immediately while its
+/// connection is in backoff, so without a delay the retry loop would starve all other tasks of the thread.
 const RESUBMIT_DELAY: Duration = Duration::from_millis(5);
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Has the leader execute a command; after a failure without a clear answer, the next one. That is safe because commands
-    /// that are executed twice by different leaders have the same effect as once, apart from gaps in numbers.
+    /// Has the leader execute a command. Retries with the next leader if the outcome is unknown, which is safe because commands
+    /// are idempotent across leaders, apart from gaps in the numbers of a counter.
     pub(super) async fn submit_command(self: &Rc<Self>, command: CoordinationCommand) -> ApplicationReply {
         let deadline = self.runtime.now() + APPLICATION_TIMEOUT;
         let mut may_be_executed = false;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Has the leader answer a read; `None` without an answer in time.
+    /// Has the leader answer a read; `None` if there is no answer in time or the leader is overloaded.
     pub(super) async fn read(
         self: &Rc<Self>,
         query: &CoordinationQuery,
@@ -87,7 +87,7 @@
         None
     }
 
-    /// Reads a key.
+    /// Reads a key through the leader; `Unavailable` if there is no answer in time.
     pub(super) async fn read_key(self: &Rc<Self>, key: String) -> ApplicationReply {
         let deadline = self.runtime.now() + APPLICATION_TIMEOUT;
         match self.read(&CoordinationQuery::Key(key), deadline).await {
@@ -96,9 +96,9 @@
         }
     }
 
-    /// Executes a command if this node leads under this ballot.
+    /// Executes a command if this node is the leader of `ballot`.
     pub(super) async fn execute(&self, ballot: Ballot, command: CoordinationCommand) -> CoordinationAnswer {
-        let Some(leadership) = self.leadership_of(ballot) else {
+        let Some(leadership) = self.leadership_with_ballot(ballot) else {
             return CoordinationAnswer::NotExecuted { leader: self.live_leader() };
         };
         match leadership.push_command(command) {
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Answers a read if this node leads under this ballot.
+    /// Answers a read if this node is the leader of `ballot`.
     pub(super) async fn execute_read(&self, ballot: Ballot, query: CoordinationQuery) -> CoordinationAnswer {
-        let Some(leadership) = self.leadership_of(ballot) else {
+        let Some(leadership) = self.leadership_with_ballot(ballot) else {
             return CoordinationAnswer::NotExecuted { leader: self.live_leader() };
         };
         match leadership.push_read(query) {
@@ -118,12 +118,12 @@
         }
     }
 
-    fn leadership_of(&self, ballot: Ballot) -> Option<Rc<super::leadership::Leadership>> {
+    fn leadership_with_ballot(&self, ballot: Ballot) -> Option<Rc<super::leadership::Leadership>> {
         let leadership = self.coordination.leadership()?;
         (leadership.ballot == ballot && leadership.is_ready()).then_some(leadership)
     }
 
-    /// Calls the leader; gives up early once it is not heard any more.
+    /// Calls the leader; gives up early once the leader is no longer live.
     async fn call_leader(
         &self,
         leader: LogLeader,
@@ -132,34 +132,34 @@
     ) -> Option<CoordinationAnswer> {
         let started_at = self.runtime.now();
         let call = pin!(self.call_coordination(leader.ip, call, deadline.saturating_sub(started_at)));
-        let lost = pin!(async {
+        let leader_lost = pin!(async {
             let is_live = || self.live_leader().is_some_and(|live| live.ballot == leader.ballot);
             while is_live() || self.runtime.now() < started_at + LEADER_TIMEOUT {
                 self.runtime.sleep(LEADER_CHECK_INTERVAL).await;
             }
         });
-        match select(call, lost).await {
+        match select(call, leader_lost).await {
             Either::Left((answer, _)) => answer,
             Either::Right(_) => None,
         }
     }
 
-    /// A node that was taken for the leader is not.
+    /// Handles the rejection by a node that is not the leader any more.
     async fn on_rejected(&self, leader: LogLeader) {
         self.forget_leader(leader.ballot);
         self.runtime.sleep(RESUBMIT_DELAY).await;
     }
 
-    /// Waits until a leader is known; `None` if that takes too long.
+    /// Waits until a leader is known; `None` after [`LEADER_WAIT_TIMEOUT`] or at the deadline.
     async fn wait_for_leader(&self, deadline: Duration) -> Option<LogLeader> {
-        let until = deadline.min(self.runtime.now() + LEADER_WAIT);
-        while self.runtime.now() < until {
-            let found = self.coordination.leader_found.notified();
+        let wait_deadline = deadline.min(self.runtime.now() + LEADER_WAIT_TIMEOUT);
+        while self.runtime.now() < wait_deadline {
+            let leader_found = self.coordination.leader_found.notified();
             if let Some(leader) = self.live_leader() {
                 return Some(leader);
             }
-            self.need_leader();
-            timeout_at(&self.runtime, until, found).await?;
+            self.request_leader();
+            timeout_at(&self.runtime, wait_deadline, leader_found).await?;
         }
         None
     }
--- a/system/control-node/src/coordination/journal.rs
+++ b/system/control-node/src/coordination/journal.rs
@@ -1,5 +1,5 @@
-//! The replica's journal: a vote is sent once its records are synced. Whatever is recorded while a write is under way goes with
-//! the next one.
+//! The replica's journal: a vote is sent once its records are synced. Records that are added during a write are written together
+//! by the next write.
 
 use crate::{ControlBackend, ControlNode};
 use node_runtime::Runtime;
@@ -9,37 +9,38 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Number of records after which the journal begins anew with a checkpoint.
+/// Number of records after which the journal is replaced by a checkpoint.
 const MAX_JOURNAL_RECORDS: usize = 2_048;
 
-/// How far the journal is written.
+/// The progress of the journal's writes.
 #[derive(Default)]
 pub(super) struct JournalProgress {
-    /// Number of the last requested sync.
+    /// Sequence number of the last requested sync.
     requested: Cell<u64>,
-    /// All syncs up to this one have succeeded.
+    /// All records up to this sync are on disk.
     synced: Cell<u64>,
-    /// All syncs up to this one have ended.
+    /// All syncs up to this one have succeeded or failed.
     ended: Cell<u64>,
     is_writing: Cell<bool>,
-    /// Whether this incarnation's journal is on disk.
+    /// Whether this incarnation has written the journal, and with it the replica's identity.
     is_created: Cell<bool>,
-    /// Number of records behind the checkpoint.
+    /// Number of records since the last checkpoint.
     records: Cell<usize>,
     /// Notified when a write ends.
     written: Notify,
-    /// The last applied slot that was noticed, and when.
+    /// The last applied slot for which waiting tasks were notified.
     pub(super) observed_applied: Cell<u64>,
+    /// When `observed_applied` changed last; `None` before the first change in this incarnation.
     pub(super) applied_at: Cell<Option<Duration>>,
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Makes sure that the replica's identity is on disk; false if the disk refuses it.
+    /// Makes sure that the replica's identity is on disk; returns false if it could not be written.
     pub(super) async fn create_journal(self: &Rc<Self>) -> bool {
         self.coordination.journal.is_created.get() || self.sync_journal().await
     }
 
-    /// Waits until all records so far are on disk; false if the disk refused them.
+    /// Waits until all records so far are on disk; returns false if they could not be written.
     pub(super) async fn sync_journal(self: &Rc<Self>) -> bool {
         let progress = &self.coordination.journal;
         let number = progress.requested.get() + 1;
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Writes until no sync is requested any more, in a task of its own: a caller may stop waiting.
+    /// Writes until no requested sync is left. Runs in a separate task, because a caller may stop waiting.
     async fn write_journal(self: Rc<Self>) {
         let progress = &self.coordination.journal;
         while progress.ended.get() < progress.requested.get() {
@@ -81,7 +82,8 @@
         progress.is_writing.set(false);
     }
 
-    /// What is to be written, if anything.
+    /// The next write: the new records, or a checkpoint if the journal has grown too long or requires one; `None` if there is
+    /// nothing to write.
     fn next_journal_write(&self) -> Option<JournalWrite> {
         let progress = &self.coordination.journal;
         let mut replica = self.coordination.replica.borrow_mut();
--- a/system/control-node/src/coordination/leader.rs
+++ b/system/control-node/src/coordination/leader.rs
@@ -1,6 +1,6 @@
-//! The rounds of a leader: all that waits when a round ends goes in the next one.
+//! The rounds of a leader: each round handles all commands and reads that have arrived during the previous one.
 
-use super::leadership::{Leadership, Waiting, resolve_commands};
+use super::leadership::{Leadership, PendingRequest, resolve_commands};
 use super::peers::PeerReply;
 use crate::{ControlBackend, ControlNode};
 use fleet_model::{
@@ -14,41 +14,41 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Interval of heartbeats, if no other request goes to the members.
+/// Interval between heartbeats, if no other request is sent to the members.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(80);
-/// Time-out of a heartbeat and of a confirmation.
+/// Timeout of a heartbeat, also when it confirms the leadership for a read.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time-out of an accept, which includes a sync.
+/// Timeout of an accept request, which includes a sync.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time-out for bringing a replica up to date.
+/// Timeout of a request that brings a replica up to date.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(800);
-/// Delay before an accept that had no reply is sent again.
+/// Delay before an accept request or a confirmation that had no reply is retried.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(40);
-/// A leader without a quorum for this long steps down.
+/// A leader without responses from a quorum for this long steps down.
 const QUORUM_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A leader without requests for this long steps down, so that an unused log costs nothing.
+/// A leader without requests for this long steps down, so that an unused log causes no traffic.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval between checks whether a resigning leader has completed its round.
 const RESIGNATION_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Interval between checks whether the members have to change.
+/// Interval between checks whether the members must change.
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How a leadership goes on after a round.
+/// How the leader continues after a round.
 enum RoundOutcome {
     Continue,
     StepDown,
-    /// The members have changed: phase 1 is due among the new ones.
+    /// The members have changed: phase 1 must be repeated with the new ones.
     CampaignAgain,
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Leads until a higher ballot is seen, no quorum responds, or nobody needs a leader.
-    pub(super) async fn lead(self: Rc<Self>, leadership: Rc<Leadership>, first: LogEntry) {
+    /// Leads until a higher ballot is seen, no quorum responds, the node shuts down, or the service has been idle.
+    pub(super) async fn lead(self: Rc<Self>, leadership: Rc<Leadership>, first_entry: LogEntry) {
         let members = self.log_members();
-        let is_established = self.choose(&leadership, first).await.is_some();
+        let is_established = self.choose_entry(&leadership, first_entry).await.is_some();
         let mut outcome = RoundOutcome::StepDown;
         if is_established && self.log_members() != members {
-            // The pending entry was a change of members: phase 1 was done among the former ones.
+            // The pending entry has changed the members, and phase 1 was run with the previous ones.
             outcome = RoundOutcome::CampaignAgain;
         } else if is_established && !leadership.is_deposed() {
             leadership.set_ready();
@@ -59,20 +59,20 @@
         let was_deposed = leadership.is_deposed();
         self.step_down(&leadership);
         match outcome {
-            RoundOutcome::CampaignAgain => self.need_leader(),
+            RoundOutcome::CampaignAgain => self.request_leader(),
             _ if !was_deposed => self.announce_resignation(&leadership),
             _ => {}
         }
         self.resume_election();
     }
 
-    /// Has the other nodes look for another leader at once rather than after a time-out.
+    /// Tells the other nodes that this leadership is over, so that they need not wait for a timeout to elect another leader.
     fn announce_resignation(self: &Rc<Self>, leadership: &Leadership) {
         let others = self.heartbeat_targets().into_iter().filter(|ip| *ip != self.me);
         self.call_replicas(others, &LogRequest::Resign(leadership.ballot), HEARTBEAT_TIMEOUT);
     }
 
-    /// Ends a leadership of this node before its process ends, and begins no other.
+    /// Ends this node's leadership before a shutdown, waiting at most `max_wait` for the current round, and prevents another one.
     pub async fn resign(self: &Rc<Self>, max_wait: Duration) {
         self.coordination.is_shutting_down.set(true);
         let deadline = self.runtime.now() + max_wait;
@@ -91,7 +91,7 @@
             *current = None;
         }
         drop(current);
-        leadership.reject_waiting();
+        leadership.reject_pending();
     }
 
     async fn run_rounds(self: &Rc<Self>, leadership: &Rc<Leadership>) -> RoundOutcome {
@@ -120,12 +120,12 @@
     }
 
     async fn wait_for_work(self: &Rc<Self>, leadership: &Rc<Leadership>) -> RoundOutcome {
-        let due = leadership.broadcast_at.get() + HEARTBEAT_INTERVAL;
-        if timeout_at(&self.runtime, due, leadership.wake.notified()).await.is_some() {
+        let heartbeat_due = leadership.last_broadcast_at.get() + HEARTBEAT_INTERVAL;
+        if timeout_at(&self.runtime, heartbeat_due, leadership.wake.notified()).await.is_some() {
             return RoundOutcome::Continue;
         }
         let now = self.runtime.now();
-        if now > leadership.used_at.get() + IDLE_TIMEOUT && leadership.watching_nodes().is_empty() {
+        if now > leadership.last_used_at.get() + IDLE_TIMEOUT && leadership.watching_nodes().is_empty() {
             return RoundOutcome::StepDown;
         }
         self.send_heartbeat(leadership, self.heartbeat_targets());
@@ -137,7 +137,7 @@
 
     fn has_responsive_quorum(&self, leadership: &Leadership) -> bool {
         let now = self.runtime.now();
-        if now < leadership.began_at + QUORUM_TIMEOUT {
+        if now < leadership.started_at + QUORUM_TIMEOUT {
             return true;
         }
         let members = self.log_members();
@@ -149,22 +149,22 @@
         votes.is_quorum()
     }
 
-    /// One round with all commands and reads that wait.
+    /// Runs one round with all pending reads, and pending commands up to the batch limit.
     async fn run_round(self: &Rc<Self>, leadership: &Rc<Leadership>) -> RoundOutcome {
-        leadership.used_at.set(self.runtime.now());
-        let commands = leadership.take_commands();
-        let reads = leadership.take_reads();
+        leadership.last_used_at.set(self.runtime.now());
+        let commands = leadership.dequeue_commands();
+        let reads = leadership.dequeue_reads();
         let is_confirmed = if commands.is_empty() {
             reads.is_empty() || self.confirm_leadership(leadership).await
         } else {
-            let batch = self.batch(commands.iter().map(|waiting| waiting.work.clone()).collect());
-            let outcomes = self.choose(leadership, LogEntry::Batch(batch)).await;
+            let batch = self.build_batch(commands.iter().map(|pending| pending.request.clone()).collect());
+            let outcomes = self.choose_entry(leadership, LogEntry::Batch(batch)).await;
             let is_chosen = outcomes.is_some();
             match outcomes {
                 Some(outcomes) => resolve_commands(commands, outcomes),
                 None => commands
                     .into_iter()
-                    .for_each(|waiting| waiting.resolve(CoordinationAnswer::Indeterminate)),
+                    .for_each(|pending| pending.resolve(CoordinationAnswer::Indeterminate)),
             }
             is_chosen
         };
@@ -177,9 +177,9 @@
         }
     }
 
-    /// A batch of commands, with what the leader's clock says: how long ago the batch before was applied, and which holds of
-    /// locks have expired.
-    fn batch(&self, mut commands: Vec<CoordinationCommand>) -> CoordinationBatch {
+    /// Builds a batch of commands with the readings of the leader's clock: how long ago the previous batch was applied, and which
+    /// lock holds have expired.
+    fn build_batch(&self, mut commands: Vec<CoordinationCommand>) -> CoordinationBatch {
         let (now, now_ms) = (self.runtime.now(), self.runtime.now_ms());
         let replica = self.coordination.replica.borrow();
         let (state, holds) = (&replica.machine().state, self.coordination.holds.borrow());
@@ -190,66 +190,66 @@
             }
         }
         let elapsed = self.coordination.journal.applied_at.get().map_or(Duration::ZERO, |at| now - at);
-        let milliseconds = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
+        let as_millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         CoordinationBatch {
-            elapsed_ms: milliseconds(elapsed),
-            history_ms: milliseconds(self.backend.history()),
+            elapsed_ms: as_millis(elapsed),
+            history_ms: as_millis(self.backend.history()),
             commands,
         }
     }
 
-    fn answer_read(&self, read: Waiting<CoordinationQuery>, is_confirmed: bool) {
+    fn answer_read(&self, read: PendingRequest<CoordinationQuery>, is_confirmed: bool) {
         if !is_confirmed {
             return read.resolve(CoordinationAnswer::NotExecuted { leader: None });
         }
         let replica = self.coordination.replica.borrow();
-        let reading = match &read.work {
+        let reading = match &read.request {
             CoordinationQuery::Key(key) => CoordinationReading::Key(replica.machine().state.key(key)),
             CoordinationQuery::CommitIndex => CoordinationReading::CommitIndex(replica.applied()),
         };
         read.resolve(CoordinationAnswer::Reading(reading));
     }
 
-    /// Has an entry chosen for the next slot. Returns the outcomes of its commands; `None` if the leadership is over, and the
-    /// entry may be chosen later or not.
-    pub(super) async fn choose(
+    /// Runs phase 2 for the next slot. Returns the outcomes of the entry's commands once the entry is chosen; `None` if the
+    /// leadership is over, in which case the entry may or may not be chosen later.
+    pub(super) async fn choose_entry(
         self: &Rc<Self>,
         leadership: &Rc<Leadership>,
         entry: LogEntry,
     ) -> Option<Vec<CoordinationOutcome>> {
         let applied = self.coordination.replica.borrow().applied();
         if applied != leadership.applied.get() {
-            // Another leader has had slots chosen: this one's first phase says nothing of the next one.
+            // Another leader has committed slots since this one's phase 1, whose result does not cover the next slot.
             leadership.depose();
             return None;
         }
         let (members, slot) = (self.log_members(), applied + 1);
         let position = CommitPosition { slot, ballot: leadership.ballot };
-        let has_puts = matches!(&entry, LogEntry::Batch(batch)
+        let has_key_puts = matches!(&entry, LogEntry::Batch(batch)
             if batch.commands.iter().any(|command| matches!(command, CoordinationCommand::PutKey { .. })));
         let accepted = AcceptedEntry { ballot: leadership.ballot, entry: SlotEntry { slot, entry } };
         let request = LogRequest::Accept { accepted, committed: leadership.committed.get() };
-        let (votes, mut voted) = mpsc::unbounded_channel();
+        let (vote_sender, mut votes) = mpsc::unbounded_channel();
         for member in &members {
             self.runtime.spawn(self.clone().request_vote(
                 leadership.clone(),
                 member.ip,
                 request.clone(),
-                votes.clone(),
+                vote_sender.clone(),
             ));
         }
-        drop(votes);
-        leadership.broadcast_at.set(self.runtime.now());
+        drop(vote_sender);
+        leadership.last_broadcast_at.set(self.runtime.now());
         let mut count = VoteCount::new(&members);
         let deadline = self.runtime.now() + QUORUM_TIMEOUT;
         while !count.is_quorum() {
-            let heartbeat_due = leadership.broadcast_at.get() + HEARTBEAT_INTERVAL;
-            match timeout_at(&self.runtime, deadline.min(heartbeat_due), voted.recv()).await {
+            let heartbeat_due = leadership.last_broadcast_at.get() + HEARTBEAT_INTERVAL;
+            match timeout_at(&self.runtime, deadline.min(heartbeat_due), votes.recv()).await {
                 Some(vote) => {
                     count.record(vote?);
                 }
                 None if self.runtime.now() >= deadline => return None,
-                // Members that have voted hear the leader while it waits for the others.
+                // Members that have voted still need heartbeats while the leader waits for the others.
                 None => self.send_heartbeat(leadership, self.heartbeat_targets()),
             }
             if leadership.is_deposed() {
@@ -259,31 +259,31 @@
         let outcomes = self.coordination.replica.borrow_mut().commit_own(position)?;
         leadership.committed.set(position);
         leadership.applied.set(slot);
-        self.after_log_change();
-        if has_puts {
+        self.on_log_changed();
+        if has_key_puts {
             self.send_heartbeat(leadership, leadership.watching_nodes());
         }
         Some(outcomes)
     }
 
-    /// Sends an accept to a member until it has voted, the leadership is over or the slot is decided.
+    /// Sends an accept request to a member until the member has voted, the leadership is over or the slot is decided.
     async fn request_vote(
         self: Rc<Self>,
         leadership: Rc<Leadership>,
         ip: Ipv4Addr,
         request: LogRequest,
-        votes: mpsc::UnboundedSender<fleet_model::ReplicaId>,
+        vote_sender: mpsc::UnboundedSender<fleet_model::ReplicaId>,
     ) {
-        while !votes.is_closed() && !leadership.is_deposed() {
+        while !vote_sender.is_closed() && !leadership.is_deposed() {
             let reply = self.call_replica(ip, request.clone(), ACCEPT_TIMEOUT).await;
             let Some(reply) = reply else {
                 self.runtime.sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            self.note_reply(&leadership, ip, &reply);
+            self.record_reply(&leadership, ip, &reply);
             match reply.reply {
                 LogReply::Accepted => {
-                    let _ = votes.send(reply.replica);
+                    let _ = vote_sender.send(reply.replica);
                     return;
                 }
                 LogReply::Behind(applied) => self.catch_up(&leadership, ip, applied).await,
@@ -292,15 +292,15 @@
         }
     }
 
-    fn note_reply(&self, leadership: &Leadership, ip: Ipv4Addr, reply: &PeerReply) {
-        leadership.note_reply(ip, reply.replica, reply.has_watchers, self.runtime.now());
+    fn record_reply(&self, leadership: &Leadership, ip: Ipv4Addr, reply: &PeerReply) {
+        leadership.record_reply(ip, reply.replica, reply.has_watchers, self.runtime.now());
         if let LogReply::Rejected(ballot) = reply.reply {
             self.coordination.ballots.borrow_mut().observe(ballot);
             leadership.depose();
         }
     }
 
-    /// Brings a replica up to date, unless that is under way.
+    /// Brings a replica up to date, unless another task is doing so already.
     async fn catch_up(self: &Rc<Self>, leadership: &Leadership, ip: Ipv4Addr, applied: u64) {
         if !leadership.set_catching_up(ip, true) {
             return self.runtime.sleep(ACCEPT_RETRY_DELAY).await;
@@ -312,14 +312,14 @@
 
     /// Sends a heartbeat and handles the replies in the background.
     fn send_heartbeat(self: &Rc<Self>, leadership: &Rc<Leadership>, targets: Vec<Ipv4Addr>) {
-        leadership.broadcast_at.set(self.runtime.now());
+        leadership.last_broadcast_at.set(self.runtime.now());
         let request = leadership.heartbeat();
         for ip in targets.into_iter().filter(|ip| *ip != self.me) {
             let (node, leadership, request) = (self.clone(), leadership.clone(), request.clone());
             self.runtime.spawn(async move {
                 let reply = node.call_replica(ip, request, HEARTBEAT_TIMEOUT).await;
                 let Some(reply) = reply else { return };
-                node.note_reply(&leadership, ip, &reply);
+                node.record_reply(&leadership, ip, &reply);
                 let is_member = node.log_members().iter().any(|member| member.replica == reply.replica);
                 if let LogReply::Behind(applied) = reply.reply
                     && is_member
@@ -331,7 +331,7 @@
         }
     }
 
-    /// The members, and the voters of the configuration register, which may become members.
+    /// The members, and the voters of the configuration register, which are candidates for membership.
     fn heartbeat_targets(&self) -> Vec<Ipv4Addr> {
         let mut targets: Vec<Ipv4Addr> = self.log_members().iter().map(|member| member.ip).collect();
         for voter in &self.feed.value().voters {
@@ -342,18 +342,19 @@
         targets
     }
 
-    /// Has a quorum confirm, after this call, that it has promised no higher ballot.
+    /// Confirms with a quorum, by heartbeats sent after this call, that no higher ballot has been promised. A read is
+    /// linearizable only if it is answered after that.
     async fn confirm_leadership(self: &Rc<Self>, leadership: &Rc<Leadership>) -> bool {
         let members = self.log_members();
         let deadline = self.runtime.now() + QUORUM_TIMEOUT;
         while self.runtime.now() < deadline && !leadership.is_deposed() {
-            leadership.broadcast_at.set(self.runtime.now());
+            leadership.last_broadcast_at.set(self.runtime.now());
             let targets = members.iter().map(|member| member.ip);
             let mut replies = self.call_replicas(targets, &leadership.heartbeat(), HEARTBEAT_TIMEOUT);
             let mut count = VoteCount::new(&members);
             while let Some((ip, reply)) = replies.recv().await {
                 let Some(reply) = reply else { continue };
-                self.note_reply(leadership, ip, &reply);
+                self.record_reply(leadership, ip, &reply);
                 if matches!(reply.reply, LogReply::Confirmed | LogReply::Behind(_))
                     && count.record(reply.replica)
                 {
@@ -367,7 +368,7 @@
 
     async fn follow_voters(self: &Rc<Self>, leadership: &Rc<Leadership>) -> RoundOutcome {
         let Some(members) = self.members_to_propose(leadership) else { return RoundOutcome::Continue };
-        match self.choose(leadership, LogEntry::Members(members)).await {
+        match self.choose_entry(leadership, LogEntry::Members(members)).await {
             Some(_) => RoundOutcome::CampaignAgain,
             None => RoundOutcome::StepDown,
         }
--- a/system/control-node/src/coordination/leadership.rs
+++ b/system/control-node/src/coordination/leadership.rs
@@ -1,4 +1,4 @@
-//! The state of a leader: what waits for its next round, and what it knows of the other replicas.
+//! The state of a leader: requests pending for its next round, and the state of the other replicas.
 
 use fleet_model::{
     Ballot, CommitPosition, CoordinationAnswer, CoordinationCommand, CoordinationOutcome, CoordinationQuery,
@@ -11,71 +11,71 @@
 use std::time::Duration;
 use tokio::sync::{Notify, oneshot};
 
-/// Maximum number of commands that wait for a round.
-const MAX_WAITING_COMMANDS: usize = 1_024;
-/// Maximum number of reads that wait for a round.
-const MAX_WAITING_READS: usize = 4_096;
+/// Maximum number of pending commands; more are rejected as overload.
+const MAX_PENDING_COMMANDS: usize = 1_024;
+/// Maximum number of pending reads; more are rejected as overload.
+const MAX_PENDING_READS: usize = 4_096;
 /// Maximum number of commands in one slot.
 const MAX_BATCH_COMMANDS: usize = 256;
-/// A replica that has replied within this time is responsive.
+/// A replica whose last reply is at most this old counts as responsive.
 const RESPONSIVE_DURATION: Duration = Duration::from_millis(1_000);
 
-/// A command that waits for its outcome, or a read that waits for a quorum to confirm the leader.
-pub(super) struct Waiting<T> {
-    pub(super) work: T,
+/// A command that is waiting for its outcome, or a read that is waiting for a quorum to confirm the leader.
+pub(super) struct PendingRequest<T> {
+    pub(super) request: T,
     answer: oneshot::Sender<CoordinationAnswer>,
 }
 
-impl<T> Waiting<T> {
-    fn new(work: T) -> (Self, oneshot::Receiver<CoordinationAnswer>) {
+impl<T> PendingRequest<T> {
+    fn new(request: T) -> (Self, oneshot::Receiver<CoordinationAnswer>) {
         let (answer, received) = oneshot::channel();
-        (Self { work, answer }, received)
+        (Self { request, answer }, received)
     }
 
     pub(super) fn resolve(self, answer: CoordinationAnswer) {
-        // The caller may have gone.
+        // Sending fails if the caller has stopped waiting, which is harmless.
         let _ = self.answer.send(answer);
     }
 }
 
-/// What a leader knows of the replica at an address.
+/// The state of the replica at an address, as known to the leader.
 #[derive(Clone, Copy, Debug)]
-struct Peer {
+struct PeerState {
     replica: ReplicaId,
     replied_at: Duration,
     has_watchers: bool,
     is_catching_up: bool,
 }
 
-/// One leadership, from winning a campaign to the next higher ballot.
+/// One term of leadership: from winning a campaign until a higher ballot, a resignation or the loss of the quorum.
 pub(super) struct Leadership {
     pub(super) ballot: Ballot,
-    pub(super) began_at: Duration,
+    pub(super) started_at: Duration,
     is_ready: Cell<bool>,
     is_deposed: Cell<bool>,
     is_resigning: Cell<bool>,
-    commands: RefCell<VecDeque<Waiting<CoordinationCommand>>>,
-    reads: RefCell<Vec<Waiting<CoordinationQuery>>>,
-    peers: RefCell<BTreeMap<Ipv4Addr, Peer>>,
-    /// The last slot that this leader has had chosen.
+    commands: RefCell<VecDeque<PendingRequest<CoordinationCommand>>>,
+    reads: RefCell<Vec<PendingRequest<CoordinationQuery>>>,
+    peers: RefCell<BTreeMap<Ipv4Addr, PeerState>>,
+    /// The last slot that this leader has committed.
     pub(super) committed: Cell<CommitPosition>,
-    /// The last slot that the own replica has applied, unless another leader is at work.
+    /// The last slot that this node's replica has applied, as far as this leader knows. The replica is ahead of it if another
+    /// leader has committed slots.
     pub(super) applied: Cell<u64>,
-    /// When the last request went to all members.
-    pub(super) broadcast_at: Cell<Duration>,
+    /// When the last request was sent to all members.
+    pub(super) last_broadcast_at: Cell<Duration>,
     /// When the last command or read arrived.
-    pub(super) used_at: Cell<Duration>,
-    /// Notified when there is work, and when the leadership is over.
+    pub(super) last_used_at: Cell<Duration>,
+    /// Notified when a request is queued, and when the leadership ends.
     pub(super) wake: Notify,
 }
 
 impl Leadership {
-    /// The leadership of this ballot.
-    /// `applied` is the last slot before those that it decides.
+    /// Creates the state after winning a campaign. `applied` is the last slot before those that this leader decides.
     pub(super) fn new(ballot: Ballot, applied: u64, now: Duration) -> Self {
         Self {
             ballot,
-            began_at: now,
+            started_at: now,
             is_ready: Cell::new(false),
             is_deposed: Cell::new(false),
             is_resigning: Cell::new(false),
@@ -84,13 +84,13 @@
             peers: RefCell::default(),
             committed: Cell::default(),
             applied: Cell::new(applied),
-            broadcast_at: Cell::new(now),
-            used_at: Cell::new(now),
+            last_broadcast_at: Cell::new(now),
+            last_used_at: Cell::new(now),
             wake: Notify::new(),
         }
     }
 
-    /// Whether its first entry is chosen, so that it takes requests.
+    /// Whether the leader accepts requests: its first entry is chosen and its leadership is not ending.
     pub(super) fn is_ready(&self) -> bool {
         self.is_ready.get() && !self.is_deposed.get() && !self.is_resigning.get()
     }
@@ -103,13 +103,13 @@
         self.is_deposed.get()
     }
 
-    /// Ends it: a higher ballot was seen, or no quorum responds.
+    /// Ends the leadership, because a higher ballot was seen or no quorum responds.
     pub(super) fn depose(&self) {
         self.is_deposed.set(true);
         self.wake.notify_one();
     }
 
-    /// Takes no further requests; the round under way is completed.
+    /// Stops accepting requests; the current round is completed.
     pub(super) fn resign(&self) {
         self.is_resigning.set(true);
         self.wake.notify_one();
@@ -119,50 +119,50 @@
         self.is_resigning.get()
     }
 
-    /// A heartbeat with what is chosen by now.
+    /// A heartbeat that announces the committed slot.
     pub(super) fn heartbeat(&self) -> LogRequest {
         LogRequest::Heartbeat { ballot: self.ballot, committed: self.committed.get() }
     }
 
-    /// Queues a command for the next round; `None` if too many wait.
+    /// Queues a command for the next round; `None` if too many are pending.
     pub(super) fn push_command(
         &self,
         command: CoordinationCommand,
     ) -> Option<oneshot::Receiver<CoordinationAnswer>> {
         let mut commands = self.commands.borrow_mut();
-        if commands.len() >= MAX_WAITING_COMMANDS {
+        if commands.len() >= MAX_PENDING_COMMANDS {
             return None;
         }
-        let (waiting, received) = Waiting::new(command);
-        commands.push_back(waiting);
+        let (pending, received) = PendingRequest::new(command);
+        commands.push_back(pending);
         self.wake.notify_one();
         Some(received)
     }
 
-    /// Queues a read for the next round; `None` if too many wait.
+    /// Queues a read for the next round; `None` if too many are pending.
     pub(super) fn push_read(
         &self,
         query: CoordinationQuery,
     ) -> Option<oneshot::Receiver<CoordinationAnswer>> {
         let mut reads = self.reads.borrow_mut();
-        if reads.len() >= MAX_WAITING_READS {
+        if reads.len() >= MAX_PENDING_READS {
             return None;
         }
-        let (waiting, received) = Waiting::new(query);
-        reads.push(waiting);
+        let (pending, received) = PendingRequest::new(query);
+        reads.push(pending);
         self.wake.notify_one();
         Some(received)
     }
 
-    /// The commands of the next slot. Those whose callers have gone are left out.
-    pub(super) fn take_commands(&self) -> Vec<Waiting<CoordinationCommand>> {
+    /// Removes the commands of the next slot from the queue. Commands whose callers have stopped waiting are dropped.
+    pub(super) fn dequeue_commands(&self) -> Vec<PendingRequest<CoordinationCommand>> {
         let mut commands = self.commands.borrow_mut();
-        commands.retain(|waiting| !waiting.answer.is_closed());
+        commands.retain(|pending| !pending.answer.is_closed());
         let count = commands.len().min(MAX_BATCH_COMMANDS);
         commands.drain(..count).collect()
     }
 
-    pub(super) fn take_reads(&self) -> Vec<Waiting<CoordinationQuery>> {
+    pub(super) fn dequeue_reads(&self) -> Vec<PendingRequest<CoordinationQuery>> {
         self.reads.take()
     }
 
@@ -170,36 +170,37 @@
         !self.commands.borrow().is_empty() || !self.reads.borrow().is_empty()
     }
 
-    /// Answers all that still waits when the leadership is over: none of it was proposed.
-    pub(super) fn reject_waiting(&self) {
-        for waiting in self.commands.take() {
-            waiting.resolve(CoordinationAnswer::NotExecuted { leader: None });
+    /// Rejects all pending requests when the leadership is over: none of them was proposed.
+    pub(super) fn reject_pending(&self) {
+        for pending in self.commands.take() {
+            pending.resolve(CoordinationAnswer::NotExecuted { leader: None });
         }
-        for waiting in self.reads.take() {
-            waiting.resolve(CoordinationAnswer::NotExecuted { leader: None });
+        for pending in self.reads.take() {
+            pending.resolve(CoordinationAnswer::NotExecuted { leader: None });
         }
     }
 
-    /// Notes a reply of the replica at an address.
-    pub(super) fn note_reply(&self, ip: Ipv4Addr, replica: ReplicaId, has_watchers: bool, now: Duration) {
+    /// Records a reply of the replica at an address.
+    pub(super) fn record_reply(&self, ip: Ipv4Addr, replica: ReplicaId, has_watchers: bool, now: Duration) {
         let mut peers = self.peers.borrow_mut();
         let is_catching_up = peers.get(&ip).is_some_and(|peer| peer.is_catching_up);
-        peers.insert(ip, Peer { replica, replied_at: now, has_watchers, is_catching_up });
+        peers.insert(ip, PeerState { replica, replied_at: now, has_watchers, is_catching_up });
     }
 
-    /// Notes that applications at a node wait for events.
-    pub(super) fn note_watcher(&self, ip: Ipv4Addr) {
+    /// Records that applications are waiting for events at a node.
+    pub(super) fn record_watcher(&self, ip: Ipv4Addr) {
         if let Some(peer) = self.peers.borrow_mut().get_mut(&ip) {
             peer.has_watchers = true;
         }
     }
 
-    /// The nodes at which applications wait for events.
+    /// The nodes at which applications are waiting for events.
     pub(super) fn watching_nodes(&self) -> Vec<Ipv4Addr> {
         self.peers.borrow().iter().filter(|(_, peer)| peer.has_watchers).map(|(ip, _)| *ip).collect()
     }
 
-    /// Marks the replica at an address as being brought up to date, or as done; false if it was marked so already.
+    /// Sets whether the replica at an address is being brought up to date; returns false if nothing changed or the replica is
+    /// unknown.
     pub(super) fn set_catching_up(&self, ip: Ipv4Addr, is_catching_up: bool) -> bool {
         match self.peers.borrow_mut().get_mut(&ip) {
             Some(peer) => std::mem::replace(&mut peer.is_catching_up, is_catching_up) != is_catching_up,
@@ -207,9 +208,9 @@
         }
     }
 
-    /// The replicas that have replied.
+    /// The replicas that have replied to this leader, by address.
     pub(super) fn known_replicas(&self, now: Duration) -> BTreeMap<Ipv4Addr, KnownReplica> {
-        let known = |peer: &Peer| KnownReplica {
+        let known = |peer: &PeerState| KnownReplica {
             replica: peer.replica,
             is_responsive: now < peer.replied_at + RESPONSIVE_DURATION,
         };
@@ -217,12 +218,12 @@
     }
 }
 
-/// Pairs the commands of a slot with their outcomes.
+/// Answers the commands of a slot with their outcomes.
 pub(super) fn resolve_commands(
-    commands: Vec<Waiting<CoordinationCommand>>,
+    commands: Vec<PendingRequest<CoordinationCommand>>,
     outcomes: Vec<CoordinationOutcome>,
 ) {
-    for (waiting, outcome) in commands.into_iter().zip(outcomes) {
-        waiting.resolve(CoordinationAnswer::Outcome(outcome));
+    for (pending, outcome) in commands.into_iter().zip(outcomes) {
+        pending.resolve(CoordinationAnswer::Outcome(outcome));
     }
 }
--- a/system/control-node/src/coordination/membership.rs
+++ b/system/control-node/src/coordination/membership.rs
@@ -1,6 +1,6 @@
-//! The members of the log follow the voters of the configuration register.
+//! Keeps the log's members equal to the voters of the configuration register.
 
-use super::founding::founders;
+use super::bootstrap::initial_members;
 use super::leadership::Leadership;
 use crate::{ControlBackend, ControlNode};
 use fleet_model::LogMember;
@@ -8,11 +8,11 @@
 use replicated_log::{KnownReplica, next_members};
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Whether the members that this node knows are not the voters, or are so without its replica. Without a leader nobody
-    /// follows the voters, so that one after the other could be replaced until the log has no majority left.
+    /// Whether the log's members, as known to this node, differ from the voters or lack this node's replica. Only a leader changes
+    /// the members, so without one the voters could be replaced one after another until the log has no majority left.
     pub(super) fn has_outdated_members(&self) -> bool {
         let voters = &self.feed.value().voters;
-        if founders(&self.feed.state()).is_empty() || !voters.contains(&self.me) || !self.is_fresh() {
+        if initial_members(&self.feed.state()).is_empty() || !voters.contains(&self.me) || !self.is_fresh() {
             return false;
         }
         let members = self.log_members();
@@ -22,7 +22,8 @@
             || members.iter().any(|member| !voters.contains(&member.ip))
     }
 
-    /// The members after the next change, if the voters call for one and a majority confirms that they are current.
+    /// The members after the next change; `None` if none is due, or no majority has confirmed recently that the known
+    /// voters are current.
     pub(super) fn members_to_propose(&self, leadership: &Leadership) -> Option<Vec<LogMember>> {
         if !self.is_fresh() {
             return None;
--- a/system/control-node/src/coordination/peers.rs
+++ b/system/control-node/src/coordination/peers.rs
@@ -1,4 +1,4 @@
-//! Calls to the replicas of other nodes, and to the own one.
+//! Calls to the log's replicas at other nodes and at this one.
 
 use crate::{ControlBackend, ControlNode};
 use fleet_model::{Answer, Call, CoordinationAnswer, CoordinationCall, LogReply, LogRequest, ReplicaId};
@@ -8,22 +8,21 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The reply of a replica.
+/// A replica's reply to a log request.
 #[derive(Clone, Debug)]
 pub(super) struct PeerReply {
-    /// The replica.
+    /// The replica that replied, which may differ from the previous one at that address.
     pub(super) replica: ReplicaId,
-    /// Whether applications at its node wait for events.
+    /// Whether applications are waiting for events at the replica's node.
     pub(super) has_watchers: bool,
-    /// The reply.
     pub(super) reply: LogReply,
 }
 
-/// The replies to a request to several replicas, with the address of each; `None` without a reply in time.
+/// The replies of several replicas to a request, with their addresses; `None` for a replica that did not reply in time.
 pub(super) type PeerReplies = mpsc::UnboundedReceiver<(Ipv4Addr, Option<PeerReply>)>;
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Calls the coordination service of another node.
+    /// Calls the coordination service of another node; `None` if it did not answer in time.
     pub(super) async fn call_coordination(
         &self,
         ip: Ipv4Addr,
@@ -36,7 +35,7 @@
         }
     }
 
-    /// Sends a request to a replica, which may be the own one.
+    /// Sends a request to a replica, which may be this node's.
     pub(super) async fn call_replica(
         self: &Rc<Self>,
         ip: Ipv4Addr,
@@ -55,21 +54,21 @@
         }
     }
 
-    /// Sends a request to several replicas side by side. Each call runs to its end, also if the caller stops waiting.
+    /// Sends a request to several replicas concurrently. Each call runs to its end even if the caller stops waiting.
     pub(super) fn call_replicas(
         self: &Rc<Self>,
         targets: impl IntoIterator<Item = Ipv4Addr>,
         request: &LogRequest,
         timeout: Duration,
     ) -> PeerReplies {
-        let (replies, received) = mpsc::unbounded_channel();
+        let (reply_sender, replies) = mpsc::unbounded_channel();
         for ip in targets {
-            let (node, replies, request) = (self.clone(), replies.clone(), request.clone());
+            let (node, reply_sender, request) = (self.clone(), reply_sender.clone(), request.clone());
             self.runtime.spawn(async move {
                 let reply = node.call_replica(ip, request, timeout).await;
-                let _ = replies.send((ip, reply));
+                let _ = reply_sender.send((ip, reply));
             });
         }
-        received
+        replies
     }
 }
--- a/system/control-node/src/coordination/machine.rs
+++ b/system/control-node/src/coordination/state_machine.rs
@@ -1,17 +1,17 @@
-//! The coordination state as the state machine of the log.
+//! The coordination state as the log's state machine.
 
 use coordination::CoordinationState;
 use fleet_model::{CoordinationBatch, CoordinationOutcome};
 use replicated_log::StateMachine;
 
-/// The coordination state of a replica.
+/// Adapts the coordination state to the log.
 #[derive(Debug, Default)]
-pub(crate) struct Machine {
+pub(crate) struct CoordinationMachine {
     /// The state after all applied slots.
     pub(crate) state: CoordinationState,
 }
 
-impl StateMachine for Machine {
+impl StateMachine for CoordinationMachine {
     fn apply(&mut self, batch: &CoordinationBatch) -> Vec<CoordinationOutcome> {
         self.state.apply(batch)
     }
--- a/system/control-node/src/coordination/status.rs
+++ b/system/control-node/src/coordination/status.rs
@@ -1,4 +1,4 @@
-//! The coordination service as an operator sees it.
+//! The state of the coordination service at one node, for operators.
 
 use crate::{ControlBackend, ControlNode};
 use coordination::Lock;
@@ -6,67 +6,67 @@
 use node_runtime::Runtime;
 use serde::{Deserialize, Serialize};
 
-/// What a node knows of the coordination service: its replica, and the state that it has applied. A replica that is behind shows
-/// an older state.
+/// The coordination service as known to one node: its replica, and the state that the replica has applied. A replica that lags
+/// behind reports an older state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinationStatus {
-    /// The leader that the node knows.
+    /// The leader to which the node forwards requests; `None` if it knows no live leader.
     pub leader: Option<LogLeader>,
     /// The highest ballot that the replica has promised.
     pub promised: Ballot,
-    /// The node's replica; `None` before it has one.
+    /// The node's replica, which changes when its journal is lost. A control node always reports one.
     pub replica: Option<ReplicaId>,
     /// The last slot that the replica has applied.
     pub applied_slot: u64,
     /// The members that decide on the next slot.
     pub members: Vec<LogMember>,
-    /// The locks that are held or were held, by name.
+    /// The locks that are or were held, by name.
     pub locks: Vec<LockStatus>,
     /// The counters, by name.
     pub counters: Vec<CounterStatus>,
     /// The groups of keys, by name.
     pub groups: Vec<GroupStatus>,
-    /// Number of watches that wait at this node.
+    /// Number of watches that are waiting at this node.
     pub watchers: usize,
 }
 
-/// A lock. How many callers wait for it is not known: they ask again by themselves.
+/// The state of a lock. The number of waiting callers is unknown, because each caller polls for the lock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LockStatus {
-    /// Its name.
+    /// The name that applications use for the lock.
     pub name: String,
     /// The holder; `None` if the lock is free.
     pub holder: Option<String>,
-    /// The last fencing token that was given.
+    /// The fencing token of the latest grant.
     pub fence: u64,
-    /// Remaining time of the hold in milliseconds, on this node's steady clock; `None` if this node does not time it.
+    /// Remaining time of the hold in milliseconds, by this node's monotonic clock; `None` if this node does not time the hold.
     pub remaining_ms: Option<u64>,
 }
 
-/// A counter.
+/// The state of a counter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterStatus {
-    /// Its name.
+    /// The name that applications use for the counter.
     pub name: String,
-    /// The last value that was given.
+    /// The last value that was issued.
     pub value: u64,
 }
 
-/// A group of keys.
+/// The state of a group of keys, which share one sequence of revisions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStatus {
-    /// Its name, with the dot.
+    /// The group's name, with the trailing dot.
     pub name: String,
-    /// The last revision that was given.
+    /// The last revision that was assigned to a key of the group.
     pub revision: u64,
-    /// Number of keys.
+    /// Number of keys in the group.
     pub keys: usize,
     /// Number of events that are retained for watches.
     pub retained_events: usize,
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// The coordination service as this node sees it.
+    /// The state of the coordination service at this node.
     pub fn coordination_status(&self) -> CoordinationStatus {
         let replica = self.coordination.replica.borrow();
         let state = &replica.machine().state;
--- a/system/control-node/src/coordination/watch.rs
+++ b/system/control-node/src/coordination/watch.rs
@@ -1,4 +1,4 @@
-//! Watches of applications, served by any node from the slots that it has applied.
+//! Watches of applications. Any node serves them, from the slots that it has applied.
 
 use super::{APPLICATION_TIMEOUT, ApplicationReply};
 use crate::{ControlBackend, ControlNode};
@@ -8,31 +8,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a watch may wait before its node has to confirm that it has missed no event.
+/// A watch that has waited longer than this is answered only after its node has confirmed that it has missed no event.
 const MAX_UNCONFIRMED_WAIT: Duration = Duration::from_secs(5);
 
-/// Counts an application that waits, until it is dropped.
-struct CountedWatcher<'a>(&'a Cell<usize>);
+/// Counts a waiting application until dropped.
+struct WatcherGuard<'a>(&'a Cell<usize>);
 
-impl<'a> CountedWatcher<'a> {
+impl<'a> WatcherGuard<'a> {
     fn new(watchers: &'a Cell<usize>) -> Self {
         watchers.set(watchers.get() + 1);
         Self(watchers)
     }
 }
 
-impl Drop for CountedWatcher<'_> {
+impl Drop for WatcherGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
-    /// Waits for events of a group. The answer is complete up to its revision and includes all that was acknowledged before the
-    /// request.
+    /// Waits for events of a group. The answer is complete up to its revision and includes all events that were acknowledged
+    /// before the request.
     pub(super) async fn watch(self: &Rc<Self>, group: &str, after: u64, wait: Duration) -> ApplicationReply {
-        let _counted = CountedWatcher::new(&self.coordination.watchers);
-        let until = self.runtime.now() + wait;
+        let _watcher_guard = WatcherGuard::new(&self.coordination.watchers);
+        let deadline = self.runtime.now() + wait;
         if !self.apply_committed().await {
             return ApplicationReply::Unavailable;
         }
@@ -40,7 +40,7 @@
             let revision = self.coordination.replica.borrow().machine().state.group_revision(group);
             return ApplicationReply::Events { events: Vec::new(), revision };
         }
-        let mut is_last = false;
+        let mut has_timed_out = false;
         loop {
             let applied = self.coordination.applied.notified();
             let events = self.coordination.replica.borrow().machine().state.events(group, after);
@@ -52,12 +52,13 @@
                 }
                 Ok(_) => {}
             }
-            if is_last {
+            if has_timed_out {
                 return ApplicationReply::Events { events: Vec::new(), revision: after };
             }
-            if timeout_at(&self.runtime, until, applied).await.is_none() {
-                is_last = true;
-                // A revision that is given after long waiting must not be older than the history by then.
+            if timeout_at(&self.runtime, deadline, applied).await.is_none() {
+                has_timed_out = true;
+                // After a long wait, events after the returned revision might no longer be retained unless the revision is
+                // confirmed to be current.
                 if wait > MAX_UNCONFIRMED_WAIT && !self.apply_committed().await {
                     return ApplicationReply::Unavailable;
                 }
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Waits until this node has applied all that was chosen before this call.
+    /// Waits until this node has applied all slots that were committed before this call; returns false at the deadline.
     async fn apply_committed(self: &Rc<Self>) -> bool {
         let deadline = self.runtime.now() + APPLICATION_TIMEOUT;
         let reading = self.read(&CoordinationQuery::CommitIndex, deadline).await;
