--- a/system/control-node/tests/cluster/in_memory_cluster.rs
+++ b/system/control-node/tests/cluster/in_memory_cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of control nodes in memory and simulated time, whose disks can refuse and stall.
+//! A cluster of control nodes in memory and simulated time, whose disks can fail and stall.
 
 use config_register::{AcceptorRecord, BallotSource};
 use control_node::{
@@ -15,44 +15,44 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::Instant;
 
-/// A node of the cluster.
-pub(crate) type Node = ControlNode<Host, Machine>;
+/// A control node with simulated services.
+pub(crate) type Node = ControlNode<Host, Backend>;
 
-/// The clock starts late, because ages are subtracted from the time.
-const BEFORE: Duration = Duration::from_secs(1_000_000);
+/// The start time of the clocks. It is not zero, because ages are subtracted from the current time.
+const CLOCK_START: Duration = Duration::from_secs(1_000_000);
 
-/// How a disk handles the next writes.
+/// How a disk handles its next writes.
 #[derive(Clone, Copy, Default)]
 pub(crate) enum DiskBehavior {
     #[default]
     Accepts,
     Refuses,
-    /// Refuses one write.
+    /// Refuses one write, then accepts writes.
     RefusesOnce,
-    /// Takes writes when this is over.
+    /// Completes each write after this time.
     Stalls(Duration),
 }
 
 #[derive(Default)]
 struct Disk {
-    holds: RefCell<Option<AcceptorRecord>>,
+    record: RefCell<Option<AcceptorRecord>>,
     journal: RefCell<RecoveredJournal>,
     behavior: Cell<DiskBehavior>,
 }
 
-/// The cluster: all nodes, and what lies between them.
+/// The nodes, their disks, and the network between them.
 #[derive(Default)]
 pub(crate) struct Cluster {
     nodes: RefCell<BTreeMap<Ipv4Addr, Rc<Node>>>,
     disks: RefCell<BTreeMap<Ipv4Addr, Rc<Disk>>>,
     events: RefCell<Vec<(Ipv4Addr, String)>>,
-    /// Votes that were sent while the disk did not have them.
+    /// Votes that were sent before they were on disk.
     premature_votes: RefCell<Vec<String>>,
-    /// Number of each node's process; those before have ended.
+    /// Number of each node's current process; processes with a lower number have ended.
     processes: RefCell<BTreeMap<Ipv4Addr, u64>>,
-    /// Disconnected nodes.
     disconnected: RefCell<BTreeSet<Ipv4Addr>>,
-    drawn: Cell<u64>,
+    /// Number of random values that were generated; seeds the next one.
+    random_count: Cell<u64>,
     /// Whether nodes read an endpoint list.
     discovers_endpoints: bool,
 }
@@ -62,12 +62,12 @@
 }
 
 impl Cluster {
-    /// Three nodes that start for the first time, the disks of some of them in a behavior.
+    /// Starts the three seeds for the first time, with the given behavior of some of their disks.
     pub(crate) fn start(disk_behaviors: &[(Ipv4Addr, DiskBehavior)]) -> Rc<Self> {
         Self::default().start_seeds(disk_behaviors)
     }
 
-    /// Three nodes that read an endpoint list, so that one holds the lease for that and removes unresponsive voters.
+    /// Starts the three seeds with endpoint discovery, so that one of them record its lease and removes unresponsive voters.
     pub(crate) fn start_with_discovery() -> Rc<Self> {
         Self { discovers_endpoints: true, ..Self::default() }.start_seeds(&[])
     }
@@ -82,7 +82,7 @@
         cluster
     }
 
-    /// Starts a node that has never voted, with the seeds.
+    /// Starts a node that has never voted and knows the seeds.
     pub(crate) fn start_node(self: &Rc<Self>, ip: Ipv4Addr) {
         self.disks.borrow_mut().entry(ip).or_default();
         self.start_process(ip, InitialState::never_voted(ip, &seeds()), RecoveredJournal::Empty);
@@ -95,28 +95,28 @@
         self.processes.borrow_mut().insert(ip, number + 1);
     }
 
-    /// Ends a node's process and starts another with what its disk holds.
+    /// Ends a node's process and starts another one from its disk.
     pub(crate) fn restart_node(self: &Rc<Self>, ip: Ipv4Addr) {
         self.stop_node(ip);
         let disk = self.disk(ip);
-        let record = disk.holds.borrow().clone();
+        let record = disk.record.borrow().clone();
         let initial_state = record.map_or(InitialState::Recovering, InitialState::Existing);
         let journal = disk.journal.borrow().clone();
         self.start_process(ip, initial_state, journal);
     }
 
-    /// Has a node's disk lose all that it holds.
+    /// Replaces a node's disk by an empty one.
     pub(crate) fn wipe_disk(&self, ip: Ipv4Addr) {
         self.disks.borrow_mut().insert(ip, Rc::default());
     }
 
     fn start_process(self: &Rc<Self>, ip: Ipv4Addr, initial_state: InitialState, journal: RecoveredJournal) {
         let process = self.processes.borrow().get(&ip).copied().unwrap_or_default();
-        let host = Host { cluster: self.clone(), ip, process, began: Instant::now() };
-        let machine = Machine { host: host.clone(), disk: self.disk(ip) };
+        let host = Host { cluster: self.clone(), ip, process, started_at: Instant::now() };
+        let backend = Backend { host: host.clone(), disk: self.disk(ip) };
         let feed = Feed::new(host.clone());
         let ballots = BallotSource::new(ip, u64::from(u32::from(ip)) + (process << 32));
-        let node = ControlNode::new(host, machine, feed, ballots, initial_state, journal);
+        let node = ControlNode::new(host, backend, feed, ballots, initial_state, journal);
         self.nodes.borrow_mut().insert(ip, node.clone());
         node.run();
     }
@@ -126,7 +126,7 @@
         self.disconnected.borrow_mut().insert(ip);
     }
 
-    /// Connects a node again.
+    /// Reverts [`Cluster::disconnect`].
     pub(crate) fn reconnect(&self, ip: Ipv4Addr) {
         self.disconnected.borrow_mut().remove(&ip);
     }
@@ -135,11 +135,11 @@
         self.processes.borrow().get(&host.ip).is_some_and(|process| *process != host.process)
     }
 
-    /// The node at `to`, if it listens and `from` reaches it.
-    fn reached(&self, from: Ipv4Addr, to: Ipv4Addr) -> Option<Rc<Node>> {
+    /// The node at `to`, if it runs and `from` can reach it.
+    fn reachable_node(&self, from: Ipv4Addr, to: Ipv4Addr) -> Option<Rc<Node>> {
         let disconnected = self.disconnected.borrow();
-        let is_cut = disconnected.contains(&from) || disconnected.contains(&to);
-        self.nodes.borrow().get(&to).filter(|_| !is_cut).cloned()
+        let is_disconnected = disconnected.contains(&from) || disconnected.contains(&to);
+        self.nodes.borrow().get(&to).filter(|_| !is_disconnected).cloned()
     }
 
     fn disk(&self, ip: Ipv4Addr) -> Rc<Disk> {
@@ -154,18 +154,18 @@
         self.disk(ip).behavior.set(behavior);
     }
 
-    /// Events of a node that concern its disk.
+    /// The disk events that a node has reported.
     pub(crate) fn disk_events(&self, ip: Ipv4Addr) -> Vec<String> {
         let events = self.events.borrow();
-        events.iter().filter(|(of, _)| *of == ip).map(|(_, event)| event.clone()).collect()
+        events.iter().filter(|(node, _)| *node == ip).map(|(_, event)| event.clone()).collect()
     }
 
-    /// Votes that were sent while the disk did not have them.
+    /// Votes that were sent before they were on disk.
     pub(crate) fn premature_votes(&self) -> Vec<String> {
         self.premature_votes.borrow().clone()
     }
 
-    /// Sends a configuration to a node until the outcome is clear, a few seconds at most.
+    /// Sends a configuration to a node until the outcome is known, up to eight times.
     pub(crate) async fn commit(&self, ip: Ipv4Addr, version: u64) -> PutConfigOutcome {
         let mut outcome = PutConfigOutcome::Unavailable;
         for _ in 0..8 {
@@ -177,8 +177,8 @@
         outcome
     }
 
-    fn check(&self, ip: Ipv4Addr, vote: &str, is_durable: impl Fn(&AcceptorRecord) -> bool) {
-        if !self.disk(ip).holds.borrow().as_ref().is_some_and(is_durable) {
+    fn check_vote(&self, ip: Ipv4Addr, vote: &str, is_durable: impl Fn(&AcceptorRecord) -> bool) {
+        if !self.disk(ip).record.borrow().as_ref().is_some_and(is_durable) {
             self.premature_votes.borrow_mut().push(format!("{ip}: {vote}"));
         }
     }
@@ -199,13 +199,13 @@
     cluster: Rc<Cluster>,
     ip: Ipv4Addr,
     process: u64,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl Runtime for Host {
     type Task = LocalTask;
-    type Upstream = NoLink;
-    type Subscriber = NoLink;
+    type Upstream = NoConnection;
+    type Subscriber = NoConnection;
 
     fn ip(&self) -> Ipv4Addr {
         self.ip
@@ -224,52 +224,55 @@
     }
 
     fn now(&self) -> Duration {
-        BEFORE + self.began.elapsed()
+        CLOCK_START + self.started_at.elapsed()
     }
 
     fn random_u64(&self) -> u64 {
-        self.cluster.drawn.set(self.cluster.drawn.get() + 1);
-        fleet_model::rendezvous_rank(&self.cluster.drawn.get().to_be_bytes(), 1)
+        self.cluster.random_count.set(self.cluster.random_count.get() + 1);
+        fleet_model::rendezvous_rank(&self.cluster.random_count.get().to_be_bytes(), 1)
     }
 
-    async fn sleep(&self, pause: Duration) {
-        tokio::time::sleep(pause).await;
+    async fn sleep(&self, duration: Duration) {
+        tokio::time::sleep(duration).await;
     }
 
-    fn spawn(&self, work: impl Future<Output = ()> + 'static) -> LocalTask {
-        LocalTask(spawn_local(work).abort_handle())
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) -> LocalTask {
+        LocalTask(spawn_local(task).abort_handle())
     }
 
-    async fn call(&self, to: Ipv4Addr, call: Call, patience: Duration) -> Option<Answer> {
-        let Some(node) = self.cluster.reached(self.ip, to).filter(|_| !self.cluster.has_ended(self)) else {
-            tokio::time::sleep(patience).await;
+    async fn call(&self, to: Ipv4Addr, call: Call, timeout: Duration) -> Option<Answer> {
+        let Some(node) = self.cluster.reachable_node(self.ip, to).filter(|_| !self.cluster.has_ended(self))
+        else {
+            tokio::time::sleep(timeout).await;
             return None;
         };
         let request = match &call {
             Call::Register(request) => Some(request.clone()),
             _ => None,
         };
-        // The called goes on when the caller gives up.
+        // The answering node continues even if the caller times out.
         let (cluster, from) = (self.cluster.clone(), self.ip);
         let answering = spawn_local(async move {
             tokio::time::sleep(Duration::from_millis(1)).await;
             let answer = node.answer(from, call, None).await;
             match (&answer, request) {
                 (Answer::Register(RegisterReply::Promised(_)), Some(RegisterRequest::Prepare(ballot))) => {
-                    cluster.check(to, "promised", |record| record.promised >= ballot);
+                    cluster.check_vote(to, "promised", |record| record.promised >= ballot);
                 }
                 (Answer::Register(RegisterReply::Accepted), Some(RegisterRequest::Accept(offered))) => {
-                    let of = |record: &AcceptorRecord| record.accepted.as_ref().map(|value| value.ballot);
-                    cluster.check(to, "accepted", |record| of(record) >= Some(offered.ballot));
+                    let accepted_ballot =
+                        |record: &AcceptorRecord| record.accepted.as_ref().map(|value| value.ballot);
+                    cluster
+                        .check_vote(to, "accepted", |record| accepted_ballot(record) >= Some(offered.ballot));
                 }
                 _ => {}
             }
             answer
         });
-        tokio::time::timeout(patience, answering).await.ok()?.ok()
+        tokio::time::timeout(timeout, answering).await.ok()?.ok()
     }
 
-    async fn subscribe(&self, _: SocketAddrV4, _: Call, _: Duration) -> Option<(Answer, NoLink)> {
+    async fn subscribe(&self, _: SocketAddrV4, _: Call, _: Duration) -> Option<(Answer, NoConnection)> {
         None
     }
 
@@ -285,16 +288,16 @@
     }
 }
 
-/// There are no links here.
-pub(crate) struct NoLink;
+/// A subscription. None is ever made here, so nodes learn the state only by polls.
+pub(crate) struct NoConnection;
 
-impl Upstream for NoLink {
+impl Upstream for NoConnection {
     async fn next(&mut self) -> Option<Push> {
         None
     }
 }
 
-impl Subscriber for NoLink {
+impl Subscriber for NoConnection {
     type Prepared = ();
 
     fn prepare(_: &Push) -> Option<()> {
@@ -310,14 +313,14 @@
     }
 }
 
-/// A node's machine.
-pub(crate) struct Machine {
+/// The services of a node's host.
+pub(crate) struct Backend {
     host: Host,
     disk: Rc<Disk>,
 }
 
-impl Machine {
-    /// Takes the time of a write, or refuses it. Nothing is written by a process that has ended.
+impl Backend {
+    /// Waits for the duration of a write; fails if the disk refuses the write or the process has ended meanwhile.
     async fn write_delay(&self) -> Result<(), PersistError> {
         let behavior = self.disk.behavior.get();
         match behavior {
@@ -336,14 +339,14 @@
     }
 }
 
-impl ControlBackend for Machine {
+impl ControlBackend for Backend {
     fn tolerance(&self) -> usize {
         1
     }
 
     async fn persist(&self, record: &AcceptorRecord) -> Result<(), PersistError> {
         self.write_delay().await?;
-        *self.disk.holds.borrow_mut() = Some(record.clone());
+        *self.disk.record.borrow_mut() = Some(record.clone());
         Ok(())
     }
 
--- a/system/control-node/tests/cluster/main.rs
+++ b/system/control-node/tests/cluster/main.rs
@@ -1,5 +1,5 @@
-//! Control nodes in memory. What a disk refuses ends no node: it does not vote meanwhile, serves what needs no write, and
-//! votes again with the first write that succeeds.
+//! Tests of control nodes on an in-memory cluster. This file covers disk failures: a node whose writes fail keeps running and
+//! serves requests that need no write, does not vote meanwhile, and votes again after the first write that succeeds.
 
 mod coordination;
 mod in_memory_cluster;
@@ -17,7 +17,7 @@
 
 pub(crate) fn run(scenario: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), scenario);
+    LocalSet::new().block_on(&runtime.expect("the Tokio runtime starts"), scenario);
 }
 
 pub(crate) fn ip(index: usize) -> Ipv4Addr {
@@ -29,13 +29,13 @@
 }
 
 #[gtest]
-fn a_node_whose_disk_refuses_keeps_serving_and_votes_again() {
+fn a_node_with_failing_writes_serves_reads_and_votes_again_after_recovery() {
     run(async {
-        // Given a cluster with a configuration, when one disk refuses,
+        // Given a cluster with a configuration, when the writes of one node fail,
         let cluster = Cluster::start(&[]);
         expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
         cluster.set_disk_behavior(ip(2), DiskBehavior::Refuses);
-        // then the others commit, also what is sent to this one, and it reads what is confirmed;
+        // then the other nodes commit orders, including those sent to the failing node, which serves confirmed reads;
         expect_that!(cluster.commit(ip(0), 2).await, eq(&PutConfigOutcome::Committed(2)));
         expect_that!(cluster.commit(ip(2), 3).await, eq(&PutConfigOutcome::Committed(3)));
         sleep(seconds(3)).await;
@@ -47,7 +47,7 @@
         );
         expect_that!(node.disk().is_refusing, eq(true));
         expect_that!(node.disk().refusals, gt(1));
-        // it tells of it once; and once it is over, it votes again by itself.
+        // it reports the failure only once, and it votes again when its disk has recovered.
         expect_that!(cluster.disk_events(ip(2)).len(), eq(1));
         cluster.set_disk_behavior(ip(2), DiskBehavior::Accepts);
         sleep(seconds(1)).await;
@@ -60,17 +60,17 @@
 }
 
 #[gtest]
-fn a_majority_of_refusing_disks_commits_nothing_and_ends_no_node() {
+fn a_majority_of_failing_disks_commits_nothing_and_stops_no_node() {
     run(async {
         let cluster = Cluster::start(&[]);
         expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
-        // When two of three refuse, then no order is confirmed or refused, by any of them,
+        // When the writes of two of three nodes fail, then no node commits or rejects an order,
         cluster.set_disk_behavior(ip(1), DiskBehavior::Refuses);
         cluster.set_disk_behavior(ip(2), DiskBehavior::Refuses);
         for index in 0..3 {
             expect_that!(cluster.commit(ip(index), 2).await, eq(&PutConfigOutcome::Unavailable));
         }
-        // and the one that is sent again afterwards is.
+        // and an order that is retried after the recovery of one disk is committed.
         cluster.set_disk_behavior(ip(1), DiskBehavior::Accepts);
         expect_that!(cluster.commit(ip(2), 2).await, eq(&PutConfigOutcome::Committed(2)));
         expect_that!(cluster.premature_votes(), is_empty());
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn a_node_votes_again_after_one_refused_write() {
+fn a_node_votes_again_after_one_failed_write() {
     run(async {
         let cluster = Cluster::start(&[]);
         expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
@@ -104,10 +104,10 @@
     run(async {
         let cluster = Cluster::start(&[]);
         expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
-        // Given a disk that stalls for seconds and a vote that waits for it,
+        // Given a disk that stalls for seconds and a vote that waits for it
         cluster.set_disk_behavior(ip(2), DiskBehavior::Stalls(seconds(5)));
         expect_that!(cluster.commit(ip(0), 2).await, eq(&PutConfigOutcome::Committed(2)));
-        // then its polls confirm what it knows all the while,
+        // then its polls keep confirming its state,
         let node = cluster.node(ip(2));
         for _ in 0..30 {
             sleep(Duration::from_millis(100)).await;
@@ -117,7 +117,7 @@
             matches!(node.config().await, CurrentConfig::Current(state) if state.version() == 2),
             eq(true)
         );
-        // and no vote is vote before it is on disk.
+        // and no vote is sent before it is on disk.
         cluster.set_disk_behavior(ip(2), DiskBehavior::Accepts);
         sleep(seconds(6)).await;
         cluster.set_disk_behavior(ip(0), DiskBehavior::Refuses);
@@ -127,10 +127,10 @@
 }
 
 #[gtest]
-fn a_first_start_on_a_refusing_disk_founds_once_it_accepts_writes() {
+fn a_new_cluster_on_failing_disks_founds_the_register_once_writes_succeed() {
     run(async {
-        let all: Vec<_> = seeds().into_iter().map(|ip| (ip, DiskBehavior::Refuses)).collect();
-        let cluster = Cluster::start(&all);
+        let failing_disks: Vec<_> = seeds().into_iter().map(|ip| (ip, DiskBehavior::Refuses)).collect();
+        let cluster = Cluster::start(&failing_disks);
         sleep(seconds(2)).await;
         expect_that!(cluster.node(ip(0)).can_vote(), eq(false));
         expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Unavailable));
--- a/system/control-node/tests/cluster/orders.rs
+++ b/system/control-node/tests/cluster/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of operators: one node proposes them for all.
+//! Operators' orders: one node proposes the orders of all nodes.
 
 use crate::in_memory_cluster::{Cluster, configuration, seeds};
 use crate::{ip, run, seconds};
@@ -7,28 +7,28 @@
 use googletest::prelude::*;
 use tokio::time::sleep;
 
-/// Number of orders that are sent at once.
+/// Number of orders that are sent concurrently.
 const CONCURRENT_ORDERS: u64 = 8;
 
-fn ballots_begun(cluster: &Cluster) -> u64 {
+fn ballots_started(cluster: &Cluster) -> u64 {
     seeds().into_iter().map(|ip| cluster.node(ip).rounds().begun).sum()
 }
 
 #[gtest]
-fn orders_that_arrive_together_at_all_nodes_share_few_ballots() {
+fn concurrent_orders_to_all_nodes_share_ballots() {
     run(async {
-        // Given a cluster with a configuration, in which the nodes have heard of one another,
+        // Given a cluster with a configuration, whose nodes are in contact with one another,
         let cluster = Cluster::start(&[]);
         expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
         sleep(seconds(3)).await;
-        let before = ballots_begun(&cluster);
-        // when operators send different configurations on top of it to all nodes at once,
+        let before = ballots_started(&cluster);
+        // when operators concurrently send different configurations that replace it to all nodes,
         let orders = (0..CONCURRENT_ORDERS).map(|order| {
             let node = cluster.node(ip(order as usize % 3));
             async move { node.put_config(Some(1), configuration(2 + order)).await }
         });
         let outcomes = join_all(orders).await;
-        // then one is committed and the others are told which, and that took fewer ballots than orders.
+        // then one is committed, the others are rejected with its version, and fewer ballots than orders are used.
         let committed: Vec<&PutConfigOutcome> =
             outcomes.iter().filter(|outcome| matches!(outcome, PutConfigOutcome::Committed(_))).collect();
         expect_that!(committed.len(), eq(1));
@@ -36,32 +36,32 @@
         let rejected =
             outcomes.iter().filter(|outcome| **outcome == PutConfigOutcome::OtherVersion(*version));
         expect_that!(rejected.count() as u64, eq(CONCURRENT_ORDERS - 1));
-        expect_that!(ballots_begun(&cluster) - before, lt(CONCURRENT_ORDERS));
+        expect_that!(ballots_started(&cluster) - before, lt(CONCURRENT_ORDERS));
     });
 }
 
 #[gtest]
-fn a_proposer_that_is_cut_off_costs_no_order() {
-    for lost in 0..3 {
+fn orders_are_committed_while_any_one_node_is_disconnected() {
+    for disconnected in 0..3 {
         run(async {
             let cluster = Cluster::start(&[]);
             expect_that!(cluster.commit(ip(0), 1).await, eq(&PutConfigOutcome::Committed(1)));
             sleep(seconds(3)).await;
-            // When any one of the nodes is cut off, the one that proposes among them,
-            cluster.disconnect(ip(lost));
-            // then the first order to each of the others has a clear outcome.
-            for (version, other) in (2..).zip((0..3).filter(|other| *other != lost)) {
+            // When any of the nodes is disconnected, including the distinguished proposer,
+            cluster.disconnect(ip(disconnected));
+            // then the first order to each of the other nodes is committed.
+            for (version, other) in (2..).zip((0..3).filter(|other| *other != disconnected)) {
                 let outcome =
                     cluster.node(ip(other)).put_config(Some(version - 1), configuration(version)).await;
                 expect_that!(
                     outcome,
                     eq(&PutConfigOutcome::Committed(version)),
-                    "without {lost}, at {other}"
+                    "order to node {other} without node {disconnected}"
                 );
             }
-            // And the one that is cut off confirms nothing.
-            let alone = cluster.node(ip(lost)).put_config(Some(3), configuration(4)).await;
-            expect_that!(alone, eq(&PutConfigOutcome::Unavailable));
+            // The disconnected node commits nothing.
+            let outcome = cluster.node(ip(disconnected)).put_config(Some(3), configuration(4)).await;
+            expect_that!(outcome, eq(&PutConfigOutcome::Unavailable));
         });
     }
 }
