--- a/system/control-node/src/event.rs
+++ b/system/control-node/src/event.rs
@@ -68,7 +68,7 @@
     /// Writes of the acceptor's record have begun to fail: the node does not vote.
     DiskRefuses(&'a str),
     /// Writes of the acceptor's record succeed again: the node votes.
-    DiskAccepts,
+    DiskRecovered,
 }
 
 impl fmt::Display for ControlEvent<'_> {
@@ -103,7 +103,7 @@
                 write!(f, "leading the coordination log: round {}", ballot.round)
             }
             Self::DiskRefuses(error) => write!(f, "disk refuses the acceptor's record, not voting: {error}"),
-            Self::DiskAccepts => write!(f, "disk accepts the acceptor's record again"),
+            Self::DiskRecovered => write!(f, "disk accepts the acceptor's record again"),
         }
     }
 }
--- a/system/control-node/src/lib.rs
+++ b/system/control-node/src/lib.rs
@@ -29,7 +29,7 @@
     DiskState, DurableAcceptor, PendingReply, PendingWrite, WriteNumber, WriteOutcome,
 };
 pub use event::{ControlEvent, StorageLosses};
-pub use node::{ControlNode, InitialState, RoundCounts};
+pub use node::{BallotCounts, ControlNode, InitialState};
 pub use operator_requests::{CurrentConfig, PutConfigOutcome, RetireOutcome};
 
 use config_register::AcceptorRecord;
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -57,7 +57,7 @@
 
 /// The number of ballots that this incarnation of the node has started, and of those that were lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RoundCounts {
+pub struct BallotCounts {
     /// Ballots started.
     pub begun: u64,
     /// Ballots lost to a higher one, or without a quorum.
@@ -91,7 +91,7 @@
     pub(crate) proposers: RefCell<ProposerSelection>,
     /// Decides when the next ballot may start.
     pub(crate) backoff: RefCell<ProposerBackoff>,
-    pub(crate) rounds: Cell<RoundCounts>,
+    pub(crate) ballot_counts: Cell<BallotCounts>,
     /// Notified to start a poll immediately.
     pub(crate) poll_requested: Notify,
     /// Notified when a poll has ended, whatever its outcome.
@@ -142,7 +142,7 @@
             orders: OrderQueue::default(),
             proposers: RefCell::default(),
             backoff: RefCell::default(),
-            rounds: Cell::default(),
+            ballot_counts: Cell::default(),
             poll_requested: Notify::new(),
             poll_completed: Notify::new(),
             storage_nodes: RefCell::default(),
@@ -219,8 +219,8 @@
     }
 
     /// Counts of this incarnation's ballots.
-    pub fn rounds(&self) -> RoundCounts {
-        self.rounds.get()
+    pub fn rounds(&self) -> BallotCounts {
+        self.ballot_counts.get()
     }
 
     /// Whether a majority has confirmed this node's state within [`MAX_STATE_AGE`].
--- a/system/control-node/src/proposer.rs
+++ b/system/control-node/src/proposer.rs
@@ -71,9 +71,9 @@
     }
 
     fn count_attempt(&self) {
-        let mut rounds = self.rounds.get();
-        rounds.begun += 1;
-        self.rounds.set(rounds);
+        let mut counts = self.ballot_counts.get();
+        counts.begun += 1;
+        self.ballot_counts.set(counts);
     }
 
     /// Records a ballot, so that this node's next ballots are higher.
@@ -141,9 +141,9 @@
 
     /// Counts an attempt that lost to a higher ballot or reached no quorum, and starts the backoff.
     pub(crate) fn on_attempt_lost(&self) {
-        let mut rounds = self.rounds.get();
-        rounds.lost += 1;
-        self.rounds.set(rounds);
+        let mut counts = self.ballot_counts.get();
+        counts.lost += 1;
+        self.ballot_counts.set(counts);
         self.backoff.borrow_mut().on_lost(self.runtime.now_ms(), self.runtime.random_u64());
     }
 
--- a/system/control-node/src/replica.rs
+++ b/system/control-node/src/replica.rs
@@ -66,7 +66,7 @@
         pending_reply
     }
 
-    /// Waits until the reply may be sent; `None` if the record on which it depends could not be result.
+    /// Waits until the reply may be sent; `None` if the record on which it depends could not be written.
     pub(crate) async fn release(&self, pending_reply: PendingReply) -> Option<RegisterReply> {
         match pending_reply.after {
             Some(number) => self.wait_until_synced(number).await.then_some(pending_reply.reply),
@@ -122,7 +122,7 @@
     fn report_disk(&self, error: Option<String>) {
         match error {
             Some(error) => self.backend.on_event(&ControlEvent::DiskRefuses(&error)),
-            None => self.backend.on_event(&ControlEvent::DiskAccepts),
+            None => self.backend.on_event(&ControlEvent::DiskRecovered),
         }
     }
 
--- a/system/control-node/tests/cluster/in_memory_cluster.rs
+++ b/system/control-node/tests/cluster/in_memory_cluster.rs
@@ -67,7 +67,7 @@
         Self::default().start_seeds(disk_behaviors)
     }
 
-    /// Starts the three seeds with endpoint discovery, so that one of them record its lease and removes unresponsive voters.
+    /// Starts the three seeds with endpoint discovery, so that one of them holds its lease and removes unresponsive voters.
     pub(crate) fn start_with_discovery() -> Rc<Self> {
         Self { discovers_endpoints: true, ..Self::default() }.start_seeds(&[])
     }
@@ -378,7 +378,7 @@
     }
 
     fn on_event(&self, event: &ControlEvent<'_>) {
-        if matches!(event, ControlEvent::DiskRefuses(_) | ControlEvent::DiskAccepts) {
+        if matches!(event, ControlEvent::DiskRefuses(_) | ControlEvent::DiskRecovered) {
             self.host.cluster.events.borrow_mut().push((self.host.ip, event.to_string()));
         }
     }
