--- a/system/control-node/src/coordination/mod.rs
+++ b/system/control-node/src/coordination/mod.rs
@@ -101,7 +101,7 @@
 }
 
 impl CoordinationService {
-    /// Restores the service from `journal`, or starts it as the replica `new_replica` if the journal is empty.
+    /// Restores the service from `journal`, or starts it as the replica `new_replica` if the journal contains none.
     pub(crate) fn new(journal: &RecoveredJournal, new_replica: ReplicaId, mut ballots: BallotSource) -> Self {
         let recovered = recover_replica(journal).ok().flatten();
         let replica = recovered.unwrap_or_else(|| Replica::new(new_replica));
--- a/system/control-node/src/lib.rs
+++ b/system/control-node/src/lib.rs
@@ -59,7 +59,7 @@
     fn tolerance(&self) -> usize;
 
     /// Writes the acceptor's complete record and syncs it before returning. Calls do not overlap. After an error, a later call
-    /// writes a newer record, which must replace the failed one, even across a restart.
+    /// writes the same or a newer record, which must replace the failed one, even across a restart.
     ///
     /// # Errors
     ///
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Adopts a chosen value, unless a newer one is known.
+    /// Reports a chosen value, and adopts it unless a newer one is known.
     pub(crate) fn adopt(&self, accepted: AcceptedValue) {
         self.replica.learn_value(&accepted);
         self.backoff.borrow_mut().on_chosen(accepted.ballot);
