--- a/system/controllers/src/config.rs
+++ b/system/controllers/src/config.rs
@@ -1,28 +1,29 @@
-//! Judgement of operators' configurations: which one is committed, and what the others are answered, also when repeated.
+//! Evaluation of operators' configurations: which one is committed, and which verdict the others get, also when repeated.
 //!
 //! A request consists of a configuration's version and bytes and the version that the operator expects to be current. It is
-//! judged on a state that a proposal has read from a majority; the verdict is valid once that proposal's value is chosen.
+//! evaluated against a state that a proposal has read from a majority. The verdict is valid once that proposal's value is
+//! chosen.
 //!
-//! - A *committed* configuration stays committed. Its version is remembered; once it may have been pruned, the verdict is
-//!   [`ConfigVerdict::Indeterminate`].
+//! - A *committed* configuration stays committed. Its version is recorded in the state; once that record may have been pruned,
+//!   the verdict is [`ConfigVerdict::Indeterminate`].
 //! - A *rejected* configuration stays rejected. Current versions only increase, so a request that expects a lower version than
 //!   the current one, or whose own version is not above it, can never be committed later. A request that expects a *higher*
-//!   version could be, by a second copy of the call that another node still processes when that version is committed.
-//!   Such a rejection is therefore stored in the state, and reported only once that state is chosen.
+//!   version could be committed later: another node may still process a second copy of the call when that version is
+//!   committed. Such a rejection is therefore stored in the state, and reported only once that state is chosen.
 
 use bytes::Bytes;
 use fleet_model::{CommittedVersion, ConfigVerdict, ControlState, RejectedConfig};
 use std::cmp::Ordering;
 
-/// Number of committed versions that are remembered: operators repeat a call for some seconds.
+/// Number of committed versions that the state records: operators repeat a call for some seconds.
 const MAX_COMMITTED_VERSIONS: usize = 512;
 /// Number of rejections that are stored until the version that their requests expect has been superseded.
 const MAX_REJECTED_CONFIGS: usize = 32;
 
-/// Judges a configuration that an operator sent while expecting the version `expected` to be current.
+/// Evaluates a configuration that an operator sent while expecting the version `expected` to be current.
 ///
-/// Returns the state that commits it or stores its rejection, if the state has to change, and the verdict. The verdict may be
-/// reported only once that state is chosen or, without a change, the state that was read.
+/// Returns the state that commits the configuration or stores its rejection, or `None` if the state need not change, and the
+/// verdict. The verdict may be reported only once that state is chosen or, without a change, the state that was read.
 pub fn put_config(
     state: &ControlState,
     expected: u64,
@@ -48,7 +49,7 @@
     }
 }
 
-/// Whether the configuration may be a committed one that was pruned. A committed version is above its expected one.
+/// Whether the configuration may have been committed and its record pruned. A committed version is above its expected one.
 fn may_be_pruned(state: &ControlState, request: &RejectedConfig) -> bool {
     request.sent.version <= state.highest_pruned && request.expected < request.sent.version
 }
@@ -60,7 +61,7 @@
 ) -> (Option<ControlState>, ConfigVerdict) {
     let verdict = ConfigVerdict::VersionMismatch(state.version());
     if request.sent.version <= request.expected {
-        // It will be rejected on top of that version too.
+        // Once the expected version is current, the request is still rejected, because its own version is not newer.
         return (None, verdict);
     }
     if state.rejected.len() == MAX_REJECTED_CONFIGS {
@@ -79,7 +80,7 @@
     if let Some(last) = next.committed.drain(..excess).next_back() {
         next.highest_pruned = last.version;
     }
-    // Requests that expect an earlier version are rejected for that reason alone.
+    // Requests that expect an earlier version are rejected by the version check, without a stored rejection.
     next.rejected.retain(|rejected| rejected.expected >= sent.version);
     next
 }
--- a/system/controllers/src/discovery_poll.rs
+++ b/system/controllers/src/discovery_poll.rs
@@ -3,18 +3,18 @@
 use crate::times::{EMPTY_LIST_CONFIRMATION_MS, MAX_EMPTY_POLL_GAP_MS, MAX_POLL_DURATION_MS};
 use fleet_model::{Endpoint, EndpointList, ListVersion};
 
-/// A series of polls that returned no endpoints.
+/// A series of consecutive polls that returned no endpoints.
 #[derive(Clone, Copy, Debug)]
 struct EmptySeries {
     first_ms: u64,
     last_ms: u64,
 }
 
-/// The polls of the endpoint list under one fencing token; a poll under another token starts anew.
+/// State of the endpoint polls under one fencing token. A poll under another token resets it.
 #[derive(Clone, Debug, Default)]
 pub struct DiscoveryPolls {
     token: u64,
-    /// Number of the last list published under the token.
+    /// Sequence number of the last list published under the token.
     sequence: u64,
     empty: Option<EmptySeries>,
 }
@@ -23,8 +23,8 @@
     /// Evaluates the result of a poll that was sent at `started_ms` under `token`.
     ///
     /// Returns the list to publish, if it differs from `known` in its endpoints or its token. Processes that know a list of
-    /// a later token ignore it. An empty result is published only after [`EMPTY_LIST_CONFIRMATION_MS`], since the platform
-    /// may have lost its registrations while the endpoints still run.
+    /// a later token ignore it. An empty result is published only after [`EMPTY_LIST_CONFIRMATION_MS`]: the platform may have
+    /// lost its registrations while the endpoints still run.
     pub fn accept_poll(
         &mut self,
         now_ms: u64,
--- a/system/controllers/src/lease_candidate.rs
+++ b/system/controllers/src/lease_candidate.rs
@@ -7,63 +7,64 @@
 
 /// Whether `node` holds the lease of `role` under the fencing token `token` in this state.
 ///
-/// The holder has to check this in each change that it makes to the state, since it may have lost the lease meanwhile.
+/// The holder has to check this in each change that it proposes, since it may have lost the lease meanwhile.
 pub fn holds_lease(state: &ControlState, role: &str, node: Ipv4Addr, token: u64) -> bool {
     state.leases.get(role).is_some_and(|lease| lease.token == token && lease.holder == Some(node))
 }
 
-/// A vacant lease: its holder does not respond.
+/// A lease without a responsive holder.
 #[derive(Clone, Copy, Debug)]
 struct Vacancy {
     token: u64,
-    /// When this node first noticed it.
+    /// When this node first observed the vacancy.
     since_ms: u64,
 }
 
-/// The candidacy of one control node, in one incarnation, for the lease of one singleton role.
+/// The candidacy of one incarnation of a control node for the lease of a singleton role.
 ///
-/// A lease that an earlier incarnation acquired is not its own: what was published under that token is forgotten, so the
-/// node acquires the lease again under the next token.
+/// A lease that an earlier incarnation acquired does not count as held, because this incarnation does not know what was
+/// published under that token. It acquires the lease again under the next token.
 #[derive(Clone, Debug)]
 pub struct LeaseCandidate {
     role: &'static str,
-    me: Ipv4Addr,
+    own_ip: Ipv4Addr,
     acquired_token: Option<u64>,
     vacancy: Option<Vacancy>,
 }
 
 impl LeaseCandidate {
-    /// The candidacy of the control node `me`, which has just started, for `role`.
-    pub fn new(role: &'static str, me: Ipv4Addr) -> Self {
-        Self { role, me, acquired_token: None, vacancy: None }
+    /// The candidacy for `role` of the control node with the address `own_ip`, which has just started.
+    pub fn new(role: &'static str, own_ip: Ipv4Addr) -> Self {
+        Self { role, own_ip, acquired_token: None, vacancy: None }
     }
 
-    /// The fencing token under which this incarnation holds the lease, if it does.
+    /// The fencing token under which this incarnation holds the lease; `None` if it does not hold it.
     pub fn held_token(&self, state: &ControlState) -> Option<u64> {
-        self.acquired_token.filter(|token| holds_lease(state, self.role, self.me, *token))
+        self.acquired_token.filter(|token| holds_lease(state, self.role, self.own_ip, *token))
     }
 
-    /// The current lease, if this node should replace it by one of its own now.
+    /// The current lease, if this node should now acquire it, to be passed to [`acquire`](Self::acquire).
     ///
-    /// That is so if the lease is vacant and the live voters of a higher rank have had [`LEASE_RANK_DELAY_MS`] each to
-    /// acquire it, or if it belongs to an earlier incarnation of this node.
+    /// Only a voter acquires the lease: if it is vacant and each live voter of a higher rank has had [`LEASE_RANK_DELAY_MS`]
+    /// to acquire it, or if an earlier incarnation of this node holds it.
     pub fn lease_to_acquire(
         &mut self,
         now_ms: u64,
         state: &ControlState,
         voters: &[Ipv4Addr],
-        core: &VoterController,
+        voter_controller: &VoterController,
     ) -> Option<Lease> {
         let lease = state.leases.get(self.role).cloned().unwrap_or_default();
-        if self.held_token(state).is_some() || !voters.contains(&self.me) {
+        if self.held_token(state).is_some() || !voters.contains(&self.own_ip) {
             self.vacancy = None;
             return None;
         }
-        if lease.holder == Some(self.me) {
+        if lease.holder == Some(self.own_ip) {
             return Some(lease);
         }
         let is_live = |holder| {
-            voters.contains(&holder) && core.is_presumed_alive(holder, now_ms, LEASE_HOLDER_TIMEOUT_MS)
+            voters.contains(&holder)
+                && voter_controller.is_presumed_alive(holder, now_ms, LEASE_HOLDER_TIMEOUT_MS)
         };
         if lease.holder.is_some_and(is_live) {
             self.vacancy = None;
@@ -75,28 +76,30 @@
         };
         self.vacancy = Some(Vacancy { token: lease.token, since_ms });
         let rank = |ip: &Ipv4Addr| (rendezvous_rank(&ip.octets(), lease.token), *ip);
-        let is_live_rival =
-            |ip: &&Ipv4Addr| **ip != self.me && core.responded_within(**ip, now_ms, LEASE_HOLDER_TIMEOUT_MS);
+        let is_live_rival = |ip: &&Ipv4Addr| {
+            **ip != self.own_ip && voter_controller.responded_within(**ip, now_ms, LEASE_HOLDER_TIMEOUT_MS)
+        };
         let higher_ranked =
-            voters.iter().filter(is_live_rival).filter(|ip| rank(ip) > rank(&self.me)).count() as u64;
+            voters.iter().filter(is_live_rival).filter(|ip| rank(ip) > rank(&self.own_ip)).count() as u64;
         (now_ms.saturating_sub(since_ms) >= higher_ranked * LEASE_RANK_DELAY_MS).then_some(lease)
     }
 
-    /// The state in which this node holds the lease under the token after `from`'s; `None` if the lease has changed since.
+    /// The state in which this node holds the lease under the token after that of `from`; `None` if the lease no longer has
+    /// the token of `from`.
     pub fn acquire(&self, state: &ControlState, from: &Lease) -> Option<ControlState> {
         let mut state = state.clone();
         let lease = state.leases.entry(self.role.to_owned()).or_default();
         if lease.token != from.token {
             return None;
         }
-        *lease = Lease { token: from.token + 1, holder: Some(self.me) };
+        *lease = Lease { token: from.token + 1, holder: Some(self.own_ip) };
         Some(state)
     }
 
-    /// Evaluates the committed `state` after an attempt to replace the lease `from`. Returns the fencing token, if this
+    /// Evaluates the committed `state` after an attempt to replace the lease `from`. Returns the fencing token if this
     /// incarnation holds the lease.
     pub fn change_committed(&mut self, state: &ControlState, from: &Lease) -> Option<u64> {
-        if holds_lease(state, self.role, self.me, from.token + 1) {
+        if holds_lease(state, self.role, self.own_ip, from.token + 1) {
             self.acquired_token = Some(from.token + 1);
             self.vacancy = None;
         }
--- a/system/controllers/src/lib.rs
+++ b/system/controllers/src/lib.rs
@@ -3,21 +3,21 @@
 //! The register (`config-register`) agrees on one value, the [`ControlState`](fleet_model::ControlState). This crate decides
 //! how that value should change:
 //!
-//! - [`put_config`] judges operators' configurations, [`judge`] all their orders.
+//! - [`judge`] evaluates operators' orders, [`put_config`] those that submit a configuration.
 //! - [`join`], [`complete_backfill`], [`remove_node`] and [`retire`] change the roster of storage nodes. They are pure
-//!   functions: they take the state that was read and return the wanted one, or `None`.
-//! - [`StorageController`] and [`VoterController`] detect failures of storage and control nodes and decide on removals.
+//!   functions: they take the state that was read and return the state to propose, or `None`.
+//! - [`StorageController`] and [`VoterController`] detect failures of storage and control nodes and decide which to remove.
 //! - [`LeaseCandidate`] acquires the lease of a singleton role; [`ProposerSelection`] decides who proposes operators' orders.
 //! - [`DiscoveryPolls`] decides which polls of the platform's endpoint list are published.
 //!
-//! The crate has no I/O, clock or randomness. The host (`control-node`) sends the requests and probes, proposes the wanted
-//! states to the register, and passes in the time in milliseconds of a monotonic clock.
+//! The crate has no I/O, clock or randomness. The host (`control-node`) sends the requests and probes, proposes the
+//! resulting states to the register, and passes in the time in milliseconds of a monotonic clock.
 
 mod config;
 mod discovery_poll;
-mod judgement;
 mod lease_candidate;
 mod loss_tolerance;
+mod order_evaluation;
 mod proposer_selection;
 mod replacement;
 mod roster;
@@ -30,9 +30,9 @@
 pub use config::put_config;
 pub use discovery_poll::DiscoveryPolls;
 pub use fleet_model::{ConfigVerdict, RetireVerdict};
-pub use judgement::judge;
 pub use lease_candidate::{LeaseCandidate, holds_lease};
 pub use loss_tolerance::{LossTolerance, min_storage_nodes};
+pub use order_evaluation::judge;
 pub use proposer_selection::ProposerSelection;
 pub use roster::{
     complete_backfill, forget_turnover, join, join_founder, proposed_nodes, remove_node, retire,
--- a/system/controllers/src/loss_tolerance.rs
+++ b/system/controllers/src/loss_tolerance.rs
@@ -1,13 +1,13 @@
-//! Which losses of storage nodes the fleet tolerates at present.
+//! The number of storage node losses that the fleet currently tolerates.
 
 use fleet_model::{QuorumSizes, Roster};
 
-/// Number of storage nodes that a fleet needs to tolerate `tolerance` losses.
+/// Number of storage nodes that a fleet needs to tolerate `tolerance` concurrent losses.
 pub fn min_storage_nodes(tolerance: usize) -> usize {
     2 * tolerance + 1
 }
 
-/// The losses that the storage nodes tolerate, by the smaller one of the sets that store records.
+/// Losses that the storage nodes tolerate: the minimum over the current and the next set, since records are stored in both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LossTolerance {
     /// Number of nodes that may be unresponsive at once while turns are still served.
@@ -17,7 +17,7 @@
 }
 
 impl LossTolerance {
-    /// The losses that `roster` tolerates if `tolerance` are to be; none before the fleet is bootstrapped.
+    /// The losses that `roster` tolerates in a fleet configured for `tolerance` losses. Both counts are 0 before the bootstrap.
     pub fn from_roster(roster: &Roster, tolerance: usize) -> Self {
         let sets = [Some(roster.current.as_slice()), roster.next.as_deref()];
         let sizes = sets.into_iter().flatten().map(|set| QuorumSizes::for_machines(set.len(), tolerance));
@@ -27,8 +27,8 @@
                 survived: sizes.losses_survived(),
             })
         };
-        let fewer =
+        let minimum =
             |a: Self, b: Self| Self { served: a.served.min(b.served), survived: a.survived.min(b.survived) };
-        sizes.map(tolerated).reduce(fewer).unwrap_or_default()
+        sizes.map(tolerated).reduce(minimum).unwrap_or_default()
     }
 }
--- a/system/controllers/src/judgement.rs
+++ b/system/controllers/src/order_evaluation.rs
@@ -1,11 +1,13 @@
-//! Judgement of operators' orders of any kind.
+//! Evaluation of operators' orders of any kind.
 
 use crate::config::put_config;
 use crate::roster::retire;
 use fleet_model::{ControlState, Order, OrderVerdict};
 
-/// Judges an order on this state. Returns the state that carries it out, if the state has to change, and the verdict, which
-/// is valid once that state is chosen.
+/// Evaluates an order against this state.
+///
+/// Returns the state to propose, or `None` if the order changes nothing, and the verdict. The verdict may be reported to the
+/// operator only once the proposed state is chosen.
 pub fn judge(
     state: &ControlState,
     order: &Order,
--- a/system/controllers/src/replacement.rs
+++ b/system/controllers/src/replacement.rs
@@ -1,45 +1,43 @@
-//! Pairs members that joined a set recently with those that left it.
+//! Pairs members that recently joined a set with members that left it.
 
 use crate::times::REPLACEMENT_WINDOW_MS;
 use std::collections::BTreeSet;
 
-/// A member that joined.
 #[derive(Clone, Debug)]
-struct Joined<K> {
+struct JoinedMember<K> {
     member: K,
-    at_ms: u64,
-    /// The member that it replaces, if any.
+    joined_ms: u64,
     replaces: Option<K>,
 }
 
-/// A former member that no other one replaces.
+/// A former member that has no replacement yet.
 #[derive(Clone, Debug)]
-struct Departed<K> {
+struct DepartedMember<K> {
     member: K,
-    at_ms: u64,
+    departed_ms: u64,
 }
 
-/// Members that joined a set recently and members that left it; each joined member replaces at most one that left.
+/// Tracks which members joined a set recently and which left it. A joined member replaces at most one departed member.
 #[derive(Clone, Debug)]
-pub(crate) struct Replacement<K> {
+pub(crate) struct ReplacementTracker<K> {
     members: Option<BTreeSet<K>>,
-    /// All members ever observed: one of them that returns does not count as joined.
-    former: BTreeSet<K>,
-    joined: Vec<Joined<K>>,
-    departed: Vec<Departed<K>>,
+    /// All members ever observed: a former member that returns does not count as joined.
+    ever_observed: BTreeSet<K>,
+    joined: Vec<JoinedMember<K>>,
+    departed: Vec<DepartedMember<K>>,
 }
 
-impl<K> Default for Replacement<K> {
+impl<K> Default for ReplacementTracker<K> {
     fn default() -> Self {
-        Self { members: None, former: BTreeSet::new(), joined: Vec::new(), departed: Vec::new() }
+        Self { members: None, ever_observed: BTreeSet::new(), joined: Vec::new(), departed: Vec::new() }
     }
 }
 
-impl<K: Ord + Clone> Replacement<K> {
-    /// Compares `members` with those of the call before.
+impl<K: Ord + Clone> ReplacementTracker<K> {
+    /// Compares `members` with the members of the previous call.
     ///
-    /// Members that are new count as joined only if the set is `settled`, that is, no longer being bootstrapped. A member
-    /// that left and `is_retired` was removed on an operator's request and needs no replacement.
+    /// New members count as joined only if the set is `settled`, that is, no longer being bootstrapped. A departed member for
+    /// which `is_retired` returns true was removed on an operator's request and needs no replacement.
     pub(crate) fn observe(
         &mut self,
         now_ms: u64,
@@ -52,21 +50,21 @@
             self.record_departure(now_ms, member, is_retired(member));
         }
         for member in members.difference(&before) {
-            match self.former.contains(member) {
+            match self.ever_observed.contains(member) {
                 true => self.record_return(member),
                 false if settled => self.record_join(now_ms, member),
                 false => {}
             }
         }
-        self.former.extend(members);
+        self.ever_observed.extend(members);
     }
 
     fn record_departure(&mut self, now_ms: u64, member: &K, is_retired: bool) {
         if let Some(index) = self.joined.iter().position(|joined| joined.member == *member) {
             let replaced = self.joined.remove(index).replaces;
-            // A retired replacement leaves nothing to replace: the next member to join may replace another one.
+            // If a replacement is retired, the member that it replaced needs no other replacement.
             let replaced = replaced.filter(|_| !is_retired);
-            self.departed.extend(replaced.map(|member| Departed { member, at_ms: now_ms }));
+            self.departed.extend(replaced.map(|member| DepartedMember { member, departed_ms: now_ms }));
             return;
         }
         if is_retired {
@@ -75,10 +73,10 @@
         let unpaired = self
             .joined
             .iter_mut()
-            .find(|joined| joined.replaces.is_none() && is_recent(now_ms, joined.at_ms));
+            .find(|joined| joined.replaces.is_none() && is_recent(now_ms, joined.joined_ms));
         match unpaired {
             Some(joined) => joined.replaces = Some(member.clone()),
-            None => self.departed.push(Departed { member: member.clone(), at_ms: now_ms }),
+            None => self.departed.push(DepartedMember { member: member.clone(), departed_ms: now_ms }),
         }
     }
 
@@ -92,20 +90,20 @@
     }
 
     fn record_join(&mut self, now_ms: u64, member: &K) {
-        let index = self.departed.iter().position(|departed| is_recent(now_ms, departed.at_ms));
+        let index = self.departed.iter().position(|departed| is_recent(now_ms, departed.departed_ms));
         let replaces = index.map(|index| self.departed.remove(index).member);
-        self.joined.push(Joined { member: member.clone(), at_ms: now_ms, replaces });
+        self.joined.push(JoinedMember { member: member.clone(), joined_ms: now_ms, replaces });
     }
 
-    /// Number of members that joined recently and replace none yet.
-    pub(crate) fn surplus(&self, now_ms: u64) -> usize {
+    /// Number of members that joined recently and do not replace a departed member yet.
+    pub(crate) fn unpaired_joins(&self, now_ms: u64) -> usize {
         self.joined
             .iter()
-            .filter(|joined| joined.replaces.is_none() && is_recent(now_ms, joined.at_ms))
+            .filter(|joined| joined.replaces.is_none() && is_recent(now_ms, joined.joined_ms))
             .count()
     }
 }
 
-fn is_recent(now_ms: u64, at_ms: u64) -> bool {
-    now_ms.saturating_sub(at_ms) < REPLACEMENT_WINDOW_MS
+fn is_recent(now_ms: u64, event_ms: u64) -> bool {
+    now_ms.saturating_sub(event_ms) < REPLACEMENT_WINDOW_MS
 }
--- a/system/controllers/src/roster.rs
+++ b/system/controllers/src/roster.rs
@@ -3,17 +3,16 @@
 use crate::turnover;
 use fleet_model::{ControlState, RetireVerdict, Roster, StorageNode};
 
-/// The nodes of the roster once the change under way, if any, is complete.
+/// The next set if a change is in progress, otherwise the current set.
 pub fn proposed_nodes(roster: &Roster) -> &[StorageNode] {
     roster.next.as_deref().unwrap_or(&roster.current)
 }
 
-/// Number of these nodes that are not being retired.
 fn count_not_retiring(roster: &Roster, stores: &[StorageNode]) -> usize {
     stores.iter().filter(|store| !roster.retiring.contains(&store.name)).count()
 }
 
-/// The state with another next set: the epoch increases, and no node is in sync yet.
+/// The state with `next` as its next set, under a new epoch in which no node is in sync yet.
 fn with_next(state: &ControlState, next: Vec<StorageNode>) -> ControlState {
     let mut state = state.clone();
     state.roster.epoch += 1;
@@ -22,34 +21,33 @@
     state
 }
 
-/// Whether the next set without this node would be the current one.
+/// Whether the next set without this node would be the current set.
 ///
-/// Then no node would backfill, and records that were meanwhile written to this node and one other would be left with one
-/// copy. Such a change is completed first, and the node is removed afterwards.
-pub(crate) fn would_abandon(roster: &Roster, store: &StorageNode) -> bool {
+/// In that case no node would backfill, and records written meanwhile to this node and one other would be left with a single
+/// copy. Such a change is therefore completed first, and the node is removed afterwards.
+fn would_revert_change(roster: &Roster, store: &StorageNode) -> bool {
     let Some(next) = &roster.next else { return false };
     !roster.current.contains(store) && next.iter().filter(|other| *other != store).eq(roster.current.iter())
 }
 
-/// Adds a storage node to the next set. A node of the same name or address with another disk has lost that disk, or is
-/// replaced. Returns `None` if the node is a member, is being retired or cannot be added.
+/// Adds a storage node to the next set, in place of members with the same name or address: their disks were lost or replaced.
+/// Returns `None` if the node is a member, is being retired or cannot be added.
 ///
-/// Before the bootstrap there is no current set, and nothing is stored: nodes gather in the next set, and the first set
-/// becomes current by [`complete_backfill`] like any other, once it has `min_nodes` nodes or the bootstrap has waited long
-/// enough.
+/// Before the bootstrap there is no current set, and nothing is stored. Nodes are collected in the next set, which becomes
+/// current by [`complete_backfill`] like any other, once it has `min_nodes` nodes or the bootstrap wait has expired.
 pub fn join(state: &ControlState, store: &StorageNode, min_nodes: usize) -> Option<ControlState> {
     let mut joined = join_founder(state, store, min_nodes)?;
     let roster = &state.roster;
-    let is_successor = |other: &StorageNode| other.name == store.name || other.ip == store.ip;
-    let takes_a_place = proposed_nodes(roster).iter().any(is_successor);
-    if !roster.current.is_empty() && !takes_a_place {
+    let is_replaced = |other: &StorageNode| other.name == store.name || other.ip == store.ip;
+    let replaces_member = proposed_nodes(roster).iter().any(is_replaced);
+    if !roster.current.is_empty() && !replaces_member {
         turnover::record_join(&mut joined.roster.turnover, &store.name);
     }
     Some(joined)
 }
 
-/// As [`join`], for a machine that was started with the fleet, for the fleet's first time: it replaces no other one, however
-/// late it comes.
+/// As [`join`], for a machine that was started together with the fleet: however late it joins, it does not count as the
+/// replacement of another machine.
 pub fn join_founder(state: &ControlState, store: &StorageNode, min_nodes: usize) -> Option<ControlState> {
     let roster = &state.roster;
     let former = proposed_nodes(roster);
@@ -57,7 +55,7 @@
         return None;
     }
     if roster.current.contains(store) && former.iter().any(|other| other.name == store.name) {
-        // Of two machines of one name this is the earlier one: it hands over to the later one, and does not return.
+        // A later machine of the same name is replacing this one, which must not rejoin.
         return None;
     }
     let mut next: Vec<StorageNode> =
@@ -66,13 +64,13 @@
     next.sort();
     let bootstrapped = !roster.current.is_empty();
     if bootstrapped && next.len() < former.len() && count_not_retiring(roster, &next) < min_nodes {
-        // It has one member's name and another member's address, and replaces both.
+        // The node has one member's name and another member's address: it would replace both.
         return None;
     }
     let mut state = state.clone();
-    // A set that is in sync except for the disk that this node replaces becomes current, as if that disk were waived:
-    // otherwise one loss after the other could keep every change from completing. At least one node has to be in sync: a set
-    // of the lost disk alone stores nothing.
+    // A next set that is in sync except for the disk that this node replaces becomes current, as if that disk were waived:
+    // otherwise successive disk losses could prevent every change from completing. At least one node has to be in sync, since
+    // a set that consists of the lost disk alone stores nothing.
     let is_ready = |other: &StorageNode| roster.in_sync.contains(&other.disk) || !next.contains(other);
     if let Some(set) = &roster.next
         && bootstrapped
@@ -85,8 +83,8 @@
     Some(with_next(&state, next))
 }
 
-/// Starts the retirement of the machine `name`, if at least `min_nodes` remain. Returns the state that does so, if any, and
-/// the progress.
+/// Starts the retirement of the machine `name`, if at least `min_nodes` remain. Returns the state to propose, or `None` if
+/// nothing changes, and the progress of the retirement.
 pub fn retire(state: &ControlState, name: &str, min_nodes: usize) -> (Option<ControlState>, RetireVerdict) {
     let roster = &state.roster;
     let has_name = |store: &&StorageNode| store.name == name;
@@ -99,7 +97,7 @@
         (Some(state), RetireVerdict::Active)
     };
     let Some(store) = proposed_nodes(roster).iter().find(has_name) else {
-        // It may be leaving by the change under way.
+        // The change in progress may be removing the machine already.
         return match roster.current.iter().any(|store| store.name == name) {
             true => mark_retiring(state.clone()),
             false => (None, RetireVerdict::Unknown),
@@ -111,7 +109,7 @@
     if remaining < min_nodes || roster.current.is_empty() {
         return (None, RetireVerdict::TooFew { remaining });
     }
-    match would_abandon(roster, store) {
+    match would_revert_change(roster, store) {
         true => mark_retiring(state.clone()),
         false => mark_retiring(with_next(state, next)),
     }
@@ -130,9 +128,9 @@
     }
 }
 
-/// Records that the node with `disk` is in sync; the last one of the next set makes that set current.
+/// Records that the node with `disk`, if given, is in sync. Once all nodes of the next set are, that set becomes current.
 ///
-/// Disks in `waived` are not waited for. The first set needs `min_nodes` nodes. Returns `None` if nothing changes or `epoch`
+/// Disks in `waived` need not be in sync. The first set needs `min_nodes` nodes. Returns `None` if nothing changes or `epoch`
 /// is not the roster's.
 pub fn complete_backfill(
     state: &ControlState,
@@ -157,18 +155,18 @@
     state.roster.current = next;
     state.roster.next = None;
     state.roster.in_sync.clear();
-    // Nodes whose retirement was requested during this change leave by the next one.
+    // Nodes whose retirement was requested during this change are removed by the next one.
     let roster = &mut state.roster;
-    let is_staying = |store: &&StorageNode| !roster.retiring.contains(&store.name);
-    let remaining: Vec<StorageNode> = roster.current.iter().filter(is_staying).cloned().collect();
+    let is_not_retiring = |store: &&StorageNode| !roster.retiring.contains(&store.name);
+    let remaining: Vec<StorageNode> = roster.current.iter().filter(is_not_retiring).cloned().collect();
     if remaining.len() < roster.current.len() && remaining.len() >= min_nodes {
         roster.next = Some(remaining);
     }
     Some(state)
 }
 
-/// Removes a node from the proposed set, if `epoch` is still the roster's and at least `min_remaining` nodes remain that are
-/// not being retired.
+/// Removes a node from the proposed set, if `epoch` is still the roster's and at least `min_remaining` nodes (and at least
+/// one) remain that are not being retired. Returns `None` otherwise, or if the removal would undo the change in progress.
 pub fn remove_node(
     state: &ControlState,
     removed: &StorageNode,
@@ -177,7 +175,7 @@
 ) -> Option<ControlState> {
     let roster = &state.roster;
     let former = proposed_nodes(roster);
-    if roster.epoch != epoch || !former.contains(removed) || would_abandon(roster, removed) {
+    if roster.epoch != epoch || !former.contains(removed) || would_revert_change(roster, removed) {
         return None;
     }
     let remaining: Vec<StorageNode> = former.iter().filter(|store| *store != removed).cloned().collect();
@@ -190,7 +188,8 @@
     })
 }
 
-/// Forgets that these machines joined or left: no replacement by them, or of them, is expected any more.
+/// Deletes these machines from the roster's turnover: none of them is expected to replace another or to be replaced any more.
+/// Returns `None` if the turnover contains none of them.
 pub fn forget_turnover(state: &ControlState, machines: &[String]) -> Option<ControlState> {
     let mut state = state.clone();
     let before = state.roster.turnover.clone();
--- a/system/controllers/src/storage_controller.rs
+++ b/system/controllers/src/storage_controller.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ProbeRecord {
     last_response_ms: u64,
-    /// Number of probes that it has missed since.
+    /// Number of probes missed since the last response.
     missed: u32,
 }
 
@@ -34,30 +34,29 @@
     since_ms: u64,
 }
 
-/// What one control node knows of the storage nodes: which are unresponsive, and which joined recently.
+/// One control node's view of the storage nodes: which are unresponsive, and which joined recently.
 ///
-/// Every control node probes the storage nodes, so that the next holder of the lease starts with the knowledge that the
-/// last one had.
+/// Every control node probes the storage nodes, so that a new lease holder does not start without probe results.
 #[derive(Clone, Debug, Default)]
 pub struct StorageController {
     last_probe_round_ms: Option<u64>,
-    /// By disk.
+    /// Probe results by disk.
     probes: BTreeMap<u64, ProbeRecord>,
     first_observed_ms: Option<u64>,
-    /// When each machine of the roster's turnover was first observed there, in milliseconds.
+    /// When each machine was first observed in the roster's turnover.
     turnover_since_ms: BTreeMap<String, u64>,
     epoch: ObservedEpoch,
     /// When the roster was first observed with as many nodes as the tolerance needs; 0 if it had them when this control node
     /// first observed it.
     bootstrapped_ms: Option<u64>,
-    /// Since when nodes wait for the bootstrap.
-    gathering_since_ms: Option<u64>,
-    /// The tolerated losses that were last reported.
+    /// When nodes that wait for the bootstrap were first observed.
+    bootstrap_wait_since_ms: Option<u64>,
+    /// The loss tolerance returned last by [`loss_tolerance_change`](Self::loss_tolerance_change).
     reported_tolerance: Option<LossTolerance>,
 }
 
 impl StorageController {
-    /// Records the roster of a fleet that is bootstrapped with `min_nodes` nodes.
+    /// Records the current roster of a fleet whose loss tolerance needs `min_nodes` nodes. An empty roster is ignored.
     pub fn observe(&mut self, now_ms: u64, roster: &Roster, min_nodes: usize) {
         if roster.epoch == 0 {
             return;
@@ -66,7 +65,7 @@
             self.epoch = ObservedEpoch { epoch: roster.epoch, since_ms: now_ms };
         }
         if roster.current.is_empty() {
-            self.gathering_since_ms.get_or_insert(now_ms);
+            self.bootstrap_wait_since_ms.get_or_insert(now_ms);
         }
         let is_first = self.first_observed_ms.is_none();
         self.first_observed_ms.get_or_insert(now_ms);
@@ -82,13 +81,13 @@
         let is_member = |disk: u64| members.iter().chain(&roster.current).any(|store| store.disk == disk);
         self.probes.retain(|disk, _| is_member(*disk));
         for store in members.iter().chain(&roster.current) {
-            // A node that was just observed has as long to respond as one that has just responded.
+            // The timeouts of a new node run from now, as if it had just responded.
             self.probes.entry(store.disk).or_insert(ProbeRecord::responded(now_ms));
         }
     }
 
-    /// The losses that the roster tolerates at present, if they have changed since the last call. Before the first call the
-    /// full `tolerance` is assumed, so it is reported only after less.
+    /// The losses that the roster currently tolerates, if they have changed since the last call. The first call compares with
+    /// the full `tolerance`, so full tolerance is reported only after a reduced one.
     pub fn loss_tolerance_change(&mut self, roster: &Roster, tolerance: usize) -> Option<LossTolerance> {
         if roster.epoch == 0 {
             return None;
@@ -101,8 +100,8 @@
         (tolerated != before).then_some(tolerated)
     }
 
-    /// Whether a node that requests to join may do so. Of two live machines of one name the member remains until it is
-    /// unresponsive; otherwise they would replace each other for as long as both run.
+    /// Whether a node that requests to join may do so. Of two live machines with the same name, the member stays until it
+    /// misses a probe; otherwise the two would replace each other for as long as both run.
     pub fn admits(&self, roster: &Roster, store: &StorageNode) -> bool {
         let is_rival = |other: &&StorageNode| {
             other.name == store.name && other.ip != store.ip && other.disk != store.disk
@@ -123,15 +122,15 @@
         }
     }
 
-    /// Whether a probe round is due, of the nodes of the current and the proposed set.
+    /// Whether it is time for another probe round, in which the nodes of the current and the proposed set are probed.
     pub fn is_probe_due(&self, now_ms: u64) -> bool {
         let has_missed = self.probes.values().any(|probes| probes.missed > 0);
         let interval = if has_missed { PROBE_RETRY_INTERVAL_MS } else { PROBE_INTERVAL_MS };
         self.last_probe_round_ms.is_none_or(|last| now_ms.saturating_sub(last) >= interval)
     }
 
-    /// Records the start of a probe round. After a gap of more than [`MAX_PROBE_GAP_MS`] missed probes are counted anew: this
-    /// control node may have been suspended.
+    /// Records the start of a probe round. After a gap of more than [`MAX_PROBE_GAP_MS`] the counts of missed probes are reset,
+    /// since this control node may have been suspended.
     pub fn begin_probe_round(&mut self, now_ms: u64) {
         if self.has_probe_gap(now_ms) {
             self.probes.values_mut().for_each(|probes| *probes = ProbeRecord::responded(now_ms));
@@ -143,7 +142,7 @@
         self.last_probe_round_ms.is_none_or(|last| now_ms.saturating_sub(last) > MAX_PROBE_GAP_MS)
     }
 
-    /// For how many milliseconds a node has been unresponsive; 0 below [`MIN_MISSED_PROBES`].
+    /// Time in milliseconds since the node's last response; 0 if it has missed fewer than [`MIN_MISSED_PROBES`] probes.
     fn unresponsive_ms(&self, now_ms: u64, store: &StorageNode) -> u64 {
         let probes = self.probes.get(&store.disk).filter(|probes| probes.missed >= MIN_MISSED_PROBES);
         probes.map_or(0, |probes| now_ms.saturating_sub(probes.last_response_ms))
@@ -152,7 +151,9 @@
     /// Time in milliseconds after which an unresponsive node is removed.
     fn removal_timeout_ms(&self, now_ms: u64, roster: &Roster) -> u64 {
         let started_recently = self.bootstrapped_ms == Some(0)
-            && self.first_observed_ms.is_some_and(|at| now_ms.saturating_sub(at) < REPLACEMENT_WINDOW_MS);
+            && self
+                .first_observed_ms
+                .is_some_and(|first_ms| now_ms.saturating_sub(first_ms) < REPLACEMENT_WINDOW_MS);
         match roster.turnover.joined.iter().any(|name| self.is_recent(now_ms, name)) {
             true => REPLACED_STORAGE_TIMEOUT_MS,
             false if started_recently => STORAGE_TIMEOUT_AFTER_START_MS,
@@ -166,24 +167,23 @@
         since_ms.is_none_or(|since_ms| now_ms.saturating_sub(*since_ms) < REPLACEMENT_WINDOW_MS)
     }
 
-    /// Machines of the turnover that are no longer expected to replace another one, or to be replaced.
-    fn settled_turnover(&self, now_ms: u64, roster: &Roster) -> Vec<String> {
+    /// Machines whose turnover is too old for them to replace another machine or to be replaced.
+    fn expired_turnover(&self, now_ms: u64, roster: &Roster) -> Vec<String> {
         turnover::machines(&roster.turnover).filter(|name| !self.is_recent(now_ms, name)).cloned().collect()
     }
 
-    /// The change to make after a probe round; `tolerance` is the number of nodes that may be lost.
+    /// The change to make after a probe round; `tolerance` is the number of concurrent losses to tolerate.
     pub fn step(&self, now_ms: u64, state: &ControlState, tolerance: usize) -> RosterStep {
         let step = self.membership_step(now_ms, state, tolerance);
         if step != RosterStep::NoChange || self.has_probe_gap(now_ms) {
             return step;
         }
-        match self.settled_turnover(now_ms, &state.roster) {
-            settled if settled.is_empty() => RosterStep::NoChange,
-            settled => RosterStep::ForgetTurnover(settled),
+        match self.expired_turnover(now_ms, &state.roster) {
+            expired if expired.is_empty() => RosterStep::NoChange,
+            expired => RosterStep::ForgetTurnover(expired),
         }
     }
 
-    /// The change of the members to make.
     fn membership_step(&self, now_ms: u64, state: &ControlState, tolerance: usize) -> RosterStep {
         let roster = &state.roster;
         if self.has_probe_gap(now_ms) {
@@ -192,7 +192,7 @@
         if roster.current.is_empty() {
             return self.bootstrap_step(now_ms, roster);
         }
-        // Completing the backfill takes precedence: removing a node would start it anew.
+        // Completing the backfill takes precedence: removing a node would restart it.
         if let Some(next) = &roster.next {
             let waived: Vec<u64> = next
                 .iter()
@@ -219,10 +219,11 @@
         }
     }
 
-    /// Removes an unresponsive node: sooner while as many remain as a fleet is bootstrapped with, and later below that.
+    /// Removes an unresponsive node: sooner while at least [`min_storage_nodes`] remain, and only after [`STORAGE_TIMEOUT_MS`]
+    /// while at least `tolerance + 1` remain.
     ///
-    /// Fewer nodes than that, but more than the tolerated losses, still store every record through that many losses. With a
-    /// permanently lost node still among them, however, the next loss could block the fleet permanently.
+    /// `tolerance + 1` nodes still preserve every record through `tolerance` losses. If a permanently lost node were kept in
+    /// the roster instead, the next loss could block the fleet permanently.
     fn unblocked_removal_step(&self, now_ms: u64, state: &ControlState, tolerance: usize) -> RosterStep {
         let timeout_ms = self.removal_timeout_ms(now_ms, &state.roster);
         match self.removal_step(now_ms, state, timeout_ms, min_storage_nodes(tolerance)) {
@@ -231,7 +232,8 @@
         }
     }
 
-    /// Removes the node that has been unresponsive longest, if that is longer than `timeout_ms` and `min_remaining` remain.
+    /// Removes the node that has been unresponsive longest, of those that exceed `timeout_ms` and whose removal leaves
+    /// `min_remaining` nodes.
     fn removal_step(
         &self,
         now_ms: u64,
@@ -253,10 +255,11 @@
         })
     }
 
-    /// Bootstraps the fleet with the live nodes that have joined, once it has waited long enough for more.
+    /// Bootstraps the fleet with the live nodes that have joined, once [`BOOTSTRAP_WAIT_MS`] have passed since the first.
     fn bootstrap_step(&self, now_ms: u64, roster: &Roster) -> RosterStep {
-        let has_waited =
-            self.gathering_since_ms.is_some_and(|since| now_ms.saturating_sub(since) >= BOOTSTRAP_WAIT_MS);
+        let has_waited = self
+            .bootstrap_wait_since_ms
+            .is_some_and(|since| now_ms.saturating_sub(since) >= BOOTSTRAP_WAIT_MS);
         let Some(next) = roster.next.as_ref().filter(|_| has_waited) else { return RosterStep::NoChange };
         let longest = next
             .iter()
@@ -272,8 +275,8 @@
         }
     }
 
-    /// Whether the roster has fewer nodes than the tolerance needs, nothing can be written without the unresponsive ones, and
-    /// the others store all records: then the roster has to shrink to these.
+    /// Whether the roster has to shrink to its responsive nodes: it has fewer nodes than the tolerance needs, nothing can be
+    /// written without the unresponsive nodes, and the responsive nodes store all records.
     fn is_blocked(&self, now_ms: u64, roster: &Roster, tolerance: usize) -> bool {
         let members = proposed_nodes(roster);
         let unresponsive = |stores: &[StorageNode]| {
--- a/system/controllers/src/turnover.rs
+++ b/system/controllers/src/turnover.rs
@@ -1,14 +1,14 @@
-//! Which machines joined the roster, which left it unasked, and which of them replaced which.
+//! Which machines joined the roster, which were removed as unresponsive, and which machine replaced which.
 //!
-//! It is part of the chosen value, so that control nodes that restart know of a replacement that is under way: the replaced
-//! machine is removed sooner than one that may only be slow.
+//! The turnover is part of the chosen value, so that a restarted control node knows of a replacement in progress: the replaced
+//! machine is removed sooner than a machine that may only be slow.
 
 use fleet_model::{Departure, Turnover};
 
-/// Records that a machine joined that was no member. One that left before returns, and replaces none.
+/// Records that a machine joined which was not a member. A machine that was removed earlier and returns replaces no other.
 pub(crate) fn record_join(turnover: &mut Turnover, machine: &str) {
     if let Some(index) = turnover.departed.iter().position(|departure| departure.machine == machine) {
-        // The machine that replaced it may replace another one.
+        // The machine that replaced it is available as a replacement again.
         turnover.joined.extend(turnover.departed.remove(index).replaced_by);
         return;
     }
@@ -18,7 +18,7 @@
     }
 }
 
-/// Records that a machine was removed because it did not respond. If it had come for another one, that one lacks a
+/// Records that a machine was removed because it did not respond. If it had replaced another machine, that one needs a
 /// replacement again.
 pub(crate) fn record_removal(turnover: &mut Turnover, machine: &str) {
     if let Some(index) = turnover.joined.iter().position(|joined| joined == machine) {
@@ -34,19 +34,18 @@
     turnover.departed.push(Departure { machine: machine.to_owned(), replaced_by });
 }
 
-/// Records that a machine left on an operator's request: it needs no replacement, and replaces none itself.
+/// Records that a machine was retired on an operator's request: it needs no replacement, and replaces no other any more.
 pub(crate) fn record_retirement(turnover: &mut Turnover, machine: &str) {
     turnover.joined.retain(|joined| joined != machine);
     turnover.departed.retain(|departure| departure.replaced_by.as_deref() != Some(machine));
 }
 
-/// Forgets these machines.
 pub(crate) fn forget(turnover: &mut Turnover, machines: &[String]) {
     turnover.joined.retain(|joined| !machines.contains(joined));
     turnover.departed.retain(|departure| !machines.contains(&departure.machine));
 }
 
-/// All machines that are remembered: those that joined and those that left.
+/// All machines in the turnover: those that joined and those that were removed.
 pub(crate) fn machines(turnover: &Turnover) -> impl Iterator<Item = &String> {
     turnover.joined.iter().chain(turnover.departed.iter().map(|departure| &departure.machine))
 }
