--- a/system/controllers/tests/membership/cluster/invariants.rs
+++ b/system/controllers/tests/membership/cluster/invariants.rs
@@ -1,12 +1,13 @@
-//! What the history of a cluster has to satisfy.
+//! Invariants of a cluster's history.
 
-use super::{Cluster, Event, MAX_STATE_AGE_MS, disks};
+use super::{Cluster, Event, MAX_STATE_AGE_MS, disk_set};
 use controllers::{proposed_nodes, times};
 use fleet_model::{ListVersion, QuorumSizes, Roster, StorageNode};
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Cluster {
-    /// Whether the roster consists of all live nodes that are not retired, in sync, and of no others as far as enough remain.
+    /// Whether no change is in progress and the current set contains all live nodes that are not retired, no retired node and,
+    /// unless it has the minimum size, no other node.
     pub(crate) fn is_settled(&self) -> bool {
         let roster = self.roster();
         let retired = |store: &StorageNode| roster.retiring.contains(&store.name);
@@ -16,7 +17,7 @@
             .filter(|machine| machine.up && !retired(&machine.store))
             .map(|machine| machine.store.disk)
             .collect();
-        let current = disks(&roster.current);
+        let current = disk_set(&roster.current);
         roster.next.is_none()
             && live.is_subset(&current)
             && (live == current || current.len() == self.min_nodes())
@@ -32,27 +33,30 @@
         let mut last = Roster::default();
         for (at, event) in &self.history {
             match event {
-                Event::InSync(disk, epoch) => drop(in_sync.insert((*disk, *epoch))),
-                Event::List(version, read) => {
-                    if published.insert(*version, *read).is_some() {
+                Event::ReportedInSync(disk, epoch) => drop(in_sync.insert((*disk, *epoch))),
+                Event::ListPublished(version, polled_at) => {
+                    if published.insert(*version, *polled_at).is_some() {
                         violations.push(format!("{at}: two lists under the version {version:?}"));
                     }
                 }
-                Event::ShrunkBelowMinimum(left, out) => {
-                    // The controller may have received a response up to one probe before the node froze, not later.
-                    let is_early = |unresponsive: u64| {
-                        unresponsive + 2 * times::PROBE_INTERVAL_MS < times::STORAGE_TIMEOUT_MS
+                Event::ShrunkBelowMinimum(remaining, removed) => {
+                    // The controller's last response may be up to one probe interval older than the node's fault.
+                    let is_early = |unresponsive_ms: u64| {
+                        unresponsive_ms + 2 * times::PROBE_INTERVAL_MS < times::STORAGE_TIMEOUT_MS
                     };
-                    if *left <= self.tolerance || out.iter().any(|(_, unresponsive)| is_early(*unresponsive))
+                    if *remaining <= self.tolerance
+                        || removed.iter().any(|(_, unresponsive_ms)| is_early(*unresponsive_ms))
                     {
-                        violations.push(format!("{at}: only {left} nodes are left, without {out:?}"));
+                        violations.push(format!(
+                            "{at}: only {remaining} nodes remain after the removal of {removed:?}"
+                        ));
                     }
                 }
-                Event::Roster(roster, waived) => {
+                Event::RosterCommitted(roster, waived) => {
                     violations.extend(self.roster_violations(*at, &last, roster, waived, &in_sync));
                     for store in roster.current.iter().chain(roster.next.iter().flatten()) {
                         if retired.contains(&store.name) {
-                            violations.push(format!("{at}: {} was retired and is back", store.name));
+                            violations.push(format!("{at}: {} was retired and has rejoined", store.name));
                         }
                     }
                     let is_member = |name: &String| {
@@ -63,22 +67,22 @@
                 }
             }
         }
-        // A list of a later version is older by at most the age that a control node's state may have.
+        // A list of a later version may have been polled earlier by at most the maximum age of a control node's state.
         let mut newest = 0;
-        for (version, read) in published {
-            if read + MAX_STATE_AGE_MS < newest {
+        for (version, polled_at) in published {
+            if polled_at + MAX_STATE_AGE_MS < newest {
                 violations.push(format!(
-                    "the list {version:?} was read {} ms before an earlier one",
-                    newest - read
+                    "the list {version:?} was polled {} ms before a list of an earlier version",
+                    newest - polled_at
                 ));
             }
-            newest = newest.max(read);
+            newest = newest.max(polled_at);
         }
         violations
     }
 
-    /// Violations of one change of the roster: the epoch increases, and a set becomes current only after `next` and once its
-    /// disks are in sync or waived within the tolerance.
+    /// Violations by one change of the roster. The epoch has to increase, and only the next set may become current, once its
+    /// disks are in sync or, within the tolerance, waived.
     fn roster_violations(
         &self,
         at: u64,
@@ -90,13 +94,14 @@
         let mut violations = Vec::new();
         let sets = |roster: &Roster| (roster.current.clone(), roster.next.clone());
         if sets(last) != sets(roster) && roster.epoch <= last.epoch {
-            violations.push(format!("{at}: another roster under epoch {}", roster.epoch));
+            violations
+                .push(format!("{at}: the roster changed under epoch {}, which is not higher", roster.epoch));
         }
         if roster.current != last.current {
             if last.next.as_ref() != Some(&roster.current) {
                 violations.push(format!("{at}: the current set was not the next one"));
             }
-            let not_in_sync: Vec<u64> = disks(&roster.current)
+            let not_in_sync: Vec<u64> = disk_set(&roster.current)
                 .into_iter()
                 .filter(|disk| !in_sync.contains(&(*disk, last.epoch)))
                 .collect();
--- a/system/controllers/tests/membership/cluster/mod.rs
+++ b/system/controllers/tests/membership/cluster/mod.rs
@@ -1,5 +1,6 @@
-//! An in-memory cluster in simulated time: control nodes over a register that is a plain compare-and-set for every node that
+//! An in-memory cluster in simulated time: control nodes with a register that is a plain compare-and-set for every node that
 //! reaches a majority, and storage nodes that join, backfill and report. The invariants are checked on its history alone.
+//! All times are in milliseconds.
 
 mod control_nodes;
 mod invariants;
@@ -15,32 +16,37 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-pub(crate) const LIST: &str = "list";
+pub(crate) const ROLE: &str = "list";
 const TICK_MS: u64 = 50;
 const POLL_INTERVAL_MS: u64 = 250;
 const MAX_STATE_AGE_MS: u64 = 1_000;
-/// Interval at which a storage node acts on the state that it has learned.
+/// Interval at which a storage node acts on the last state that it received.
 const STORAGE_STEP_INTERVAL_MS: u64 = 150;
-/// Duration of a backfill from responsive nodes, and of one that has to give up a source.
+/// Duration of a backfill from responsive nodes.
 const BACKFILL_MS: u64 = 300;
+/// Duration of a backfill in which an unresponsive source first has to time out.
 const BACKFILL_WITH_LOST_SOURCE_MS: u64 = 1_400;
 
-/// What happened, in order.
+/// An entry of the cluster's history.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// The register committed this roster; the disks that were waived for it.
-    Roster(Roster, Vec<u64>),
-    /// A disk reported to be in sync under an epoch.
-    InSync(u64, u64),
-    /// A list was published under this version; when it was polled.
-    List(ListVersion, u64),
-    /// The proposed set fell below the minimum: number of nodes left, and the removed disks with how long each was unresponsive.
+    /// The register committed a roster: the roster, and the disks that were waived for it.
+    RosterCommitted(Roster, Vec<u64>),
+    /// A storage node reported to be in sync: its disk, and the epoch.
+    ReportedInSync(u64, u64),
+    /// An endpoint list was published: its version, and when it was polled.
+    ListPublished(ListVersion, u64),
+    /// The proposed set fell below the minimum: the number of remaining nodes, and the removed disks, each with how long its
+    /// node had been unresponsive.
     ShrunkBelowMinimum(usize, Vec<(u64, u64)>),
 }
 
+/// A change that a lease holder has decided on and makes in its next step.
 #[derive(Clone)]
-enum Pending {
+enum PendingChange {
+    /// The step, the roster's epoch for which it was decided, and the fencing token.
     Roster(RosterStep, u64, u64),
+    /// The voter and the fencing token.
     RemoveVoter(Ipv4Addr, u64),
 }
 
@@ -59,7 +65,7 @@
     storage_controller: StorageController,
     polls: DiscoveryPolls,
     list: EndpointList,
-    pending: Option<Pending>,
+    pending: Option<PendingChange>,
     next_poll: u64,
     next_lease_check: u64,
     next_probe_check: u64,
@@ -73,9 +79,11 @@
     frozen_until: u64,
     version: u64,
     roster: Roster,
+    /// Sets of disks for which this machine has completed its backfill.
     in_sync_for: BTreeSet<BTreeSet<u64>>,
+    /// The epoch of the ongoing backfill, and when it completes.
     backfill: Option<(u64, u64)>,
-    next: u64,
+    next_step_at: u64,
 }
 
 pub(crate) struct Cluster {
@@ -87,13 +95,13 @@
     state: Rc<ControlState>,
     voters: Vec<Ipv4Addr>,
     version: u64,
-    disks: u64,
-    /// Number of disks, the first ones, whose machines were started with the fleet.
-    founders: u64,
-    random: ChaCha8Rng,
+    last_disk: u64,
+    /// The machines of the disks up to this one were started with the fleet.
+    last_initial_disk: u64,
+    rng: ChaCha8Rng,
 }
 
-fn disks(stores: &[StorageNode]) -> BTreeSet<u64> {
+fn disk_set(stores: &[StorageNode]) -> BTreeSet<u64> {
     stores.iter().map(|store| store.disk).collect()
 }
 
@@ -109,7 +117,7 @@
         voters: Vec::new(),
         confirmed_at: None,
         voter_controller: VoterController::new(ip),
-        candidate: LeaseCandidate::new(LIST, ip),
+        candidate: LeaseCandidate::new(ROLE, ip),
         storage_controller: StorageController::default(),
         polls: DiscoveryPolls::default(),
         list: EndpointList::default(),
@@ -121,11 +129,12 @@
 }
 
 impl Cluster {
-    /// A cluster that has been bootstrapped by these nodes and run for a while.
+    /// A cluster that was bootstrapped with this many nodes and has run for eight seconds.
     pub(crate) fn new(seed: u64, tolerance: usize, control_node_count: u8, storage_nodes: u8) -> Self {
-        let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let voters: Vec<Ipv4Addr> = (1..=control_node_count).map(|at| Ipv4Addr::new(10, 0, 0, at)).collect();
-        let control_nodes = voters.iter().map(|ip| new_control_node(*ip, 0, random.next_u64())).collect();
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let voters: Vec<Ipv4Addr> =
+            (1..=control_node_count).map(|number| Ipv4Addr::new(10, 0, 0, number)).collect();
+        let control_nodes = voters.iter().map(|ip| new_control_node(*ip, 0, rng.next_u64())).collect();
         let mut cluster = Self {
             now: 0,
             tolerance,
@@ -135,12 +144,12 @@
             state: Rc::default(),
             voters,
             version: 1,
-            disks: 0,
-            founders: storage_nodes.into(),
-            random,
+            last_disk: 0,
+            last_initial_disk: storage_nodes.into(),
+            rng,
         };
-        for at in 1..=storage_nodes {
-            cluster.start(&format!("s{at}"), at);
+        for number in 1..=storage_nodes {
+            cluster.start(&format!("s{number}"), number);
         }
         cluster.run(8_000);
         cluster
@@ -151,7 +160,7 @@
     }
 
     pub(crate) fn random_below(&mut self, below: u64) -> u64 {
-        self.random.next_u64() % below
+        self.rng.next_u64() % below
     }
 
     pub(crate) fn roster(&self) -> &Roster {
@@ -168,14 +177,14 @@
 
     /// Starts a storage node with an empty disk under this name and address; returns the disk.
     pub(crate) fn start(&mut self, name: &str, ip: u8) -> u64 {
-        self.disks += 1;
+        self.last_disk += 1;
         let store = StorageNode {
             name: name.into(),
             ip: Ipv4Addr::new(10, 3, 0, ip),
             zone: "a".into(),
-            disk: self.disks,
+            disk: self.last_disk,
         };
-        let next = self.now + 300 + self.random_below(STORAGE_STEP_INTERVAL_MS);
+        let next_step_at = self.now + 300 + self.random_below(STORAGE_STEP_INTERVAL_MS);
         self.machines.push(Machine {
             store,
             up: true,
@@ -185,9 +194,9 @@
             roster: Roster::default(),
             in_sync_for: BTreeSet::new(),
             backfill: None,
-            next,
+            next_step_at,
         });
-        self.disks
+        self.last_disk
     }
 
     pub(crate) fn machine(&mut self, disk: u64) -> &mut Machine {
@@ -201,11 +210,11 @@
         (machine.up, machine.unresponsive_since) = (false, now);
     }
 
-    /// Restarts a storage node with its disk.
+    /// Restarts a storage node with its disk intact.
     pub(crate) fn restart(&mut self, disk: u64) {
         let now = self.now;
         let machine = self.machine(disk);
-        (machine.up, machine.backfill, machine.next) = (true, None, now + 300);
+        (machine.up, machine.backfill, machine.next_step_at) = (true, None, now + 300);
     }
 
     pub(crate) fn freeze(&mut self, disk: u64, duration_ms: u64) {
@@ -214,20 +223,20 @@
         (machine.frozen_until, machine.unresponsive_since) = (now + duration_ms, now);
     }
 
-    pub(crate) fn freeze_control_node(&mut self, at: usize, duration_ms: u64) {
-        self.control_nodes[at].frozen_until = self.now + duration_ms;
+    pub(crate) fn freeze_control_node(&mut self, index: usize, duration_ms: u64) {
+        self.control_nodes[index].frozen_until = self.now + duration_ms;
     }
 
-    /// Restarts a control node: it forgets everything that is not in the register.
-    pub(crate) fn restart_control_node(&mut self, at: usize) {
-        let phase = self.random.next_u64();
-        self.control_nodes[at] = new_control_node(self.control_nodes[at].ip, self.now, phase);
+    /// Restarts a control node: it loses all state that is not in the register.
+    pub(crate) fn restart_control_node(&mut self, index: usize) {
+        let phase = self.rng.next_u64();
+        self.control_nodes[index] = new_control_node(self.control_nodes[index].ip, self.now, phase);
     }
 
     /// Starts a new control node, which becomes a voter at once.
-    pub(crate) fn add_control_node(&mut self, last: u8) {
-        let ip = Ipv4Addr::new(10, 0, 0, last);
-        let phase = self.random.next_u64();
+    pub(crate) fn add_control_node(&mut self, last_octet: u8) {
+        let ip = Ipv4Addr::new(10, 0, 0, last_octet);
+        let phase = self.rng.next_u64();
         self.control_nodes.push(new_control_node(ip, self.now, phase));
         self.voters.push(ip);
         self.version += 1;
@@ -235,7 +244,7 @@
 
     /// Index of the control node that holds the lease.
     pub(crate) fn lease_holder(&self) -> Option<usize> {
-        let holder = self.state.leases.get(LIST)?.holder?;
+        let holder = self.state.leases.get(ROLE)?.holder?;
         self.control_nodes.iter().position(|node| node.ip == holder)
     }
 
@@ -251,11 +260,11 @@
         let until = self.now + duration_ms;
         while self.now < until {
             self.now += TICK_MS;
-            for at in 0..self.control_nodes.len() {
-                self.step_control_node(at);
+            for index in 0..self.control_nodes.len() {
+                self.step_control_node(index);
             }
-            for at in 0..self.machines.len() {
-                self.step_storage_node(at);
+            for index in 0..self.machines.len() {
+                self.step_storage_node(index);
             }
         }
     }
@@ -272,18 +281,19 @@
         Some(self.now - started_at)
     }
 
-    /// The event to record if a change leaves fewer nodes than the minimum. A disk that another one replaces does not count as
-    /// removed.
+    /// The event to record if a change leaves fewer nodes than the minimum. A disk that is replaced by another disk does not
+    /// count as removed.
     fn shrink_event(&self, after: &Roster) -> Option<Event> {
-        let (before, left) = (proposed_nodes(&self.state.roster), proposed_nodes(after));
-        let same = |one: &StorageNode, other: &StorageNode| one.name == other.name || one.ip == other.ip;
+        let (before, remaining) = (proposed_nodes(&self.state.roster), proposed_nodes(after));
+        let same_machine =
+            |one: &StorageNode, other: &StorageNode| one.name == other.name || one.ip == other.ip;
         let removed: Vec<(u64, u64)> = before
             .iter()
-            .filter(|store| !left.iter().any(|other| same(store, other)))
+            .filter(|store| !remaining.iter().any(|other| same_machine(store, other)))
             .map(|store| (store.disk, self.unresponsive_ms(store.disk)))
             .collect();
-        let falls_below = before.len() >= self.min_nodes() && left.len() < self.min_nodes();
-        (falls_below && !removed.is_empty()).then_some(Event::ShrunkBelowMinimum(left.len(), removed))
+        let falls_below = before.len() >= self.min_nodes() && remaining.len() < self.min_nodes();
+        (falls_below && !removed.is_empty()).then_some(Event::ShrunkBelowMinimum(remaining.len(), removed))
     }
 
     fn unresponsive_ms(&self, disk: u64) -> u64 {
@@ -294,8 +304,8 @@
 
     fn commit(&mut self, state: ControlState, waived: Vec<u64>) {
         if state.roster != self.state.roster {
-            self.history.extend(self.shrink_event(&state.roster).map(|shrunk| (self.now, shrunk)));
-            self.history.push((self.now, Event::Roster(state.roster.clone(), waived)));
+            self.history.extend(self.shrink_event(&state.roster).map(|event| (self.now, event)));
+            self.history.push((self.now, Event::RosterCommitted(state.roster.clone(), waived)));
         }
         self.state = Rc::new(state);
         self.version += 1;
--- a/system/controllers/tests/membership/configurations.rs
+++ b/system/controllers/tests/membership/configurations.rs
@@ -1,4 +1,4 @@
-//! Judgement of operators' configurations.
+//! Evaluation of operators' configurations.
 
 use bytes::Bytes;
 use controllers::{ConfigVerdict, put_config};
@@ -16,23 +16,23 @@
     expect_that!(verdict, eq(ConfigVerdict::Committed));
     let state = state.or_fail()?;
     expect_that!(state.version(), eq(3));
-    // the same again, whatever version it expects
+    // The same request is repeated after its commit: it is still reported as committed.
     expect_that!(put_config(&state, 0, &version(3), &body), eq(&(None, ConfigVerdict::Committed)));
-    // other bytes under its number, and a lower number
+    // Other bytes under the committed version, and a lower version, are not newer.
     let other = CommittedVersion { version: 3, digest: [9; 32] };
     expect_that!(put_config(&state, 3, &other, &body), eq(&(None, ConfigVerdict::NotNewer)));
     expect_that!(put_config(&state, 3, &version(2), &body), eq(&(None, ConfigVerdict::NotNewer)));
-    // a version mismatch is reported first
+    // A version mismatch takes precedence.
     expect_that!(put_config(&state, 2, &version(2), &body), eq(&(None, ConfigVerdict::VersionMismatch(3))));
     expect_that!(put_config(&state, 2, &version(4), &body), eq(&(None, ConfigVerdict::VersionMismatch(3))));
-    // and what was committed before the current one is still known as committed
+    // An earlier version is still reported as committed after the next commit, whatever version the request expects.
     let state = put_config(&state, 3, &version(4), &body).0.or_fail()?;
     expect_that!(put_config(&state, 4, &version(3), &body), eq(&(None, ConfigVerdict::Committed)));
     Ok(())
 }
 
 #[gtest]
-fn only_the_latest_versions_are_remembered() {
+fn only_the_latest_committed_versions_are_recorded() {
     let mut state = ControlState::default();
     for number in 1..=600 {
         state = put_config(&state, number - 1, &version(number), &Bytes::new()).0.unwrap_or_default();
--- a/system/controllers/tests/membership/discovery_polls.rs
+++ b/system/controllers/tests/membership/discovery_polls.rs
@@ -1,4 +1,4 @@
-//! Which polls of the endpoint list are published.
+//! Which polls of the endpoint list lead to a published list.
 
 use controllers::{DiscoveryPolls, times};
 use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
@@ -40,9 +40,9 @@
         expect_that!(empty(&mut polls, started_ms, 1), none());
     }
     expect_that!(empty(&mut polls, times::EMPTY_LIST_CONFIRMATION_MS, 1), some(anything()));
-    // an empty poll of a minute ago does not confirm the next one
+    // An empty poll of a minute ago does not belong to the same series.
     expect_that!(empty(&mut polls, 65_000, 1), none());
-    // nor does one under an earlier token
+    // Nor does an empty poll under an earlier token.
     expect_that!(empty(&mut polls, 66_000, 2), none());
     expect_that!(empty(&mut polls, 70_900, 2), none());
 }
--- a/system/controllers/tests/membership/failure_scenarios.rs
+++ b/system/controllers/tests/membership/failure_scenarios.rs
@@ -1,10 +1,10 @@
-//! Failure scenarios of the whole cluster: how the roster, the lease and the voters recover from one fault.
+//! Failure scenarios of the cluster: how the roster, the lease and the voters recover from single faults and replacements.
 
-use crate::cluster::{Cluster, Event, LIST};
+use crate::cluster::{Cluster, Event, ROLE};
 use controllers::{RetireVerdict, retire_status};
 use googletest::prelude::*;
 
-/// Time in milliseconds after the return of a node by which it has to be in sync; until then it counts as lost.
+/// Time in milliseconds within which a node that returns has to be in sync. Until then it counts as lost.
 const CATCH_UP_MS: u64 = 4_000;
 
 fn is_current(cluster: &Cluster, disk: u64) -> bool {
@@ -16,13 +16,13 @@
 }
 
 fn lease_token(cluster: &Cluster) -> u64 {
-    cluster.state().leases.get(LIST).map_or(0, |lease| lease.token)
+    cluster.state().leases.get(ROLE).map_or(0, |lease| lease.token)
 }
 
-/// When lists were polled, from `since` on.
+/// When the published lists were polled, from `since` on.
 fn poll_times(cluster: &Cluster, since: u64) -> Vec<u64> {
     let polled_at = |(_, event): &(u64, Event)| match event {
-        Event::List(_, polled_at) if *polled_at >= since => Some(*polled_at),
+        Event::ListPublished(_, polled_at) if *polled_at >= since => Some(*polled_at),
         _ => None,
     };
     cluster.history.iter().filter_map(polled_at).collect()
@@ -65,25 +65,25 @@
 #[gtest]
 fn a_cluster_below_its_tolerance_bootstraps_shrinks_and_grows() {
     for_each_seed(|seed| {
-        // given four machines where two losses are to be tolerated
+        // Four machines are fewer than the five that two tolerated losses need.
         let mut cluster = Cluster::new(seed, 2, 3, 4);
         expect_that!(cluster.roster().current.len(), eq(4), "seed {seed}");
         expect_that!(cluster.is_settled(), eq(true));
-        // when two are lost, then the other two continue by themselves
+        // Two are lost: the roster shrinks to the other two.
         cluster.stop(1);
         cluster.stop(2);
         let two_left = |cluster: &Cluster| is_removed(cluster, 1) && is_removed(cluster, 2);
         expect_that!(cluster.run_until(6_000, two_left), some(anything()), "seed {seed}");
         expect_that!(cluster.roster().current.len(), eq(2));
-        // and when one of those is lost and five more come, then they are one set in the end
+        // Another one is lost and five join: the roster grows to all six.
         cluster.stop(3);
         expect_that!(
             cluster.run_until(6_000, |cluster| is_removed(cluster, 3)),
             some(anything()),
             "seed {seed}"
         );
-        for at in 11..=15 {
-            cluster.start(&format!("s{at}"), at);
+        for number in 11..=15 {
+            cluster.start(&format!("s{number}"), number);
         }
         let all = |cluster: &Cluster| cluster.is_settled() && cluster.roster().current.len() == 6;
         expect_that!(cluster.run_until(CATCH_UP_MS, all), some(anything()), "seed {seed}");
@@ -94,9 +94,9 @@
 #[gtest]
 fn a_permanently_lost_node_is_removed_below_the_minimum_and_a_later_wipe_is_repaired() {
     for_each_seed(|seed| {
-        // given three machines where one loss is to be tolerated
+        // Three machines are the minimum for one tolerated loss.
         let mut cluster = Cluster::new(seed, 1, 3, 3);
-        // when one is lost permanently and none comes for it, then the two others become the set, but not soon
+        // One is lost and not replaced: the roster shrinks to the other two, but only after the full timeout.
         cluster.stop(2);
         cluster.run(6_000);
         expect_that!(is_removed(&cluster, 2), eq(false), "seed {seed}");
@@ -105,7 +105,7 @@
             some(anything()),
             "seed {seed}"
         );
-        // and when one of these loses its disk, then it backfills from the other, which knows all
+        // One of the two loses its disk: it backfills from the other, which stores all records.
         cluster.stop(1);
         cluster.run(1_000);
         let disk = cluster.start("s1", 1);
@@ -119,16 +119,16 @@
 
 #[gtest]
 fn bootstrap_is_immediate_with_enough_nodes_and_bounded_in_time_with_fewer() {
-    for (machines, tolerance, within) in
+    for (machines, tolerance, deadline) in
         [(3, 1, 1_500), (5, 2, 1_500), (2, 1, 6_000), (1, 1, 6_000), (4, 2, 6_000)]
     {
         let cluster = Cluster::new(1, tolerance, 3, machines);
-        let founded = |(at, event): &(u64, Event)| match event {
-            Event::Roster(roster, _) if roster.current.len() == usize::from(machines) => Some(*at),
+        let bootstrapped_at = |(now, event): &(u64, Event)| match event {
+            Event::RosterCommitted(roster, _) if roster.current.len() == usize::from(machines) => Some(*now),
             _ => None,
         };
-        let at = cluster.history.iter().find_map(founded);
-        expect_that!(at, some(le(within)), "{machines} machines");
+        let bootstrapped_at = cluster.history.iter().find_map(bootstrapped_at);
+        expect_that!(bootstrapped_at, some(le(deadline)), "{machines} machines");
     }
 }
 
@@ -163,13 +163,13 @@
 fn a_planned_replacement_under_the_same_name_does_not_oscillate() {
     for_each_seed(|seed| {
         let mut cluster = Cluster::new(seed, 1, 3, 3);
-        // given a new machine under the name of one that still runs
+        // A machine starts under the name of another that still runs.
         let before = cluster.roster().epoch;
         let disk = cluster.start("s2", 9);
         cluster.run(4_000);
-        // then the old one remains a member
+        // The old machine remains a member.
         expect_that!(cluster.roster().epoch, eq(before));
-        // and when it ends, the new one replaces it, once and in time
+        // Once the old machine stops, the new one replaces it in time, by one join and one completed backfill.
         cluster.stop(2);
         expect_that!(
             cluster.run_until(CATCH_UP_MS, |cluster| is_current(cluster, disk)),
@@ -183,7 +183,7 @@
 }
 
 #[gtest]
-fn a_node_that_thaws_after_its_replacement_does_not_rejoin() {
+fn a_frozen_node_that_resumes_after_its_replacement_does_not_rejoin() {
     for_each_seed(|seed| {
         let mut cluster = Cluster::new(seed, 1, 3, 3);
         cluster.freeze(2, 9_000);
@@ -241,7 +241,7 @@
 fn several_spares_that_join_at_once_are_all_in_sync_in_time() {
     for_each_seed(|seed| {
         let mut cluster = Cluster::new(seed, 1, 3, 3);
-        let spares: Vec<u64> = (7..10).map(|at| cluster.start(&format!("s{at}"), at)).collect();
+        let spares: Vec<u64> = (7..10).map(|number| cluster.start(&format!("s{number}"), number)).collect();
         let all = |cluster: &Cluster| spares.iter().all(|disk| is_current(cluster, *disk));
         expect_that!(cluster.run_until(CATCH_UP_MS, all), some(anything()), "seed {seed}");
         expect_that!(cluster.violations(), elements_are![]);
@@ -258,7 +258,7 @@
         expect_that!(cluster.retire("s4"), eq(RetireVerdict::Active));
         let done = |cluster: &Cluster| retire_status(cluster.state(), "s4") == RetireVerdict::Completed;
         expect_that!(cluster.run_until(8_000, done), some(anything()));
-        // and the one that was down backfills when it is back
+        // The node that was down backfills after its restart.
         cluster.restart(2);
         cluster.run(5_000);
         expect_that!(cluster.is_settled(), eq(true));
@@ -267,21 +267,20 @@
 }
 
 #[gtest]
-fn a_frozen_lease_holder_loses_the_lease_and_thaws_without_harm() {
+fn a_frozen_lease_holder_loses_the_lease_and_changes_nothing_when_it_resumes() {
     for_each_seed(|seed| {
         let mut cluster = Cluster::new(seed, 1, 3, 4);
         let (holder, before, since) = (cluster.lease_holder().unwrap(), lease_token(&cluster), cluster.now);
         let (roster, voters) = (cluster.roster().clone(), cluster.voters().to_vec());
-        // given that the holder freezes for four seconds
         cluster.freeze_control_node(holder, 4_000);
         cluster.run(10_000);
-        // then another acquired the lease once, and the list was polled again soon
+        // Another node acquires the lease once, and polling continues soon.
         expect_that!(lease_token(&cluster), eq(before + 1));
         expect_that!(cluster.lease_holder(), not(some(eq(holder))));
         let polls = poll_times(&cluster, since);
         let gaps = polls.windows(2).map(|pair| pair[1] - pair[0]).max();
         expect_that!(gaps, some(le(3_500)));
-        // and no node was considered lost
+        // No storage node and no voter was removed.
         expect_that!(cluster.roster(), eq(&roster));
         expect_that!(cluster.voters(), eq(voters.as_slice()));
         expect_that!(cluster.violations(), elements_are![]);
@@ -321,7 +320,7 @@
 #[gtest]
 fn loss_of_the_lease_holder_delays_a_replacement_only_briefly() {
     for_each_seed(|seed| {
-        // given that the holder dies half a second before a storage machine that is replaced
+        // The lease holder fails half a second before a storage node that is replaced.
         let mut cluster = Cluster::new(seed, 1, 3, 3);
         let holder = cluster.lease_holder().unwrap();
         cluster.control_nodes[holder].up = false;
@@ -329,7 +328,7 @@
         cluster.stop(2);
         cluster.run(1_500);
         let disk = cluster.start("s9", 9);
-        // then it is repaired in time all the same: the next holder has looked for itself
+        // The replacement still completes in time, since the next lease holder has probe results of its own.
         let elapsed =
             cluster.run_until(CATCH_UP_MS, |cluster| is_current(cluster, disk) && is_removed(cluster, 2));
         expect_that!(elapsed, some(anything()), "seed {seed}");
--- a/system/controllers/tests/membership/proposer_selection.rs
+++ b/system/controllers/tests/membership/proposer_selection.rs
@@ -1,4 +1,4 @@
-//! To which control node operators' orders go.
+//! Selection of the control node to which operators' orders are forwarded.
 
 use controllers::{ProposerSelection, VoterController, times};
 use fleet_model::{Lease, rendezvous_rank};
@@ -11,32 +11,39 @@
     Ipv4Addr::new(10, 0, 0, 3),
     Ipv4Addr::new(10, 0, 0, 4),
 ];
-const NEWCOMER: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 9);
+const NON_VOTER: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 9);
 const NOW_MS: u64 = 50_000;
 
 fn lease(holder: Ipv4Addr) -> Lease {
     Lease { token: 6, holder: Some(holder) }
 }
 
-/// The controller of `me`, to which these have just responded.
-fn responded(me: Ipv4Addr, responding: &[Ipv4Addr]) -> VoterController {
-    let mut controller = VoterController::new(me);
+/// The voter controller of `own_ip`, to which the nodes `responding` have just responded.
+fn controller_with_responses(own_ip: Ipv4Addr, responding: &[Ipv4Addr]) -> VoterController {
+    let mut controller = VoterController::new(own_ip);
     controller.observe(NOW_MS, &VOTERS);
     responding.iter().for_each(|ip| controller.record_response(NOW_MS, *ip));
     controller
 }
 
-fn highest_ranked(among: &[Ipv4Addr]) -> Ipv4Addr {
-    among.iter().copied().max_by_key(|ip| rendezvous_rank(&ip.octets(), 6)).expect("some")
+fn highest_ranked(candidates: &[Ipv4Addr]) -> Ipv4Addr {
+    candidates
+        .iter()
+        .copied()
+        .max_by_key(|ip| rendezvous_rank(&ip.octets(), 6))
+        .expect("at least one candidate")
 }
 
 #[gtest]
 fn all_nodes_choose_the_lease_holder_while_it_responds() {
     let selection = ProposerSelection::default();
     for holder in VOTERS {
-        for me in VOTERS {
-            let core = responded(me, &VOTERS);
-            expect_that!(selection.select(NOW_MS, me, Some(&lease(holder)), &VOTERS, &core), eq(holder));
+        for own_ip in VOTERS {
+            let controller = controller_with_responses(own_ip, &VOTERS);
+            expect_that!(
+                selection.select(NOW_MS, own_ip, Some(&lease(holder)), &VOTERS, &controller),
+                eq(holder)
+            );
         }
     }
 }
@@ -45,38 +52,44 @@
 fn without_the_holder_all_nodes_choose_the_same_responsive_voter() {
     let selection = ProposerSelection::default();
     let others = &VOTERS[1..];
-    for me in others {
-        let core = responded(*me, others);
-        let chosen = selection.select(NOW_MS, *me, Some(&lease(VOTERS[0])), &VOTERS, &core);
+    for own_ip in others {
+        let controller = controller_with_responses(*own_ip, others);
+        let chosen = selection.select(NOW_MS, *own_ip, Some(&lease(VOTERS[0])), &VOTERS, &controller);
         expect_that!(chosen, eq(highest_ranked(others)));
-        // The holder responded, but too long ago.
-        let core = responded(*me, &VOTERS);
+        // The last response of every other voter is too old, so the node proposes itself.
+        let controller = controller_with_responses(*own_ip, &VOTERS);
         let later = NOW_MS + times::PROPOSER_TIMEOUT_MS;
-        expect_that!(selection.select(later, *me, Some(&lease(VOTERS[0])), &VOTERS, &core), eq(*me));
+        expect_that!(
+            selection.select(later, *own_ip, Some(&lease(VOTERS[0])), &VOTERS, &controller),
+            eq(*own_ip)
+        );
     }
 }
 
 #[gtest]
 fn a_node_that_did_not_answer_an_order_is_passed_over_for_a_while() {
     let mut selection = ProposerSelection::default();
-    let (me, holder) = (VOTERS[1], VOTERS[0]);
+    let (own_ip, holder) = (VOTERS[1], VOTERS[0]);
     selection.record_failure(NOW_MS, holder);
-    let core = responded(me, &VOTERS);
-    let chosen = selection.select(NOW_MS, me, Some(&lease(holder)), &VOTERS, &core);
+    let controller = controller_with_responses(own_ip, &VOTERS);
+    let chosen = selection.select(NOW_MS, own_ip, Some(&lease(holder)), &VOTERS, &controller);
     expect_that!(chosen, eq(highest_ranked(&VOTERS[1..])));
     let after = NOW_MS + times::FAILED_PROPOSER_PAUSE_MS;
-    let mut core = responded(me, &VOTERS);
-    core.record_response(after, holder);
-    expect_that!(selection.select(after, me, Some(&lease(holder)), &VOTERS, &core), eq(holder));
+    let mut controller = controller_with_responses(own_ip, &VOTERS);
+    controller.record_response(after, holder);
+    expect_that!(selection.select(after, own_ip, Some(&lease(holder)), &VOTERS, &controller), eq(holder));
 }
 
 #[gtest]
-fn a_node_that_knows_of_nobody_proposes_itself() {
+fn without_a_responsive_voter_a_node_proposes_itself() {
     let selection = ProposerSelection::default();
-    let alone = responded(VOTERS[2], &[]);
-    expect_that!(selection.select(NOW_MS, VOTERS[2], None, &VOTERS, &alone), eq(VOTERS[2]));
-    expect_that!(selection.select(NOW_MS, VOTERS[2], None, &[], &alone), eq(VOTERS[2]));
-    // One that is no voter chooses among those that are.
-    let core = responded(NEWCOMER, &VOTERS);
-    expect_that!(selection.select(NOW_MS, NEWCOMER, Some(&lease(VOTERS[3])), &VOTERS, &core), eq(VOTERS[3]));
+    let controller = controller_with_responses(VOTERS[2], &[]);
+    expect_that!(selection.select(NOW_MS, VOTERS[2], None, &VOTERS, &controller), eq(VOTERS[2]));
+    expect_that!(selection.select(NOW_MS, VOTERS[2], None, &[], &controller), eq(VOTERS[2]));
+    // A node that is not a voter selects one of the voters.
+    let controller = controller_with_responses(NON_VOTER, &VOTERS);
+    expect_that!(
+        selection.select(NOW_MS, NON_VOTER, Some(&lease(VOTERS[3])), &VOTERS, &controller),
+        eq(VOTERS[3])
+    );
 }
--- a/system/controllers/tests/membership/random_faults.rs
+++ b/system/controllers/tests/membership/random_faults.rs
@@ -1,19 +1,19 @@
-//! Random faults, never of more nodes of a kind at once than the cluster tolerates.
+//! Random faults of control and storage nodes, never more at once than the cluster tolerates.
 
 use crate::cluster::Cluster;
 use controllers::RetireVerdict;
 use googletest::prelude::*;
 
-/// Time in milliseconds after its return for which a node counts as lost, if one may be lost at once.
+/// Time in milliseconds for which a node still counts as lost after its return, if the cluster tolerates one loss.
 const CATCH_UP_MS: u64 = 4_000;
-/// The same if two may be lost: the second's return restarts the backfill of the first, and with four seconds about four
-/// of a thousand such schedules end with more nodes lost than the cluster tolerates.
-const CATCH_UP_OF_TWO_MS: u64 = 5_000;
+/// As [`CATCH_UP_MS`], if the cluster tolerates two losses. The return of the second node restarts the backfill of the first:
+/// with four seconds, about four of a thousand such schedules ended with more nodes lost than the cluster tolerates.
+const CATCH_UP_WITH_TWO_LOSSES_MS: u64 = 5_000;
 /// Time in milliseconds after the last fault by which the roster has to match the live nodes.
 const SETTLE_TIMEOUT_MS: u64 = 20_000;
 const SCHEDULES: u64 = 2_500;
 
-/// What ends a fault.
+/// The action that ends a fault. Machines are given by their disk, control nodes by their index.
 enum Recovery {
     Restart(u64),
     StartEmpty(String, u8),
@@ -26,11 +26,12 @@
     cluster: Cluster,
     log: Vec<String>,
     recoveries: Vec<(u64, Recovery)>,
-    /// For each fault that may be active at once, when the next one may start.
+    /// For each of the faults that may be active concurrently, when the next one may start.
     slots: Vec<u64>,
     last_name: u8,
-    catch_up: u64,
-    faulty: Vec<u64>,
+    catch_up_ms: u64,
+    /// Disks that were lost or replaced: no further fault is injected into their machines.
+    lost_disks: Vec<u64>,
 }
 
 impl FaultInjector {
@@ -44,13 +45,13 @@
             recoveries: Vec::new(),
             slots: vec![0; tolerance],
             last_name: 20,
-            catch_up: if tolerance == 2 { CATCH_UP_OF_TWO_MS } else { CATCH_UP_MS },
-            faulty: Vec::new(),
+            catch_up_ms: if tolerance == 2 { CATCH_UP_WITH_TWO_LOSSES_MS } else { CATCH_UP_MS },
+            lost_disks: Vec::new(),
         }
     }
 
-    fn log(&mut self, what: String) {
-        self.log.push(format!("{}: {what}", self.cluster.now));
+    fn log(&mut self, message: String) {
+        self.log.push(format!("{}: {message}", self.cluster.now));
     }
 
     fn new_name(&mut self) -> (String, u8) {
@@ -58,15 +59,15 @@
         (format!("s{}", self.last_name), self.last_name)
     }
 
-    /// Disks of the current, live nodes without a fault.
-    fn healthy(&self) -> Vec<u64> {
+    /// Disks of the current nodes that are live, not lost and not being retired.
+    fn healthy_disks(&self) -> Vec<u64> {
         let roster = self.cluster.roster();
         roster
             .current
             .iter()
             .filter(|store| !roster.retiring.contains(&store.name))
             .map(|store| store.disk)
-            .filter(|disk| !self.faulty.contains(disk))
+            .filter(|disk| !self.lost_disks.contains(disk))
             .filter(|disk| {
                 self.cluster.machines.iter().any(|machine| machine.store.disk == *disk && machine.up)
             })
@@ -74,7 +75,7 @@
     }
 
     fn random_healthy_disk(&mut self) -> Option<u64> {
-        let healthy = self.healthy();
+        let healthy = self.healthy_disks();
         match healthy.len() as u64 {
             0 => None,
             count => Some(healthy[self.cluster.random_below(count) as usize]),
@@ -85,20 +86,20 @@
         let now = self.cluster.now;
         let due: Vec<Recovery> = {
             let (due, later) =
-                std::mem::take(&mut self.recoveries).into_iter().partition(|(at, _)| *at <= now);
+                std::mem::take(&mut self.recoveries).into_iter().partition(|(due_at, _)| *due_at <= now);
             self.recoveries = later;
-            due.into_iter().map(|(_, back)| back).collect()
+            due.into_iter().map(|(_, recovery)| recovery).collect()
         };
-        for back in due {
-            match back {
+        for recovery in due {
+            match recovery {
                 Recovery::Restart(disk) => self.cluster.restart(disk),
                 Recovery::StartEmpty(name, ip) => drop(self.cluster.start(&name, ip)),
                 Recovery::Stop(disk) => self.cluster.stop(disk),
-                Recovery::RestartControlNode(at) => self.cluster.restart_control_node(at),
-                Recovery::HealPartition(at) => self.cluster.control_nodes[at].partitioned = false,
+                Recovery::RestartControlNode(index) => self.cluster.restart_control_node(index),
+                Recovery::HealPartition(index) => self.cluster.control_nodes[index].partitioned = false,
             }
         }
-        if let Some(slot) = self.slots.iter().position(|free| *free <= now) {
+        if let Some(slot) = self.slots.iter().position(|free_at| *free_at <= now) {
             self.slots[slot] = match self.cluster.random_below(25) {
                 0..3 => self.inject_storage_fault(),
                 3 => self.inject_control_fault(),
@@ -111,44 +112,50 @@
         let now = self.cluster.now;
         let Some(disk) = self.random_healthy_disk() else { return now };
         let store = self.cluster.machine(disk).store.clone();
-        let back = now + 300 + self.cluster.random_below(1_700);
+        let returns_at = now + 300 + self.cluster.random_below(1_700);
         let ip = store.ip.octets()[3];
         let kind = self.cluster.random_below(8);
         if kind != 6 && kind != 7 {
-            self.faulty.push(disk);
+            self.lost_disks.push(disk);
         }
-        let descriptions =
-            ["freezes", "is killed", "is wiped", "is replaced", "is replaced by name", "is to be replaced"];
+        let descriptions = [
+            "freezes",
+            "is killed",
+            "is wiped",
+            "is replaced",
+            "is replaced under its name",
+            "is to be replaced",
+        ];
         if let Some(description) = descriptions.get(kind as usize) {
-            self.log(format!("{} (disk {disk}) {description}, back at {back}", store.name));
+            self.log(format!("{} (disk {disk}) {description}, returns at {returns_at}", store.name));
         }
         match kind {
             0 => {
                 let duration_ms = 500 + self.cluster.random_below(3_500);
                 self.cluster.freeze(disk, duration_ms);
-                self.faulty.retain(|other| *other != disk);
-                return now + duration_ms + self.catch_up;
+                self.lost_disks.retain(|other| *other != disk);
+                return now + duration_ms + self.catch_up_ms;
             }
             1 => {
                 self.cluster.stop(disk);
-                self.recoveries.push((back, Recovery::Restart(disk)));
-                self.faulty.retain(|other| *other != disk);
+                self.recoveries.push((returns_at, Recovery::Restart(disk)));
+                self.lost_disks.retain(|other| *other != disk);
             }
             2 => {
                 self.cluster.stop(disk);
-                self.recoveries.push((back, Recovery::StartEmpty(store.name, ip)));
+                self.recoveries.push((returns_at, Recovery::StartEmpty(store.name, ip)));
             }
             3 => {
                 self.cluster.stop(disk);
                 let (name, ip) = self.new_name();
-                let back = now + 1_000 + self.cluster.random_below(1_000);
-                self.recoveries.push((back, Recovery::StartEmpty(name, ip)));
-                return back + self.catch_up;
+                let returns_at = now + 1_000 + self.cluster.random_below(1_000);
+                self.recoveries.push((returns_at, Recovery::StartEmpty(name, ip)));
+                return returns_at + self.catch_up_ms;
             }
             4 => {
                 self.cluster.stop(disk);
                 let (_, ip) = self.new_name();
-                self.recoveries.push((back, Recovery::StartEmpty(store.name, ip)));
+                self.recoveries.push((returns_at, Recovery::StartEmpty(store.name, ip)));
             }
             5 => {
                 return self.start_planned_replacement(disk, store.name);
@@ -159,56 +166,56 @@
                 self.log(format!("{name} joins"));
                 return now + 500;
             }
-            // An operator retires no node that is needed once the lost ones have been removed.
-            _ if self.healthy().len() <= self.cluster.min_nodes() => return now,
+            // An operator does not retire a node that is needed once the lost nodes have been removed.
+            _ if self.healthy_disks().len() <= self.cluster.min_nodes() => return now,
             _ => {
                 let verdict = self.cluster.retire(&store.name);
-                self.log(format!("{} is to retire: {verdict:?}", store.name));
-                return if verdict == RetireVerdict::Active { now + self.catch_up } else { now };
+                self.log(format!("retirement of {}: {verdict:?}", store.name));
+                return if verdict == RetireVerdict::Active { now + self.catch_up_ms } else { now };
             }
         }
-        back + self.catch_up
+        returns_at + self.catch_up_ms
     }
 
-    /// Starts a new node and stops the one that it replaces some seconds later; returns when the next fault may start.
+    /// Starts a new node and, some seconds later, stops the node that it replaces. Returns when the next fault may start.
     fn start_planned_replacement(&mut self, disk: u64, replaced_name: String) -> u64 {
         let now = self.cluster.now;
         let (name, ip) = self.new_name();
         let name = if self.cluster.random_below(2) == 0 { name } else { replaced_name };
         self.cluster.start(&name, ip);
-        let ends = now + 4_000 + self.cluster.random_below(2_000);
-        self.recoveries.push((ends, Recovery::Stop(disk)));
-        ends + self.catch_up + 2_000
+        let stops_at = now + 4_000 + self.cluster.random_below(2_000);
+        self.recoveries.push((stops_at, Recovery::Stop(disk)));
+        stops_at + self.catch_up_ms + 2_000
     }
 
     fn inject_control_fault(&mut self) -> u64 {
         let now = self.cluster.now;
         let count = self.cluster.control_nodes.len() as u64;
-        let at = match self.cluster.lease_holder() {
+        let index = match self.cluster.lease_holder() {
             Some(holder) if self.cluster.random_below(2) == 0 => holder,
             _ => self.cluster.random_below(count) as usize,
         };
-        if !self.cluster.control_nodes[at].up || self.cluster.control_nodes[at].partitioned {
+        if !self.cluster.control_nodes[index].up || self.cluster.control_nodes[index].partitioned {
             return now;
         }
         let duration_ms = 500 + self.cluster.random_below(3_500);
         let kind = self.cluster.random_below(3);
         self.log(format!(
-            "node {at} {} for {duration_ms}",
-            ["freezes", "dies", "is partitioned off"][kind as usize]
+            "control node {index} {} for {duration_ms} ms",
+            ["freezes", "stops", "is partitioned"][kind as usize]
         ));
         match kind {
-            0 => self.cluster.freeze_control_node(at, duration_ms),
+            0 => self.cluster.freeze_control_node(index, duration_ms),
             1 => {
-                self.cluster.control_nodes[at].up = false;
-                self.recoveries.push((now + duration_ms, Recovery::RestartControlNode(at)));
+                self.cluster.control_nodes[index].up = false;
+                self.recoveries.push((now + duration_ms, Recovery::RestartControlNode(index)));
             }
             _ => {
-                self.cluster.control_nodes[at].partitioned = true;
-                self.recoveries.push((now + duration_ms, Recovery::HealPartition(at)));
+                self.cluster.control_nodes[index].partitioned = true;
+                self.recoveries.push((now + duration_ms, Recovery::HealPartition(index)));
             }
         }
-        now + duration_ms + self.catch_up
+        now + duration_ms + self.catch_up_ms
     }
 
     fn run(&mut self, duration_ms: u64) {
@@ -219,8 +226,8 @@
         }
         while !self.recoveries.is_empty() {
             let now = self.cluster.now;
-            // The active faults end; no new one starts.
-            self.slots.iter_mut().for_each(|free| *free = now + 100_000);
+            // Active faults end, and no new fault starts.
+            self.slots.iter_mut().for_each(|free_at| *free_at = now + 100_000);
             self.step();
             self.cluster.run(200);
         }
@@ -236,16 +243,16 @@
         let elapsed = injector.cluster.run_until(SETTLE_TIMEOUT_MS, Cluster::is_settled);
         let violations = injector.cluster.violations();
         let has_live_holder =
-            injector.cluster.lease_holder().is_some_and(|at| injector.cluster.control_nodes[at].up);
+            injector.cluster.lease_holder().is_some_and(|index| injector.cluster.control_nodes[index].up);
         changes += injector.cluster.history.len();
         if elapsed.is_none() || !violations.is_empty() || !has_live_holder {
             let rosters: Vec<String> = injector
                 .cluster
                 .history
                 .iter()
-                .filter_map(|(at, event)| match event {
-                    crate::cluster::Event::Roster(roster, waived) => Some(format!(
-                        "{at}: {} {:?} -> {:?} in sync {:?} waived {waived:?}",
+                .filter_map(|(now, event)| match event {
+                    crate::cluster::Event::RosterCommitted(roster, waived) => Some(format!(
+                        "{now}: {} {:?} -> {:?} in sync {:?} waived {waived:?}",
                         roster.epoch,
                         roster.current.iter().map(|store| (&store.name, store.disk)).collect::<Vec<_>>(),
                         roster
@@ -265,6 +272,6 @@
             );
         }
     }
-    // Faults that change nothing would prove nothing.
+    // The faults have to cause changes, or the invariants would hold trivially.
     expect_that!(changes as u64, gt(SCHEDULES * 20));
 }
