--- a/system/controllers/tests/membership/leases_and_voters.rs
+++ b/system/controllers/tests/membership/leases_and_voters.rs
@@ -24,8 +24,8 @@
     voters
 }
 
-fn controller(me: Ipv4Addr, now: u64, voters: &[Ipv4Addr], responding: &[Ipv4Addr]) -> VoterController {
-    let mut voter_controller = VoterController::new(me);
+fn controller(own_ip: Ipv4Addr, now: u64, voters: &[Ipv4Addr], responding: &[Ipv4Addr]) -> VoterController {
+    let mut voter_controller = VoterController::new(own_ip);
     voter_controller.observe(now, voters);
     responding.iter().for_each(|ip| voter_controller.record_response(now, *ip));
     voter_controller
@@ -51,10 +51,10 @@
     let order = ranked(4, &[A, B]);
     let state = held_by(4, C);
     let now = times::LEASE_HOLDER_TIMEOUT_MS;
-    for (rank, me) in order.iter().enumerate() {
-        let mut voter_controller = controller(*me, 0, &[A, B, C], &[]);
+    for (rank, own_ip) in order.iter().enumerate() {
+        let mut voter_controller = controller(*own_ip, 0, &[A, B, C], &[]);
         voter_controller.record_response(now, order[1 - rank]);
-        let mut candidate = LeaseCandidate::new(ROLE, *me);
+        let mut candidate = LeaseCandidate::new(ROLE, *own_ip);
         let from = candidate.lease_to_acquire(now, &state, &[A, B, C], &voter_controller);
         expect_that!(from.is_some(), eq(rank == 0));
         if let Some(from) = from {
@@ -68,29 +68,29 @@
 
 #[gtest]
 fn a_live_voter_that_does_not_acquire_the_lease_delays_the_next_one_only_briefly() {
-    // given a higher-ranked voter that answers this one, but is partitioned from the others
+    // A higher-ranked voter responds to this node, but is partitioned from the others.
     let order = ranked(4, &[A, B]);
-    let (better, me) = (order[0], order[1]);
+    let (higher_ranked, own_ip) = (order[0], order[1]);
     let state = held_by(4, C);
-    let mut voter_controller = controller(me, 0, &[A, B, C], &[]);
-    let mut candidate = LeaseCandidate::new(ROLE, me);
+    let mut voter_controller = controller(own_ip, 0, &[A, B, C], &[]);
+    let mut candidate = LeaseCandidate::new(ROLE, own_ip);
     let vacant_at = times::LEASE_HOLDER_TIMEOUT_MS;
     for now in (vacant_at..vacant_at + times::LEASE_RANK_DELAY_MS).step_by(200) {
-        voter_controller.record_response(now, better);
+        voter_controller.record_response(now, higher_ranked);
         expect_that!(candidate.lease_to_acquire(now, &state, &[A, B, C], &voter_controller), none());
     }
-    // when it has had its time, then the next acquires the lease
+    // After the delay for its rank, this node acquires the lease.
     let now = vacant_at + times::LEASE_RANK_DELAY_MS;
-    voter_controller.record_response(now, better);
+    voter_controller.record_response(now, higher_ranked);
     expect_that!(candidate.lease_to_acquire(now, &state, &[A, B, C], &voter_controller), some(anything()));
 }
 
 #[gtest]
 fn a_lease_of_an_earlier_incarnation_is_not_held() -> Result<()> {
-    // given a controller that held the lease, and restarts at once
+    // The node held the lease and has just restarted.
     let state = held_by(4, A);
     let mut candidate = LeaseCandidate::new(ROLE, A);
-    // then it does not hold it, and takes it under the next number without waiting
+    // It does not hold the lease, but acquires it under the next token without a delay.
     expect_that!(candidate.held_token(&state), none());
     let voter_controller = controller(A, 0, &[A, B, C], &[B, C]);
     let from = candidate.lease_to_acquire(0, &state, &[A, B, C], &voter_controller).or_fail()?;
@@ -100,19 +100,19 @@
 }
 
 #[gtest]
-fn of_two_candidates_one_acquires_the_lease_and_both_learn_which() -> Result<()> {
+fn of_two_candidates_one_acquires_the_lease_and_both_learn_the_outcome() -> Result<()> {
     let state = held_by(4, C);
-    let (mut one, mut other) = (LeaseCandidate::new(ROLE, A), LeaseCandidate::new(ROLE, B));
+    let (mut winner, mut loser) = (LeaseCandidate::new(ROLE, A), LeaseCandidate::new(ROLE, B));
     let from = Lease { token: 4, holder: Some(C) };
-    let state = one.acquire(&state, &from).or_fail()?;
-    expect_that!(other.acquire(&state, &from), none());
-    expect_that!(one.change_committed(&state, &from), some(eq(5)));
-    expect_that!(other.change_committed(&state, &from), none());
+    let state = winner.acquire(&state, &from).or_fail()?;
+    expect_that!(loser.acquire(&state, &from), none());
+    expect_that!(winner.change_committed(&state, &from), some(eq(5)));
+    expect_that!(loser.change_committed(&state, &from), none());
     Ok(())
 }
 
 #[gtest]
-fn a_node_that_is_no_voter_acquires_no_lease() {
+fn a_node_that_is_not_a_voter_acquires_no_lease() {
     let voter_controller = controller(A, 0, &[B, C, D], &[]);
     let mut candidate = LeaseCandidate::new(ROLE, A);
     expect_that!(candidate.lease_to_acquire(60_000, &held_by(4, B), &[B, C, D], &voter_controller), none());
@@ -126,7 +126,7 @@
     let state = candidate.acquire(&ControlState::default(), &from).or_fail()?;
     expect_that!(candidate.change_committed(&state, &from), some(eq(1)));
     expect_that!(candidate.held_token(&held_by(2, B)), none());
-    // and not again under a number that another incarnation of it acquired
+    // Nor does it hold the lease under a token that another incarnation of the same node acquired.
     expect_that!(candidate.held_token(&held_by(3, A)), none());
     Ok(())
 }
@@ -135,25 +135,25 @@
 fn a_stale_fencing_token_does_not_hold_the_lease() {
     expect_that!(holds_lease(&held_by(4, A), ROLE, A, 4), eq(true));
     expect_that!(holds_lease(&held_by(5, B), ROLE, A, 4), eq(false));
-    // nor under the token of another incarnation of it
+    // Nor does it hold the lease under a token of another incarnation of the same node.
     expect_that!(holds_lease(&held_by(5, A), ROLE, A, 4), eq(false));
 }
 
 #[gtest]
-fn a_suspended_node_does_not_consider_the_others_lost() {
-    // given a controller that polls the others and gets responses all the time
+fn a_suspended_node_does_not_consider_the_others_unresponsive() {
+    // The node sends requests to the others, and all of them respond.
     let mut voter_controller = controller(A, 0, &[A, B, C, D], &[]);
     for now in (0..20_000).step_by(250) {
         voter_controller.before_request(now);
         [B, C, D].iter().for_each(|ip| voter_controller.record_response(now, *ip));
     }
-    // when it is suspended for longer than the voter timeout, and polls again
+    // It is suspended for longer than the voter timeout, and then sends requests again.
     let resumed_at = 20_000 + times::VOTER_TIMEOUT_MS + 1_000;
     voter_controller.before_request(resumed_at);
-    // then none is lost, neither as a voter nor as a lease holder
+    // No node counts as unresponsive, neither as a voter nor as a lease holder.
     expect_that!(voter_controller.voter_to_remove(resumed_at, &[A, B, C, D]), none());
     expect_that!(voter_controller.is_presumed_alive(B, resumed_at, times::LEASE_HOLDER_TIMEOUT_MS), eq(true));
-    // but the one that stays unresponsive is
+    // A voter that does not respond after that is to be removed.
     let mut now = resumed_at;
     while now <= resumed_at + times::VOTER_TIMEOUT_MS + 500 {
         voter_controller.before_request(now);
@@ -167,16 +167,15 @@
 }
 
 #[gtest]
-fn a_voter_added_just_now_is_not_removed() {
-    // given a node that D has never responded to
+fn a_newly_added_voter_is_not_removed() {
+    // D has never responded to this node.
     let mut voter_controller = controller(A, 0, &[A, B, C], &[]);
     for now in (0..12_000).step_by(250) {
         voter_controller.before_request(now);
         [B, C].iter().for_each(|ip| voter_controller.record_response(now, *ip));
     }
-    // when another node adds D
+    // Another node adds D as a voter: its timeout starts now.
     voter_controller.observe(12_000, &[A, B, C, D]);
-    // then it has time to respond
     expect_that!(voter_controller.voter_to_remove(12_000, &[A, B, C, D]), none());
 }
 
@@ -194,14 +193,14 @@
         now
     };
     run(&mut voter_controller, 20_000, &[B, C]);
-    // when C is lost, and D joins 1.5 s later
+    // C is lost, and D joins 1.5 s later.
     run(&mut voter_controller, 21_500, &[B]);
     voter_controller.observe(21_500, &voters);
     let now = run(&mut voter_controller, 20_000 + times::REPLACED_VOTER_TIMEOUT_MS + 250, &[B, D]);
-    // then C is removed
+    // C is removed after the shorter timeout.
     expect_that!(voter_controller.voter_to_remove(now, &voters), some(field!(UnresponsiveVoter.ip, eq(C))));
     expect_that!(VoterController::without_voter(&voters, C), some(eq(&vec![A, B, D])));
-    // and of three voters none is
+    // Of three voters none is removed.
     voter_controller.observe(now, &[A, B, D]);
     let now = run(&mut voter_controller, 60_000, &[B]);
     expect_that!(voter_controller.voter_to_remove(now, &[A, B, D]), none());
@@ -209,30 +208,30 @@
 }
 
 #[gtest]
-fn a_former_holder_makes_no_change_under_its_token_however_many_are_queued() -> Result<()> {
-    // Given a holder that froze with ten changes queued, each conditional on its token,
-    let founded = held_by(4, C);
+fn changes_queued_by_a_former_holder_are_not_made_under_its_token() -> Result<()> {
+    // A holder is suspended with ten queued changes, each conditional on its token.
+    let initial = held_by(4, C);
     let mut holder = LeaseCandidate::new(ROLE, A);
-    let from = founded.leases[ROLE].clone();
-    let held = holder.acquire(&founded, &from).or_fail()?;
+    let from = initial.leases[ROLE].clone();
+    let held = holder.acquire(&initial, &from).or_fail()?;
     let token = holder.change_committed(&held, &from).or_fail()?;
-    let queued = |state: &ControlState| holds_lease(state, ROLE, A, token);
-    expect_that!(queued(&held), eq(true));
-    // and a successor that acquired the lease meanwhile.
+    let may_make_change = |state: &ControlState| holds_lease(state, ROLE, A, token);
+    expect_that!(may_make_change(&held), eq(true));
+    // A successor acquires the lease meanwhile.
     let mut successor = LeaseCandidate::new(ROLE, B);
     let taken_over = successor.acquire(&held, &held.leases[ROLE].clone()).or_fail()?;
     expect_that!(successor.change_committed(&taken_over, &held.leases[ROLE].clone()), some(eq(token + 1)));
-    // When it wakes, then none of the ten is made, it holds nothing by what it now knows,
+    // When the former holder resumes, none of the ten changes is made, and it no longer holds the lease.
     for _ in 0..10 {
-        expect_that!(queued(&taken_over), eq(false));
+        expect_that!(may_make_change(&taken_over), eq(false));
     }
     expect_that!(holder.held_token(&taken_over), none());
-    // and the token stays lost when it acquires the lease again: it goes on under another one.
-    let again = holder.acquire(&taken_over, &taken_over.leases[ROLE].clone()).or_fail()?;
-    let next = holder.change_committed(&again, &taken_over.leases[ROLE].clone());
+    // If it acquires the lease again, it holds it under a new token, and the old token remains invalid.
+    let reacquired = holder.acquire(&taken_over, &taken_over.leases[ROLE].clone()).or_fail()?;
+    let next = holder.change_committed(&reacquired, &taken_over.leases[ROLE].clone());
     expect_that!(next, some(eq(token + 2)));
-    expect_that!(queued(&again), eq(false));
-    // One that finds a higher token than it has read acquires nothing.
-    expect_that!(holder.acquire(&again, &held.leases[ROLE].clone()), none());
+    expect_that!(may_make_change(&reacquired), eq(false));
+    // An attempt based on an outdated token acquires nothing.
+    expect_that!(holder.acquire(&reacquired, &held.leases[ROLE].clone()), none());
     Ok(())
 }
--- a/system/controllers/tests/membership/roster_changes.rs
+++ b/system/controllers/tests/membership/roster_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the roster as pure functions of the state.
+//! Roster changes, tested as pure functions of the state.
 
 use controllers::{RetireVerdict, RosterStep, complete_backfill, join, remove_node, retire, retire_status};
 use fleet_model::{ControlState, StorageNode};
@@ -12,14 +12,14 @@
 }
 
 fn bootstrapped(names: &[&str]) -> ControlState {
-    let stores = (1..).zip(names).map(|(at, name)| storage_node(name, at, at.into()));
+    let stores = (1..).zip(names).map(|(number, name)| storage_node(name, number, number.into()));
     let mut state = ControlState::default();
     state.roster.epoch = 7;
     state.roster.current = stores.collect();
     state
 }
 
-fn changing(names: &[&str], next: &[&StorageNode]) -> ControlState {
+fn with_next_set(names: &[&str], next: &[&StorageNode]) -> ControlState {
     let mut state = bootstrapped(names);
     let mut next: Vec<StorageNode> = next.iter().map(|store| (*store).clone()).collect();
     next.sort();
@@ -41,23 +41,24 @@
 
 fn bootstrapping(count: u8) -> Result<ControlState> {
     let mut state = ControlState::default();
-    for at in 1..=count {
-        state = join(&state, &storage_node(&format!("s{at}"), at, at.into()), MIN_NODES).or_fail()?;
+    for number in 1..=count {
+        state =
+            join(&state, &storage_node(&format!("s{number}"), number, number.into()), MIN_NODES).or_fail()?;
     }
     Ok(state)
 }
 
 #[gtest]
-fn the_first_set_becomes_current_once_in_sync_and_so_do_later_ones() -> Result<()> {
-    // given a fleet without storage machines, when three come, enough for one loss, then they gather;
+fn the_first_and_later_sets_become_current_once_in_sync() -> Result<()> {
+    // Before the bootstrap, three nodes that join, enough for one tolerated loss, form the next set.
     let mut state = bootstrapping(3)?;
     expect_that!(state.roster.current, is_empty());
     expect_that!(names(state.roster.next.as_ref().or_fail()?), elements_are![&"s1", &"s2", &"s3"]);
-    // and become current when each has reported to be in sync for this
+    // They become the current set once each has reported to be in sync.
     state = complete_all_backfills(state);
     expect_that!(names(&state.roster.current), elements_are![&"s1", &"s2", &"s3"]);
     expect_that!(state.roster.next, none());
-    // and when a fourth comes, it becomes current once all four are in sync
+    // A fourth node that joins becomes current once all four are in sync.
     state = join(&state, &storage_node("s4", 4, 4), MIN_NODES).or_fail()?;
     expect_that!(state.roster.current.len(), eq(3));
     let epoch = state.roster.epoch;
@@ -83,7 +84,7 @@
     let bootstrapped = RosterStep::Bootstrap.apply_to(&state, epoch, MIN_NODES).or_fail()?;
     expect_that!(names(&bootstrapped.roster.current), elements_are![&"s1", &"s2"]);
     expect_that!(bootstrapped.roster.epoch, eq(epoch + 1));
-    // and a third is the next set's, and not at once the current one's
+    // A third node joins the next set, not the current one.
     let state = join(&bootstrapped, &storage_node("s3", 3, 3), MIN_NODES).or_fail()?;
     expect_that!(state.roster.current.len(), eq(2));
     expect_that!(complete_all_backfills(state).roster.current.len(), eq(3));
@@ -91,14 +92,14 @@
 }
 
 #[gtest]
-fn a_node_wiped_before_the_bootstrap_is_still_waited_for() -> Result<()> {
-    // given three that gather, of which all but the third are in sync
+fn the_bootstrap_waits_for_a_node_that_was_wiped_before_it() -> Result<()> {
+    // Three nodes wait for the bootstrap, and all but the third are in sync.
     let mut state = bootstrapping(3)?;
     let epoch = state.roster.epoch;
     for disk in [1, 2] {
         state = complete_backfill(&state, Some(disk), epoch, &[], MIN_NODES).or_fail()?;
     }
-    // when that one comes with another disk, then all three gather anew
+    // The third rejoins with another disk: all three have to report again.
     let state = join(&state, &storage_node("s3", 3, 33), MIN_NODES).or_fail()?;
     expect_that!(state.roster.current, is_empty());
     expect_that!(state.roster.in_sync, is_empty());
@@ -107,12 +108,12 @@
 }
 
 #[gtest]
-fn a_change_to_one_node_that_loses_its_disk_keeps_the_current_set() -> Result<()> {
-    // given two of which the first is removed
+fn a_change_to_a_single_node_that_loses_its_disk_keeps_the_current_set() -> Result<()> {
+    // Of two nodes the first is removed.
     let state = remove_node(&bootstrapped(&["a", "b"]), &storage_node("a", 1, 1), 7, 1).or_fail()?;
-    // when the second comes back without its disk, before it reported to be in sync
+    // The second rejoins with an empty disk before it reported to be in sync.
     let state = join(&state, &storage_node("b", 2, 22), MIN_NODES).or_fail()?;
-    // then the two are still current: no node has the records that they stored
+    // The two remain current, because no other node has their records.
     expect_that!(names(&state.roster.current), elements_are![&"a", &"b"]);
     Ok(())
 }
@@ -134,33 +135,32 @@
 
 #[gtest]
 fn a_wiped_node_replaces_its_old_disk_also_during_another_change() -> Result<()> {
-    // given that d is being added, and two are in sync for it
+    // Node d is being added, and one node is in sync.
     let state = join(&bootstrapped(&["a", "b", "c"]), &storage_node("d", 4, 4), MIN_NODES).or_fail()?;
     let state = complete_backfill(&state, Some(1), state.roster.epoch, &[], MIN_NODES).or_fail()?;
-    let former = state.roster.epoch;
-    // when b comes back without its disk
+    let previous_epoch = state.roster.epoch;
+    // Node b rejoins with an empty disk.
     let state = join(&state, &storage_node("b", 2, 22), MIN_NODES).or_fail()?;
-    // then the next set has its new disk for the old, and all backfill anew
+    // The next set contains its new disk in place of the old one, and all nodes backfill again.
     let next = state.roster.next.clone().or_fail()?;
     expect_that!(next.iter().map(|store| store.disk).collect::<Vec<_>>(), elements_are![&1, &22, &3, &4]);
     expect_that!(state.roster.in_sync.len(), eq(0));
-    expect_that!(state.roster.epoch, eq(former + 1));
-    // and a report for the former epoch is ignored
-    expect_that!(complete_backfill(&state, Some(3), former, &[], MIN_NODES), none());
+    expect_that!(state.roster.epoch, eq(previous_epoch + 1));
+    // A report for the previous epoch is ignored.
+    expect_that!(complete_backfill(&state, Some(3), previous_epoch, &[], MIN_NODES), none());
     Ok(())
 }
 
 #[gtest]
 fn a_change_in_sync_except_for_a_wiped_node_completes_when_that_node_rejoins() -> Result<()> {
-    // given that d is being added, and all but b are in sync for it
+    // Node d is being added, and all nodes but b are in sync.
     let mut state = join(&bootstrapped(&["a", "b", "c"]), &storage_node("d", 4, 4), MIN_NODES).or_fail()?;
     let epoch = state.roster.epoch;
     for disk in [1, 3, 4] {
         state = complete_backfill(&state, Some(disk), epoch, &[], MIN_NODES).or_fail()?;
     }
-    // when b comes back without its disk
+    // Node b rejoins with an empty disk: d becomes current, and b's new disk is part of the next set.
     let state = join(&state, &storage_node("b", 2, 22), MIN_NODES).or_fail()?;
-    // then d is current, and b's new disk is the next change
     expect_that!(names(&state.roster.current), elements_are![&"a", &"b", &"c", &"d"]);
     expect_that!(state.roster.current[1].disk, eq(2));
     expect_that!(state.roster.next.as_ref().or_fail()?[1].disk, eq(22));
@@ -181,8 +181,9 @@
 #[gtest]
 fn several_spares_that_join_at_once_form_one_set() -> Result<()> {
     let mut state = bootstrapped(&["a", "b", "c"]);
-    for at in 4..=6 {
-        state = join(&state, &storage_node(&format!("s{at}"), at, at.into()), MIN_NODES).or_fail()?;
+    for number in 4..=6 {
+        state =
+            join(&state, &storage_node(&format!("s{number}"), number, number.into()), MIN_NODES).or_fail()?;
     }
     expect_that!(complete_all_backfills(state).roster.current.len(), eq(6));
     Ok(())
@@ -190,10 +191,9 @@
 
 #[gtest]
 fn the_earlier_of_two_nodes_of_one_name_cannot_rejoin() -> Result<()> {
-    // given that b is replaced at another address while the old one still runs
+    // Node b is replaced at another address while the old machine still runs.
     let state = join(&bootstrapped(&["a", "b", "c"]), &storage_node("b", 9, 99), MIN_NODES).or_fail()?;
-    // when the old one sees that it has no place, and asks for one
-    // then it gets none: the two would replace each other for as long as both run
+    // The old machine cannot rejoin: the two would replace each other for as long as both run.
     expect_that!(join(&state, &storage_node("b", 2, 2), MIN_NODES), none());
     Ok(())
 }
@@ -215,8 +215,8 @@
 }
 
 #[gtest]
-fn a_set_becomes_current_without_waived_nodes_only() -> Result<()> {
-    let state = changing(
+fn a_set_becomes_current_once_all_but_waived_nodes_are_in_sync() -> Result<()> {
+    let state = with_next_set(
         &["a", "b", "c"],
         &[&storage_node("a", 1, 1), &storage_node("b", 2, 22), &storage_node("c", 3, 3)],
     );
@@ -242,11 +242,11 @@
 
 #[gtest]
 fn a_failed_joining_node_is_not_removed_before_the_change_completes() -> Result<()> {
-    // given that e is being added: turns are stored by it and one other
+    // Node e is being added; some records may be stored only by it and one other node.
     let state = join(&bootstrapped(&["a", "b", "c"]), &storage_node("e", 5, 5), MIN_NODES).or_fail()?;
-    // when it is lost, then the former set does not come back without a backfill: those turns have one copy
+    // If e is lost, the current set is not restored without a backfill, since those records have a single copy.
     expect_that!(remove_node(&state, &storage_node("e", 5, 5), state.roster.epoch, MIN_NODES), none());
-    // but once the set is current, it leaves like any other
+    // Once the set with e is current, e can be removed.
     let mut completed = state.clone();
     for disk in 1..=3 {
         completed =
@@ -266,13 +266,13 @@
     let (state, verdict) = retire(&state, "d", MIN_NODES);
     expect_that!(verdict, eq(RetireVerdict::Active));
     let state = state.or_fail()?;
-    // when it is sent twice, then nothing changes
+    // A repeated request changes nothing.
     expect_that!(retire(&state, "d", MIN_NODES), eq(&(None, RetireVerdict::Active)));
-    // when the others are in sync, then it is done, and stays so
+    // Once the others are in sync, the retirement is completed and stays completed.
     let state = complete_all_backfills(state);
     expect_that!(retire_status(&state, "d"), eq(RetireVerdict::Completed));
     expect_that!(retire(&state, "d", MIN_NODES), eq(&(None, RetireVerdict::Completed)));
-    // and a machine of that name, emptied or not, stays out
+    // A machine of that name cannot rejoin, with its old disk or an empty one.
     expect_that!(join(&state, &storage_node("d", 4, 4), MIN_NODES), none());
     expect_that!(join(&state, &storage_node("d", 4, 44), MIN_NODES), none());
     Ok(())
@@ -301,10 +301,10 @@
 
 #[gtest]
 fn a_removed_node_can_be_retired() -> Result<()> {
-    // given that d is down and removed, but is current until the others are in sync
+    // Node d is unresponsive and being removed, but remains current until the others are in sync.
     let state = remove_node(&bootstrapped(&["a", "b", "c", "d"]), &storage_node("d", 4, 4), 7, MIN_NODES)
         .or_fail()?;
-    // when it is retired, then it is being retired, and does not come back
+    // Its retirement starts, and it cannot rejoin.
     let (retired, verdict) = retire(&state, "d", MIN_NODES);
     expect_that!(verdict, eq(RetireVerdict::Active));
     let retired = retired.or_fail()?;
@@ -314,15 +314,15 @@
 }
 
 #[gtest]
-fn a_joining_node_retired_during_its_backfill_leaves_by_a_change_of_its_own() -> Result<()> {
-    // given that e is being added
+fn a_joining_node_retired_during_its_backfill_is_removed_by_a_separate_change() -> Result<()> {
+    // Node e is being added.
     let state = join(&bootstrapped(&["a", "b", "c"]), &storage_node("e", 5, 5), MIN_NODES).or_fail()?;
-    // when it is retired, then it is active: turns are stored by it
+    // Its retirement is active rather than completed, because it already stores records.
     let (state, verdict) = retire(&state, "e", MIN_NODES);
     let state = state.or_fail()?;
     expect_that!(verdict, eq(RetireVerdict::Active));
     expect_that!(retire_status(&state, "e"), eq(RetireVerdict::Active));
-    // and once all are in sync, the next change empties it
+    // Once all are in sync, the next change removes it.
     let state = complete_all_backfills(state);
     expect_that!(names(&state.roster.current), elements_are![&"a", &"b", &"c", &"e"]);
     expect_that!(names(state.roster.next.as_ref().or_fail()?), elements_are![&"a", &"b", &"c"]);
--- a/system/controllers/tests/membership/storage_failure_detection.rs
+++ b/system/controllers/tests/membership/storage_failure_detection.rs
@@ -1,4 +1,4 @@
-//! Failure detection of storage nodes, and the roster steps that follow from it.
+//! Failure detection of storage nodes, and the resulting roster steps.
 
 use controllers::{
     LossTolerance, RosterStep, StorageController, join, join_founder, remove_node, retire, times,
@@ -14,22 +14,23 @@
 fn bootstrapped(count: u8) -> ControlState {
     let mut state = ControlState::default();
     state.roster.epoch = 7;
-    state.roster.current = (1..=count).map(|at| storage_node(&format!("s{at}"), at, at.into())).collect();
+    state.roster.current =
+        (1..=count).map(|number| storage_node(&format!("s{number}"), number, number.into())).collect();
     state
 }
 
-/// The state with another machine as a member.
+/// The state after this node has joined and completed its backfill.
 fn joined(state: &ControlState, store: &StorageNode) -> ControlState {
     completed(join(state, store, 3).expect("it can join"))
 }
 
-/// The state without the member with this disk, which did not respond.
+/// The state after the member with this disk was removed as unresponsive.
 fn without(state: &ControlState, disk: u64) -> ControlState {
     let removed = state.roster.current.iter().find(|store| store.disk == disk).expect("a member");
     completed(remove_node(state, removed, state.roster.epoch, 1).expect("it can be removed"))
 }
 
-/// The state without this machine, which was retired.
+/// The state after this machine was retired.
 fn retired(state: &ControlState, name: &str) -> ControlState {
     completed(retire(state, name, 1).0.expect("it can be retired"))
 }
@@ -101,7 +102,7 @@
 
 #[gtest]
 fn a_recently_started_controller_removes_an_unresponsive_node_sooner() {
-    // given a controller that cannot know whether one of the four came to replace another
+    // The controller has not run long enough to know whether one of the four nodes joined to replace another.
     let state = bootstrapped(4);
     let mut controller = ProbingController::new();
     controller.run(20_000, &state, &[1, 2, 3, 4]);
@@ -113,15 +114,15 @@
 
 #[gtest]
 fn an_advanced_backfill_is_allowed_to_complete() -> Result<()> {
-    // given that s9 is being added
+    // Node s9 is being added.
     let mut controller = ProbingController::new();
     controller.run(20_000, &bootstrapped(3), &[1, 2, 3]);
     let state = join(&bootstrapped(3), &storage_node("s9", 9, 9), 3).or_fail()?;
     controller.run(20_100, &state, &[1, 2, 3, 9]);
-    // when s3 is lost, then nothing begins anew while that may end soon
+    // s3 is lost: its removal, which would restart the backfill, is delayed while the backfill may still complete.
     controller.run(20_000 + times::MAX_BACKFILL_PROTECTED_MS - 100, &state, &[1, 2, 9]);
     expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
-    // but not for long
+    // After the protected time it is removed.
     controller.run(20_000 + times::MAX_BACKFILL_PROTECTED_MS + 200, &state, &[1, 2, 9]);
     expect_that!(removed_disk(&controller.step(&state)), some(eq(3)));
     Ok(())
@@ -129,7 +130,7 @@
 
 #[gtest]
 fn waiving_an_unresponsive_node_takes_precedence_over_its_removal() -> Result<()> {
-    // given that s9 is being added, all others are in sync for it, and s3 is lost
+    // Node s9 is being added, all nodes but s3 are in sync, and s3 is lost.
     let mut state = join(&bootstrapped(3), &storage_node("s9", 9, 9), 3).or_fail()?;
     state.roster.in_sync = vec![1, 2, 9];
     let mut controller = ProbingController::new();
@@ -153,46 +154,43 @@
 
 #[gtest]
 fn a_node_replaced_at_another_address_is_removed_soon() -> Result<()> {
-    // given that s3 is lost, and s9 comes 1.5 s later
+    // s3 is lost, and s9 joins 1.5 s later: s3 is removed after the next probe round.
     let state = bootstrapped(3);
     let mut controller = ProbingController::new();
     controller.run(20_000, &state, &[1, 2, 3]);
     controller.run(21_500, &state, &[1, 2]);
     let state = join(&state, &storage_node("s9", 9, 9), 3).or_fail()?;
-    // after the next probe round
     controller.run(21_850, &state, &[1, 2, 9]);
-    // then s3 is removed
     expect_that!(removed_disk(&controller.step(&state)), some(eq(3)));
     Ok(())
 }
 
 #[gtest]
 fn a_planned_replacement_removes_the_old_node_soon() -> Result<()> {
-    // given that s9 has joined and is current
+    // s9 has joined and is current.
     let mut state = bootstrapped(3);
     let mut controller = ProbingController::new();
     controller.run(20_000, &state, &[1, 2, 3]);
     state = joined(&state, &storage_node("s9", 9, 9));
     controller.run(25_000, &state, &[1, 2, 3, 9]);
-    // when s3 ends
+    // s3 stops, and is removed after the shorter timeout.
     controller.run(25_000 + times::REPLACED_STORAGE_TIMEOUT_MS + 1_000, &state, &[1, 2, 9]);
-    // then it is removed
     expect_that!(removed_disk(&controller.step(&state)), some(eq(3)));
     Ok(())
 }
 
 #[gtest]
-fn a_joined_node_replaces_one_node_only() -> Result<()> {
-    // given that s9 came for s4, which is out
+fn a_joined_node_replaces_only_one_node() -> Result<()> {
+    // s9 has replaced s4, which was removed.
     let mut state = bootstrapped(4);
     let mut controller = ProbingController::new();
     controller.run(20_000, &state, &[1, 2, 3]);
     state = joined(&without(&state, 4), &storage_node("s9", 9, 9));
     controller.run(21_000, &state, &[1, 2, 3, 9]);
-    // when another freezes for four seconds, then it stays
+    // Another node that is unresponsive for four seconds is not removed.
     controller.run(25_000, &state, &[1, 2, 9]);
     expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
-    // and where the wrong one was removed and returns, s9 is free for another
+    // If the replaced node returns, s9 may replace another node.
     let other = joined(&without(&state, 3), &storage_node("s4", 4, 4));
     controller.run(26_000, &other, &[1, 2, 4, 9]);
     controller.run(29_000, &other, &[1, 4, 9]);
@@ -202,7 +200,7 @@
 
 #[gtest]
 fn a_joined_node_does_not_replace_a_retired_one() -> Result<()> {
-    // given that s4 was retired, and s9 has come for s3
+    // s4 was retired. s9 joins afterwards and counts as the replacement of s3, which is lost.
     let mut state = bootstrapped(4);
     let mut controller = ProbingController::new();
     controller.run(20_000, &state, &[1, 2, 3, 4]);
@@ -216,7 +214,7 @@
 
 #[gtest]
 fn a_retired_replacement_needs_no_replacement_itself() -> Result<()> {
-    // given that s9 came for s4, which is out, and was retired in its turn
+    // s9 has replaced s4, which was removed, and is then retired.
     let mut state = bootstrapped(4);
     let mut controller = ProbingController::new();
     controller.run(20_000, &state, &[1, 2, 3]);
@@ -224,7 +222,7 @@
     controller.run(21_000, &state, &[1, 2, 3, 9]);
     state = retired(&state, "s9");
     controller.run(24_000, &state, &[1, 2, 3]);
-    // when s3 is lost and s10 comes, then it came for s3
+    // s3 is lost, and s10 joins: it counts as the replacement of s3.
     controller.run(25_000, &state, &[1, 2]);
     state = joined(&state, &storage_node("s10", 10, 10));
     controller.run(27_000, &state, &[1, 2, 10]);
@@ -233,7 +231,7 @@
 }
 
 #[gtest]
-fn a_wiped_node_replaces_only_itself() -> Result<()> {
+fn a_wiped_node_does_not_replace_another_node() -> Result<()> {
     let mut state = bootstrapped(4);
     let mut controller = ProbingController::new();
     controller.run(20_000, &state, &[1, 2, 3, 4]);
@@ -255,19 +253,18 @@
 
 #[gtest]
 fn a_missed_probe_after_a_long_gap_does_not_count() {
-    // given a controller whose last probe round was long ago, as after a suspension
+    // The controller's last probe round was long ago, as after a suspension.
     let state = bootstrapped(4);
     let mut controller = ProbingController::new();
     controller.run(20_000, &state, &[1, 2, 3, 4]);
     controller.now = 20_000 + 2 * times::STORAGE_TIMEOUT_MS;
-    // when its next probes of s4 are missed
+    // s4 misses the next probes: it counts as unresponsive for a second only.
     controller.run(controller.now + 1_000, &state, &[1, 2, 3]);
-    // then s4 counts as unresponsive for a second only
     expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
 }
 
 #[gtest]
-fn a_probe_round_before_a_suspension_decides_nothing() {
+fn a_probe_round_before_a_suspension_removes_no_node() {
     let state = bootstrapped(4);
     let mut controller = ProbingController::new();
     controller.run(20_000, &state, &[1, 2, 3, 4]);
@@ -300,16 +297,16 @@
 
 #[gtest]
 fn a_bootstrap_waits_a_bounded_time_for_more_nodes() {
-    // given two machines where three are needed
+    // Two nodes have joined where three are needed.
     let mut controller = ProbingController::new();
     let state = bootstrapping(2, &[1, 2]);
     controller.run(10_000 + times::BOOTSTRAP_WAIT_MS - 200, &state, &[1, 2]);
     expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
-    // when the time is over, then they bootstrap, but not before each is in sync
+    // After the wait they are bootstrapped, but only once each is in sync.
     controller.run(10_000 + times::BOOTSTRAP_WAIT_MS + 200, &state, &[1, 2]);
     expect_that!(controller.step(&bootstrapping(2, &[1])), eq(&RosterStep::NoChange));
     expect_that!(controller.step(&state), eq(&RosterStep::Bootstrap));
-    // and a machine that keeps coming and going does not restart the wait
+    // A change of the next set, as by a node that joins repeatedly, does not restart the wait.
     let mut later = bootstrapping(3, &[1, 2, 3]);
     later.roster.epoch += 1;
     controller.run(controller.now + 200, &later, &[1, 2, 3]);
@@ -325,13 +322,13 @@
     let step = controller.step(&state);
     expect_that!(removed_disk(&step), some(eq(2)));
     expect_that!(step.apply_to(&state, 7, 3).or_fail()?.roster.next, some(len(eq(1))));
-    // but the last one is not removed
+    // The last node is not removed.
     controller.run(controller.now + 4_000, &bootstrapping(1, &[]), &[]);
     expect_that!(controller.step(&bootstrapping(1, &[])), eq(&RosterStep::NoChange));
     Ok(())
 }
 
-/// Members of `count` that are removed, one after the other, when only these are live.
+/// Disks of the members that remain when, of `count` members, only the nodes with the disks `live` respond.
 fn remaining_after_losses(count: u8, tolerance: usize, live: &[u64]) -> Vec<u64> {
     let mut state = bootstrapped(count);
     let mut controller = ProbingController::new();
@@ -348,17 +345,17 @@
 
 #[gtest]
 fn a_set_below_the_minimum_shrinks_to_the_nodes_that_store_all_records() {
-    // four with two losses to tolerate: three write, so one loss is served through, and two are not
+    // Four nodes with two losses to tolerate need three for a write: one loss blocks no writes, two do.
     expect_that!(remaining_after_losses(4, 2, &[1, 2, 3]), elements_are![&1, &2, &3, &4]);
     expect_that!(remaining_after_losses(4, 2, &[1, 2]), elements_are![&1, &2]);
-    // one of four may not store all
+    // One of four nodes may not store all records.
     expect_that!(remaining_after_losses(4, 2, &[1]), elements_are![&1, &2, &3, &4]);
     expect_that!(remaining_after_losses(3, 2, &[1, 2]), elements_are![&1, &2]);
     expect_that!(remaining_after_losses(3, 2, &[1]), elements_are![&1]);
     expect_that!(remaining_after_losses(2, 1, &[2]), elements_are![&2]);
-    // a controller without any response removes no node
+    // A controller that gets no response at all removes no node.
     expect_that!(remaining_after_losses(2, 1, &[]), elements_are![&1, &2]);
-    // a set of enough nodes is kept unchanged for the full timeout
+    // A set that has the minimum size stays unchanged until the full timeout.
     expect_that!(remaining_after_losses(3, 1, &[1, 2]), elements_are![&1, &2, &3]);
     expect_that!(remaining_after_losses(3, 1, &[1]), elements_are![&1, &2, &3]);
     expect_that!(remaining_after_losses(5, 2, &[1, 2, 3]), elements_are![&1, &2, &3, &4, &5]);
@@ -383,7 +380,7 @@
     expect_that!(controller.loss_tolerance_change(&bootstrapped(4).roster, 2), some(eq(tolerance(1, 2))));
     expect_that!(controller.loss_tolerance_change(&bootstrapped(4).roster, 2), none());
     expect_that!(controller.loss_tolerance_change(&bootstrapped(2).roster, 2), some(eq(tolerance(0, 1))));
-    // while a set grows, the smaller one counts
+    // While a change is in progress, the smaller set determines the tolerance.
     let mut growing = bootstrapped(2);
     growing.roster.next = Some(bootstrapped(5).roster.current);
     expect_that!(controller.loss_tolerance_change(&growing.roster, 2), none());
@@ -395,34 +392,33 @@
 }
 
 #[gtest]
-fn of_two_live_nodes_of_one_name_the_member_remains() {
+fn of_two_live_nodes_with_the_same_name_the_member_remains() {
     let state = bootstrapped(3);
     let mut controller = ProbingController::new();
     controller.run(20_000, &state, &[1, 2, 3]);
     let rival = storage_node("s3", 9, 33);
     expect_that!(controller.inner.admits(&state.roster, &rival), eq(false));
-    // one that lost its disk is at its old address, and takes its place at once
+    // A node with an empty disk at the member's address replaces it at once.
     expect_that!(controller.inner.admits(&state.roster, &storage_node("s3", 3, 33)), eq(true));
-    // and once the member is missed, the other may join
+    // Once the member has missed a probe, the other node may join.
     controller.run(21_100, &state, &[1, 2]);
     expect_that!(controller.inner.admits(&state.roster, &rival), eq(true));
 }
 
 #[gtest]
 fn a_restarted_controller_knows_of_a_replacement() {
-    // given that s9 joined, and then all control nodes were restarted
+    // s9 has joined, and then all control nodes were restarted.
     let state = joined(&bootstrapped(3), &storage_node("s9", 9, 9));
     let mut controller = ProbingController::new();
-    // when s3 has not responded since,
+    // s3 has not responded since the restart: it is removed after the shorter timeout, as the machine that s9 replaces.
     controller.run(10_000 + times::REPLACED_STORAGE_TIMEOUT_MS - 500, &state, &[1, 2, 9]);
     expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
-    // then it is removed as the machine that s9 replaces
     controller.run(10_000 + times::REPLACED_STORAGE_TIMEOUT_MS + 500, &state, &[1, 2, 9]);
     expect_that!(removed_disk(&controller.step(&state)), some(eq(3)));
 }
 
 #[gtest]
-fn a_machine_that_joins_right_after_the_bootstrap_replaces_one_unless_it_founds_the_fleet() {
+fn a_machine_that_joins_after_the_bootstrap_is_a_replacement_unless_it_was_started_with_the_fleet() {
     for (join, timeout_ms) in [
         (
             join as fn(&ControlState, &StorageNode, usize) -> Option<ControlState>,
@@ -430,13 +426,13 @@
         ),
         (join_founder, times::STORAGE_TIMEOUT_MS),
     ] {
-        // given a bootstrap that this controller has observed, and s9 that joins at once
+        // The controller has observed the bootstrap, and s9 joins right after it.
         let mut controller = ProbingController::new();
         controller.run(10_500, &bootstrapping(3, &[1, 2, 3]), &[1, 2, 3]);
         controller.run(11_000, &bootstrapped(3), &[1, 2, 3]);
         let state = completed(join(&bootstrapped(3), &storage_node("s9", 9, 9), 3).expect("it can join"));
         controller.run(12_000, &state, &[1, 2, 3, 9]);
-        // when s3 ends, then it is removed at once only if s9 may have come for it
+        // s3 stops: it is removed after the shorter timeout only if s9 may be its replacement.
         controller.run(12_000 + timeout_ms - 1_000, &state, &[1, 2, 9]);
         expect_that!(controller.step(&state), eq(&RosterStep::NoChange), "within {timeout_ms} ms");
         controller.run(12_000 + timeout_ms + 600, &state, &[1, 2, 9]);
@@ -445,15 +441,15 @@
 }
 
 #[gtest]
-fn a_turnover_is_forgotten_after_its_window() -> Result<()> {
-    // given that s9 came for s4, and s10 for none
+fn the_turnover_is_forgotten_after_the_replacement_window() -> Result<()> {
+    // s9 has replaced s4, and s10 has replaced no node.
     let state = joined(&without(&bootstrapped(4), 4), &storage_node("s9", 9, 9));
     let state = joined(&state, &storage_node("s10", 10, 10));
     let live = [1, 2, 3, 9, 10];
     let mut controller = ProbingController::new();
     controller.run(10_000 + times::REPLACEMENT_WINDOW_MS - 500, &state, &live);
     expect_that!(controller.step(&state), eq(&RosterStep::NoChange));
-    // when the window is over, then both are forgotten, and the roster is otherwise unchanged
+    // After the window both entries are removed, and the rest of the roster is unchanged.
     controller.run(10_000 + times::REPLACEMENT_WINDOW_MS + 500, &state, &live);
     let step = controller.step(&state);
     expect_that!(step, eq(&RosterStep::ForgetTurnover(vec!["s10".to_owned(), "s4".to_owned()])));
