--- a/system/controllers/tests/config_commit/model.rs
+++ b/system/controllers/tests/config_commit/model.rs
@@ -1,4 +1,4 @@
-//! Model of operators' requests over the register, for the model checker and for random schedules.
+//! Model of operators' requests and the register, for the model checker and for random schedules.
 
 use bytes::Bytes;
 use config_register::{
@@ -18,11 +18,11 @@
     Ipv4Addr::new(10, 0, 0, 3),
     Ipv4Addr::new(10, 0, 0, 4),
 ];
-/// The voters at the start; the fourth machine may be made one.
+/// Number of initial voters. The fourth machine may be added later.
 const INITIAL_VOTERS: usize = 3;
 
 /// An operator's request: the version of a configuration and the version that it expects to be current. Each request has
-/// bytes of its own.
+/// different bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Request {
     pub(crate) expected: u64,
@@ -31,43 +31,45 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Task {
-    /// The request with this index among the schedule's.
+    /// Submits the request with this index.
     Request(usize),
     Read,
-    /// The fourth machine becomes a voter.
+    /// Adds the fourth machine to the voters.
     AddVoter,
-    /// The first machine is removed from the voters.
+    /// Removes the first machine from the voters.
     RemoveVoter,
 }
 
-/// What a completed call reported.
+/// The result of a completed call. Requests are given by their index.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Report {
     Confirmed(usize),
     Rejected(usize),
-    /// The value that was read had committed these requests, oldest first.
+    /// The requests that the chosen value has committed, oldest first.
     Committed(Vec<usize>),
 }
 
-pub(crate) type Judgement = (Option<ControlState>, ConfigVerdict);
-pub(crate) type JudgeFn = fn(&ControlState, u64, &CommittedVersion, &Bytes) -> Judgement;
+pub(crate) type Evaluation = (Option<ControlState>, ConfigVerdict);
+pub(crate) type EvaluateFn = fn(&ControlState, u64, &CommittedVersion, &Bytes) -> Evaluation;
 
-/// How a request is judged and answered: correctly, or with a deliberate fault.
+/// How requests are evaluated and reported: correctly, or with a deliberate fault.
 #[derive(Clone, Copy)]
 pub(crate) struct Rules {
-    pub(crate) judge: JudgeFn,
-    /// Faulty: the verdict is reported as soon as it is known, before its proposal has completed.
+    pub(crate) evaluate: EvaluateFn,
+    /// Faulty if true: the verdict is reported as soon as it is computed, before its proposal has completed.
     pub(crate) reports_early: bool,
 }
 
-pub(crate) const CORRECT: Rules = Rules { judge: put_config, reports_early: false };
+pub(crate) const CORRECT: Rules = Rules { evaluate: put_config, reports_early: false };
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Run {
-    proposal: Proposer,
+struct ProposalRun {
+    proposer: Proposer,
+    /// The Prepare requests have not been sent yet.
     is_reading: bool,
     verdict: Option<ConfigVerdict>,
-    wanted: Option<Bytes>,
+    /// The payload that the request wants to have chosen; `None` if it changes nothing.
+    wanted_payload: Option<Bytes>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -75,7 +77,7 @@
     task: Task,
     attempts: u8,
     ballots: BallotSource,
-    run: Option<Run>,
+    run: Option<ProposalRun>,
 }
 
 /// An Accept request in flight.
@@ -96,9 +98,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Event {
-    /// A call starts a proposal, and abandons the one that it has.
-    Begin(usize),
-    /// Its Prepare reaches these machines, as a bit mask.
+    /// A call starts a proposal, and abandons its previous one.
+    BeginProposal(usize),
+    /// The Prepare of a call reaches the machines in the bit mask `reach`.
     Read {
         call: usize,
         reach: u8,
@@ -111,7 +113,7 @@
 
 pub(crate) struct Schedules {
     requests: Vec<Request>,
-    /// Each with its number of attempts.
+    /// Each task with its number of attempts.
     tasks: Vec<(Task, u8)>,
     rules: Rules,
 }
@@ -139,7 +141,7 @@
         &self,
         task: &Task,
         read: &RegisterValue,
-        run: (&mut Option<ConfigVerdict>, &mut Option<Bytes>),
+        (verdict_slot, payload_slot): (&mut Option<ConfigVerdict>, &mut Option<Bytes>),
     ) -> Change {
         match task {
             Task::Read => Change::Keep,
@@ -148,24 +150,24 @@
             Task::RemoveVoter => {
                 Change::Voters(read.voters.iter().copied().filter(|ip| *ip != MACHINES[0]).collect())
             }
-            Task::Request(number) => {
-                let Request { expected, version } = self.requests[*number];
+            Task::Request(index) => {
+                let Request { expected, version } = self.requests[*index];
                 let state = ControlState::from_payload(&read.payload).unwrap();
-                let body = Bytes::from(vec![*number as u8]);
-                let (wanted, verdict) = (self.rules.judge)(&state, expected, &sent(*number, version), &body);
-                *run.0 = Some(verdict);
-                *run.1 = wanted.map(|state| state.to_payload().unwrap());
-                run.1.clone().map_or(Change::Keep, Change::Set)
+                let body = Bytes::from(vec![*index as u8]);
+                let (next, verdict) = (self.rules.evaluate)(&state, expected, &sent(*index, version), &body);
+                *verdict_slot = Some(verdict);
+                *payload_slot = next.map(|state| state.to_payload().unwrap());
+                payload_slot.clone().map_or(Change::Keep, Change::Set)
             }
         }
     }
 
-    pub(crate) fn start(&self) -> ModelState {
+    pub(crate) fn initial_state(&self) -> ModelState {
         let acceptor = Acceptor::new(founding_record(initial_value().voters));
-        let calls = self.tasks.iter().enumerate().map(|(number, (task, attempts))| Call {
+        let calls = self.tasks.iter().enumerate().map(|(index, (task, attempts))| Call {
             task: task.clone(),
             attempts: *attempts,
-            ballots: BallotSource::new(Ipv4Addr::new(10, 0, 1, number as u8), 1),
+            ballots: BallotSource::new(Ipv4Addr::new(10, 0, 1, index as u8), 1),
             run: None,
         });
         ModelState {
@@ -178,15 +180,18 @@
 
     pub(crate) fn events(&self, state: &ModelState) -> Vec<Event> {
         let mut events = vec![];
-        let grows = self.tasks.iter().any(|(task, _)| *task == Task::AddVoter);
-        let reaches: &[u8] =
-            if grows { &[0b0011, 0b0101, 0b0110, 0b1011, 0b1101, 0b1110] } else { &[0b011, 0b101, 0b110] };
-        for (number, call) in state.calls.iter().enumerate() {
+        let adds_voter = self.tasks.iter().any(|(task, _)| *task == Task::AddVoter);
+        let reaches: &[u8] = if adds_voter {
+            &[0b0011, 0b0101, 0b0110, 0b1011, 0b1101, 0b1110]
+        } else {
+            &[0b011, 0b101, 0b110]
+        };
+        for (index, call) in state.calls.iter().enumerate() {
             if call.attempts > 0 {
-                events.push(Event::Begin(number));
+                events.push(Event::BeginProposal(index));
             }
             if call.run.as_ref().is_some_and(|run| run.is_reading) {
-                events.extend(reaches.iter().map(|reach| Event::Read { call: number, reach: *reach }));
+                events.extend(reaches.iter().map(|reach| Event::Read { call: index, reach: *reach }));
             }
         }
         for (in_flight, _) in &state.in_flight {
@@ -198,14 +203,14 @@
         events
     }
 
-    pub(crate) fn after(&self, state: &ModelState, event: &Event) -> ModelState {
+    pub(crate) fn apply(&self, state: &ModelState, event: &Event) -> ModelState {
         let mut state = state.clone();
         match event {
-            Event::Begin(number) => state.begin(*number),
+            Event::BeginProposal(call) => state.begin_proposal(*call),
             Event::Read { call, reach } => {
                 let Some(run) = &mut state.calls[*call].run else { return state };
                 run.is_reading = false;
-                let ballot = run.proposal.ballot();
+                let ballot = run.proposer.ballot();
                 let reached = (0..MACHINES.len()).filter(|machine| reach >> machine & 1 == 1);
                 let prepares = reached.map(|to| OutgoingRequest {
                     to: MACHINES[to],
@@ -214,8 +219,8 @@
                 self.deliver(&mut state, *call, prepares.collect());
             }
             Event::Accept { in_flight, answer_is_lost } => {
-                let at = state.in_flight.iter().position(|(other, _)| other == in_flight).unwrap();
-                let (in_flight, value) = state.in_flight.remove(at);
+                let index = state.in_flight.iter().position(|(other, _)| other == in_flight).unwrap();
+                let (in_flight, value) = state.in_flight.remove(index);
                 let is_awaited = state.is_awaited(&in_flight);
                 let reply = state.acceptors[in_flight.to].handle(&RegisterRequest::Accept(value)).reply;
                 if is_awaited && !answer_is_lost {
@@ -227,6 +232,7 @@
         state
     }
 
+    /// Delivers a call's Prepare requests at once, and adds its Accept requests to those in flight.
     fn deliver(&self, state: &mut ModelState, call: usize, mut requests: Outbox) {
         while !requests.is_empty() && state.calls[call].run.is_some() {
             let OutgoingRequest { to, request } = requests.remove(0);
@@ -243,19 +249,19 @@
         }
     }
 
-    /// Handles a reply to a call's proposal; returns what it sends next.
+    /// Handles a reply to a call's proposal. Returns the requests that the proposal sends next.
     fn on_reply(
         &self,
         state: &mut ModelState,
-        number: usize,
+        call_index: usize,
         from: Ipv4Addr,
         reply: &RegisterReply,
     ) -> Outbox {
-        let call = &mut state.calls[number];
+        let call = &mut state.calls[call_index];
         let Some(run) = &mut call.run else { return vec![] };
-        let (verdict, wanted) = (&mut run.verdict, &mut run.wanted);
-        let mut change = |read: &RegisterValue| self.change(&call.task, read, (&mut *verdict, &mut *wanted));
-        let step = run.proposal.on_reply(from, reply, &mut change);
+        let (verdict, payload) = (&mut run.verdict, &mut run.wanted_payload);
+        let mut change = |read: &RegisterValue| self.change(&call.task, read, (&mut *verdict, &mut *payload));
+        let step = run.proposer.on_reply(from, reply, &mut change);
         let early_verdict = run.verdict.filter(|_| self.rules.reports_early);
         let outbox = match step {
             ProposerStep::Wait => vec![],
@@ -263,8 +269,8 @@
             ProposerStep::Done(value) => {
                 let run = call.run.take().unwrap();
                 state.reports.insert(Report::Committed(committed_requests(&value.value)));
-                if run.wanted.is_none_or(|wanted| wanted == value.value.payload) {
-                    state.report(number, run.verdict);
+                if run.wanted_payload.is_none_or(|payload| payload == value.value.payload) {
+                    state.report(call_index, run.verdict);
                 }
                 vec![]
             }
@@ -278,25 +284,25 @@
                 vec![]
             }
         };
-        state.report(number, early_verdict);
+        state.report(call_index, early_verdict);
         outbox
     }
 }
 
 impl ModelState {
-    fn begin(&mut self, number: usize) {
+    fn begin_proposal(&mut self, call_index: usize) {
         let promised = self.acceptors.iter().filter_map(|acceptor| Some(acceptor.record()?.promised)).max();
-        let call = &mut self.calls[number];
+        let call = &mut self.calls[call_index];
         call.attempts -= 1;
         call.ballots.observe(promised.unwrap_or_default());
         let ballot = call.ballots.next_ballot();
-        let proposal = Proposer::start(ballot, &initial_value());
-        call.run = Some(Run { proposal, is_reading: true, verdict: None, wanted: None });
+        let proposer = Proposer::start(ballot, &initial_value());
+        call.run = Some(ProposalRun { proposer, is_reading: true, verdict: None, wanted_payload: None });
     }
 
-    /// Records the report of a call. The answer may be lost or late: what would be reported counts as reported.
-    fn report(&mut self, number: usize, verdict: Option<ConfigVerdict>) {
-        let Task::Request(request) = self.calls[number].task else { return };
+    /// Records the verdict that a call reports. It counts as reported even if the operator may not receive it.
+    fn report(&mut self, call_index: usize, verdict: Option<ConfigVerdict>) {
+        let Task::Request(request) = self.calls[call_index].task else { return };
         match verdict {
             Some(ConfigVerdict::Committed) => self.reports.insert(Report::Confirmed(request)),
             Some(ConfigVerdict::VersionMismatch(_) | ConfigVerdict::NotNewer) => {
@@ -304,14 +310,15 @@
             }
             Some(ConfigVerdict::Indeterminate) | None => return,
         };
-        self.calls[number].attempts = 0;
+        self.calls[call_index].attempts = 0;
     }
 
+    /// Whether the proposal that sent the request is still running.
     fn is_awaited(&self, in_flight: &InFlight) -> bool {
-        self.calls[in_flight.call].run.as_ref().is_some_and(|run| run.proposal.ballot() == in_flight.ballot)
+        self.calls[in_flight.call].run.as_ref().is_some_and(|run| run.proposer.ballot() == in_flight.ballot)
     }
 
-    /// Drops requests that would be rejected or accepted again, and sorts the rest, so that equal states compare equal.
+    /// Drops requests that acceptors would reject, and sorts the rest, so that equivalent states compare equal.
     fn normalize(&mut self) {
         let promised = |to: usize| self.acceptors[to].record().map(|record| record.promised);
         self.in_flight.retain(|(in_flight, _)| promised(in_flight.to) <= Some(in_flight.ballot));
@@ -319,30 +326,30 @@
     }
 }
 
-/// The violation among the reports, if there is one.
-pub(crate) fn fault(requests: &[Request], reports: &BTreeSet<Report>) -> Option<String> {
+/// Describes an inconsistency among the reports, if there is one.
+pub(crate) fn find_violation(requests: &[Request], reports: &BTreeSet<Report>) -> Option<String> {
     let committed: Vec<_> = reports
         .iter()
         .filter_map(|report| if let Report::Committed(requests) = report { Some(requests) } else { None })
         .collect();
     let is_chain = |one: &[usize], other: &[usize]| one.starts_with(other) || other.starts_with(one);
     if !committed.iter().all(|one| committed.iter().all(|other| is_chain(one, other))) {
-        return Some(format!("the committed lists are no prefixes of each other: {committed:?}"));
+        return Some(format!("the committed lists are not prefixes of each other: {committed:?}"));
     }
-    for number in 0..requests.len() {
-        let was_committed = reports.contains(&Report::Confirmed(number))
-            || committed.iter().any(|requests| requests.contains(&number));
-        if was_committed && reports.contains(&Report::Rejected(number)) {
-            return Some(format!("request {number} was rejected and is committed"));
+    for index in 0..requests.len() {
+        let was_committed = reports.contains(&Report::Confirmed(index))
+            || committed.iter().any(|requests| requests.contains(&index));
+        if was_committed && reports.contains(&Report::Rejected(index)) {
+            return Some(format!("request {index} was both rejected and committed"));
         }
     }
     let confirmed: Vec<_> =
-        (0..requests.len()).filter(|number| reports.contains(&Report::Confirmed(*number))).collect();
+        (0..requests.len()).filter(|index| reports.contains(&Report::Confirmed(*index))).collect();
     for key in [|request: Request| request.version, |request: Request| request.expected] {
-        let keys = BTreeSet::from_iter(confirmed.iter().map(|number| key(requests[*number])));
+        let keys = BTreeSet::from_iter(confirmed.iter().map(|index| key(requests[*index])));
         if keys.len() < confirmed.len() {
             return Some(format!(
-                "two are confirmed with one version or one expected version: {confirmed:?}"
+                "requests with the same version or expected version were confirmed: {confirmed:?}"
             ));
         }
     }
@@ -354,7 +361,7 @@
     type Action = Event;
 
     fn init_states(&self) -> Vec<ModelState> {
-        vec![self.start()]
+        vec![self.initial_state()]
     }
 
     fn actions(&self, state: &ModelState, actions: &mut Vec<Event>) {
@@ -362,13 +369,13 @@
     }
 
     fn next_state(&self, state: &ModelState, event: Event) -> Option<ModelState> {
-        Some(self.after(state, &event))
+        Some(self.apply(state, &event))
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("every report holds", |model: &Self, state: &ModelState| {
-                fault(&model.requests, &state.reports).is_none()
+            Property::always("reports are consistent", |model: &Self, state: &ModelState| {
+                find_violation(&model.requests, &state.reports).is_none()
             }),
             Property::sometimes("a request is confirmed", |_, state: &ModelState| {
                 state.reports.iter().any(|report| matches!(report, Report::Confirmed(_)))
