--- a/system/controllers/src/roster.rs
+++ b/system/controllers/src/roster.rs
@@ -25,7 +25,7 @@
 ///
 /// In that case no node would backfill, and records written meanwhile to this node and one other would be left with a single
 /// copy. Such a change is therefore completed first, and the node is removed afterwards.
-fn would_revert_change(roster: &Roster, store: &StorageNode) -> bool {
+pub(crate) fn would_revert_change(roster: &Roster, store: &StorageNode) -> bool {
     let Some(next) = &roster.next else { return false };
     !roster.current.contains(store) && next.iter().filter(|other| *other != store).eq(roster.current.iter())
 }
--- a/system/controllers/tests/membership/random_faults.rs
+++ b/system/controllers/tests/membership/random_faults.rs
@@ -118,14 +118,8 @@
         if kind != 6 && kind != 7 {
             self.lost_disks.push(disk);
         }
-        let descriptions = [
-            "freezes",
-            "is killed",
-            "is wiped",
-            "is replaced",
-            "is replaced under its name",
-            "is to be replaced",
-        ];
+        let descriptions =
+            ["freezes", "is killed", "is wiped", "is replaced", "is replaced by name", "is to be replaced"];
         if let Some(description) = descriptions.get(kind as usize) {
             self.log(format!("{} (disk {disk}) {description}, returns at {returns_at}", store.name));
         }
