--- a/src/policy/connections.rs
+++ b/src/policy/connections.rs
@@ -1,65 +1,74 @@
-//! Connection limits of endpoints, and idle connections that are dead or not worth keeping.
+//! Connection limits of endpoints, and closing of idle connections that are dead or not worth keeping.
 //!
-//! Both closing idle connections and keeping none cost handshakes where a destination is merely slow or down.
+//! Where a destination is merely slow or down, closing idle connections and keeping none cost handshakes.
 
 use super::state::{Attempt, Health, Route};
 use super::timeouts::OVERDUE_DEVIATIONS;
 use super::{Sender, seconds};
 use crate::interface::{Action, Outcome, Time};
 
-/// Longest expected wait for the next call, in overload tolerances, for which an idle connection is kept ...
-pub(super) const MAX_IDLE_KEEP: f64 = 2.0;
-/// ... halved with each call that finds no connection, at most so often; it grows by this share with others.
+/// An idle connection is kept if the next call is expected within this many overload tolerances at most ...
+pub(super) const MAX_IDLE_TOLERANCES: f64 = 2.0;
+/// ... halved with each call that gets no connection, at most this often; others increase it by this share.
 const IDLE_KEEP_DECAY: (i32, f64) = (6, 0.02);
 
 impl Sender {
-    /// Idle connections can be dead unnoticed: each call on one is lost, though the endpoint is healthy.
-    /// After silence they are closed, and connections idle for as long as the lost call's are no longer
-    /// used, a span that grows again. They also fill small connection tables: a sender that expects no call
-    /// within the time for which a kind's tables have capacity keeps none.
+    /// Closes idle connections. One can be dead unnoticed: a call on it is lost though the endpoint is
+    /// healthy. After an unanswered call they are closed, and connections idle for as long as that call's are
+    /// no longer used; this limit grows again. They also fill small connection tables: where connections are
+    /// scarce, a sender that expects no call soon keeps none.
     pub(super) fn close_idle(&mut self, attempt: Attempt, outcome: Outcome, actions: &mut Vec<Action>) {
-        let at = &self.endpoints[&attempt.endpoint];
-        let (route, kind) = (&self.routes[at.route], at.kind);
-        let silent = matches!(outcome, Outcome::TimedOut | Outcome::Reset);
-        let crowded = matches!(outcome, Outcome::ConnectFailed | Outcome::NoRoom);
-        if !silent {
-            let (keep, (halvings, growth)) = (&mut self.idle_keep[kind.0], IDLE_KEEP_DECAY);
-            *keep *= if crowded { 0.5 } else { 1.0 + growth };
-            *keep = keep.clamp(MAX_IDLE_KEEP * 0.5f64.powi(halvings), MAX_IDLE_KEEP);
+        let endpoint = &self.endpoints[&attempt.endpoint];
+        let (route, kind) = (&self.routes[endpoint.route], endpoint.kind);
+        let unanswered = matches!(outcome, Outcome::TimedOut | Outcome::Reset);
+        let no_connection = matches!(outcome, Outcome::ConnectFailed | Outcome::NoRoom);
+        if !unanswered {
+            let (idle_tolerances, (max_halvings, growth)) =
+                (&mut self.idle_tolerances[kind.0], IDLE_KEEP_DECAY);
+            *idle_tolerances *= if no_connection { 0.5 } else { 1.0 + growth };
+            *idle_tolerances =
+                idle_tolerances.clamp(MAX_IDLE_TOLERANCES * 0.5f64.powi(max_halvings), MAX_IDLE_TOLERANCES);
         }
-        let span = self.idle_keep[kind.0] * seconds(self.settings.rules.overload_tolerance.0);
-        let rare = |route: &Route| {
-            self.idle_keep[kind.0] < MAX_IDLE_KEEP && route.rate * span < 1.0 && route.out.len() <= 1
+        let keep_s = self.idle_tolerances[kind.0] * seconds(self.settings.rules.overload_tolerance.0);
+        let rarely_called = |route: &Route| {
+            self.idle_tolerances[kind.0] < MAX_IDLE_TOLERANCES
+                && route.rate * keep_s < 1.0
+                && route.in_flight.len() <= 1
         };
-        if silent || rare(route) {
+        if unanswered || rarely_called(route) {
             actions.push(Action::CloseIdle(attempt.endpoint));
         }
         if outcome == Outcome::NoRoom {
-            let others = self.endpoints.iter().filter(|(_, e)| e.kind == kind && rare(&self.routes[e.route]));
+            let others =
+                self.endpoints.iter().filter(|(_, e)| e.kind == kind && rarely_called(&self.routes[e.route]));
             actions.extend(others.map(|(endpoint, _)| Action::CloseIdle(*endpoint)));
         }
-        let healthy = seconds(route.latency_bound(OVERDUE_DEVIATIONS) as u64);
-        if let Some(call) = self.calls.get(&attempt.call).filter(|call| silent && call.idle_s > healthy) {
+        let slowest_healthy_s = seconds(route.latency_bound(OVERDUE_DEVIATIONS) as u64);
+        if let Some(call) =
+            self.calls.get(&attempt.call).filter(|call| unanswered && call.idle_s > slowest_healthy_s)
+        {
             self.trusted_idle_s = self.trusted_idle_s.min(call.idle_s);
         }
     }
 
-    /// An endpoint that responds but has no connection for one more call is full, not in an outage: its
-    /// concurrency is limited to what it accepted, and after a while probed with one more.
+    /// Limits the concurrency of an endpoint that responds but has no free connection, which is no outage, to
+    /// what it accepted; later successes raise the limit one by one. True if it handled the outcome.
     pub(super) fn limit_connections(
         &mut self,
-        at: usize,
+        route_id: usize,
         sent: Time,
         concurrency: usize,
         outcome: Outcome,
     ) -> bool {
         let (now, rules) = (self.now, self.settings.rules);
-        let quick = now.since(sent) < self.settings.connect_timeout.0 / 2;
-        let route = &mut self.routes[at];
-        let answers = quick && concurrency > 1 && sent.since(route.last_success) < rules.overload_tolerance.0;
+        let answered_quickly = now.since(sent) < self.settings.connect_timeout.0 / 2;
+        let route = &mut self.routes[route_id];
+        let responding = answered_quickly
+            && concurrency > 1
+            && sent.since(route.last_success) < rules.overload_tolerance.0;
         match outcome {
             Outcome::NoRoom if route.health != Health::Up => false,
-            Outcome::ConnectFailed | Outcome::NoRoom if outcome == Outcome::NoRoom || answers => {
+            Outcome::ConnectFailed | Outcome::NoRoom if outcome == Outcome::NoRoom || responding => {
                 if route.endpoint.is_some() {
                     let connections = (concurrency - 1).max(1);
                     route.connection_limit = if route.connection_limit == 0 {
@@ -68,11 +77,11 @@
                         route.connection_limit.min(connections)
                     };
                     route.limit_seen_at = now;
-                    // Rejected connections cost the endpoint work too: all senders together try no more of
-                    // them than it accepts calls.
-                    let part = route.known_limit / self.settings.senders as f64;
-                    if part > 0.0 && outcome == Outcome::NoRoom {
-                        route.pace_limit = route.pace_limit.min(part.max(route.rate));
+                    // Rejecting connections costs the endpoint work too: all senders together attempt no more
+                    // of them than it accepts calls.
+                    let equal_share = route.known_limit / self.settings.senders as f64;
+                    if equal_share > 0.0 && outcome == Outcome::NoRoom {
+                        route.rate_limit = route.rate_limit.min(equal_share.max(route.rate));
                         route.tokens = route.tokens.min(0.0);
                     }
                 }
--- a/src/policy/fair_scheduling.rs
+++ b/src/policy/fair_scheduling.rs
@@ -1,4 +1,4 @@
-//! Fair scheduling: which destination and message get the next free slot, and the send itself.
+//! Fair scheduling: chooses the destination and message for each free slot, and sends.
 
 use super::state::{Attempt, Call, Health, Progress};
 use super::{Sender, seconds};
@@ -6,7 +6,7 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// A waiting message whose turn may come.
+/// A waiting message that is due to be sent.
 struct Candidate {
     value: f64,
     deadline: Time,
@@ -21,14 +21,14 @@
 }
 
 impl Sender {
-    /// Each free slot goes to the waiting destination with the fewest calls in flight.
+    /// Gives each free slot to the waiting destination with the fewest calls in flight.
     pub(super) fn schedule(&mut self, actions: &mut Vec<Action>) {
         if self.calls.len() >= self.settings.slots {
             return;
         }
         let mut waiting: BTreeMap<DestinationId, Vec<Candidate>> = BTreeMap::new();
         for (id, pending) in &self.pending {
-            if matches!(pending.progress, Progress::Waiting(at) if at <= self.now)
+            if matches!(pending.progress, Progress::Waiting(until) if until <= self.now)
                 && self.rule_ordering(pending)
             {
                 let candidate = Candidate { value: 0.0, deadline: pending.deadline, id: *id };
@@ -45,20 +45,21 @@
             queue.sort_by(|a, b| a.by_value_and_deadline(b).then(a.id.cmp(&b.id)));
         }
         while self.calls.len() < self.settings.slots {
-            let fewest = waiting.iter().min_by(|(a, x), (b, y)| {
-                let calls = |d: &DestinationId| self.destinations[d].calls;
-                calls(a).cmp(&calls(b)).then(x[0].by_value_and_deadline(&y[0]))
+            let fewest = waiting.iter().min_by(|(a, queue_a), (b, queue_b)| {
+                let calls = |id: &DestinationId| self.destinations[id].calls;
+                calls(a).cmp(&calls(b)).then(queue_a[0].by_value_and_deadline(&queue_b[0]))
             });
-            let Some(destination) = fewest.map(|(d, _)| *d) else { return };
+            let Some(destination) = fewest.map(|(id, _)| *id) else { return };
             let Some(queue) = waiting.get_mut(&destination) else { return };
-            let choice = (queue.iter().enumerate())
-                .find_map(|(index, next)| self.select_endpoint(next.id).map(|endpoint| (index, endpoint)));
+            let choice = (queue.iter().enumerate()).find_map(|(index, candidate)| {
+                self.select_endpoint(candidate.id).map(|endpoint| (index, endpoint))
+            });
             let Some((index, endpoint)) = choice else {
                 waiting.remove(&destination);
                 continue;
             };
             let Candidate { id, .. } = queue.remove(index);
-            let first = actions.len();
+            let call_start = actions.len();
             self.send(id, endpoint, None, actions);
             let call = self.next_call - 1;
             let mut capacity = self.batch_limit(endpoint) - 1;
@@ -71,7 +72,7 @@
                 !joins
             });
             if self.settings.batches_expire_together {
-                self.expire_together(&mut actions[first..]);
+                self.expire_together(&mut actions[call_start..]);
             }
             if queue.is_empty() || !self.accepts_call(destination) {
                 waiting.remove(&destination);
@@ -79,21 +80,20 @@
         }
     }
 
-    /// Whether a new call may go to the destination now, whatever the message.
+    /// Whether a new call may go to the destination now, regardless of the message.
     pub(super) fn accepts_call(&self, destination: DestinationId) -> bool {
-        self.next_call_at(destination).is_some_and(|at| at <= self.now)
+        self.next_call_at(destination).is_some_and(|opens_at| opens_at <= self.now)
     }
 
-    /// A call has one time-out: the latest of its messages' time-outs, but before the earliest deadline of
-    /// them.
+    /// Gives all messages of a call the same time-out: their latest, but before their earliest deadline.
     fn expire_together(&self, call: &mut [Action]) {
-        let (mut longest, mut due) = (Time(0), Time(u64::MAX));
+        let (mut latest, mut deadline) = (Time(0), Time(u64::MAX));
         for action in &*call {
             if let Action::Send { message, expires, .. } = action {
-                (longest, due) = (longest.max(*expires), due.min(self.pending[message].deadline));
+                (latest, deadline) = (latest.max(*expires), deadline.min(self.pending[message].deadline));
             }
         }
-        let end = longest.min(Time(due.0.saturating_sub(self.settings.period.0)));
+        let end = latest.min(Time(deadline.0.saturating_sub(self.settings.period.0)));
         for action in call {
             if let Action::Send { expires, .. } = action {
                 *expires = end;
@@ -101,31 +101,37 @@
         }
     }
 
-    /// Maximum messages in the next call to an endpoint: one where its health is in doubt.
+    /// Maximum number of messages in the next call to an endpoint: 1 unless it is healthy.
     fn batch_limit(&self, endpoint: EndpointId) -> usize {
-        let at = &self.endpoints[&endpoint];
-        let up = self.routes[at.route].health == Health::Up;
-        if up { self.settings.kinds[at.kind.0].batch.max(1) } else { 1 }
+        let target = &self.endpoints[&endpoint];
+        let up = self.routes[target.route].health == Health::Up;
+        if up { self.settings.kinds[target.kind.0].batch.max(1) } else { 1 }
     }
 
-    fn send(&mut self, id: MessageId, endpoint: EndpointId, join: Option<u64>, actions: &mut Vec<Action>) {
-        let at = &self.endpoints[&endpoint];
-        let (own, destination) = (at.route, at.destination);
-        let shared = self.destinations.get(&destination).and_then(|d| d.shared_route);
-        let expires = self.attempt_timeout(&self.pending[&id], &self.routes[own]);
-        let call = join.unwrap_or(self.next_call);
-        if join.is_none() {
+    fn send(
+        &mut self,
+        id: MessageId,
+        endpoint: EndpointId,
+        batch_call: Option<u64>,
+        actions: &mut Vec<Action>,
+    ) {
+        let target = &self.endpoints[&endpoint];
+        let (own_route, destination) = (target.route, target.destination);
+        let shared = self.destinations.get(&destination).and_then(|state| state.shared_route);
+        let expires = self.attempt_timeout(&self.pending[&id], &self.routes[own_route]);
+        let call = batch_call.unwrap_or(self.next_call);
+        if batch_call.is_none() {
             self.next_call += 1;
-            let routes = [Some(own), shared];
-            let route = &self.routes[own];
+            let routes = [Some(own_route), shared];
+            let route = &self.routes[own_route];
             let idle_s = seconds(self.now.since(route.last_answer));
             if idle_s >= self.trusted_idle_s && route.latency > 0.0 {
                 actions.push(Action::CloseIdle(endpoint));
             }
-            let concurrency = route.out.len() + 1;
+            let concurrency = route.in_flight.len() + 1;
             self.calls.insert(call, Call { sent: self.now, idle_s, concurrency, routes, ..Call::default() });
             for route in routes.into_iter().flatten() {
-                self.routes[route].out.push((call, self.now));
+                self.routes[route].in_flight.push((call, self.now));
                 self.routes[route].tokens -= 1.0;
             }
             self.destinations.entry(destination).or_default().calls += 1;
--- a/src/policy/message_lifecycle.rs
+++ b/src/policy/message_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a message: accepted or resumed, attempted, then delivered, refused, failed or cancelled.
+//! The lifecycle of a message: accepted or resumed, attempted, then delivered, refused, failed or cancelled.
 
 use super::retry::BACKOFF_TARGET_SHARE;
 use super::state::{FirstExecution, PendingMessage, Progress};
@@ -20,7 +20,7 @@
         );
     }
 
-    /// A message of an earlier process: its attempts count, and what may have executed is known.
+    /// Resumes a message of an earlier process, with its attempts and its first possible execution.
     pub(super) fn resume(&mut self, resumed: &Resumed) {
         let Resumed { message, attempts, ran, ended } = *resumed;
         self.accept(message);
@@ -28,26 +28,27 @@
             self.release(message.id);
             return;
         }
-        // All senders that restart in an outage return together: jitter spreads them.
+        // Jitter spreads the retries of senders that an outage restarts together.
         let wait = message.class.latency_target.0 as f64 * BACKOFF_TARGET_SHARE * self.random();
-        let at = if attempts > 0 { self.now.after(wait) } else { self.now };
+        let retry_at = if attempts > 0 { self.now.after(wait) } else { self.now };
         let Some(pending) = self.pending.get_mut(&message.id) else { return };
         (pending.attempts, pending.untried) = (attempts, attempts == 0);
-        pending.progress = Progress::Waiting(at);
+        pending.progress = Progress::Waiting(retry_at);
         pending.executed = ran.map(|(sent, zone)| FirstExecution { sent, zone });
-        if let Some(key) = message.key.filter(|_| ran.is_some()).and_then(|k| self.keys.get_mut(&k)) {
+        if let Some(key) = message.key.filter(|_| ran.is_some()).and_then(|key| self.keys.get_mut(&key)) {
             key.settles_at = Time(self.now.0 + self.settings.rules.order_settle.0);
         }
     }
 
     pub(super) fn attempt_completed(&mut self, event: &Event, actions: &mut Vec<Action>) {
-        let Event::AttemptCompleted { message: id, attempt: number, outcome, last, report, .. } = *event
+        let Event::AttemptCompleted { message: id, attempt: attempt_number, outcome, last, report, .. } =
+            *event
         else {
             return;
         };
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let (Progress::InFlight(attempt) | Progress::Abandoned(attempt)) = pending.progress else { return };
-        if number + 1 != pending.attempts {
+        if attempt_number + 1 != pending.attempts {
             return;
         }
         let complete = last || matches!(pending.progress, Progress::Abandoned(_));
@@ -56,13 +57,13 @@
         let zone = self.endpoints[&attempt.endpoint].zone;
         if may_have_executed && pending.executed.is_none() {
             pending.executed = Some(FirstExecution {
-                sent: self.calls.get(&attempt.call).map_or(Time(0), |c| c.sent),
+                sent: self.calls.get(&attempt.call).map_or(Time(0), |call| call.sent),
                 zone,
             });
         }
         if may_have_executed
             && outcome != Outcome::Failure
-            && let Some(key) = pending.message.key.and_then(|k| self.keys.get_mut(&k))
+            && let Some(key) = pending.message.key.and_then(|key| self.keys.get_mut(&key))
         {
             key.settles_at = Time(self.now.0 + self.settings.rules.order_settle.0);
         }
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Drops an undelivered message; its ordering key is free once the client has acknowledged the outcome.
+    /// Drops an undelivered message; releases its ordering key once the client has acknowledged the outcome.
     fn release(&mut self, id: MessageId) {
         let key = self.pending.get(&id).and_then(|pending| pending.message.key);
         match key.filter(|_| self.settings.outcomes_acknowledged) {
@@ -110,33 +111,34 @@
         }
     }
 
-    /// The only place that chooses between refusing and failing: a refusal promises that nothing executed, or
-    /// that submitting again is harmless.
+    /// Refuses or fails a message; nothing else chooses between the two. A refusal promises that nothing
+    /// executed, or that submitting again is harmless.
     pub(super) fn end_undelivered(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id) else { return };
-        let harmless = match pending.message.class.repeat {
+        let safe_to_resubmit = match pending.message.class.repeat {
             Repeat::Safe | Repeat::Keyed { group: Group::All, .. } => true,
             Repeat::Keyed { .. } | Repeat::Unsafe => pending.executed.is_none(),
         };
         // Submitting again may succeed once some endpoint of the destination accepts calls.
         let opening = self.opening(pending.message.destination, |route| Some(route.closed_until()));
-        let retry_at = opening.filter(|at| self.now < *at && *at < pending.deadline);
-        let after = retry_at.map(|at| Span(at.since(self.now)));
-        actions.push(if harmless { Action::Refuse { message: id, after } } else { Action::Fail(id) });
+        let retry_at = opening.filter(|time| self.now < *time && *time < pending.deadline);
+        let after = retry_at.map(|time| Span(time.since(self.now)));
+        actions.push(if safe_to_resubmit { Action::Refuse { message: id, after } } else { Action::Fail(id) });
         self.release(id);
     }
 
-    /// A waiting message must be ended by then: the next timer would come too late.
+    /// When a waiting message must be ended: the next timer would fire after its deadline.
     pub(super) fn latest_end(&self, pending: &PendingMessage) -> Time {
         Time(pending.deadline.0.saturating_sub(2 * MIN_TIMER_PERIODS * self.settings.period.0))
     }
 
     pub(super) fn end_expired(&mut self, actions: &mut Vec<Action>) {
         let expired = |pending: &PendingMessage| match pending.progress {
-            Progress::Waiting(at) => self.is_exhausted(pending, at.max(self.now)),
+            Progress::Waiting(until) => self.is_exhausted(pending, until.max(self.now)),
             _ => false,
         };
-        let ids: Vec<_> = self.pending.iter().filter(|(_, p)| expired(p)).map(|(id, _)| *id).collect();
+        let ids: Vec<_> =
+            self.pending.iter().filter(|(_, pending)| expired(pending)).map(|(id, _)| *id).collect();
         for id in ids {
             self.end_undelivered(id, actions);
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,8 +2,9 @@
 //!
 //! A message is one operation: it is retried only after a transient failure and as its idempotency permits,
 //! after an exponential backoff or the reported `Retry-After`. Scheduling is fair: a free slot goes to the
-//! waiting destination with the fewest calls in flight. A [`Route`] holds what is learned of one endpoint, or
-//! of one destination whose endpoints share a limit; a send must be permitted by each route that it uses.
+//! waiting destination with the fewest calls in flight. A [`Route`] holds what was learned about one
+//! endpoint, or about one destination whose endpoints share a limit; a send must be permitted by each route
+//! it uses.
 //!
 //! The policy is deterministic: time comes with each step, and randomness from a seeded generator. I/O,
 //! clocks and storage are left to the host.
@@ -27,7 +28,7 @@
     Action, DestinationId, Discovery, EndpointId, Event, Listing, MessageId, OrderKey, Settings,
     SettingsError, Time,
 };
-use connections::MAX_IDLE_KEEP;
+use connections::MAX_IDLE_TOLERANCES;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -37,10 +38,10 @@
 
 /// Time over which a route's call rate is averaged, in seconds: longer than a burst, shorter than an outage.
 const RATE_WINDOW_S: f64 = 4.0;
-/// Minimum time between timers, in step periods.
+/// Minimum delay of a timer, in step periods.
 const MIN_TIMER_PERIODS: u64 = 4;
 
-/// A sender's decisions. Its serialized form is its complete state, see [`Sender::taken_over`].
+/// The sending policy of one sender. Its serialized form is its complete state, see [`Sender::taken_over`].
 #[derive(Serialize, Deserialize)]
 pub struct Sender {
     settings: Settings,
@@ -56,18 +57,18 @@
     calls: BTreeMap<u64, Call>,
     next_call: u64,
     keys: BTreeMap<OrderKey, KeyState>,
-    /// Complete, but not yet acknowledged by the client: until then the key is not free.
+    /// Complete but not yet acknowledged by the client; until then the ordering key is not released.
     unacknowledged: BTreeMap<MessageId, OrderKey>,
     /// When the process stops, during shutdown.
     shutdown_at: Option<Time>,
     timer_at: Option<Time>,
     list_request_at: Option<Time>,
     list_failures: u32,
-    /// By kind: for how long an idle connection is worth keeping, in overload tolerances.
-    idle_keep: Vec<f64>,
-    /// Learned share of all calls without an answer.
+    /// By kind: how long an idle connection is worth keeping, in overload tolerances.
+    idle_tolerances: Vec<f64>,
+    /// Smoothed share of calls that get no answer.
     lost_share: f64,
-    /// When an answer was last seen to be lost for certain.
+    /// When an answer was last known to be lost.
     lost_seen_at: Option<Time>,
     /// Seconds for which an idle connection is trusted to be alive.
     trusted_idle_s: f64,
@@ -98,7 +99,7 @@
             timer_at: None,
             list_request_at: (settings.discovery == Discovery::OnRequest).then_some(Time(0)),
             list_failures: 0,
-            idle_keep: vec![MAX_IDLE_KEEP; settings.kinds.len()],
+            idle_tolerances: vec![MAX_IDLE_TOLERANCES; settings.kinds.len()],
             lost_share: 0.0,
             lost_seen_at: None,
             trusted_idle_s: f64::INFINITY,
@@ -107,7 +108,7 @@
         })
     }
 
-    /// The same sender in another process, under the settings there.
+    /// Resumes a sender that another process serialized, under this process's settings.
     ///
     /// # Errors
     /// The first invalid setting.
@@ -119,7 +120,7 @@
         Ok(self)
     }
 
-    /// Handles all events of a round, then decides once; the actions for the host are added to `actions`.
+    /// Handles all `events`, then schedules once; appends the actions for the host to `actions`.
     pub fn step(&mut self, now: Time, events: &[Event], actions: &mut Vec<Action>) {
         self.trusted_idle_s *= (seconds(now.since(self.now)) / RATE_WINDOW_S).exp();
         self.now = now;
@@ -131,7 +132,7 @@
         self.shed_load(actions);
         self.schedule(actions);
         self.cancel_lost(actions);
-        if self.list_request_at.take_if(|at| *at <= now).is_some() {
+        if self.list_request_at.take_if(|due| *due <= now).is_some() {
             actions.push(Action::Subscribe);
         }
         self.set_timer(actions);
@@ -162,11 +163,11 @@
             Event::Included(endpoint) => self.include(*endpoint, actions),
             Event::SettingsChanged(settings) => self.apply_settings((**settings).clone()),
             Event::ListFailed => {
-                // The list's server is overloaded itself: retry with exponential backoff and jitter.
+                // The list's server may be overloaded: retry with exponential backoff and jitter.
                 self.list_failures = (self.list_failures + 1).min(4);
-                let most = self.settings.rules.must_ask_in.0 as f64 / 2.0;
+                let max_wait = self.settings.rules.must_ask_in.0 as f64 / 2.0;
                 let wait = self.settings.connect_timeout.0 as f64 * f64::from(1 << self.list_failures) / 4.0;
-                self.list_request_at = Some(self.now.after(wait.min(most) * (0.5 + self.random())));
+                self.list_request_at = Some(self.now.after(wait.min(max_wait) * (0.5 + self.random())));
             }
             Event::HealthCheckCompleted { .. } => {}
             Event::TimerFired => self.timer_at = None,
@@ -174,7 +175,7 @@
     }
 
     fn apply_settings(&mut self, settings: Settings) {
-        self.idle_keep.resize(settings.kinds.len(), MAX_IDLE_KEEP);
+        self.idle_tolerances.resize(settings.kinds.len(), MAX_IDLE_TOLERANCES);
         self.settings = settings;
     }
 
@@ -187,6 +188,6 @@
     ChaCha8Rng::seed_from_u64(0)
 }
 
-fn seconds(span: u64) -> f64 {
-    span as f64 / 1e6
+fn seconds(micros: u64) -> f64 {
+    micros as f64 / 1e6
 }
--- a/src/policy/sending_rules.rs
+++ b/src/policy/sending_rules.rs
@@ -1,16 +1,16 @@
-//! The guards of the six sending rules. Every send passes [`Sender::may_send`], which consults them all.
+//! The six sending rules. Every send passes [`Sender::may_send`], which checks them all.
 
 use super::Sender;
 use super::state::{Endpoint, Health, PendingMessage, Progress, Route};
 use crate::interface::{EndpointId, MessageId, Time};
 
 impl Sender {
-    /// Every send passes here. `joins`: it shares a call that was already permitted in this step.
+    /// Checks every send. `joins`: it shares a call that was already permitted in this step.
     pub(super) fn may_send(&self, id: MessageId, endpoint: EndpointId, joins: bool) -> bool {
         let (Some(pending), Some(target)) = (self.pending.get(&id), self.endpoints.get(&endpoint)) else {
             return false;
         };
-        let shared = self.destinations.get(&target.destination).and_then(|d| d.shared_route);
+        let shared = self.destinations.get(&target.destination).and_then(|state| state.shared_route);
         let routes = [Some(&self.routes[target.route]), shared.map(|route| &self.routes[route])];
         target.destination == pending.message.destination
             && pending.attempts < self.settings.max_attempts
@@ -27,12 +27,12 @@
     }
 
     /// Whether a call delayed by connecting may still be sent: meanwhile a `Retry-After` may have been
-    /// reported, the endpoint may drain, or the deduplication window may be over.
+    /// reported, draining may have begun, or the deduplication window may have ended.
     pub fn may_begin(&self, now: Time, id: MessageId, endpoint: EndpointId) -> bool {
         let (Some(pending), Some(target)) = (self.pending.get(&id), self.endpoints.get(&endpoint)) else {
             return false;
         };
-        let shared = self.destinations.get(&target.destination).and_then(|d| d.shared_route);
+        let shared = self.destinations.get(&target.destination).and_then(|state| state.shared_route);
         self.rule_draining(target)
             && self.is_retryable(pending, now)
             && now >= self.routes[shared.unwrap_or(target.route)].retry_after_until
@@ -43,7 +43,8 @@
         matches!(pending.progress, Progress::Waiting(_)) && self.now < self.latest_end(pending)
     }
 
-    /// Rule 3: nothing new to draining, removed or excluded endpoints, at once: stricter than the grace time.
+    /// Rule 3: no new calls to draining, removed or excluded endpoints. Stricter than required: without the
+    /// grace time.
     pub(super) fn rule_draining(&self, target: &Endpoint) -> bool {
         target.in_service()
     }
@@ -52,7 +53,7 @@
     fn rule_slow_start(&self, route: &Route) -> bool {
         match route.health {
             Health::Up => true,
-            Health::Down(next) => self.now >= next && route.out.is_empty(),
+            Health::Down(next) => self.now >= next && route.in_flight.is_empty(),
             Health::Recovering(_) => route.tokens >= 1.0,
         }
     }
@@ -62,9 +63,9 @@
         self.now >= route.retry_after_until
     }
 
-    /// Rule 6: only the first message of its key, and after the settle time of the one before.
+    /// Rule 6: only the first message of a key, after the settle time of the previous one.
     pub(super) fn rule_ordering(&self, pending: &PendingMessage) -> bool {
-        let Some(key) = pending.message.key.and_then(|k| self.keys.get(&k)) else { return true };
+        let Some(key) = pending.message.key.and_then(|key| self.keys.get(&key)) else { return true };
         match key.queue.first() {
             Some(first) if *first == pending.message.id => pending.attempts > 0 || self.now >= key.settles_at,
             _ => !pending.message.class.ordered,
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -1,5 +1,5 @@
 //! The policy's data: pending messages, calls in flight, routes, endpoints, destinations and ordering keys.
-//! Their serialized form is what a handover passes on: the order of fields and variants must stay.
+//! A handover transfers their serialized form: the order of fields and variants must not change.
 
 use crate::interface::{DestinationId, EndpointId, KindId, Listing, Message, MessageId, Time, ZoneId};
 use serde::{Deserialize, Serialize};
@@ -11,14 +11,13 @@
     pub(super) call: u64,
 }
 
-/// The progress of a message.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub(super) enum Progress {
-    /// For its turn, not before this.
+    /// To be sent, not before this time.
     Waiting(Time),
-    /// For the outcome of an attempt.
+    /// An attempt's outcome is awaited.
     InFlight(Attempt),
-    /// Complete, with an attempt still in flight: retained for the slot and the order of its key.
+    /// Complete, but the attempt in flight still occupies a slot and the ordering key.
     Abandoned(Attempt),
 }
 
@@ -45,12 +44,12 @@
 pub(super) struct Call {
     pub(super) sent: Time,
     pub(super) unfinished: usize,
-    /// How long its endpoint had been without an answer when it was sent, in seconds.
+    /// Seconds since its endpoint's last answer when it was sent.
     pub(super) idle_s: f64,
     /// Calls in flight at its endpoint, including it.
     pub(super) concurrency: usize,
     pub(super) routes: [Option<usize>; 2],
-    /// Later calls that its endpoint has answered.
+    /// Number of later calls that its endpoint has answered.
     pub(super) overtaken_by: u32,
     pub(super) cancelled: bool,
     pub(super) recorded: bool,
@@ -61,9 +60,9 @@
 pub(super) enum Health {
     #[default]
     Up,
-    /// In an outage: one probe at a time, not before this.
+    /// In an outage: one probe at a time, not before this time.
     Down(Time),
-    /// Responding again since: limited by slow start.
+    /// Responding again since this time: limited by slow start.
     Recovering(Time),
 }
 
@@ -77,20 +76,24 @@
     pub(super) failure_rate: f64,
     pub(super) consecutive_failures: u32,
     pub(super) rejections: u32,
-    /// When a rejection was last recorded: those of calls already in flight then are the same sign.
+    /// When a rejection was last counted: rejections of calls in flight then are not counted again.
     pub(super) rejected_at: Time,
     pub(super) latency: f64,
     pub(super) deviation: f64,
-    pub(super) out: Vec<(u64, Time)>,
-    /// Concurrent calls that its endpoint was seen to accept, and since when; 0: unknown.
+    /// Calls and when they were sent, oldest first.
+    pub(super) in_flight: Vec<(u64, Time)>,
+    /// Concurrent calls that its endpoint was seen to accept; 0 if unknown.
     pub(super) connection_limit: usize,
     pub(super) limit_seen_at: Time,
     pub(super) last_answer: Time,
     pub(super) last_success: Time,
+    /// Successful calls per second, averaged.
     pub(super) rate: f64,
-    pub(super) pace_limit: f64,
+    /// This sender's calls per second; lowered by rejections.
+    pub(super) rate_limit: f64,
     pub(super) tokens: f64,
     pub(super) refilled_at: Time,
+    /// Calls per second of all senders, listed or reported; 0 if unknown.
     pub(super) known_limit: f64,
 }
 
@@ -100,7 +103,7 @@
     pub(super) zone: ZoneId,
     pub(super) kind: KindId,
     pub(super) listing: Listing,
-    /// Taken out of service by operators, whatever the list says.
+    /// Taken out of service by operators, whatever the list's state.
     pub(super) excluded: bool,
     pub(super) route: usize,
 }
@@ -129,7 +132,7 @@
         Route {
             destination,
             endpoint,
-            pace_limit: f64::INFINITY,
+            rate_limit: f64::INFINITY,
             tokens: 1.0,
             known_limit: hint,
             ..Route::default()
