--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! message-sender decides what a delivery service does with each outbound message: when to send it, where,
-//! whether to try again, and when to give up. It performs no I/O and reads no clock: a host feeds
-//! [`Event`]s to [`Sender::step`] and carries out the [`Action`]s. The real sender round it, `net`, is here only so
-//! that its parts can be measured by `cargo bench`; nothing else is to depend on it.
+//! The sending policy of a message delivery service: when and where each outbound message is sent, whether
+//! it is retried, and when it is given up. [`Sender`] performs no I/O and reads no clock: a host passes
+//! [`Event`]s to [`Sender::step`] and executes the returned [`Action`]s. The network host, `net`, is public
+//! only so that `cargo bench` can measure its parts; nothing else should depend on it.
 //!
 //! ```
 //! use message_sender::*;
@@ -38,7 +38,7 @@
 //! ```
 #![forbid(unsafe_code)]
 
-// The network code names the module as the program and the adapter do.
+// Lets `net` refer to this crate by name, as the program and the adapter do.
 extern crate self as message_sender;
 
 pub mod config;
--- a/src/policy/outage.rs
+++ b/src/policy/outage.rs
@@ -62,7 +62,7 @@
             self.tokens = if wait.is_some() { self.tokens.clamp(0.0, 1.0) } else { 0.0 };
         }
         // Rejections only: down, not busy; so is a wait longer than any rate limit's. With a known end,
-        // slow start begins then, with a random token that spreads the senders that know it.
+        // slow start begins then, with a random part of a token to spread the senders that know it.
         let long_wait = wait.is_some_and(|wait| wait.0 as f64 > OUTAGE_WAIT_TOLERANCES * tolerance);
         let down = long_wait || self.rejections > OUTAGE_FAILURES;
         if down && wait.is_some() {
--- a/src/policy/rate_limit.rs
+++ b/src/policy/rate_limit.rs
@@ -97,8 +97,8 @@
 
     /// Calls per second that are safe while the route's health is unknown: this sender's share of what the
     /// recovery rule lets all send to a cold route. Without a known limit that is one per overload tolerance;
-    /// but only those with a waiting message call, so each may send the cold share
-    /// of one message per slow start.
+    /// but only those with a waiting message call, so each may send the cold share of one message per slow
+    /// start.
     pub(super) fn probe_rate(&self, settings: &Settings) -> f64 {
         let cold = settings.rules.slow_start_share * settings.rules.overload_factor * RECOVERY_MARGIN;
         let tolerated =
@@ -156,7 +156,8 @@
         Some(own.max(destination.shared_route.map_or(Some(own), |route| opens(&self.routes[route]))?))
     }
 
-    /// When a new call may go to the destination; `None` before a call completes.
+    /// When a new call may go to the destination; `None` while only a completed call or a
+    /// change of the list could permit one.
     pub(super) fn next_call_at(&self, destination: DestinationId) -> Option<Time> {
         let opening = self.opening(destination, |route| route.opens_at(self.now, &self.settings));
         opening.filter(|_| self.has_slot(destination))
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -6,9 +6,9 @@
 
 /// First backoff as a share of the latency target, so that several attempts fit before the value drops much.
 pub(super) const BACKOFF_TARGET_SHARE: f64 = 0.14;
-/// Maximum backoff, in first backoffs (the specification: 10 s over 1 s).
+/// Maximum backoff, in first backoffs (the original write-up: 10 s over 1 s).
 const MAX_BACKOFF_FACTOR: f64 = 10.0;
-/// Maximum jitter, in first backoffs (the specification: 500 ms over 1 s).
+/// Maximum jitter, in first backoffs (the original write-up: 500 ms over 1 s).
 const BACKOFF_JITTER_FACTOR: f64 = 0.5;
 
 impl Sender {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers shared by the tests of the module: settings, a list, and a host that keeps the clock.
+//! Helpers shared by the tests of the policy: settings, list entries, events, and a host with a manual clock.
 #![allow(dead_code)]
 use message_sender::*;
 
@@ -60,11 +60,11 @@
     }
 }
 
-/// An entry of destination `d`: endpoint number, kind and zone.
-pub fn entry(d: u64, endpoint: u32, kind: usize, zone: usize) -> Entry {
+/// An active list entry.
+pub fn entry(destination: u64, endpoint: u32, kind: usize, zone: usize) -> Entry {
     Entry {
         endpoint: EndpointId(endpoint),
-        destination: DestinationId(d),
+        destination: DestinationId(destination),
         kind: KindId(kind),
         zone: ZoneId(zone),
         listing: Listing::Active,
@@ -72,7 +72,7 @@
     }
 }
 
-/// A sender with a clock: each call is one step.
+/// A sender with a manual clock; `step` omits timers, log lines and closed connections from the actions.
 pub struct Host {
     pub sender: Sender,
     pub now: u64,
@@ -88,43 +88,43 @@
     pub fn step(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.sender.step(Time(self.now), events, &mut actions);
-        actions.retain(|a| !matches!(a, Action::WakeIn(_) | Action::Log(_) | Action::CloseIdle(_)));
+        actions.retain(|action| !matches!(action, Action::WakeIn(_) | Action::Log(_) | Action::CloseIdle(_)));
         actions
     }
 
-    pub fn message(&mut self, id: u32, class: ClassId, d: u64) -> Vec<Action> {
-        self.step(&[message(id, class, d, None)])
+    pub fn submit(&mut self, id: u32, class: ClassId, destination: u64) -> Vec<Action> {
+        self.step(&[message(id, class, destination, None)])
     }
 
-    pub fn ended(&mut self, id: u32, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        self.step(&[ended(id, attempt, outcome)])
+    pub fn complete(&mut self, id: u32, attempt: u32, outcome: Outcome) -> Vec<Action> {
+        self.step(&[completed(id, attempt, outcome)])
     }
 
-    /// Steps on, waking every 20 ms, for `span`; all that was done, with the time of each action.
-    pub fn run(&mut self, span: u64) -> Vec<(u64, Action)> {
-        let end = self.now + span;
-        let mut all = Vec::new();
+    /// Steps every 20 ms for `duration`; returns all actions with their times.
+    pub fn run(&mut self, duration: u64) -> Vec<(u64, Action)> {
+        let end = self.now + duration;
+        let mut timed = Vec::new();
         while self.now < end {
             self.now += 20_000;
             let now = self.now;
-            all.extend(self.step(&[Event::TimerFired]).into_iter().map(|a| (now, a)));
+            timed.extend(self.step(&[Event::TimerFired]).into_iter().map(|action| (now, action)));
         }
-        all
+        timed
     }
 }
 
-pub fn message(id: u32, class: ClassId, d: u64, key: Option<u64>) -> Event {
+pub fn message(id: u32, class: ClassId, destination: u64, key: Option<u64>) -> Event {
     Event::Message(Message {
         id: MessageId(id),
         class: settings().classes[class.0],
         tenant: None,
         key: key.map(OrderKey),
-        destination: DestinationId(d),
+        destination: DestinationId(destination),
         budget: Span(16 * SECOND),
     })
 }
 
-pub fn ended(id: u32, attempt: u32, outcome: Outcome) -> Event {
+pub fn completed(id: u32, attempt: u32, outcome: Outcome) -> Event {
     Event::AttemptCompleted {
         message: MessageId(id),
         attempt,
@@ -135,30 +135,31 @@
     }
 }
 
-/// Where message `id` was sent among `actions`.
+/// The endpoint to which `actions` first send message `id`.
 pub fn sent(actions: &[Action], id: u32) -> Option<u32> {
-    actions.iter().find_map(|a| match a {
+    actions.iter().find_map(|action| match action {
         Action::Send { message, endpoint, .. } if message.0 == id => Some(endpoint.0),
         _ => None,
     })
 }
 
-/// When and where message `id` was first sent in a run.
-pub fn sent_at(run: &[(u64, Action)], id: u32) -> Option<(u64, u32)> {
-    run.iter().find_map(|(at, a)| sent(std::slice::from_ref(a), id).map(|e| (*at, e)))
+/// The time and endpoint of the first send of message `id` in a run.
+pub fn first_send(run: &[(u64, Action)], id: u32) -> Option<(u64, u32)> {
+    run.iter()
+        .find_map(|(time, action)| sent(std::slice::from_ref(action), id).map(|endpoint| (*time, endpoint)))
 }
 
 pub fn refused(run: &[(u64, Action)], id: u32) -> bool {
-    run.iter().any(|(_, a)| matches!(a, Action::Refuse { message, .. } if message.0 == id))
+    run.iter().any(|(_, action)| matches!(action, Action::Refuse { message, .. } if message.0 == id))
 }
 
 pub fn failed(run: &[(u64, Action)], id: u32) -> bool {
-    run.iter().any(|(_, a)| *a == Action::Fail(MessageId(id)))
+    run.iter().any(|(_, action)| *action == Action::Fail(MessageId(id)))
 }
 
 impl Host {
-    /// One step with all its actions, closed connections too.
-    pub fn raw(&mut self, events: &[Event]) -> Vec<Action> {
+    /// One step with all of its actions.
+    pub fn step_unfiltered(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.sender.step(Time(self.now), events, &mut actions);
         actions
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,5 +1,6 @@
-//! Arbitrary legal sequences of events, from fixed seeds: the rules that a sender can see are checked on every
-//! action, and every message ends exactly once. Outcomes are drawn blindly; nothing here models a server.
+//! Property tests: random valid sequences of events from fixed seeds. Every action is checked against the
+//! rules that a sender can observe, and every message must complete exactly once. Outcomes are random; no
+//! server is modelled.
 mod common;
 use common::*;
 use message_sender::*;
@@ -7,177 +8,211 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-struct Seen {
+struct Tracked {
     message: Message,
-    taken: u64,
+    accepted_at: u64,
     attempts: u32,
-    out: Option<(u64, u32)>,
-    ran: Option<(u64, usize)>,
-    ended: bool,
+    /// Time-out and endpoint of the attempt in flight.
+    in_flight: Option<(u64, u32)>,
+    /// Time and zone of the first attempt that may have executed.
+    executed: Option<(u64, usize)>,
+    complete: bool,
 }
 
-fn play(seed: u64) -> Vec<(u64, Action)> {
+fn run_random_events(seed: u64) -> Vec<(u64, Action)> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut draw = move |n: u64| random.next_u64() % n;
-    let mut s = settings();
-    s.kinds[0].batch = 1 + draw(4) as usize;
-    s.max_attempts = 4;
-    let classes = s.classes.clone();
-    let apart = |d: u64| d % 2 == 1;
+    let mut random_below = move |bound: u64| random.next_u64() % bound;
+    let mut settings = settings();
+    settings.kinds[0].batch = 1 + random_below(4) as usize;
+    settings.max_attempts = 4;
+    let classes = settings.classes.clone();
+    let independent_routes = |destination: u64| destination % 2 == 1;
     let mut listing = BTreeMap::new();
-    let list: Vec<Entry> =
-        (0..12).map(|e| entry(u64::from(e) % 5, e, (e % 5 % 2) as usize, (e / 5 % 2) as usize)).collect();
-    let mut host = Host::new(s.clone(), list.clone());
-    let mut seen: BTreeMap<u32, Seen> = BTreeMap::new();
+    let list: Vec<Entry> = (0..12)
+        .map(|id| entry(u64::from(id) % 5, id, (id % 5 % 2) as usize, (id / 5 % 2) as usize))
+        .collect();
+    let mut host = Host::new(settings.clone(), list.clone());
+    let mut messages: BTreeMap<u32, Tracked> = BTreeMap::new();
     let mut keys: BTreeMap<u64, (Vec<u32>, u64)> = BTreeMap::new();
     let mut waits: BTreeMap<(u64, u32), u64> = BTreeMap::new();
     let mut trace = Vec::new();
     let start = host.now;
     let mut id = 0;
     loop {
-        let quiet = host.now > start + 40 * SECOND;
-        if quiet && seen.values().all(|m| m.ended && m.out.is_none()) {
+        let submissions_over = host.now > start + 40 * SECOND;
+        if submissions_over
+            && messages.values().all(|tracked| tracked.complete && tracked.in_flight.is_none())
+        {
             break;
         }
-        assert!(host.now < start + 80 * SECOND, "seed {seed}: a message never ended");
+        assert!(host.now < start + 80 * SECOND, "seed {seed}: a message never completed");
         let mut events = vec![Event::TimerFired];
-        if draw(400) == 0 {
-            let e = list[draw(12) as usize];
-            let state = [Listing::Active, Listing::Draining, Listing::Removed][draw(3) as usize];
-            listing.insert(e.endpoint.0, state);
-            events.push(Event::ListChanges(vec![Entry { listing: state, ..e }]));
+        if random_below(400) == 0 {
+            let listed = list[random_below(12) as usize];
+            let state = [Listing::Active, Listing::Draining, Listing::Removed][random_below(3) as usize];
+            listing.insert(listed.endpoint.0, state);
+            events.push(Event::ListChanges(vec![Entry { listing: state, ..listed }]));
         }
-        while !quiet && draw(4) == 0 {
+        while !submissions_over && random_below(4) == 0 {
             id += 1;
-            let class = draw(5) as usize;
-            let key = (class == 4).then(|| OrderKey(draw(6)));
-            let (destination, budget) = (DestinationId(draw(6)), Span(SECOND + draw(15 * SECOND)));
+            let class = random_below(5) as usize;
+            let key = (class == 4).then(|| OrderKey(random_below(6)));
+            let (destination, budget) =
+                (DestinationId(random_below(6)), Span(SECOND + random_below(15 * SECOND)));
             let message =
                 Message { id: MessageId(id), class: classes[class], tenant: None, key, destination, budget };
             if let Some(key) = key {
                 keys.entry(key.0).or_insert((vec![], 0)).0.push(id);
             }
-            let new = Seen { message, taken: host.now, attempts: 0, out: None, ran: None, ended: false };
-            seen.insert(id, new);
+            let tracked = Tracked {
+                message,
+                accepted_at: host.now,
+                attempts: 0,
+                in_flight: None,
+                executed: None,
+                complete: false,
+            };
+            messages.insert(id, tracked);
             events.push(Event::Message(message));
         }
-        for (id, m) in &mut seen {
-            let Some((expires, endpoint)) = m.out else {
-                if !m.ended && draw(20_000) == 0 {
-                    m.ended = true;
+        for (id, tracked) in &mut messages {
+            let Some((expires, endpoint)) = tracked.in_flight else {
+                if !tracked.complete && random_below(20_000) == 0 {
+                    tracked.complete = true;
                     events.push(Event::ClientCancelled(MessageId(*id)));
                 }
                 continue;
             };
-            if draw(10) > 0 && expires > host.now {
+            if random_below(10) > 0 && expires > host.now {
                 continue;
             }
-            let pick =
-                if expires <= host.now { 2 } else { [0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7][draw(11) as usize] };
-            let outcome = match pick {
+            let choice = if expires <= host.now {
+                2
+            } else {
+                [0, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7][random_below(11) as usize]
+            };
+            let outcome = match choice {
                 0 => Outcome::Success,
                 1 => Outcome::Failure,
                 2 => Outcome::TimedOut,
                 3 => Outcome::Reset,
                 4 => Outcome::ConnectFailed,
-                5 => Outcome::Full((draw(2) == 0).then(|| Span(draw(3 * SECOND)))),
+                5 => Outcome::Full((random_below(2) == 0).then(|| Span(random_below(3 * SECOND)))),
                 6 => Outcome::Void,
                 _ => Outcome::Cancelled,
             };
             let zone = list[endpoint as usize].zone.0;
             match outcome {
                 Outcome::Failure | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
-                    m.ran = m.ran.or(Some((host.now, zone)));
+                    tracked.executed = tracked.executed.or(Some((host.now, zone)));
                     if outcome != Outcome::Failure
-                        && let Some(key) = m.message.key
+                        && let Some(key) = tracked.message.key
                     {
                         keys.get_mut(&key.0).unwrap().1 = host.now + 2 * SECOND;
                     }
                 }
                 Outcome::Full(Some(wait)) => {
-                    let d = m.message.destination.0;
-                    let at = (d, if apart(d) { endpoint } else { 0 });
-                    let until = waits.entry(at).or_insert(0);
+                    let destination = tracked.message.destination.0;
+                    let route = (destination, if independent_routes(destination) { endpoint } else { 0 });
+                    let until = waits.entry(route).or_insert(0);
                     *until = (*until).max(host.now + wait.0);
                 }
                 _ => {}
             }
-            m.out = None;
-            m.ended |= outcome == Outcome::Success;
+            tracked.in_flight = None;
+            tracked.complete |= outcome == Outcome::Success;
             events.push(Event::AttemptCompleted {
                 message: MessageId(*id),
-                attempt: m.attempts - 1,
+                attempt: tracked.attempts - 1,
                 outcome,
                 elapsed: Span(1),
-                last: m.ended,
+                last: tracked.complete,
                 report: None,
             });
         }
         for (queue, _) in keys.values_mut() {
-            queue.retain(|id| !seen[id].ended || seen[id].out.is_some());
+            queue.retain(|id| !messages[id].complete || messages[id].in_flight.is_some());
         }
         for action in host.step(&events) {
             trace.push((host.now, action.clone()));
             match action {
                 Action::Send { message, endpoint, expires } => {
-                    let m = seen.get_mut(&message.0).unwrap();
-                    let at = list[endpoint.0 as usize];
-                    let d = m.message.destination.0;
-                    assert!(!m.ended && m.out.is_none() && m.attempts < 4, "seed {seed}: {message:?}");
-                    assert_eq!(at.destination, m.message.destination);
+                    let tracked = messages.get_mut(&message.0).unwrap();
+                    let target = list[endpoint.0 as usize];
+                    let destination = tracked.message.destination.0;
+                    assert!(
+                        !tracked.complete && tracked.in_flight.is_none() && tracked.attempts < 4,
+                        "seed {seed}: {message:?}"
+                    );
+                    assert_eq!(target.destination, tracked.message.destination);
                     assert_eq!(*listing.get(&endpoint.0).unwrap_or(&Listing::Active), Listing::Active);
-                    assert!(expires.0 > host.now && expires.0 < m.taken + m.message.budget.0);
-                    let wait = waits.get(&(d, if apart(d) { endpoint.0 } else { 0 })).copied().unwrap_or(0);
-                    assert!(host.now >= wait, "seed {seed}: a told wait broken");
-                    match (m.message.class.repeat, m.ran) {
-                        (Repeat::Unsafe, Some(_)) => panic!("seed {seed}: unsafe repeated"),
-                        (Repeat::Keyed { group, window }, Some((at_first, zone))) => {
-                            assert!(host.now < at_first + window.0);
-                            assert!(group == Group::All || zone == at.zone.0);
+                    assert!(
+                        expires.0 > host.now && expires.0 < tracked.accepted_at + tracked.message.budget.0
+                    );
+                    let wait_end = waits
+                        .get(&(destination, if independent_routes(destination) { endpoint.0 } else { 0 }))
+                        .copied()
+                        .unwrap_or(0);
+                    assert!(host.now >= wait_end, "seed {seed}: sent before the end of Retry-After");
+                    match (tracked.message.class.repeat, tracked.executed) {
+                        (Repeat::Unsafe, Some(_)) => panic!("seed {seed}: unsafe message retried"),
+                        (Repeat::Keyed { group, window }, Some((executed_at, zone))) => {
+                            assert!(host.now < executed_at + window.0);
+                            assert!(group == Group::All || zone == target.zone.0);
                         }
                         _ => {}
                     }
-                    if let Some(key) = m.message.key {
-                        let (queue, rest) = &keys[&key.0];
+                    if let Some(key) = tracked.message.key {
+                        let (queue, settles_at) = &keys[&key.0];
                         assert_eq!(queue.first(), Some(&message.0), "seed {seed}: out of order");
-                        assert!(m.attempts > 0 || host.now >= *rest, "seed {seed}: not settled");
+                        assert!(
+                            tracked.attempts > 0 || host.now >= *settles_at,
+                            "seed {seed}: sent before the settle time"
+                        );
                     }
-                    m.out = Some((expires.0, endpoint.0));
-                    m.attempts += 1;
+                    tracked.in_flight = Some((expires.0, endpoint.0));
+                    tracked.attempts += 1;
                 }
                 Action::Refuse { message: id, .. } | Action::Fail(id) => {
-                    let m = seen.get_mut(&id.0).unwrap();
-                    assert!(!m.ended && m.out.is_none(), "seed {seed}: {id:?} ended twice");
-                    assert!(host.now <= m.taken + m.message.budget.0 + 20_000);
-                    let harmless = match m.message.class.repeat {
+                    let tracked = messages.get_mut(&id.0).unwrap();
+                    assert!(
+                        !tracked.complete && tracked.in_flight.is_none(),
+                        "seed {seed}: {id:?} completed twice or while in flight"
+                    );
+                    assert!(host.now <= tracked.accepted_at + tracked.message.budget.0 + 20_000);
+                    let safe_to_resubmit = match tracked.message.class.repeat {
                         Repeat::Safe | Repeat::Keyed { group: Group::All, .. } => true,
-                        _ => m.ran.is_none(),
+                        _ => tracked.executed.is_none(),
                     };
-                    assert!(harmless || action == Action::Fail(id), "seed {seed}: refused what may have run");
-                    m.ended = true;
-                    if let Some(key) = m.message.key {
+                    assert!(
+                        safe_to_resubmit || action == Action::Fail(id),
+                        "seed {seed}: refused a message that may have executed"
+                    );
+                    tracked.complete = true;
+                    if let Some(key) = tracked.message.key {
                         keys.get_mut(&key.0).unwrap().0.retain(|other| *other != id.0);
                     }
                 }
                 other => panic!("seed {seed}: {other:?}"),
             }
         }
-        let calls: BTreeSet<_> = seen.iter().filter_map(|(id, m)| m.out.map(|o| (o.1, *id))).collect();
-        assert!(calls.len() <= s.slots * s.kinds[0].batch);
-        host.now += 5_000 * (1 + draw(2));
+        let calls: BTreeSet<_> =
+            messages.iter().filter_map(|(id, tracked)| tracked.in_flight.map(|call| (call.1, *id))).collect();
+        assert!(calls.len() <= settings.slots * settings.kinds[0].batch);
+        host.now += 5_000 * (1 + random_below(2));
     }
-    assert!(seen.len() > 100 && trace.len() > seen.len(), "something happened");
+    assert!(messages.len() > 100 && trace.len() > messages.len(), "seed {seed}: too few events");
     trace
 }
 
 #[test]
 fn arbitrary_sequences_keep_the_rules() {
     for seed in 0..10 {
-        play(seed);
+        run_random_events(seed);
     }
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    assert_eq!(play(1), play(1));
+    assert_eq!(run_random_events(1), run_random_events(1));
 }
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -1,10 +1,11 @@
-//! The module's size and line width, which people on call rely on, and the layout that `docs/sender-architecture.md` draws.
+//! Limits on the size and line width of the policy, which people on call must be able to read, and on the
+//! layers that `docs/sender-architecture.md` describes.
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// The words of a file, comments included, without module docs, imports, heads of `impl` blocks and `pub(super)`: all
-/// that a split into files adds.
-fn words(text: &str) -> usize {
+/// The number of words in a file, comments included. Module docs, imports, heads of `impl` blocks and
+/// `pub(super)` don't count, as a split into files adds them.
+fn count_words(text: &str) -> usize {
     let (mut words, mut in_import) = (0, false);
     for line in text.lines() {
         let import = in_import || ["use ", "pub use ", "mod "].iter().any(|head| line.starts_with(head));
@@ -19,33 +20,34 @@
 }
 
 #[test]
-fn the_policy_stays_readable() {
+fn the_policy_has_a_readable_size() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy");
     let files: Vec<_> = std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
     assert!(files.len() > 10, "{files:?}");
     let mut size = 0;
     for file in files {
         let text = std::fs::read_to_string(&file).unwrap();
-        let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
+        let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
         assert!(lines <= 200, "{} has {lines} non-blank lines", file.display());
         for (number, line) in text.lines().enumerate() {
             assert!(line.chars().count() <= 110, "{}:{} is too long", file.display(), number + 1);
         }
         assert!(text.starts_with("//! "), "{} has no module doc", file.display());
         if file.ends_with("mod.rs") {
-            assert!(text.lines().next().is_some_and(|l| l.contains("src/interface.rs")));
+            assert!(text.lines().next().is_some_and(|line| line.contains("src/interface.rs")));
         }
-        size += words(&text);
+        size += count_words(&text);
     }
-    // When it was one file and stood at its bound of 1,200 non-blank lines, these were 7,993 words.
+    // The policy had 7,993 words when it was one file at its bound of 1,200 non-blank lines.
     assert!(size <= 7_993, "{size} words");
 }
 
-/// The files of `src/net` that each of them names, `host` with all of its parts as one.
-fn uses() -> BTreeMap<String, BTreeSet<String>> {
+/// For each module of `src/net`, the others that it refers to. The files of a folder, such as `host`, count
+/// as one module.
+fn module_uses() -> BTreeMap<String, BTreeSet<String>> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/net");
     let mut uses: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
-    let mut read = |name: &str, path: &Path| {
+    let mut add_file = |name: &str, path: &Path| {
         let text = std::fs::read_to_string(path).unwrap();
         let text = text.split("#[cfg(test)]").next().unwrap().to_owned();
         let parts = text.split("super::").chain(text.split("crate::net::")).skip(1);
@@ -57,10 +59,10 @@
         match entry.is_dir() {
             true => {
                 let parts = std::fs::read_dir(&entry).unwrap().map(|part| part.unwrap().path());
-                // Tests may reach for anything.
-                parts.filter(|part| !part.ends_with("tests.rs")).for_each(|part| read(&name, &part));
+                // Tests may refer to any module.
+                parts.filter(|part| !part.ends_with("tests.rs")).for_each(|part| add_file(&name, &part));
             }
-            false if name != "mod" => read(&name, &entry),
+            false if name != "mod" => add_file(&name, &entry),
             false => {}
         }
     }
@@ -69,22 +71,23 @@
     uses
 }
 
-/// Guards against circles in `src/net`: there was one of six files, tied by what reaches the loop.
+/// Guards against dependency cycles in `src/net`: six files once formed one, through the inputs of the event
+/// loop.
 #[test]
-fn the_network_code_has_layers() {
-    let mut left = uses();
-    assert!(left["host"].contains("pool") && left["input"].contains("relay"), "{left:?}");
-    while !left.is_empty() {
-        let free: Vec<String> =
-            left.iter().filter(|(_, used)| used.is_empty()).map(|(name, _)| name.clone()).collect();
-        assert!(!free.is_empty(), "a circle among {left:?}");
-        left.retain(|name, _| !free.contains(name));
-        left.values_mut().for_each(|used| used.retain(|name| !free.contains(name)));
+fn the_network_code_has_no_dependency_cycle() {
+    let mut remaining = module_uses();
+    assert!(remaining["host"].contains("pool") && remaining["input"].contains("relay"), "{remaining:?}");
+    while !remaining.is_empty() {
+        let leaves: Vec<String> =
+            remaining.iter().filter(|(_, used)| used.is_empty()).map(|(name, _)| name.clone()).collect();
+        assert!(!leaves.is_empty(), "a dependency cycle among {remaining:?}");
+        remaining.retain(|name, _| !leaves.contains(name));
+        remaining.values_mut().for_each(|used| used.retain(|name| !leaves.contains(name)));
     }
 }
 
 #[test]
-fn no_part_of_the_loop_outgrows_a_look() {
+fn files_of_the_event_loop_stay_short() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/net/host");
     for part in std::fs::read_dir(folder).unwrap().map(|part| part.unwrap().path()) {
         let lines = std::fs::read_to_string(&part).unwrap().lines().count();
@@ -92,7 +95,7 @@
     }
 }
 
-/// The source files below a folder, without tests, that hold one of these words.
+/// The source files below a folder that contain one of `words`, without files named `tests`.
 fn files_with(folder: &Path, words: &[&str]) -> BTreeSet<String> {
     let mut found = BTreeSet::new();
     for path in std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()) {
@@ -112,15 +115,15 @@
     found
 }
 
-/// Guards against leases, holds or orders that a jump of the clock would change.
+/// Guards against leases, locks or orderings that a clock adjustment would change.
 #[test]
-fn no_program_of_the_tier_decides_by_the_time_of_day() {
+fn only_the_incarnation_uses_the_time_of_day() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("system");
     let words = ["SystemTime", "UNIX_EPOCH", "Utc::now", "Local::now", "OffsetDateTime", "Zoned::now"];
     let folders = std::fs::read_dir(&root).unwrap().map(|entry| entry.unwrap().path().join("src"));
     let found: BTreeSet<String> =
         folders.filter(|folder| folder.is_dir()).flat_map(|folder| files_with(&folder, &words)).collect();
-    // A process's number, which rises also where the clock has gone back.
+    // Derives the process's incarnation, which increases even if the clock was set back.
     let known = root.join("programs/src/members.rs");
     assert_eq!(found, BTreeSet::from([known.to_str().unwrap().to_owned()]));
 }
