--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -76,8 +76,8 @@
     let mut submitted: Vec<u32> = Vec::new();
     for id in 0..40 {
         submitted.extend([id]);
-        host.step(&[message(id, SAFE, 1, None)]).iter().for_each(|a| {
-            if let Action::Send { message, .. } = a {
+        host.step(&[message(id, SAFE, 1, None)]).iter().for_each(|action| {
+            if let Action::Send { message, .. } = action {
                 attempts.insert(message.0, 0);
                 sends.push(host.now);
             }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -19,7 +19,7 @@
     let mut host = Host::new(settings(), vec![entry(1, 0, 0, 0), entry(1, 1, 0, 1)]);
     assert_eq!(sent(&host.submit(7, class, 1), 7), Some(0));
     host.now += 100_000;
-    let mut run: Vec<_> = host.complete(7, 0, outcome).into_iter().map(|a| (host.now, a)).collect();
+    let mut run: Vec<_> = host.complete(7, 0, outcome).into_iter().map(|action| (host.now, action)).collect();
     run.extend(host.run(4 * SECOND));
     (first_send(&run, 7).map(|(_, endpoint)| endpoint), refused(&run, 7), failed(&run, 7))
 }
@@ -98,8 +98,10 @@
         let accepted_at = host.now;
         assert!(host.submit(7, UNSAFE, 1).is_empty());
         let run = host.run(20 * SECOND);
-        let refusals: Vec<_> =
-            run.iter().filter(|(_, a)| matches!(a, Action::Refuse { message: MessageId(7), .. })).collect();
+        let refusals: Vec<_> = run
+            .iter()
+            .filter(|(_, action)| matches!(action, Action::Refuse { message: MessageId(7), .. }))
+            .collect();
         assert_eq!(run.len(), refusals.len());
         assert_eq!(refusals.len(), 1);
         assert!(refusals[0].0 < accepted_at + 16 * SECOND && refusals[0].0 > accepted_at + 15 * SECOND);
@@ -129,7 +131,7 @@
         assert_eq!(sent(&host.submit(7, SAFE, 1), 7), Some(0));
         host.complete(7, 0, Outcome::Full(Some(Span(2 * SECOND))));
         let reported_at = host.now;
-        let mut run: Vec<_> = host.submit(8, SAFE, 1).into_iter().map(|a| (host.now, a)).collect();
+        let mut run: Vec<_> = host.submit(8, SAFE, 1).into_iter().map(|action| (host.now, action)).collect();
         run.extend(host.run(4 * SECOND));
         let (sent_at, endpoint) = first_send(&run, 8).unwrap();
         assert_eq!(other_route_open, sent_at < reported_at + 2 * SECOND);
@@ -141,9 +143,9 @@
 
 #[test]
 fn the_longest_retry_after_of_a_batch_applies() {
-    let mut s = settings();
-    s.kinds[0].batch = 2;
-    let mut host = Host::new(s, vec![entry(1, 0, 0, 0)]);
+    let mut settings = settings();
+    settings.kinds[0].batch = 2;
+    let mut host = Host::new(settings, vec![entry(1, 0, 0, 0)]);
     let sends = host.step(&[message(1, SAFE, 1, None), message(2, SAFE, 1, None)]);
     assert_eq!(sends.len(), 2);
     let reported_at = host.now;
@@ -265,9 +267,9 @@
 
 #[test]
 fn free_slots_are_shared_fairly_between_destinations() {
-    let mut s = settings();
-    s.slots = 4;
-    let mut host = Host::new(s, vec![entry(1, 0, 0, 0), entry(2, 1, 0, 0)]);
+    let mut settings = settings();
+    settings.slots = 4;
+    let mut host = Host::new(settings, vec![entry(1, 0, 0, 0), entry(2, 1, 0, 0)]);
     let mut events: Vec<Event> = (0..6).map(|id| message(id, SAFE, 1, None)).collect();
     events.push(message(10, SAFE, 2, None));
     let actions = host.step(&events);
@@ -277,14 +279,14 @@
 
 #[test]
 fn the_list_is_requested_again_after_a_failure() {
-    let mut s = settings();
-    s.discovery = Discovery::OnRequest;
-    let mut host = Host { sender: Sender::new(s, 1).unwrap(), now: SECOND };
+    let mut settings = settings();
+    settings.discovery = Discovery::OnRequest;
+    let mut host = Host { sender: Sender::new(settings, 1).unwrap(), now: SECOND };
     assert_eq!(host.step(&[Event::FullList(vec![])]), vec![Action::Subscribe]);
     assert!(host.run(SECOND).is_empty(), "one subscription is enough while it lasts");
     assert!(host.step(&[Event::ListFailed]).is_empty(), "not at once");
     let run = host.run(5 * SECOND);
-    assert_eq!(run.iter().filter(|(_, a)| *a == Action::Subscribe).count(), 1);
+    assert_eq!(run.iter().filter(|(_, action)| *action == Action::Subscribe).count(), 1);
 }
 
 #[test]
@@ -294,7 +296,7 @@
     host.now += SECOND;
     let mut attempt = 0;
     let mut run: Vec<_> =
-        host.complete(7, 0, Outcome::ConnectFailed).into_iter().map(|a| (host.now, a)).collect();
+        host.complete(7, 0, Outcome::ConnectFailed).into_iter().map(|action| (host.now, action)).collect();
     for _ in 0..5 {
         run.extend(host.run(3 * SECOND));
         match first_send(&run, 7) {
@@ -304,7 +306,7 @@
                 run = host
                     .complete(7, attempt, Outcome::ConnectFailed)
                     .into_iter()
-                    .map(|a| (host.now, a))
+                    .map(|action| (host.now, action))
                     .collect();
             }
             None => {}
@@ -316,9 +318,9 @@
 #[test]
 fn the_error_names_the_invalid_setting() {
     let error_of = |change: fn(&mut Settings)| {
-        let mut s = settings();
-        change(&mut s);
-        Sender::new(s, 1).err().expect("an error").to_string()
+        let mut settings = settings();
+        change(&mut settings);
+        Sender::new(settings, 1).err().expect("an error").to_string()
     };
     assert!(error_of(|s| s.classes.clear()).contains("classes"));
     assert!(error_of(|s| s.slots = 0).contains("slots"));
@@ -342,9 +344,9 @@
 
 #[test]
 fn a_capacity_of_one_message_suffices_to_send() {
-    let mut s = settings();
-    s.max_pending = 1;
-    let mut host = Host::new(s, vec![entry(1, 0, 0, 0)]);
+    let mut settings = settings();
+    settings.max_pending = 1;
+    let mut host = Host::new(settings, vec![entry(1, 0, 0, 0)]);
     assert!(sent(&host.submit(7, SAFE, 1), 7).is_some());
 }
 
@@ -392,7 +394,7 @@
         resumed(6, KEYED_ALL, None, 5, Some(SECOND), false),
     ]);
     let mut run = vec![];
-    run.extend(actions.into_iter().map(|a| (now, a)));
+    run.extend(actions.into_iter().map(|action| (now, action)));
     run.extend(host.run(3 * SECOND));
     assert!(failed(&run, 1) && first_send(&run, 1).is_none(), "it may have executed");
     assert!(refused(&run, 2) && first_send(&run, 2).is_none(), "its deduplication window has ended");
@@ -400,7 +402,7 @@
     assert!(first_send(&run, 5).is_none(), "its attempts are used up");
     assert!(first_send(&run, 6).is_some());
     let mut run = host.step(&[Event::OutcomeAcknowledged(MessageId(3))]);
-    run.extend(host.run(SECOND).into_iter().map(|(_, a)| a));
+    run.extend(host.run(SECOND).into_iter().map(|(_, action)| action));
     assert!(sent(&run, 4).is_some());
 }
 
@@ -444,10 +446,13 @@
         host.step_unfiltered(&[Event::Included(EndpointId(0))]).contains(&Action::CloseIdle(EndpointId(0)))
     );
     let first_second = host.run(SECOND);
-    let calls = first_second.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count();
+    let calls = first_second.iter().filter(|(_, action)| matches!(action, Action::Send { .. })).count();
     assert!(calls <= 2, "{calls} calls in the first second");
     let slow_start = host.run(11 * SECOND);
-    assert!(slow_start.iter().any(|(_, a)| matches!(a, Action::Send { .. })), "it is not used again");
+    assert!(
+        slow_start.iter().any(|(_, action)| matches!(action, Action::Send { .. })),
+        "it is not used again"
+    );
 }
 
 /// Guards against new settings that apply retroactively: a pending message keeps its class, even if that
@@ -535,6 +540,9 @@
         host.now += SECOND;
         host.step(&[Event::Included(EndpointId(0))]);
         let run = host.run(12 * SECOND);
-        assert!(run.iter().any(|(_, a)| matches!(a, Action::Send { .. })), "{outcome:?}: closed for good");
+        assert!(
+            run.iter().any(|(_, action)| matches!(action, Action::Send { .. })),
+            "{outcome:?}: closed for good"
+        );
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -14,7 +14,7 @@
 }
 
 fn closes_idle(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::CloseIdle(_)))
+    actions.iter().any(|action| matches!(action, Action::CloseIdle(_)))
 }
 
 /// Submits a message whose connection fails after `elapsed`, then cancels it.
@@ -114,7 +114,7 @@
     let mut host = Host::new(many_senders(), list);
     let timeout = |host: &mut Host, id: u32, class: ClassId, destination: u64| {
         let actions = host.submit(id, class, destination);
-        let timeout = actions.iter().find_map(|a| match a {
+        let timeout = actions.iter().find_map(|action| match action {
             Action::Send { expires, .. } => Some(expires.0 - host.now),
             _ => None,
         });
@@ -228,8 +228,9 @@
     let mut messages: Vec<_> = (1..5).map(|id| message(id, UNSAFE, 1, None)).collect();
     messages.push(message(5, SAFE, 1, None));
     let actions = step_unfiltered(&mut host, &messages);
-    let timers =
-        actions.iter().filter_map(|a| if let Action::WakeIn(span) = a { Some(span.0) } else { None });
+    let timers = actions
+        .iter()
+        .filter_map(|action| if let Action::WakeIn(span) = action { Some(span.0) } else { None });
     assert!(sent(&actions, 5).is_none() && timers.min().is_none_or(|span| span > 15 * SECOND), "{actions:?}");
     let actions = step_unfiltered(&mut host, &[completed(1, 0, Outcome::Success)]);
     assert!([1, 2, 3, 4, 5].iter().any(|id| sent(&actions, *id).is_some()), "{actions:?}");
@@ -244,7 +245,10 @@
         let mut host = Host::new(settings, vec![]);
         host.submit(1, UNSAFE, 77);
         let run = host.run(20 * SECOND);
-        let ends = run.iter().filter(|(_, a)| matches!(a, Action::Refuse { .. } | Action::Fail(_))).count();
+        let ends = run
+            .iter()
+            .filter(|(_, action)| matches!(action, Action::Refuse { .. } | Action::Fail(_)))
+            .count();
         assert_eq!(ends, 1);
     }
 }
@@ -316,7 +320,7 @@
         host.now += 50_000;
         let actions =
             step_unfiltered(host, &[completed(id, 0, outcome), Event::ClientCancelled(MessageId(id))]);
-        let closed = |a: &Action| match a {
+        let closed = |action: &Action| match action {
             Action::CloseIdle(endpoint) => Some(endpoint.0),
             _ => None,
         };
@@ -385,8 +389,8 @@
         false => Outcome::Success,
     });
     let served = calls.iter().filter(|(time, ..)| *time >= recovery);
-    let notified: std::collections::HashSet<usize> = served.clone().map(|(_, sender, _)| *sender).collect();
-    assert!(notified.len() >= 80, "{} senders noticed the recovery within 8 s", notified.len());
+    let noticed_by: std::collections::HashSet<usize> = served.clone().map(|(_, sender, _)| *sender).collect();
+    assert!(noticed_by.len() >= 80, "{} senders noticed the recovery within 8 s", noticed_by.len());
     for from in (recovery..recovery + 6 * SECOND).step_by(100_000) {
         let warmup = (from - recovery) as f64 / rules.slow_start.0 as f64;
         let capacity = RATE * (rules.slow_start_share + (1.0 - rules.slow_start_share) * warmup);
@@ -467,7 +471,7 @@
             &mut host,
             &[Event::FullList(vec![entry(1, id, 1, 0), entry(id.into(), id + 1, 1, 0)])],
         );
-        let evicted = actions.iter().filter_map(|a| match a {
+        let evicted = actions.iter().filter_map(|action| match action {
             Action::Forget(endpoint) => Some(endpoint.0),
             _ => None,
         });
@@ -483,7 +487,7 @@
     assert!(actions.contains(&Action::Forget(EndpointId(0))), "{actions:?}");
     // A single empty list evicts nothing.
     let actions = step_unfiltered(&mut host, &[Event::FullList(vec![])]);
-    assert!(!actions.iter().any(|a| matches!(a, Action::Forget(_))), "{actions:?}");
+    assert!(!actions.iter().any(|action| matches!(action, Action::Forget(_))), "{actions:?}");
 }
 
 /// Guards against evicting an endpoint that one list of a step drops and the next one names again: its
