--- a/src/interface.rs
+++ b/src/interface.rs
@@ -252,7 +252,7 @@
         let check = |ok: bool, error| if ok { Ok(()) } else { Err(SettingsError(error)) };
         check(!self.classes.is_empty() && !self.kinds.is_empty(), "classes or kinds: must not be empty")?;
         check(
-            self.classes.iter().all(|c| c.deadline.0 > 0 && c.latency_target.0 > 0),
+            self.classes.iter().all(|class| class.deadline.0 > 0 && class.latency_target.0 > 0),
             "deadline or aim of a class: must be above 0",
         )?;
         check(self.slots > 0, "slots: must be above 0")?;
--- a/src/policy/connections.rs
+++ b/src/policy/connections.rs
@@ -15,8 +15,8 @@
 impl Sender {
     /// Closes idle connections. One can be dead unnoticed: a call on it is lost though the endpoint is
     /// healthy. After an unanswered call they are closed, and connections idle for as long as that call's are
-    /// no longer used; this limit grows again. They also fill small connection tables: where connections are
-    /// scarce, a sender that expects no call soon keeps none.
+    /// no longer used; this limit grows again. They also fill small connection tables: a sender that expects
+    /// no call within the time for which a kind's tables have capacity keeps none.
     pub(super) fn close_idle(&mut self, attempt: Attempt, outcome: Outcome, actions: &mut Vec<Action>) {
         let endpoint = &self.endpoints[&attempt.endpoint];
         let (route, kind) = (&self.routes[endpoint.route], endpoint.kind);
@@ -39,9 +39,11 @@
             actions.push(Action::CloseIdle(attempt.endpoint));
         }
         if outcome == Outcome::NoRoom {
-            let others =
-                self.endpoints.iter().filter(|(_, e)| e.kind == kind && rarely_called(&self.routes[e.route]));
-            actions.extend(others.map(|(endpoint, _)| Action::CloseIdle(*endpoint)));
+            let others = self
+                .endpoints
+                .iter()
+                .filter(|(_, endpoint)| endpoint.kind == kind && rarely_called(&self.routes[endpoint.route]));
+            actions.extend(others.map(|(id, _)| Action::CloseIdle(*id)));
         }
         let slowest_healthy_s = seconds(route.latency_bound(OVERDUE_DEVIATIONS) as u64);
         if let Some(call) =
--- a/src/policy/draining.rs
+++ b/src/policy/draining.rs
@@ -15,7 +15,7 @@
 
     pub(super) fn update_endpoints(&mut self, entries: &[Entry]) {
         self.list_failures = 0;
-        for entry in entries.iter().filter(|e| e.kind.0 < self.settings.kinds.len()) {
+        for entry in entries.iter().filter(|entry| entry.kind.0 < self.settings.kinds.len()) {
             let independent = self.settings.kinds[entry.kind.0].independent_routes;
             if let Some(known) = self.endpoints.get_mut(&entry.endpoint) {
                 known.listing = entry.listing;
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -84,6 +84,7 @@
     pub(super) in_flight: Vec<(u64, Time)>,
     /// Concurrent calls that its endpoint was seen to accept; 0 if unknown.
     pub(super) connection_limit: usize,
+    /// When `connection_limit` was last confirmed or raised.
     pub(super) limit_seen_at: Time,
     pub(super) last_answer: Time,
     pub(super) last_success: Time,
