--- a/system/request-routing/src/decay.rs
+++ b/system/request-routing/src/decay.rs
@@ -2,12 +2,12 @@
 
 use message_sender::Time;
 
-/// A value and the time of its last update.
+/// A value that decays from the time of its last update.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingValue {
-    /// The value at the time of the update.
+    /// The value at `updated_at`, before any decay.
     pub(crate) value: f64,
-    /// When it was last updated.
+    /// Time of the last update.
     pub(crate) updated_at: Time,
 }
 
@@ -15,7 +15,7 @@
     /// No observation yet.
     pub(crate) const ZERO: Self = Self { value: 0.0, updated_at: Time(0) };
 
-    /// Share of the value that is left at `now`, within 0 and 1, for a half-life in microseconds.
+    /// Share of the value that remains at `now`, between 0 and 1, for a half-life in microseconds.
     pub(crate) fn remaining_share(&self, now: Time, half_life_micros: f64) -> f64 {
         (-(now.since(self.updated_at) as f64) / half_life_micros).exp2()
     }
--- a/system/request-routing/src/endpoint.rs
+++ b/system/request-routing/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! State of one endpoint incarnation: its presence in the list, load, pace, refusals and outlier detection, and the
-//! number of calls that this proxy may have in flight there.
+//! State of one endpoint incarnation: its presence in the list, load, latency, refusals and outlier detection, and the
+//! number of calls that this proxy may have in flight to it.
 
 use crate::decay::DecayingValue;
 use crate::outlier::{Failure, OutlierDetector};
@@ -18,16 +18,16 @@
 /// Jitter added to a refusal backoff, as a share of it.
 const REFUSAL_BACKOFF_JITTER: f64 = 0.25;
 /// Weight of a new observation in the moving mean of the time to first byte.
-const PACE_LEARNING_RATE: f64 = 0.2;
-/// Half-life of the weight of an endpoint's learned pace, in microseconds.
-const PACE_HALF_LIFE_MICROS: f64 = 5_000_000.0;
+const TTFB_SMOOTHING_FACTOR: f64 = 0.2;
+/// Half-life of the weight of an endpoint's mean time to first byte, in microseconds.
+const TTFB_HALF_LIFE_MICROS: f64 = 5_000_000.0;
 
 /// Presence of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Presence {
     /// Listed and accepting calls.
     Ready,
-    /// Final: a draining incarnation does not become ready again.
+    /// Listed as draining. This is final: a draining incarnation does not become ready again.
     Draining,
     /// No longer listed, but calls are still in flight.
     Unlisted,
@@ -36,7 +36,7 @@
 /// Limits of an endpoint that follow from its service's settings and the number of proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EndpointLimits {
-    /// The service runs a model, which batches calls in a fixed number of slots.
+    /// The service's endpoints are model engines, which batch calls in a fixed number of slots.
     pub(crate) engine: bool,
     /// Number of proxies that share the endpoint.
     pub(crate) proxies: u32,
@@ -48,41 +48,40 @@
     pub(crate) cache_tokens: u64,
 }
 
-/// A completed call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CompletedCall {
     pub(crate) outcome: Outcome,
-    /// Time to first byte.
     pub(crate) time_to_first_byte: Span,
     /// Whether the service has enough other endpoints to eject this one.
     pub(crate) may_eject: bool,
-    /// Random value within 0 and 1 for the refusal backoff.
+    /// Random value between 0 and 1 for the refusal backoff.
     pub(crate) jitter: f64,
 }
 
-/// One incarnation of an endpoint as this proxy knows it.
+/// This proxy's view of one endpoint incarnation.
 #[derive(Debug)]
 pub(crate) struct Endpoint {
     pub(crate) key: EndpointKey,
-    /// Its entry in the newest list that had it.
+    /// Entry in the newest list that contained the endpoint.
     pub(crate) listed: fleet_model::Endpoint,
     pub(crate) instance_id: Arc<str>,
     /// Hash of the instance id, for rendezvous hashing.
     pub(crate) hash: u64,
     pub(crate) presence: Presence,
-    /// Calls of this proxy that are in flight.
+    /// This proxy's calls in flight to the endpoint.
     pub(crate) in_flight: u32,
-    /// Open connections of this proxy.
+    /// This proxy's open connections to the endpoint.
     pub(crate) connections: u32,
+    /// Whether another incarnation responds at the listed address.
     misdirected: bool,
     outlier_detector: OutlierDetector,
     backing_off_until: Time,
     /// Consecutive refusals for lack of capacity.
     refusals: u32,
-    /// Calls of other proxies, as of its last load report.
+    /// Calls of other proxies, as of the last load report.
     reported_load: DecayingValue,
     /// Moving mean of the time to first byte, in microseconds; 0 before the first response.
-    pace: DecayingValue,
+    mean_ttfb: DecayingValue,
 }
 
 impl Endpoint {
@@ -100,7 +99,7 @@
             backing_off_until: Time(0),
             refusals: 0,
             reported_load: DecayingValue::ZERO,
-            pace: DecayingValue::ZERO,
+            mean_ttfb: DecayingValue::ZERO,
         }
     }
 
@@ -115,22 +114,21 @@
         }
     }
 
-    /// Calls that the endpoint runs at once.
+    /// Number of calls that the endpoint runs concurrently.
     pub(crate) fn slots(&self, limits: &EndpointLimits) -> u32 {
         if self.listed.capacity_slots > 0 { self.listed.capacity_slots } else { limits.default_slots.max(1) }
     }
 
-    /// Estimated calls at the endpoint: this proxy's, plus the decayed report of other proxies' calls.
+    /// Estimated number of calls at the endpoint: this proxy's, plus the decayed report of other proxies' calls.
     pub(crate) fn load(&self, now: Time) -> f64 {
         f64::from(self.in_flight) + self.load_of_other_proxies(now)
     }
 
-    /// The decayed report of other proxies' calls.
     pub(crate) fn load_of_other_proxies(&self, now: Time) -> f64 {
         self.reported_load.decayed(now, REPORTED_LOAD_HALF_LIFE_MICROS)
     }
 
-    /// Weight of its load report, which halves with each half-life; 0 without a report.
+    /// Weight of the load report, which halves with each half-life; 0 without a report.
     pub(crate) fn report_weight(&self, now: Time) -> f64 {
         if self.reported_load.updated_at == Time(0) {
             return 0.0;
@@ -138,7 +136,7 @@
         self.reported_load.remaining_share(now, REPORTED_LOAD_HALF_LIFE_MICROS)
     }
 
-    /// Upper bound on this proxy's calls in flight there.
+    /// Upper bound on this proxy's calls in flight to the endpoint.
     pub(crate) fn max_in_flight(&self, limits: &EndpointLimits, load: f64) -> u32 {
         let slots = self.slots(limits);
         let calls = if limits.engine {
@@ -151,22 +149,21 @@
         calls.min(limits.max_connections)
     }
 
-    /// Whether it accepts new calls, capacity, refusals and failures aside.
+    /// Whether the endpoint accepts new calls, apart from capacity, refusals and failures.
     pub(crate) fn is_in_service(&self) -> bool {
         self.presence == Presence::Ready && !self.misdirected
     }
 
-    /// Whether a refusal backoff is in effect.
     pub(crate) fn is_backing_off(&self, now: Time) -> bool {
         now < self.backing_off_until
     }
 
-    /// Whether it is ejected, or its probe call is in flight.
+    /// Whether the endpoint is ejected, or its probe call is in flight.
     pub(crate) fn is_ejected(&self, now: Time) -> bool {
         self.outlier_detector.is_ejected(now)
     }
 
-    /// Whether it was ejected and has had no success since.
+    /// Whether the endpoint was ejected and has had no success since.
     pub(crate) fn is_unproven(&self) -> bool {
         self.outlier_detector.is_unproven()
     }
@@ -176,46 +173,46 @@
         self.outlier_detector.ejected_until(now).unwrap_or(now).max(self.backing_off_until).max(now)
     }
 
-    /// Load penalty of recent failures, as a share of its slots.
+    /// Load penalty of recent failures, as a share of the slots.
     pub(crate) fn failure_penalty(&self, now: Time) -> f64 {
         self.outlier_detector.penalty(now)
     }
 
-    /// Ratio of its time to first byte to the service's `mean` (in microseconds), within 1 and 3; 1 unless it is much
-    /// slower.
-    pub(crate) fn slowness(&self, now: Time, mean: f64) -> f64 {
-        let pace = self.pace.value;
-        if pace <= 0.0 || mean <= 0.0 {
+    /// Ratio of the endpoint's time to first byte to the service's `service_mean` (in microseconds), between 1 and 3; 1
+    /// unless the endpoint is much slower.
+    pub(crate) fn latency_weight(&self, now: Time, service_mean: f64) -> f64 {
+        let own_mean = self.mean_ttfb.value;
+        if own_mean <= 0.0 || service_mean <= 0.0 {
             return 1.0;
         }
-        let weight = self.pace.remaining_share(now, PACE_HALF_LIFE_MICROS);
-        let ratio = 1.0 + (pace / mean - 1.0) * weight;
+        let weight = self.mean_ttfb.remaining_share(now, TTFB_HALF_LIFE_MICROS);
+        let ratio = 1.0 + (own_mean / service_mean - 1.0) * weight;
         if ratio > 1.5 { ratio.min(3.0) } else { 1.0 }
     }
 
-    /// Whether a new connection is within this proxy's share. Calls without a connection are opening one.
+    /// Whether a new connection is within this proxy's share. A call in flight without a connection is opening one, so
+    /// it counts as a connection.
     pub(crate) fn may_open(&self, limits: &EndpointLimits) -> bool {
         self.connections.max(self.in_flight) < limits.max_connections
     }
 
-    /// Records that a call is sent there.
     pub(crate) fn record_send(&mut self) {
         self.in_flight += 1;
         self.outlier_detector.record_send();
     }
 
-    /// Records that another incarnation responds at its address.
+    /// Records that another incarnation responds at the listed address.
     pub(crate) fn mark_misdirected(&mut self) {
         self.misdirected = true;
     }
 
-    /// Records a load report.
+    /// Records a load report. The reported calls beyond this proxy's own are attributed to other proxies.
     pub(crate) fn record_load(&mut self, now: Time, load: ServerLoad) {
         let calls = load.running.saturating_add(load.waiting).saturating_sub(self.in_flight);
         self.reported_load = DecayingValue { value: f64::from(calls), updated_at: now };
     }
 
-    /// Records the completion of one of its calls.
+    /// Records the completion of one of this proxy's calls to the endpoint.
     pub(crate) fn record_completion(
         &mut self,
         now: Time,
@@ -229,7 +226,7 @@
             Outcome::Success => {
                 self.outlier_detector.record_success();
                 self.refusals = 0;
-                self.learn_pace(now, call.time_to_first_byte);
+                self.update_mean_ttfb(now, call.time_to_first_byte);
             }
             Outcome::Full(wait) => {
                 self.outlier_detector.record_success();
@@ -248,14 +245,15 @@
         }
     }
 
-    fn learn_pace(&mut self, now: Time, time_to_first_byte: Span) {
-        let pace = self.pace.value;
+    fn update_mean_ttfb(&mut self, now: Time, time_to_first_byte: Span) {
+        let mean = self.mean_ttfb.value;
         let sample = time_to_first_byte.0 as f64;
-        let value = if pace > 0.0 { pace + PACE_LEARNING_RATE * (sample - pace) } else { sample };
-        self.pace = DecayingValue { value, updated_at: now };
+        let value = if mean > 0.0 { mean + TTFB_SMOOTHING_FACTOR * (sample - mean) } else { sample };
+        self.mean_ttfb = DecayingValue { value, updated_at: now };
     }
 
-    /// After a refusal for lack of capacity: attributes all slots that this proxy does not use to other proxies.
+    /// Applies a refusal for lack of capacity to the load: attributes all slots that this proxy does not use to other
+    /// proxies.
     fn assume_full(&mut self, now: Time, limits: &EndpointLimits) {
         let missing = f64::from(self.slots(limits)) - self.load(now);
         if missing > 0.0 {
@@ -264,7 +262,8 @@
         }
     }
 
-    /// Begins a refusal backoff. Refusals that arrive during a backoff belong to calls sent before it and count once.
+    /// Begins a refusal backoff: for `wait` if the endpoint stated it, else exponential. Refusals without `wait` during
+    /// a backoff belong to calls sent before it and are not counted.
     fn record_refusal(&mut self, now: Time, wait: Option<Span>, policy: &RoutingPolicy, jitter: f64) {
         if let Some(wait) = wait {
             self.backing_off_until = self.backing_off_until.max(now.after(wait.0 as f64));
--- a/system/request-routing/src/hash.rs
+++ b/system/request-routing/src/hash.rs
@@ -1,4 +1,5 @@
-//! Deterministic hashes for rendezvous hashing and session affinity: identical in every process.
+//! Hash functions for rendezvous hashing and session affinity. They have no per-process seed, so that all proxies rank
+//! the endpoints of a prefix alike.
 
 /// 64-bit FNV-1a, finalized with [`mix`].
 pub(crate) fn hash(bytes: &[u8]) -> u64 {
--- a/system/request-routing/src/outlier.rs
+++ b/system/request-routing/src/outlier.rs
@@ -1,6 +1,7 @@
 //! Outlier detection for one endpoint, as a circuit breaker: consecutive failures eject the endpoint for an
-//! exponentially growing time, after which a single probe call decides whether it is readmitted. An endpoint that fails
-//! only a share of its attempts is never ejected; its recent failures add a decaying penalty to its load instead.
+//! exponentially growing time, after which a single probe call decides whether it is readmitted. An endpoint whose
+//! failures are interspersed with successes is never ejected; its recent failures add a decaying penalty to its load
+//! instead.
 
 use crate::decay::DecayingValue;
 use message_sender::Time;
@@ -27,18 +28,18 @@
 pub(crate) enum Failure {
     /// The connection was not established.
     Connect,
-    /// The connection was established, but no usable response came.
+    /// The connection was established, but no usable response was received.
     Response,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// In use; `failures` is the number of consecutive failures.
+    /// Receives calls; `failures` is the number of consecutive failures, capped at the threshold.
     InUse { failures: u32 },
-    /// Ejected until then, for the `times`-th time in succession; afterwards one call probes it.
-    Ejected { until: Time, times: u32 },
+    /// Ejected until `until`, after which one call probes it; `ejections` counts those since its last success.
+    Ejected { until: Time, ejections: u32 },
     /// The probe call is in flight.
-    Probing { times: u32 },
+    Probing { ejections: u32 },
 }
 
 /// Circuit breaker and failure penalty of one endpoint.
@@ -54,7 +55,7 @@
         Self { state: State::InUse { failures: 0 }, failures: DecayingValue::ZERO }
     }
 
-    /// Whether it is ejected, or its probe call is in flight.
+    /// Whether the endpoint is ejected, or its probe call is in flight.
     pub(crate) fn is_ejected(&self, now: Time) -> bool {
         match self.state {
             State::InUse { .. } => false,
@@ -71,12 +72,11 @@
         }
     }
 
-    /// Whether its probe call is in flight.
     pub(crate) fn is_probing(&self) -> bool {
         matches!(self.state, State::Probing { .. })
     }
 
-    /// Whether it was ejected and has had no success since.
+    /// Whether the endpoint was ejected and has had no success since.
     pub(crate) fn is_unproven(&self) -> bool {
         !matches!(self.state, State::InUse { .. })
     }
@@ -88,15 +88,14 @@
         if self.is_unproven() || penalty < MIN_PENALTY { 0.0 } else { penalty }
     }
 
-    /// Number of failures, each decayed by its age.
     fn decayed_failures(&self, now: Time) -> f64 {
         self.failures.decayed(now, FAILURE_HALF_LIFE_MICROS)
     }
 
-    /// Records that a call is sent to the endpoint.
+    /// Records that a call is sent to the endpoint: after an ejection, this call is the probe.
     pub(crate) fn record_send(&mut self) {
-        if let State::Ejected { times, .. } = self.state {
-            self.state = State::Probing { times };
+        if let State::Ejected { ejections, .. } = self.state {
+            self.state = State::Probing { ejections };
         }
     }
 
@@ -105,14 +104,15 @@
         self.state = State::InUse { failures: 0 };
     }
 
-    /// Records a call that says nothing about the endpoint: another probe may follow at once.
+    /// Records a call that neither proves nor disproves the endpoint's health. If it was the probe, another may follow
+    /// at once.
     pub(crate) fn record_inconclusive(&mut self, now: Time) {
-        if let State::Probing { times } = self.state {
-            self.state = State::Ejected { until: now, times };
+        if let State::Probing { ejections } = self.state {
+            self.state = State::Ejected { until: now, ejections };
         }
     }
 
-    /// Records a failed attempt. `may_eject`: whether the service has enough other endpoints.
+    /// Records a failed attempt. `may_eject` states whether the service has enough other endpoints to eject this one.
     pub(crate) fn record_failure(&mut self, now: Time, failure: Failure, may_eject: bool) {
         self.failures = DecayingValue {
             value: (self.decayed_failures(now) + 1.0).min(MAX_COUNTED_FAILURES),
@@ -122,9 +122,9 @@
             Failure::Connect => CONNECT_FAILURE_WEIGHT,
             Failure::Response => 1,
         };
-        let eject = |times: u32| {
-            let span = (FIRST_EJECTION_MICROS << (times - 1).min(10)).min(MAX_EJECTION_MICROS);
-            State::Ejected { until: now.after(span as f64), times }
+        let eject = |ejections: u32| {
+            let span = (FIRST_EJECTION_MICROS << (ejections - 1).min(10)).min(MAX_EJECTION_MICROS);
+            State::Ejected { until: now.after(span as f64), ejections }
         };
         self.state = match self.state {
             State::InUse { failures } if failures + weight >= EJECTION_THRESHOLD && may_eject => eject(1),
@@ -132,8 +132,8 @@
                 State::InUse { failures: failures.saturating_add(weight).min(EJECTION_THRESHOLD) }
             }
             // The failed call was sent before the ejection.
-            State::Ejected { until, times } if now < until => State::Ejected { until, times },
-            State::Ejected { times, .. } | State::Probing { times } => eject(times + 1),
+            State::Ejected { until, ejections } if now < until => State::Ejected { until, ejections },
+            State::Ejected { ejections, .. } | State::Probing { ejections } => eject(ejections + 1),
         };
     }
 }
--- a/system/request-routing/src/placement.rs
+++ b/system/request-routing/src/placement.rs
@@ -1,5 +1,5 @@
-//! Endpoint selection within a service: the endpoint of the conversation, then prefix affinity by bounded rendezvous hashing, then least
-//! load.
+//! Endpoint selection within a service: session affinity first, then prefix affinity by rendezvous hashing with bounded
+//! loads, then the least loaded endpoint.
 
 use crate::endpoint::{Endpoint, EndpointLimits};
 use crate::hash::{hash, mix};
@@ -19,29 +19,30 @@
     slack: f64,
 }
 
-/// Bound for prefix affinity: a miss costs the prefill of the prefix only.
+/// Bound for prefix affinity. It is tight because a miss costs only the prefill of the prefix.
 const PREFIX_AFFINITY_BOUND: LoadBound = LoadBound { factor: 1.25, slack: 2.0 };
-/// Bound for session affinity: the endpoint has the complete prompt in its cache.
+/// Bound for session affinity. It is looser because the endpoint caches the complete prompt so far.
 const SESSION_AFFINITY_BOUND: LoadBound = LoadBound { factor: 1.5, slack: 3.0 };
-/// Reports of less weight together, in fresh reports, count as partly forgotten.
+/// Lower bound of the total weight of the peers' load reports, in fresh reports: below it, their mean decays.
 const MIN_REPORT_WEIGHT: f64 = 1.0;
-/// An endpoint of another zone counts as having a free slot below this share of its slots.
+/// An endpoint in another zone counts as having a free slot while its load is below this share of its slots.
 const REMOTE_FREE_SHARE: f64 = 0.8;
 
-/// Sums over endpoints.
+/// Sums over a group of endpoints, for their mean load.
 #[derive(Clone, Copy, Debug, Default)]
 struct GroupLoad {
+    /// Number of endpoints.
     endpoints: f64,
     /// Calls of this proxy.
     in_flight: f64,
     /// Decayed reports of other proxies' calls.
     reported: f64,
-    /// Weights that these reports have left.
+    /// Remaining weights of these reports.
     report_weight: f64,
 }
 
 impl GroupLoad {
-    fn of(endpoint: &Endpoint, now: Time) -> Self {
+    fn from_endpoint(endpoint: &Endpoint, now: Time) -> Self {
         Self {
             endpoints: 1.0,
             in_flight: f64::from(endpoint.in_flight),
@@ -57,17 +58,17 @@
         self.report_weight += other.report_weight;
     }
 
-    /// Estimated mean load of the other endpoints. Reports count by their freshness, so that an endpoint without a recent
-    /// one does not count as idle: the load that is compared with this mean was reported a moment ago.
-    fn mean_of_peers(&self, endpoint: &Endpoint, now: Time) -> f64 {
-        let own = Self::of(endpoint, now);
+    /// Estimated mean load of the other endpoints. Reports are weighted by freshness, so that an endpoint without a
+    /// recent report does not count as idle: the load that is compared with this mean comes from a fresh report.
+    fn mean_peer_load(&self, endpoint: &Endpoint, now: Time) -> f64 {
+        let own = Self::from_endpoint(endpoint, now);
         let peers = f64::max(self.endpoints - own.endpoints, 1.0);
         let weight = f64::max(self.report_weight - own.report_weight, MIN_REPORT_WEIGHT);
         (self.in_flight - own.in_flight).max(0.0) / peers + (self.reported - own.reported).max(0.0) / weight
     }
 }
 
-/// The endpoints of a service and the state that a choice among them depends on.
+/// The endpoints of a service and the state on which the choice among them depends.
 pub(crate) struct Candidates<'a> {
     now: Time,
     policy: &'a RoutingPolicy,
@@ -106,7 +107,8 @@
             && endpoint.in_flight < endpoint.max_in_flight(&self.limits, load)
     }
 
-    /// The endpoint that served the conversation so far, unless it is not usable or its load exceeds the bound.
+    /// The endpoint that served the previous turn of the conversation, unless it is unusable or its load exceeds the
+    /// bound.
     pub(crate) fn by_conversation(
         &self,
         request: &RoutingRequest,
@@ -115,16 +117,17 @@
         if !self.policy.session_affinity {
             return Err(AffinityMiss::Unknown);
         }
-        // The endpoint of the turn before is known whatever proxy sent that; the table knows this proxy's own calls.
+        // The request may name the endpoint of the previous turn, whichever proxy sent that turn. The session table
+        // only contains this proxy's own calls.
         let index = match &request.previous_endpoint {
             Some(instance_id) => self.ready_instance(instance_id).ok_or(AffinityMiss::Unusable)?,
             None => self.endpoint_of_session(request, sessions).ok_or(AffinityMiss::Unknown)?,
         };
         let endpoint = &self.endpoints[index];
-        if endpoint.listed.service != request.service || !self.is_fit_for_affinity(endpoint) {
+        if endpoint.listed.service != request.service || !self.is_eligible_for_affinity(endpoint) {
             return Err(AffinityMiss::Unusable);
         }
-        if !self.is_within(endpoint, SESSION_AFFINITY_BOUND, &self.group_load()) {
+        if !self.is_within_bound(endpoint, SESSION_AFFINITY_BOUND, &self.group_load()) {
             return Err(AffinityMiss::Overloaded);
         }
         Ok(index)
@@ -139,7 +142,8 @@
         self.endpoints.binary_search_by_key(&key, |endpoint| endpoint.key).ok()
     }
 
-    /// The least loaded of the endpoints that cache this prefix; none if every endpoint is to cache it.
+    /// The least loaded of the endpoints that cache this prefix; None if all endpoints should cache it or none of those
+    /// that cache it is eligible.
     pub(crate) fn by_prefix(&self, prefix: &str, rng: &mut ChaCha8Rng) -> Option<usize> {
         if !self.policy.prefix_affinity {
             return None;
@@ -158,14 +162,15 @@
         let group_load = self.group_load();
         ranked.retain(|index| {
             let endpoint = &self.endpoints[*index];
-            self.is_fit_for_affinity(endpoint) && self.is_within(endpoint, PREFIX_AFFINITY_BOUND, &group_load)
+            self.is_eligible_for_affinity(endpoint)
+                && self.is_within_bound(endpoint, PREFIX_AFFINITY_BOUND, &group_load)
         });
         self.least_loaded(ranked.into_iter().map(|index| (index, 0)), rng)
     }
 
-    /// The least loaded usable endpoint. Endpoints that the request has not tried come before those that it has; within
-    /// either group those with a free slot in this zone, then in other zones, then those that would queue the call.
-    /// Ties are broken at random.
+    /// The least loaded usable endpoint. Endpoints that the request has not tried precede those that it has; within
+    /// either group, those with a free slot in this zone come first, then those in other zones, then those that would
+    /// queue the call. Ties are broken at random.
     pub(crate) fn by_load(&self, rng: &mut ChaCha8Rng) -> Option<(usize, PlacementReason)> {
         let local = self.service.local.iter().map(|index| (*index, true));
         let all = local.chain(self.service.remote.iter().map(|index| (*index, false)));
@@ -179,13 +184,14 @@
         Some((index, reason))
     }
 
-    /// If all endpoints are ejected, the one that becomes usable first.
+    /// If all endpoints in service are ejected, the one that becomes usable first.
     pub(crate) fn first_to_recover(&self) -> Option<usize> {
-        let all = || self.service.ready_endpoints().filter(|index| self.endpoints[*index].is_in_service());
-        if !all().all(|index| self.endpoints[index].is_ejected(self.now)) {
+        let in_service =
+            || self.service.ready_endpoints().filter(|index| self.endpoints[*index].is_in_service());
+        if !in_service().all(|index| self.endpoints[index].is_ejected(self.now)) {
             return None;
         }
-        let free = all().filter(|index| {
+        let free = in_service().filter(|index| {
             let endpoint = &self.endpoints[*index];
             !endpoint.is_backing_off(self.now)
                 && endpoint.in_flight < endpoint.max_in_flight(&self.limits, endpoint.load(self.now))
@@ -201,27 +207,27 @@
     /// Loads of the endpoints of the affinity group that are in service.
     fn group_load(&self) -> GroupLoad {
         let group = self.affinity_group().iter().map(|index| &self.endpoints[*index]);
-        let mut sum = GroupLoad::default();
+        let mut total = GroupLoad::default();
         for endpoint in group.filter(|endpoint| endpoint.is_in_service()) {
-            sum.add(&GroupLoad::of(endpoint, self.now));
+            total.add(&GroupLoad::from_endpoint(endpoint, self.now));
         }
-        sum
+        total
     }
 
-    /// Whether affinity may select the endpoint, its load among its peers aside.
-    fn is_fit_for_affinity(&self, endpoint: &Endpoint) -> bool {
+    /// Whether affinity may select the endpoint, apart from the load bound.
+    fn is_eligible_for_affinity(&self, endpoint: &Endpoint) -> bool {
         self.is_usable(endpoint)
             && endpoint.load(self.now) < f64::from(endpoint.slots(&self.limits))
             && self.penalty(endpoint) == 0.0
             && !self.history.avoided.contains(&endpoint.key)
     }
 
-    /// Whether the endpoint's load is within the bound, among the endpoints of `group`.
-    fn is_within(&self, endpoint: &Endpoint, bound: LoadBound, group: &GroupLoad) -> bool {
+    /// Whether the endpoint's load is within the bound, compared with the other endpoints of `group`.
+    fn is_within_bound(&self, endpoint: &Endpoint, bound: LoadBound, group: &GroupLoad) -> bool {
         if !self.policy.load_bounds {
             return true;
         }
-        let mean = group.mean_of_peers(endpoint, self.now);
+        let mean = group.mean_peer_load(endpoint, self.now);
         endpoint.load(self.now) <= bound.factor * mean + bound.slack
     }
 
@@ -240,14 +246,17 @@
         tier + if already_tried { 4 } else { 0 }
     }
 
-    /// Relative load after the call, weighted by slowness, plus the failure penalty.
+    /// Relative load with the call added, weighted by latency, plus the failure penalty.
     fn score(&self, index: usize) -> f64 {
         let endpoint = &self.endpoints[index];
         let load = endpoint.load(self.now);
         let slots = f64::from(endpoint.slots(&self.limits));
-        let slowness =
-            if self.policy.latency_weight { endpoint.slowness(self.now, self.service.pace) } else { 1.0 };
-        (load + 1.0) / slots * slowness + self.penalty(endpoint)
+        let latency_weight = if self.policy.latency_weight {
+            endpoint.latency_weight(self.now, self.service.mean_ttfb)
+        } else {
+            1.0
+        };
+        (load + 1.0) / slots * latency_weight + self.penalty(endpoint)
     }
 
     /// The failure penalty, if the policy applies it.
@@ -255,7 +264,7 @@
         if self.policy.failure_penalty { endpoint.failure_penalty(self.now) } else { 0.0 }
     }
 
-    /// The best-rated of these endpoints, given with their tiers; ties are broken by reservoir sampling.
+    /// The best-rated of the endpoints, each given with its tier; ties are broken by reservoir sampling.
     fn least_loaded(&self, all: impl Iterator<Item = (usize, u8)>, rng: &mut ChaCha8Rng) -> Option<usize> {
         let mut best: Option<(Rating, usize)> = None;
         let mut ties = 0;
--- a/system/request-routing/src/placement_metrics.rs
+++ b/system/request-routing/src/placement_metrics.rs
@@ -1,43 +1,43 @@
-//! Counters of placement: for each call sent, why its endpoint was chosen, and why a conversation that goes on was not
-//! sent to the endpoint that last served it.
+//! Placement counters: why the endpoint of each call was chosen, and why a call that continues a conversation was not
+//! sent to the endpoint that served the previous turn.
 
-/// Why an endpoint was chosen.
+/// The selection rule that chose an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlacementReason {
-    /// It last served the session.
+    /// Session affinity: the endpoint last served the session.
     Session,
-    /// It caches the shared prefix.
+    /// Prefix affinity: the endpoint caches the shared prefix.
     Prefix,
-    /// It is the least loaded one of the proxy's zone.
+    /// The least loaded endpoint, in the proxy's zone.
     LocalLoad,
-    /// It is the least loaded one of all zones, and in another zone.
+    /// The least loaded endpoint, in another zone.
     RemoteLoad,
-    /// All are ejected, and it is the first to recover.
+    /// All endpoints are ejected, and this one's ejection ends first.
     FirstToRecover,
 }
 
-/// Why session affinity did not choose the endpoint.
+/// Why session affinity did not apply to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AffinityMiss {
     /// This proxy does not know which endpoint last served the session.
     Unknown,
-    /// The endpoint is draining, gone, ejected, backing off, without a free slot, or failed lately.
+    /// The endpoint is draining, unlisted, ejected, backing off, without a free slot, or failed recently.
     Unusable,
-    /// Its load is above the bound.
+    /// The endpoint's load is above the bound.
     Overloaded,
 }
 
-/// Where one call was sent, and why.
+/// The endpoint chosen for a call, and the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Placement {
-    /// Index of the endpoint.
+    /// Index into the router's endpoints.
     pub(crate) index: usize,
     pub(crate) reason: PlacementReason,
-    /// None if affinity chose, or does not apply.
+    /// None if session affinity chose the endpoint or does not apply to the service.
     pub(crate) affinity_miss: Option<AffinityMiss>,
 }
 
-/// Counters of placement since the start of the proxy.
+/// Placement counters since the start of the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlacementMetrics {
     /// Calls sent to the endpoint that last served their session.
@@ -48,23 +48,24 @@
     pub by_local_load: u64,
     /// Calls sent to the least loaded endpoint of another zone.
     pub by_remote_load: u64,
-    /// Calls sent to an ejected endpoint, as all were.
+    /// Calls sent to an ejected endpoint because all endpoints were ejected.
     pub by_recovery: u64,
     /// Calls that continue a conversation.
     pub continued: u64,
-    /// Those of them whose last endpoint this proxy did not know.
+    /// Calls that continue a conversation whose last endpoint this proxy did not know.
     pub continued_unknown: u64,
-    /// Those of them whose last endpoint could not be used.
+    /// Calls that continue a conversation whose last endpoint was not usable.
     pub continued_unusable: u64,
-    /// Those of them whose last endpoint had a load above the bound.
+    /// Calls that continue a conversation whose last endpoint had a load above the bound.
     pub continued_overloaded: u64,
-    /// Prompt tokens without the shared prefix of all that were not sent to their last endpoint.
+    /// Tokens outside the shared prefix of the calls that continue a conversation but were not sent to its last
+    /// endpoint.
     pub continued_tokens_elsewhere: u64,
 }
 
 impl PlacementMetrics {
-    /// Records a call that was sent. `own_tokens`: its prompt without the shared prefix.
-    pub(crate) fn record(&mut self, placement: &Placement, continues: bool, own_tokens: u32) {
+    /// Records a call that is sent; `unshared_tokens` are its tokens outside the shared prefix.
+    pub(crate) fn record(&mut self, placement: &Placement, continues: bool, unshared_tokens: u32) {
         *match placement.reason {
             PlacementReason::Session => &mut self.by_session,
             PlacementReason::Prefix => &mut self.by_prefix,
@@ -77,7 +78,7 @@
         }
         self.continued += 1;
         if placement.reason != PlacementReason::Session {
-            self.continued_tokens_elsewhere += u64::from(own_tokens);
+            self.continued_tokens_elsewhere += u64::from(unshared_tokens);
         }
         match placement.affinity_miss {
             Some(AffinityMiss::Unknown) => self.continued_unknown += 1,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The counters with their names.
+    /// The counters with their metric names.
     pub fn entries(&self) -> [(&'static str, u64); 10] {
         [
             ("placed_by_session", self.by_session),
--- a/system/request-routing/src/policy.rs
+++ b/system/request-routing/src/policy.rs
@@ -1,8 +1,8 @@
-//! Switches of the routing mechanisms. In service all of them are on; a trial switches one off to measure its effect.
+//! Switches for the routing mechanisms. All are on in production; an experiment switches one off to measure its effect.
 
 macro_rules! mechanisms {
     ($($(#[doc = $doc:literal])* $name:ident,)*) => {
-        /// A switch for each routing mechanism; the default has all of them on, as in service.
+        /// A switch for each routing mechanism. The default has all of them on, as in production.
         #[derive(Clone, Debug, PartialEq, Eq)]
         pub struct RoutingPolicy {
             $($(#[doc = $doc])* pub $name: bool,)*
@@ -15,14 +15,14 @@
         }
 
         impl RoutingPolicy {
-            /// The names of all mechanisms.
+            /// Names of all mechanisms, as [`RoutingPolicy::switch`] accepts them.
             pub const MECHANISMS: &'static [&'static str] = &[$(stringify!($name)),*];
 
             /// Switches a mechanism on or off.
             ///
             /// # Errors
             ///
-            /// If no mechanism has this name.
+            /// Returns [`UnknownMechanism`] if no mechanism has this name.
             pub fn switch(&mut self, mechanism: &str, on: bool) -> Result<(), UnknownMechanism> {
                 match mechanism {
                     $(stringify!($name) => self.$name = on,)*
@@ -31,7 +31,7 @@
                 Ok(())
             }
 
-            /// The mechanisms that are switched off.
+            /// Names of the mechanisms that are switched off.
             pub fn switched_off(&self) -> Vec<&'static str> {
                 let mut off = Vec::new();
                 $(if !self.$name { off.push(stringify!($name)); })*
@@ -41,17 +41,17 @@
     };
 }
 
-/// No mechanism has this name.
+/// A mechanism name that is not in [`RoutingPolicy::MECHANISMS`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no mechanism has the name {0}")]
 pub struct UnknownMechanism(pub String);
 
 mechanisms! {
-    /// Prefix affinity: a shared prefix is cached on as many endpoints as its demand needs; off: on all.
+    /// Prefix affinity: a shared prefix is cached on as many endpoints as its demand needs. When off, on all of them.
     prefix_affinity,
     /// Session affinity: a session continues at the endpoint that last served it.
     session_affinity,
-    /// Bounded load: affinity yields where an endpoint's load is far above its peers' mean.
+    /// Bounded load: affinity is ignored where an endpoint's load is far above its peers' mean.
     load_bounds,
     /// Endpoints of the proxy's own zone are preferred.
     zone_tiers,
@@ -65,11 +65,11 @@
     failure_penalty,
     /// Endpoints with a much longer time to first byte than their peers receive fewer calls.
     latency_weight,
-    /// An idempotent attempt has a timeout of its own.
+    /// An attempt of an idempotent request has its own timeout, within the request's deadline.
     try_timeout,
-    /// Requests leave free slots to waiting ones of higher priority.
+    /// Free slots go to waiting requests of higher priority first.
     priority_yield,
-    /// Each priority that waits is guaranteed a minimum share.
+    /// Each priority with waiting requests is guaranteed a minimum share of the calls in flight.
     minimum_share,
     /// A request that cannot have executed is refused at the queue timeout rather than held until its deadline.
     queue_patience,
--- a/system/request-routing/src/retry.rs
+++ b/system/request-routing/src/retry.rs
@@ -6,30 +6,33 @@
 use message_sender::{Outcome, Span, Time};
 use operator_config::RouteKind;
 
-/// First backoff as a share of the latency target, ...
+/// First backoff as a share of the latency target, within the bounds below.
 const BACKOFF_PER_LATENCY_TARGET: f64 = 0.04;
-/// ... but no less than this, in microseconds, ...
+/// Lower bound of the first backoff, in microseconds.
 const MIN_FIRST_BACKOFF_MICROS: f64 = 5_000.0;
-/// ... and no more than this, in microseconds.
+/// Upper bound of the first backoff, in microseconds.
 const MAX_FIRST_BACKOFF_MICROS: f64 = 100_000.0;
-/// Upper bound of the exponential backoff, as a multiple of the first (the design's 10 s over 1 s).
+/// Upper bound of the exponential backoff, as a multiple of the first (the design specifies 10 s and 1 s).
 const MAX_BACKOFF_MULTIPLE: f64 = 10.0;
-/// Upper bound of the jitter, as a multiple of the first backoff (the design's 500 ms over 1 s).
+/// Upper bound of the jitter, as a multiple of the first backoff (the design specifies 500 ms and
+/// 1 s).
 const MAX_JITTER_MULTIPLE: f64 = 0.5;
-/// A request is given up after this many attempts, beyond those that reached an endpoint, that were never sent.
+/// A request is given up when its unexecuted attempts exceed those that reached an endpoint by this many.
 const MAX_UNSENT_ATTEMPTS: u32 = 6;
-/// Queue timeout as a share of the latency target: a refusal within a quarter leaves the client time to retry.
+/// Queue timeout as a share of the latency target. A refusal within a quarter of the target leaves the client time to
+/// retry.
 const QUEUE_TIMEOUT_PER_LATENCY_TARGET: f64 = 0.23;
-/// A send is useless once less than the latency target divided by this is left ...
+/// A request is not sent if less than the latency target divided by this is left until its deadline; such a send would
+/// be useless.
 const MIN_TIME_LATENCY_TARGET_DIVISOR: u64 = 10;
-/// ... or, for requests with a short deadline, the complete time allowed divided by this.
+/// The same bound for requests with a short deadline, if it is less: the time from arrival to deadline divided by this.
 const MIN_TIME_ALLOWED_DIVISOR: u64 = 4;
-/// Attempt timeout as a multiple of the service's mean time to first byte, ...
-const ATTEMPT_TIMEOUT_PER_PACE: f64 = 6.0;
-/// ... but no less than this multiple of the latency target.
+/// Attempt timeout as a multiple of the service's mean time to first byte of idempotent requests.
+const ATTEMPT_TIMEOUT_PER_MEAN_TTFB: f64 = 6.0;
+/// Lower bound of the attempt timeout, as a multiple of the latency target.
 const ATTEMPT_TIMEOUT_PER_LATENCY_TARGET: f64 = 1.0;
 
-/// Whether an attempt with this outcome reached an endpoint and so counts against the maximum of attempts.
+/// Whether an attempt with this outcome reached an endpoint and so counts against the maximum number of attempts.
 pub(crate) fn reached_endpoint(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Success
@@ -42,7 +45,7 @@
     }
 }
 
-/// Whether an attempt with this outcome may have executed.
+/// Whether an attempt with this outcome may have executed the request.
 fn may_have_executed(outcome: Outcome) -> bool {
     Execution::NotExecuted.after(outcome) == Execution::MayHaveExecuted
 }
@@ -50,7 +53,7 @@
 /// Records an attempt's outcome in the history.
 pub(crate) fn record_outcome(history: &mut AttemptHistory, key: EndpointKey, outcome: Outcome) {
     history.last_endpoint = Some(key);
-    // A request that was never sent says nothing about the endpoint.
+    // An attempt that was never sent gives no reason to avoid the endpoint.
     if outcome != Outcome::Void && !history.avoided.contains(&key) {
         history.avoided.push(key);
     }
@@ -59,25 +62,27 @@
     history.attempts += u32::from(reached_endpoint(outcome));
 }
 
-/// Whether the request may not be sent again, however much time is left.
+/// Whether the request must not be sent again, regardless of the time left.
 pub(crate) fn is_exhausted(request: &RoutingRequest, history: &AttemptHistory) -> bool {
     !history.execution.may_send(request.is_repeatable())
         || history.attempts >= request.max_attempts.max(1)
         || history.unexecuted.saturating_sub(history.attempts) >= MAX_UNSENT_ATTEMPTS
 }
 
-/// Timeout of the next attempt, if a further one may follow it with as much time for itself.
+/// Timeout of the next attempt; None unless another attempt with the same timeout may follow it. `mean_ttfb` is in
+/// microseconds.
 pub(crate) fn attempt_timeout(
     now: Time,
     request: &RoutingRequest,
     history: &AttemptHistory,
-    pace: f64,
+    mean_ttfb: f64,
 ) -> Option<Span> {
-    // A stream without a response may be next in its endpoint's queue: restarting it under load only adds to the load.
+    // A stream without a response may be next in its endpoint's queue; restarting it only adds load to a loaded
+    // service.
     if request.kind != RouteKind::Idempotent || history.attempts + 1 >= request.max_attempts {
         return None;
     }
-    let timeout = (ATTEMPT_TIMEOUT_PER_PACE * pace)
+    let timeout = (ATTEMPT_TIMEOUT_PER_MEAN_TTFB * mean_ttfb)
         .max(ATTEMPT_TIMEOUT_PER_LATENCY_TARGET * request.latency_target.0 as f64);
     (now.after(2.0 * timeout) <= latest_send_time(request)).then_some(Span(timeout as u64))
 }
@@ -88,7 +93,7 @@
         .clamp(MIN_FIRST_BACKOFF_MICROS, MAX_FIRST_BACKOFF_MICROS)
 }
 
-/// The backoff before the next attempt in microseconds; `jitter` is within 0 and 1.
+/// The backoff before the next attempt in microseconds; `jitter` is between 0 and 1.
 pub(crate) fn backoff(request: &RoutingRequest, history: &AttemptHistory, jitter: f64) -> f64 {
     let base = first_backoff(request);
     let doublings = history.attempts.max(history.unexecuted).saturating_sub(1).min(16);
@@ -96,7 +101,7 @@
         + MAX_JITTER_MULTIPLE * base * jitter
 }
 
-/// The latest time at which sending the request is useful.
+/// The latest time at which sending the request is still useful.
 pub(crate) fn latest_send_time(request: &RoutingRequest) -> Time {
     let time_allowed = request.deadline.since(request.arrived_at);
     Time(
@@ -107,7 +112,7 @@
     )
 }
 
-/// When the request leaves the queue if it cannot have executed.
+/// The time at which a waiting request is refused if it cannot have been executed.
 pub(crate) fn queue_deadline(request: &RoutingRequest) -> Time {
     request.arrived_at.after(QUEUE_TIMEOUT_PER_LATENCY_TARGET * request.latency_target.0 as f64)
 }
--- a/system/request-routing/src/router.rs
+++ b/system/request-routing/src/router.rs
@@ -1,5 +1,5 @@
-//! The router: applies configuration, endpoint lists and observations, and decides where a request goes, whether it waits
-//! and whether it is retried.
+//! The router: applies configuration, endpoint lists and observations, and decides to which endpoint a request is sent,
+//! whether it waits and whether it is retried.
 
 use crate::admission::priority_of;
 use crate::endpoint::{CompletedCall, Endpoint, EndpointLimits, Presence};
@@ -21,17 +21,17 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Lower bound of the interval between two decisions about a waiting request, in microseconds.
+/// Lower bound of the interval after which a waiting request is routed again, in microseconds.
 const MIN_POLL_INTERVAL_MICROS: f64 = 5_000.0;
-/// Upper bound of that interval, in microseconds.
+/// Upper bound of the interval after which a waiting request is routed again, in microseconds.
 const MAX_POLL_INTERVAL_MICROS: f64 = 50_000.0;
-/// Lower bound of that interval where the request's deadline comes sooner, in microseconds.
+/// Lower bound of that interval where the request's time in the queue ends sooner, in microseconds.
 const MIN_REMAINING_WAIT_MICROS: u64 = 1_000;
 /// Lower bound of the `Retry-After` of a refused request, in microseconds.
 const MIN_RETRY_AFTER_MICROS: f64 = 20_000.0;
 /// Upper bound of the `Retry-After` of a refused request, in microseconds.
 const MAX_RETRY_AFTER_MICROS: f64 = 2_000_000.0;
-/// `Retry-After` where no endpoint is in service, in microseconds: about the interval of endpoint lists.
+/// `Retry-After` where no endpoint is in service, in microseconds: about the interval between endpoint lists.
 const RETRY_AFTER_WITHOUT_ENDPOINT_MICROS: u64 = 500_000;
 
 /// Routes the requests of one proxy.
@@ -43,9 +43,9 @@
     proxies: u32,
     /// Time of the last event.
     now: Time,
-    /// The last key assigned.
+    /// The last endpoint key assigned.
     last_key: u32,
-    /// In ascending order of their keys.
+    /// In ascending order of keys, for binary search.
     endpoints: Vec<Endpoint>,
     services: BTreeMap<String, Service>,
     sessions: SessionTable,
@@ -53,7 +53,7 @@
 }
 
 impl Router {
-    /// A router for a proxy in this zone; all of its random values derive from the seed.
+    /// Creates a router for a proxy in `zone`; all its random values derive from `seed`.
     pub fn new(zone: String, seed: u64, policy: RoutingPolicy) -> Router {
         Router {
             zone,
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Replaces the services by those of a new configuration.
+    /// Replaces the services with those of a new configuration. A service that is no longer configured is removed once
+    /// it has neither ready endpoints nor calls in flight.
     pub fn update_services(&mut self, now: Time, services: &[ServiceSettings]) {
         self.now = now;
         for service in self.services.values_mut() {
@@ -83,8 +84,8 @@
         self.services.retain(|_, service| !service.is_removable());
     }
 
-    /// Replaces the endpoint list. The host decides which of two lists is newer. A draining incarnation stays draining,
-    /// whatever a list states.
+    /// Replaces the endpoint list. The host decides which of two lists is newer. A draining incarnation stays draining
+    /// even if a later list states otherwise.
     pub fn update_endpoints(&mut self, now: Time, list: &EndpointList) {
         self.now = now;
         for endpoint in &mut self.endpoints {
@@ -94,7 +95,7 @@
         }
         let identity =
             |entry: &fleet_model::Endpoint| (entry.instance_id.clone(), entry.address, entry.service.clone());
-        let mut known: BTreeMap<_, usize> = self
+        let mut index_by_identity: BTreeMap<_, usize> = self
             .endpoints
             .iter()
             .enumerate()
@@ -102,7 +103,7 @@
             .collect();
         let mut listed = vec![false; self.endpoints.len()];
         for entry in &list.endpoints {
-            let existing = known.get(&identity(entry)).copied();
+            let existing = index_by_identity.get(&identity(entry)).copied();
             match existing {
                 Some(index) => {
                     self.endpoints[index].update_from_list(entry);
@@ -110,7 +111,7 @@
                 }
                 None => {
                     self.last_key += 1;
-                    known.insert(identity(entry), self.endpoints.len());
+                    index_by_identity.insert(identity(entry), self.endpoints.len());
                     self.endpoints.push(Endpoint::new(EndpointKey(self.last_key), entry));
                     listed.push(true);
                 }
@@ -145,7 +146,7 @@
         self.proxies = count.max(1);
     }
 
-    /// Decides where a request goes now. A send counts as in flight at once.
+    /// Routes a request. A call that is to be sent counts as in flight at once.
     pub fn pick(&mut self, now: Time, request: &RoutingRequest, history: &AttemptHistory) -> RoutingDecision {
         self.now = now;
         if retry::is_exhausted(request, history) || now > retry::latest_send_time(request) {
@@ -171,8 +172,8 @@
     }
 
     fn send(&mut self, request: &RoutingRequest, placement: &Placement) -> RoutingDecision {
-        let own_tokens = request.total_tokens.saturating_sub(request.prefix_tokens);
-        self.placement_metrics.record(placement, request.continues, own_tokens);
+        let unshared_tokens = request.total_tokens.saturating_sub(request.prefix_tokens);
+        self.placement_metrics.record(placement, request.continues, unshared_tokens);
         let endpoint = &mut self.endpoints[placement.index];
         let mut may_open = true;
         if let Some(service) = self.services.get_mut(&request.service) {
@@ -191,26 +192,26 @@
         })
     }
 
-    /// No endpoint can take the request now: it waits while a send is still useful.
+    /// Handles a request that no endpoint can accept now: it waits as long as a later send is still useful.
     fn wait_or_give_up(
         &mut self,
         now: Time,
         request: &RoutingRequest,
         history: &AttemptHistory,
     ) -> RoutingDecision {
-        let mut until = retry::latest_send_time(request);
+        let mut wait_deadline = retry::latest_send_time(request);
         if history.execution.guarantees_not_executed() && self.policy.queue_patience {
-            until = until.min(retry::queue_deadline(request));
+            wait_deadline = wait_deadline.min(retry::queue_deadline(request));
         }
-        if now >= until {
+        if now >= wait_deadline {
             return self.give_up(now, request, history);
         }
-        let usable_in = self.time_until_usable(now, request);
-        let remaining = until.since(now).max(MIN_REMAINING_WAIT_MICROS);
+        let time_until_usable = self.time_until_usable(now, request);
+        let remaining = wait_deadline.since(now).max(MIN_REMAINING_WAIT_MICROS);
         let Some(service) = self.services.get_mut(&request.service) else {
             return RoutingDecision::Wait(Span((MAX_POLL_INTERVAL_MICROS as u64).min(remaining)));
         };
-        let wait = usable_in
+        let wait = time_until_usable
             .unwrap_or_else(|| service.expected_completion_interval())
             .clamp(MIN_POLL_INTERVAL_MICROS, MAX_POLL_INTERVAL_MICROS) as u64;
         let wait = wait.min(remaining);
@@ -221,16 +222,19 @@
         }
     }
 
-    /// Time in microseconds until the first endpoint is usable, if refusals and failures keep all of them from use.
+    /// Time in microseconds until the first endpoint becomes usable, if refusal backoffs and ejections make all of them
+    /// unusable now.
     fn time_until_usable(&self, now: Time, request: &RoutingRequest) -> Option<f64> {
         let service = self.services.get(&request.service)?;
-        let all = service.ready_endpoints().map(|index| &self.endpoints[index]);
-        let first =
-            all.filter(|endpoint| endpoint.is_in_service()).map(|endpoint| endpoint.usable_at(now)).min()?;
-        (first > now).then(|| first.since(now) as f64)
+        let ready = service.ready_endpoints().map(|index| &self.endpoints[index]);
+        let earliest = ready
+            .filter(|endpoint| endpoint.is_in_service())
+            .map(|endpoint| endpoint.usable_at(now))
+            .min()?;
+        (earliest > now).then(|| earliest.since(now) as f64)
     }
 
-    /// When a free slot is expected.
+    /// The expected time until a slot is free, as a `Retry-After` for the client.
     fn retry_after(&self, now: Time, request: &RoutingRequest) -> Span {
         let Some(service) = self.services.get(&request.service) else {
             return Span(RETRY_AFTER_WITHOUT_ENDPOINT_MICROS);
@@ -249,7 +253,7 @@
         history: &AttemptHistory,
     ) -> Option<Placement> {
         let service = self.services.get(&request.service)?;
-        if service.admission.yields(priority_of(request), &self.policy) {
+        if service.admission.must_yield(priority_of(request), &self.policy) {
             return None;
         }
         let candidates = Candidates::new(now, &self.policy, history, service, self.proxies, &self.endpoints);
@@ -278,7 +282,8 @@
         self.endpoints.binary_search_by_key(&key, |endpoint| endpoint.key).ok()
     }
 
-    /// Records a completed call, with the endpoint's load report if the response had one.
+    /// Records a completed call, with the endpoint's load report if the response had one. `time_to_first_byte` is used
+    /// only if the call succeeded.
     pub fn record_completion(
         &mut self,
         now: Time,
@@ -292,7 +297,7 @@
         if let Some(service) = self.services.get_mut(&request.service) {
             service.record_completion(now, request);
             if outcome == Outcome::Success {
-                service.record_pace(request, time_to_first_byte);
+                service.record_ttfb(request, time_to_first_byte);
             }
         }
         let Some(index) = self.find_endpoint(key) else { return };
@@ -330,7 +335,7 @@
         }
     }
 
-    /// Records a load report of an endpoint.
+    /// Records a load report that arrives independently of a response.
     pub fn record_load(&mut self, now: Time, key: EndpointKey, load: ServerLoad) {
         self.now = now;
         if let Some(index) = self.find_endpoint(key).filter(|_| self.policy.reported_load) {
@@ -338,14 +343,14 @@
         }
     }
 
-    /// Records that a connection to the endpoint was opened.
+    /// Records that this proxy opened a connection to the endpoint.
     pub fn connection_opened(&mut self, key: EndpointKey) {
         if let Some(index) = self.find_endpoint(key) {
             self.endpoints[index].connections += 1;
         }
     }
 
-    /// Records that a connection to the endpoint was closed.
+    /// Records that a connection of this proxy to the endpoint was closed.
     pub fn connection_closed(&mut self, key: EndpointKey) {
         if let Some(index) = self.find_endpoint(key) {
             let connections = &mut self.endpoints[index].connections;
@@ -353,7 +358,8 @@
         }
     }
 
-    /// Records that another incarnation responds at the endpoint's address: it is not used until its list entry changes.
+    /// Records that another incarnation responds at the endpoint's address: it is not used until its list entry
+    /// changes.
     pub fn mark_misdirected(&mut self, now: Time, key: EndpointKey) {
         self.now = now;
         if let Some(index) = self.find_endpoint(key) {
@@ -361,8 +367,8 @@
         }
     }
 
-    /// Decides whether to retry a request after an attempt with this outcome, and records the attempt in `history`. Call
-    /// [`Router::record_completion`] first.
+    /// Decides whether to retry a request after an attempt with this outcome, and records the attempt in `history`.
+    /// Call [`Router::record_completion`] first.
     pub fn decide_retry(
         &self,
         now: Time,
@@ -401,8 +407,8 @@
         RetryDecision::Retry
     }
 
-    /// Timeout of an attempt that is about to be sent: only for an idempotent request that has a further attempt and
-    /// another endpoint for it. `history` is the history before the attempt.
+    /// Timeout of an attempt that is about to be sent; None unless the request is idempotent and has another attempt
+    /// and another endpoint left. `history` is the history before the attempt.
     pub fn attempt_timeout(
         &self,
         now: Time,
@@ -410,7 +416,7 @@
         history: &AttemptHistory,
     ) -> Option<Span> {
         let service = self.services.get(&request.service).filter(|_| self.policy.try_timeout)?;
-        let timeout = retry::attempt_timeout(now, request, history, service.idempotent_pace())?;
+        let timeout = retry::attempt_timeout(now, request, history, service.idempotent_mean_ttfb())?;
         let ready = service.ready_endpoints().map(|index| &self.endpoints[index]);
         let others =
             ready.filter(|other| other.is_in_service() && !history.avoided.contains(&other.key)).count();
@@ -432,7 +438,7 @@
             .any(|endpoint| !history.avoided.contains(&endpoint.key) && candidates.is_usable(endpoint))
     }
 
-    /// Counters of placement since the start.
+    /// Placement counters since the start of the proxy.
     pub fn placement_metrics(&self) -> PlacementMetrics {
         self.placement_metrics
     }
@@ -445,7 +451,7 @@
     }
 }
 
-/// The request's shared prefix, if it states one.
+/// The prompt of a request that states a shared prefix and its size.
 fn shared_prompt(request: &RoutingRequest) -> Option<Prompt> {
     let prefix = request.prefix_id.as_ref().filter(|_| request.prefix_tokens > 0)?;
     Some(Prompt {
--- a/system/request-routing/src/sessions.rs
+++ b/system/request-routing/src/sessions.rs
@@ -1,16 +1,15 @@
-//! Session affinity table: the endpoint that last served each session, bounded by recency.
+//! Session affinity table: the endpoint that last served each recent session.
 
 use crate::hash::{hash, mix};
 use crate::types::{EndpointKey, RoutingRequest};
 use std::collections::HashMap;
 
-/// Upper bound on remembered sessions.
+/// Upper bound on the sessions in the table.
 const MAX_SESSIONS: usize = 20_000;
 
-/// The last use of a session.
 struct SessionUse {
     endpoint: EndpointKey,
-    /// Logical time of the use.
+    /// Logical time of the session's last use.
     tick: u64,
 }
 
@@ -28,7 +27,7 @@
         self.by_hash.get(&session_hash).map(|last_use| last_use.endpoint)
     }
 
-    /// Records a use. On overflow the less recently used half is evicted.
+    /// Records a use. On overflow the least recently used half is evicted.
     pub(crate) fn record_use(&mut self, session_hash: u64, endpoint: EndpointKey) {
         self.tick += 1;
         self.by_hash.insert(session_hash, SessionUse { endpoint, tick: self.tick });
@@ -41,7 +40,7 @@
     }
 }
 
-/// Hash of the request's service and session.
+/// Hash of the request's service and session; None for a request without a session.
 pub(crate) fn session_hash(request: &RoutingRequest) -> Option<u64> {
     let session = request.session.as_ref()?;
     Some(mix(hash(request.service.as_bytes()) ^ hash(session.as_bytes()).rotate_left(1)))
--- a/system/request-routing/src/types.rs
+++ b/system/request-routing/src/types.rs
@@ -10,41 +10,41 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 pub struct EndpointKey(pub u32);
 
-/// A request to be routed.
+/// The properties of a request that routing depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoutingRequest {
     /// Name of the requested service.
     pub service: String,
     /// Whether the request is idempotent, not idempotent or streaming.
     pub kind: RouteKind,
-    /// Whether it is a stream that may be resumed at another endpoint.
+    /// Whether the request is a stream that another endpoint may resume.
     pub resumable: bool,
-    /// The session it belongs to, for session affinity.
+    /// Session id, for session affinity; None for a request without a session.
     pub session: Option<String>,
-    /// Whether it continues an earlier turn of its conversation.
+    /// Whether the request continues a conversation, that is, whether it is not its first turn.
     pub continues: bool,
-    /// Instance id of the endpoint that served that turn, if it is known.
+    /// Instance id of the endpoint that served the previous turn, if known.
     pub previous_endpoint: Option<Arc<str>>,
-    /// Id of its shared prompt prefix, for prefix affinity.
+    /// Id of the shared prompt prefix, for prefix affinity.
     pub prefix_id: Option<String>,
-    /// Tokens of that prefix; 0 if unknown.
+    /// Tokens of the shared prefix; 0 if unknown.
     pub prefix_tokens: u32,
-    /// Tokens of the prompt plus the maximum to generate; 0 if unknown.
+    /// Tokens of the prompt plus the maximum number of tokens to generate; 0 if unknown.
     pub total_tokens: u32,
     /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Time of arrival.
+    /// Time of arrival at the proxy; the admission queue tells waiting requests apart by it.
     pub arrived_at: Time,
-    /// Time at which it is given up.
+    /// Time at which the request is given up.
     pub deadline: Time,
-    /// Time to first byte within which the response has its full value.
+    /// Time to first byte within which a response has its full value to the client.
     pub latency_target: Span,
     /// Upper bound on the attempts that reach an endpoint.
     pub max_attempts: u32,
 }
 
 impl RoutingRequest {
-    /// Whether more than one endpoint may execute it.
+    /// Whether more than one endpoint may execute the request.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -54,89 +54,89 @@
     }
 }
 
-/// The attempts of a request so far.
+/// Record of a request's attempts so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
     /// Number of attempts that reached an endpoint.
     pub attempts: u32,
-    /// Whether one of them may have executed.
+    /// Whether an attempt may have executed.
     pub execution: Execution,
     /// Number of attempts that did not execute: refusals, and connections that were not established.
     pub unexecuted: u32,
     /// The endpoint of the last attempt.
     pub last_endpoint: Option<EndpointKey>,
-    /// Endpoints that are not tried again while there are others.
+    /// Endpoints that refused or failed an attempt; chosen again only if no other is available.
     pub avoided: Vec<EndpointKey>,
     /// Earliest time of the next attempt.
     pub not_before: Time,
 }
 
-/// Where a request goes now.
+/// Result of routing a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoutingDecision {
-    /// Send it to this endpoint; the call counts as in flight from now on.
+    /// Send the request to this endpoint. The call counts as in flight until its completion is recorded.
     Send(Target),
-    /// Decide again after this time, or earlier if a slot may have become free.
+    /// Route the request again after this time, or earlier if a slot may have become free.
     Wait(Span),
-    /// Give up.
+    /// End the request without a response.
     GiveUp(GiveUp),
 }
 
 /// The endpoint that a request is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its key.
+    /// Key for later reports about this endpoint to the router.
     pub key: EndpointKey,
-    /// Its address.
+    /// Address to connect to.
     pub address: SocketAddrV4,
-    /// Instance id of its incarnation.
+    /// Instance id of the incarnation that is expected to respond.
     pub instance_id: Arc<str>,
-    /// Whether a new connection is within this proxy's share.
+    /// Whether a new connection is within this proxy's share of the endpoint's connections.
     pub may_open: bool,
 }
 
 /// How a request ends without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUp {
-    /// With the guarantee that it was not executed.
+    /// The request is guaranteed not to have been executed.
     Refused {
         /// Time after which a retry by the client may succeed.
         retry_after: Span,
     },
-    /// Without that guarantee.
+    /// The request may have been executed.
     Failed,
 }
 
-/// What follows an attempt without a response.
+/// Whether a request is retried after an attempt without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Route it again, no earlier than [`AttemptHistory::not_before`].
+    /// Route the request again, no earlier than [`AttemptHistory::not_before`].
     Retry,
-    /// Give up.
+    /// End the request without a response.
     GiveUp(GiveUp),
 }
 
 /// Load report of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that it executes.
+    /// Number of requests that are executing.
     pub running: u32,
-    /// Requests in its queue.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that it can execute at once.
+    /// Number of requests that can execute concurrently.
     pub slots: u32,
 }
 
 /// Settings of a service that routing depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceSettings {
-    /// Its name.
+    /// Service name, as in [`RoutingRequest::service`].
     pub name: String,
-    /// Upper bound on an endpoint's connections from all proxies together.
+    /// Upper bound on the connections of all proxies together to one endpoint; 0 if unbounded.
     pub max_connections: u32,
-    /// Whether its endpoints serve a model.
+    /// Whether the endpoints are model engines.
     pub engine: bool,
-    /// Slots of an endpoint, if configured.
+    /// Slots of an endpoint whose list entry states none, if configured.
     pub slots: Option<u32>,
     /// Capacity of an endpoint's prefix cache in tokens, if configured.
     pub cache_tokens: Option<u64>,
@@ -145,49 +145,49 @@
 /// Why an endpoint receives no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnavailableReason {
-    /// It is draining.
+    /// The endpoint is draining, which is final for an incarnation.
     Draining,
-    /// It is no longer in the endpoint list.
+    /// The endpoint is no longer in the endpoint list.
     Unlisted,
-    /// Another incarnation responds at its address.
+    /// Another incarnation responds at the endpoint's address.
     Misdirected,
     /// Too many consecutive attempts failed.
     Ejected {
-        /// End of this state.
+        /// End of the ejection; a probe call follows.
         until: Time,
     },
-    /// Its ejection is over, and a probe call is in flight.
+    /// The ejection is over, and the probe call is in flight.
     Probing,
-    /// It refused a call for lack of capacity.
+    /// The endpoint refused a call for lack of capacity.
     BackingOff {
-        /// End of this state.
+        /// End of the backoff.
         until: Time,
     },
-    /// As many calls of this proxy as allowed are in flight there.
+    /// This proxy has the maximum number of calls in flight to the endpoint.
     AtCapacity,
 }
 
 /// Snapshot of an endpoint for the admin endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointView {
-    /// Its key.
+    /// Key of the incarnation, unique within this process.
     pub key: EndpointKey,
-    /// Instance id of its incarnation.
+    /// Instance id of the incarnation.
     pub instance_id: Arc<str>,
-    /// Name of its service.
+    /// Name of the service that the endpoint belongs to.
     pub service: String,
-    /// Its address.
+    /// Address from the endpoint list.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Zone from the endpoint list.
     pub zone: String,
-    /// Calls of this proxy in flight.
+    /// This proxy's calls in flight to the endpoint.
     pub in_flight: u32,
-    /// Open connections of this proxy.
+    /// This proxy's open connections to the endpoint.
     pub connections: u32,
-    /// Its slots.
+    /// Concurrent requests: from the endpoint list, or else the service's setting or its default.
     pub slots: u32,
-    /// Decayed number of other proxies' calls, from its load reports.
+    /// Decayed number of other proxies' calls, from the endpoint's load reports.
     pub reported_load: f64,
-    /// Why it receives no new requests; None if it does.
+    /// Why the endpoint receives no new requests; None if it does.
     pub unavailable: Option<UnavailableReason>,
 }
