--- a/system/request-routing/src/router.rs
+++ b/system/request-routing/src/router.rs
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Records a load report that arrives independently of a response.
+    /// Records a load report that arrives before its call completes, for example with the response head.
     pub fn record_load(&mut self, now: Time, key: EndpointKey, load: ServerLoad) {
         self.now = now;
         if let Some(index) = self.find_endpoint(key).filter(|_| self.policy.reported_load) {
--- a/system/request-routing/tests/common/mod.rs
+++ b/system/request-routing/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Fixtures: endpoints, requests and a configured router.
-#![allow(dead_code, reason = "each test file uses a part of the fixtures")]
+//! Fixtures: endpoint lists, requests and a configured router.
+#![allow(dead_code, reason = "each test file uses only some of the fixtures")]
 
 use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
 use request_routing::{
@@ -9,16 +9,17 @@
 
 pub(crate) const MS: u64 = 1_000;
 
+/// The time `millis` milliseconds after the start of a test.
 pub(crate) fn ms(millis: u64) -> Time {
     Time(1_000_000 + millis * MS)
 }
 
-pub(crate) fn entry(id: &str, service: &str, zone: &str, slots: u32) -> Endpoint {
-    let number = id.bytes().fold(0_u32, |sum, byte| sum.wrapping_mul(31).wrapping_add(u32::from(byte)));
+pub(crate) fn list_entry(id: &str, service: &str, zone: &str, slots: u32) -> Endpoint {
+    let id_hash = id.bytes().fold(0_u32, |sum, byte| sum.wrapping_mul(31).wrapping_add(u32::from(byte)));
     Endpoint {
         instance_id: id.to_owned(),
         service: service.to_owned(),
-        address: std::net::SocketAddrV4::new((0x0a00_0000 | (number & 0xff_ffff)).into(), 8080),
+        address: std::net::SocketAddrV4::new((0x0a00_0000 | (id_hash & 0xff_ffff)).into(), 8080),
         zone: zone.to_owned(),
         capacity_slots: slots,
         state: EndpointState::Ready,
@@ -30,7 +31,7 @@
     entry
 }
 
-pub(crate) fn list(endpoints: &[Endpoint]) -> EndpointList {
+pub(crate) fn endpoint_list(endpoints: &[Endpoint]) -> EndpointList {
     EndpointList { version: ListVersion::new(1, 1), endpoints: endpoints.to_vec() }
 }
 
@@ -38,14 +39,14 @@
     ServiceSettings { name: name.to_owned(), max_connections, engine, slots: None, cache_tokens: None }
 }
 
-/// In zone `a`, with the plain service `tool` and the model service `model`.
+/// A router in zone `a` with two services: `tool`, and the model service `model`.
 pub(crate) fn router(endpoints: &[Endpoint]) -> Router {
     let mut router = Router::new("a".to_owned(), 7, RoutingPolicy::default());
     router.update_services(
         ms(0),
         &[service_settings("tool", 1_000, false), service_settings("model", 1_000, true)],
     );
-    router.update_endpoints(ms(0), &list(endpoints));
+    router.update_endpoints(ms(0), &endpoint_list(endpoints));
     router
 }
 
@@ -68,29 +69,30 @@
     }
 }
 
-pub(crate) fn turn(session: &str, part: &str) -> RoutingRequest {
+/// A streaming request of this session to the service `model`, with a shared prefix.
+pub(crate) fn conversation_turn(session: &str, prefix_id: &str) -> RoutingRequest {
     RoutingRequest {
         session: Some(session.to_owned()),
-        prefix_id: Some(part.to_owned()),
+        prefix_id: Some(prefix_id.to_owned()),
         prefix_tokens: 2_000,
         total_tokens: 3_000,
         ..request("model", RouteKind::Streaming)
     }
 }
 
-pub(crate) fn sent(decision: RoutingDecision) -> Target {
+pub(crate) fn expect_send(decision: RoutingDecision) -> Target {
     match decision {
         RoutingDecision::Send(target) => target,
-        other => panic!("not sent: {other:?}"),
+        other => panic!("expected a send, got {other:?}"),
     }
 }
 
-/// Sends a request and says where it went.
+/// Routes a first attempt, which must be sent, and returns its target.
 pub(crate) fn send(router: &mut Router, now: Time, request: &RoutingRequest) -> Target {
-    sent(router.pick(now, request, &AttemptHistory::default()))
+    expect_send(router.pick(now, request, &AttemptHistory::default()))
 }
 
-pub(crate) fn end(
+pub(crate) fn complete(
     router: &mut Router,
     now: Time,
     key: EndpointKey,
@@ -100,7 +102,7 @@
     router.record_completion(now, key, request, outcome, None, Span(20 * MS));
 }
 
-/// Sends a request, ends it so and says where it was.
+/// Routes an attempt, completes it with `outcome` and returns its target and the retry decision.
 pub(crate) fn attempt(
     router: &mut Router,
     now: Time,
@@ -108,8 +110,8 @@
     history: &mut AttemptHistory,
     outcome: Outcome,
 ) -> (Target, RetryDecision) {
-    let target = sent(router.pick(now, request, history));
-    end(router, now, target.key, request, outcome);
-    let next = router.decide_retry(now, request, history, target.key, outcome);
-    (target, next)
+    let target = expect_send(router.pick(now, request, history));
+    complete(router, now, target.key, request, outcome);
+    let decision = router.decide_retry(now, request, history, target.key, outcome);
+    (target, decision)
 }
--- a/system/request-routing/tests/execution.rs
+++ b/system/request-routing/tests/execution.rs
@@ -1,9 +1,9 @@
-//! Over every order of a request's sends and their ends: an endpoint that records what ran is never asked to run it
-//! twice where that is not allowed, and no promise is given that it could break.
+//! Tests of at-most-once execution, over all sequences of a request's send outcomes: a request that is not repeatable
+//! never executes twice, and no request is refused as not executed if it may have executed.
 
 mod common;
 
-use common::{MS, entry, ms, request, router};
+use common::{MS, list_entry, ms, request, router};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use request_routing::{
@@ -11,18 +11,18 @@
     SendOutcome, Span, status_promises_not_executed,
 };
 
-/// What happens to one send: what the stand-in endpoint does with it, and what the proxy sees of that.
+/// What happens to one send: whether the simulated endpoint executes the request, and what the proxy observes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SendScenario {
     ConnectionRefused,
     LostInHead,
     LostInBodyUnexecuted,
-    /// An endpoint may begin before it has the body.
+    /// An endpoint may start executing before it has read the body.
     LostInBodyExecuted,
     ResetUnexecuted,
     ResetAfterExecution,
     TimedOutUnexecuted,
-    /// It runs once the proxy has given it up.
+    /// The request executes after the proxy has given up the send.
     TimedOutExecutesLater,
     ResponseOfAnotherRequest,
     TruncatedResponse,
@@ -52,8 +52,8 @@
 const KINDS: [RouteKind; 3] = [RouteKind::Idempotent, RouteKind::NonIdempotent, RouteKind::Streaming];
 
 impl SendScenario {
-    /// Whether the endpoint begins work on it, now or later.
-    fn runs(self) -> bool {
+    /// Whether the endpoint executes the request, now or later.
+    fn executes(self) -> bool {
         matches!(
             self,
             Self::LostInBodyExecuted
@@ -65,9 +65,9 @@
         )
     }
 
-    /// What the proxy sees.
+    /// The outcome that the proxy observes.
     fn outcome(self) -> Outcome {
-        let end = match self {
+        let send_outcome = match self {
             Self::ConnectionRefused => SendOutcome::ConnectFailed,
             Self::LostInHead => SendOutcome::connection_lost(false),
             Self::LostInBodyUnexecuted
@@ -81,13 +81,13 @@
             Self::AnotherIncarnation => SendOutcome::Misdirected,
             Self::EndpointFailure => return Outcome::Failure,
         };
-        end.outcome()
+        send_outcome.outcome()
     }
 }
 
-/// Sends one request with these scenarios in turn; the error says which promise was broken.
+/// Routes one request whose sends have these scenarios, in order. The error states which guarantee was violated.
 fn simulate(kind: RouteKind, scenarios: &[SendScenario]) -> std::result::Result<(), String> {
-    let mut router = router(&["x", "y", "z"].map(|id| entry(id, "tool", "a", 8)));
+    let mut router = router(&["x", "y", "z"].map(|id| list_entry(id, "tool", "a", 8)));
     let request = RoutingRequest {
         max_attempts: 3,
         deadline: ms(20_000),
@@ -95,41 +95,41 @@
         ..request("tool", kind)
     };
     let (mut history, mut now) = (AttemptHistory::default(), ms(0));
-    let mut ran = 0_u32;
+    let mut executions = 0_u32;
     let mut scenarios = scenarios.iter();
-    let end = 'over: loop {
+    let result = 'finished: loop {
         let target = loop {
             match router.pick(now, &request, &history) {
                 RoutingDecision::Send(target) => break target,
                 RoutingDecision::Wait(Span(wait)) => now = now.after(wait as f64),
-                RoutingDecision::GiveUp(end) => break 'over end,
+                RoutingDecision::GiveUp(give_up) => break 'finished give_up,
             }
         };
-        // Whatever is not fated is answered, which is the end of it.
+        // A send without a scenario receives a response, which completes the request.
         let Some(scenario) = scenarios.next() else {
-            ran += 1;
-            break 'over GiveUp::Failed;
+            executions += 1;
+            break 'finished GiveUp::Failed;
         };
-        ran += u32::from(scenario.runs());
+        executions += u32::from(scenario.executes());
         let outcome = scenario.outcome();
         router.record_completion(now, target.key, &request, outcome, None, Span(5 * MS));
         if *scenario == SendScenario::AnotherIncarnation {
             router.mark_misdirected(now, target.key);
         }
-        if let RetryDecision::GiveUp(end) =
+        if let RetryDecision::GiveUp(give_up) =
             router.decide_retry(now, &request, &mut history, target.key, outcome)
         {
-            break 'over end;
+            break 'finished give_up;
         }
     };
-    if kind != RouteKind::Idempotent && ran > 1 {
-        return Err(format!("{kind:?} ran {ran} times"));
+    if kind != RouteKind::Idempotent && executions > 1 {
+        return Err(format!("{kind:?} request executed {executions} times"));
     }
-    if ran > request.max_attempts {
-        return Err(format!("ran {ran} times, with {} attempts", request.max_attempts));
+    if executions > request.max_attempts {
+        return Err(format!("executed {executions} times with at most {} attempts", request.max_attempts));
     }
-    if ran > 0 && matches!(end, GiveUp::Refused { .. }) {
-        return Err(format!("{kind:?} was refused and ran"));
+    if executions > 0 && matches!(result, GiveUp::Refused { .. }) {
+        return Err(format!("{kind:?} request was refused as not executed but executed"));
     }
     Ok(())
 }
@@ -138,12 +138,13 @@
 fn no_sequence_of_up_to_four_send_outcomes_executes_twice_or_breaks_a_guarantee() {
     let mut simulated = 0;
     for kind in KINDS {
-        let mut order = Vec::new();
-        for number in 0..SCENARIOS.len().pow(4) {
-            order.clear();
-            order
-                .extend((0..4).map(|place| SCENARIOS[number / SCENARIOS.len().pow(place) % SCENARIOS.len()]));
-            expect_that!(simulate(kind, &order), ok(()), "{kind:?} {order:?}");
+        let mut scenarios = Vec::new();
+        for sequence_number in 0..SCENARIOS.len().pow(4) {
+            scenarios.clear();
+            scenarios.extend((0..4).map(|position| {
+                SCENARIOS[sequence_number / SCENARIOS.len().pow(position) % SCENARIOS.len()]
+            }));
+            expect_that!(simulate(kind, &scenarios), ok(()), "{kind:?} {scenarios:?}");
             simulated += 1;
         }
     }
@@ -167,11 +168,15 @@
 fn a_status_without_the_endpoints_statement_is_forwarded_only_for_idempotent_requests() {
     for status in 200..=599 {
         expect_that!(status_promises_not_executed(status, RouteKind::Idempotent), eq(false));
-        let plain = matches!(status, 408 | 421 | 429 | 503);
-        expect_that!(status_promises_not_executed(status, RouteKind::NonIdempotent), eq(plain), "{status}");
+        let promises_not_executed = matches!(status, 408 | 421 | 429 | 503);
+        expect_that!(
+            status_promises_not_executed(status, RouteKind::NonIdempotent),
+            eq(promises_not_executed),
+            "{status}"
+        );
         expect_that!(
             status_promises_not_executed(status, RouteKind::Streaming),
-            eq(plain || status == 402),
+            eq(promises_not_executed || status == 402),
             "{status}"
         );
     }
--- a/system/request-routing/tests/properties.rs
+++ b/system/request-routing/tests/properties.rs
@@ -1,8 +1,8 @@
-//! What holds whatever happens.
+//! Invariants of the router, checked after random sequences of requests, completions, lists and time steps.
 
 mod common;
 
-use common::{entry, list, ms, request, router};
+use common::{endpoint_list, list_entry, ms, request, router};
 use fleet_model::{Endpoint, EndpointState};
 use proptest::prelude::*;
 use request_routing::{
@@ -13,19 +13,19 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A new request, or the next pick of one.
+    /// Routes a request, for the first time or again.
     Route {
         request_index: usize,
     },
-    /// One of the calls out ends.
-    End {
+    /// Completes one of the calls in flight.
+    Complete {
         call: usize,
         outcome: Outcome,
         load: Option<u32>,
     },
-    /// A new list: for each endpoint whether it is listed, and as ready.
-    List(Vec<(bool, bool)>),
-    Misdirected(usize),
+    /// Applies a new list: for each endpoint, whether it is listed and whether it is ready.
+    UpdateList(Vec<(bool, bool)>),
+    MarkMisdirected(usize),
     AdvanceTime(u64),
 }
 
@@ -48,9 +48,9 @@
     prop_oneof![
         6 => (0_usize..REQUESTS).prop_map(|request_index| Step::Route { request_index }),
         4 => (0_usize..64, outcome(), proptest::option::of(0_u32..20))
-            .prop_map(|(call, outcome, load)| Step::End { call, outcome, load }),
-        1 => proptest::collection::vec((any::<bool>(), any::<bool>()), ENDPOINTS).prop_map(Step::List),
-        1 => (0_usize..ENDPOINTS).prop_map(Step::Misdirected),
+            .prop_map(|(call, outcome, load)| Step::Complete { call, outcome, load }),
+        1 => proptest::collection::vec((any::<bool>(), any::<bool>()), ENDPOINTS).prop_map(Step::UpdateList),
+        1 => (0_usize..ENDPOINTS).prop_map(Step::MarkMisdirected),
         3 => (0_u64..60_000).prop_map(Step::AdvanceTime),
     ]
 }
@@ -62,7 +62,7 @@
     (0..ENDPOINTS)
         .map(|n| {
             let service = if n % 3 == 0 { "model" } else { "tool" };
-            entry(&format!("i{n}"), service, if n % 2 == 0 { "a" } else { "b" }, 2 + n as u32)
+            list_entry(&format!("i{n}"), service, if n % 2 == 0 { "a" } else { "b" }, 2 + n as u32)
         })
         .collect()
 }
@@ -82,13 +82,15 @@
         .collect()
 }
 
+/// The state of a request as the test tracks it, independently of the router.
 #[derive(Default)]
-struct Seen {
+struct RequestState {
     history: AttemptHistory,
-    reached: u32,
-    ran: bool,
+    /// Attempts that reached an endpoint.
+    attempts: u32,
+    may_have_executed: bool,
     in_flight: bool,
-    over: bool,
+    finished: bool,
 }
 
 #[allow(clippy::too_many_lines, reason = "one arm for each kind of event")]
@@ -97,27 +99,31 @@
     let requests = requests();
     let mut router = router(&fleet);
     let mut now = ms(0);
-    let mut seen: Vec<Seen> = (0..REQUESTS).map(|_| Seen::default()).collect();
+    let mut states: Vec<RequestState> = (0..REQUESTS).map(|_| RequestState::default()).collect();
     let mut calls: Vec<(usize, Target)> = Vec::new();
-    let mut ready: BTreeSet<String> = fleet.iter().map(|e| e.instance_id.clone()).collect();
+    let mut ready: BTreeSet<String> = fleet.iter().map(|endpoint| endpoint.instance_id.clone()).collect();
     let mut misdirected: BTreeSet<EndpointKey> = BTreeSet::new();
-    let check_end = |request: &RoutingRequest, seen: &Seen, end: GiveUp| {
-        if seen.ran && request.kind != RouteKind::Idempotent {
-            prop_assert_eq!(end, GiveUp::Failed);
+    let check_give_up = |request: &RoutingRequest, state: &RequestState, give_up: GiveUp| {
+        if state.may_have_executed && request.kind != RouteKind::Idempotent {
+            prop_assert_eq!(give_up, GiveUp::Failed);
         }
-        if !seen.ran {
-            prop_assert!(matches!(end, GiveUp::Refused { .. }), "nothing ran, and it says {:?}", end);
+        if !state.may_have_executed {
+            prop_assert!(
+                matches!(give_up, GiveUp::Refused { .. }),
+                "no attempt can have executed, but the result is {:?}",
+                give_up
+            );
         }
         Ok(())
     };
     for step in steps {
         match step {
             Step::Route { request_index } => {
-                let (request, seen) = (&requests[request_index], &mut seen[request_index]);
-                if seen.in_flight || seen.over {
+                let (request, state) = (&requests[request_index], &mut states[request_index]);
+                if state.in_flight || state.finished {
                     continue;
                 }
-                match router.pick(now, request, &seen.history) {
+                match router.pick(now, request, &state.history) {
                     RoutingDecision::Send(target) => {
                         prop_assert!(
                             ready.contains(&*target.instance_id),
@@ -126,69 +132,75 @@
                         );
                         prop_assert!(
                             !misdirected.contains(&target.key),
-                            "{} is another's",
+                            "{} is misdirected",
                             target.instance_id
                         );
-                        let listed = fleet.iter().find(|e| e.instance_id == *target.instance_id).unwrap();
+                        let listed = fleet
+                            .iter()
+                            .find(|endpoint| endpoint.instance_id == *target.instance_id)
+                            .unwrap();
                         prop_assert_eq!(&listed.service, &request.service);
                         prop_assert_eq!(listed.address, target.address);
                         prop_assert!(
-                            !(seen.ran && request.kind != RouteKind::Idempotent),
-                            "it may run twice"
+                            !(state.may_have_executed && request.kind != RouteKind::Idempotent),
+                            "the request may execute twice"
                         );
-                        prop_assert!(seen.reached < request.max_attempts, "one send too many");
-                        prop_assert!(now <= request.deadline && now >= seen.history.not_before);
-                        seen.in_flight = true;
+                        prop_assert!(state.attempts < request.max_attempts, "more attempts than allowed");
+                        prop_assert!(now <= request.deadline && now >= state.history.not_before);
+                        state.in_flight = true;
                         calls.push((request_index, target));
                     }
                     RoutingDecision::Wait(Span(span)) => {
                         prop_assert!(span > 0);
-                        prop_assert!(now.after(span as f64) <= request.deadline, "it waits past its end");
+                        prop_assert!(
+                            now.after(span as f64) <= request.deadline,
+                            "the wait exceeds the deadline"
+                        );
                     }
-                    RoutingDecision::GiveUp(end) => {
-                        check_end(request, seen, end)?;
-                        seen.over = true;
+                    RoutingDecision::GiveUp(give_up) => {
+                        check_give_up(request, state, give_up)?;
+                        state.finished = true;
                     }
                 }
             }
-            Step::End { call, outcome, load } => {
+            Step::Complete { call, outcome, load } => {
                 if calls.is_empty() {
                     continue;
                 }
                 let (request_index, target) = calls.swap_remove(call % calls.len());
-                let (request, seen) = (&requests[request_index], &mut seen[request_index]);
+                let (request, state) = (&requests[request_index], &mut states[request_index]);
                 let load = load.map(|running| ServerLoad { running, waiting: running / 4, slots: 8 });
                 router.record_completion(now, target.key, request, outcome, load, Span(5_000));
-                seen.in_flight = false;
-                seen.ran |= outcome.may_have_executed();
-                seen.reached +=
+                state.in_flight = false;
+                state.may_have_executed |= outcome.may_have_executed();
+                state.attempts +=
                     u32::from(!matches!(outcome, Outcome::ConnectFailed | Outcome::Void | Outcome::NoRoom));
                 if outcome == Outcome::Success {
-                    seen.over = true;
-                } else if let RetryDecision::GiveUp(end) =
-                    router.decide_retry(now, request, &mut seen.history, target.key, outcome)
+                    state.finished = true;
+                } else if let RetryDecision::GiveUp(give_up) =
+                    router.decide_retry(now, request, &mut state.history, target.key, outcome)
                 {
-                    check_end(request, seen, end)?;
-                    seen.over = true;
+                    check_give_up(request, state, give_up)?;
+                    state.finished = true;
                 }
             }
-            Step::List(states) => {
+            Step::UpdateList(entries) => {
                 let mut listed = Vec::new();
                 ready.clear();
-                for (endpoint, (here, is_ready)) in fleet.iter().zip(states) {
+                for (endpoint, (is_listed, is_ready)) in fleet.iter().zip(entries) {
                     let state = if is_ready { EndpointState::Ready } else { EndpointState::Draining };
-                    if here {
+                    if is_listed {
                         listed.push(Endpoint { state, ..endpoint.clone() });
                     }
-                    if here && is_ready {
+                    if is_listed && is_ready {
                         ready.insert(endpoint.instance_id.clone());
                     }
                 }
-                router.update_endpoints(now, &list(&listed));
-                // What a list says of an entry anew may open it again.
+                router.update_endpoints(now, &endpoint_list(&listed));
+                // A list may clear the mark of an endpoint whose entry changed.
                 misdirected.clear();
             }
-            Step::Misdirected(n) => {
+            Step::MarkMisdirected(n) => {
                 if let Some(view) = router.endpoint_views().get(n) {
                     router.mark_misdirected(now, view.key);
                     misdirected.insert(view.key);
@@ -197,7 +209,7 @@
             Step::AdvanceTime(span) => now = now.after(span as f64),
         }
     }
-    // Calls out are counted as they are.
+    // The router counts exactly the calls that have not completed.
     let mut in_flight: BTreeMap<EndpointKey, u32> = BTreeMap::new();
     for (_, target) in &calls {
         *in_flight.entry(target.key).or_default() += 1;
@@ -205,7 +217,7 @@
     for view in router.endpoint_views() {
         prop_assert_eq!(view.in_flight, in_flight.remove(&view.key).unwrap_or(0));
     }
-    prop_assert!(in_flight.is_empty(), "calls at endpoints that are forgotten");
+    prop_assert!(in_flight.is_empty(), "an endpoint was removed while its calls are in flight");
     Ok(())
 }
 
