--- a/system/request-routing/src/retry.rs
+++ b/system/request-routing/src/retry.rs
@@ -14,8 +14,7 @@
 const MAX_FIRST_BACKOFF_MICROS: f64 = 100_000.0;
 /// Upper bound of the exponential backoff, as a multiple of the first (the design specifies 10 s and 1 s).
 const MAX_BACKOFF_MULTIPLE: f64 = 10.0;
-/// Upper bound of the jitter, as a multiple of the first backoff (the design specifies 500 ms and
-/// 1 s).
+/// Upper bound of the jitter, as a multiple of the first backoff (the design specifies 500 ms and 1 s).
 const MAX_JITTER_MULTIPLE: f64 = 0.5;
 /// A request is given up when its unexecuted attempts exceed those that reached an endpoint by this many.
 const MAX_UNSENT_ATTEMPTS: u32 = 6;
@@ -58,7 +57,7 @@
         history.avoided.push(key);
     }
     history.execution = history.execution.after(outcome);
-    history.unexecuted += u32::from(!may_have_executed(outcome));
+    history.unexecuted_attempts += u32::from(!may_have_executed(outcome));
     history.attempts += u32::from(reached_endpoint(outcome));
 }
 
@@ -66,7 +65,7 @@
 pub(crate) fn is_exhausted(request: &RoutingRequest, history: &AttemptHistory) -> bool {
     !history.execution.may_send(request.is_repeatable())
         || history.attempts >= request.max_attempts.max(1)
-        || history.unexecuted.saturating_sub(history.attempts) >= MAX_UNSENT_ATTEMPTS
+        || history.unexecuted_attempts.saturating_sub(history.attempts) >= MAX_UNSENT_ATTEMPTS
 }
 
 /// Timeout of the next attempt; None unless another attempt with the same timeout may follow it. `mean_ttfb` is in
@@ -96,7 +95,7 @@
 /// The backoff before the next attempt in microseconds; `jitter` is between 0 and 1.
 pub(crate) fn backoff(request: &RoutingRequest, history: &AttemptHistory, jitter: f64) -> f64 {
     let base = first_backoff(request);
-    let doublings = history.attempts.max(history.unexecuted).saturating_sub(1).min(16);
+    let doublings = history.attempts.max(history.unexecuted_attempts).saturating_sub(1).min(16);
     (base * f64::from(1_u32 << doublings)).min(MAX_BACKOFF_MULTIPLE * base)
         + MAX_JITTER_MULTIPLE * base * jitter
 }
--- a/system/request-routing/src/router.rs
+++ b/system/request-routing/src/router.rs
@@ -381,7 +381,7 @@
         if retry::is_exhausted(request, history) {
             return RetryDecision::GiveUp(retry::give_up(history, self.retry_after(now, request)));
         }
-        let is_first_attempt = history.attempts.max(history.unexecuted) == 1;
+        let is_first_attempt = history.attempts.max(history.unexecuted_attempts) == 1;
         let free_elsewhere = self.has_free_untried_endpoint(now, request, history);
         let never_sent = outcome == Outcome::Void;
         let delay = if history.execution.guarantees_not_executed()
--- a/system/request-routing/src/types.rs
+++ b/system/request-routing/src/types.rs
@@ -62,7 +62,7 @@
     /// Whether an attempt may have executed.
     pub execution: Execution,
     /// Number of attempts that did not execute: refusals, and connections that were not established.
-    pub unexecuted: u32,
+    pub unexecuted_attempts: u32,
     /// The endpoint of the last attempt.
     pub last_endpoint: Option<EndpointKey>,
     /// Endpoints that refused or failed an attempt; chosen again only if no other is available.
--- a/system/request-routing/tests/retries.rs
+++ b/system/request-routing/tests/retries.rs
@@ -354,7 +354,7 @@
         let (request, mut history) = (request("tool", RouteKind::Streaming), AttemptHistory::default());
         attempt(&mut router, ms(0), &request, &mut history, outcome);
         expect_that!(history.execution, eq(Execution::NotExecuted));
-        expect_that!(history.unexecuted, eq(1));
+        expect_that!(history.unexecuted_attempts, eq(1));
     }
 }
 
