--- a/system/request-forwarding/src/active_turn.rs
+++ b/system/request-forwarding/src/active_turn.rs
@@ -1,9 +1,9 @@
-//! What hangs on a turn while it is under way: its reservation, and what is to be kept of it.
+//! State of a turn in progress: its token reservation, and the record to store once it is complete.
 
 use crate::turn_storage::{CompletedTurn, TurnStorage};
 use std::rc::Rc;
 
-/// What hangs on a stream.
+/// Storage state of a stream; for streams that are not turns, both parts are empty.
 pub(crate) struct ActiveTurn<T: TurnStorage> {
     pub(crate) reservation: Option<Reservation<T>>,
     pub(crate) record: TurnRecord,
@@ -11,42 +11,43 @@
 }
 
 impl<T: TurnStorage> ActiveTurn<T> {
-    pub(crate) fn forget_reservation(&mut self) {
+    /// Marks the reservation as settled elsewhere, so that dropping it does not settle it again.
+    pub(crate) fn mark_settled(&mut self) {
         if let Some(reservation) = &mut self.reservation {
             reservation.settled = true;
         }
     }
 
-    /// For an answer that is no turn.
+    /// Drops the record, for a response that is not a turn.
     pub(crate) fn without_storage(mut self) -> Self {
         self.record = TurnRecord::NotRetained;
         self
     }
 }
 
-/// What is to be stored of a stream.
+/// What to store when a stream ends.
 pub(crate) enum TurnRecord {
-    /// Nothing: its route retains no turns, or its answer is no turn.
+    /// Nothing: its route retains no turns, or its response is not a turn.
     NotRetained,
-    /// A turn whose output is all that the endpoint sends.
-    Whole(CompletedTurn),
-    /// A turn that cannot be stored: its client goes on after an event, and the output up to there is not known here.
+    /// A turn whose output is everything that the endpoint sends.
+    Complete(CompletedTurn),
+    /// A turn that cannot be stored: its client resumes after an event, and the output up to that event is unknown here.
     TailOnly,
 }
 
-/// Tokens reserved for an attempt; settled with what was handed out when it is dropped.
+/// Tokens reserved for an attempt. When dropped, it is settled with the number of tokens sent to the client.
 pub(crate) struct Reservation<T: TurnStorage> {
     pub(crate) turns: Rc<T>,
     pub(crate) program: String,
-    pub(crate) attempt: String,
-    pub(crate) handed: u32,
+    pub(crate) attempt_id: String,
+    pub(crate) delivered_tokens: u32,
     pub(crate) settled: bool,
 }
 
 impl<T: TurnStorage> Drop for Reservation<T> {
     fn drop(&mut self) {
         if !self.settled {
-            self.turns.settle(&self.program, &self.attempt, self.handed);
+            self.turns.settle(&self.program, &self.attempt_id, self.delivered_tokens);
         }
     }
 }
--- a/system/request-forwarding/src/body_collection.rs
+++ b/system/request-forwarding/src/body_collection.rs
@@ -1,4 +1,4 @@
-//! Bodies that are read whole, of requests and of answers.
+//! Reading of complete request and response bodies.
 
 use crate::local_response::LocalResponse;
 use bytes::{Bytes, BytesMut};
@@ -7,17 +7,17 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-/// Answers without a told length are read up to this.
-const MOST_UNTOLD: usize = 8 * 1024 * 1024;
+/// Upper bound on a collected response, which matters for one that does not state its length.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// A request's body, up to so many bytes and until then.
+/// Reads a request's body. The error is the response to the client: the body is too large, malformed or late.
 pub(crate) async fn read_body(
     mut body: Incoming,
-    most: usize,
-    until: Instant,
+    max_bytes: usize,
+    deadline: Instant,
 ) -> Result<Bytes, LocalResponse> {
     let too_large = || LocalResponse::closing(StatusCode::PAYLOAD_TOO_LARGE);
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_large());
     }
     let read = async {
@@ -25,52 +25,54 @@
         while let Some(frame) = body.frame().await {
             let Ok(frame) = frame else { return Err(LocalResponse::closing(StatusCode::BAD_REQUEST)) };
             let data = frame.into_data().unwrap_or_default();
-            if chunks.len() + data.len() > most {
+            if chunks.len() + data.len() > max_bytes {
                 return Err(too_large());
             }
-            chunks.add(data);
+            chunks.push(data);
         }
-        Ok(chunks.whole())
+        Ok(chunks.into_bytes())
     };
-    timeout_at(until, read).await.unwrap_or_else(|_| Err(LocalResponse::closing(StatusCode::REQUEST_TIMEOUT)))
+    timeout_at(deadline, read)
+        .await
+        .unwrap_or_else(|_| Err(LocalResponse::closing(StatusCode::REQUEST_TIMEOUT)))
 }
 
-/// A whole answer, if it is that and not too large.
-pub(crate) async fn read_whole(mut body: Incoming) -> Option<Bytes> {
+/// Reads a response body; `None` if it is incomplete or too large.
+pub(crate) async fn read_response_body(mut body: Incoming) -> Option<Bytes> {
     let mut chunks = ChunkBuffer::default();
     while let Some(frame) = body.frame().await {
         let data = frame.ok()?.into_data().unwrap_or_default();
-        if chunks.len() + data.len() > MOST_UNTOLD {
+        if chunks.len() + data.len() > MAX_RESPONSE_BYTES {
             return None;
         }
-        chunks.add(data);
+        chunks.push(data);
     }
-    Some(chunks.whole())
+    Some(chunks.into_bytes())
 }
 
-/// A body as it comes; one that comes in one piece is not copied.
+/// Joins the chunks of a body; a body of a single chunk is not copied.
 #[derive(Default)]
 struct ChunkBuffer {
-    only: Bytes,
-    several: BytesMut,
+    first: Bytes,
+    joined: BytesMut,
 }
 
 impl ChunkBuffer {
     fn len(&self) -> usize {
-        self.only.len() + self.several.len()
+        self.first.len() + self.joined.len()
     }
 
-    fn add(&mut self, data: Bytes) {
+    fn push(&mut self, data: Bytes) {
         if self.len() == 0 {
-            self.only = data;
+            self.first = data;
         } else {
-            self.several.extend_from_slice(&std::mem::take(&mut self.only));
-            self.several.extend_from_slice(&data);
+            self.joined.extend_from_slice(&std::mem::take(&mut self.first));
+            self.joined.extend_from_slice(&data);
         }
     }
 
-    fn whole(self) -> Bytes {
-        if self.several.is_empty() { self.only } else { self.several.freeze() }
+    fn into_bytes(self) -> Bytes {
+        if self.joined.is_empty() { self.first } else { self.joined.freeze() }
     }
 }
 
--- a/system/request-forwarding/src/client_connection.rs
+++ b/system/request-forwarding/src/client_connection.rs
@@ -1,6 +1,8 @@
 //! One client connection: its requests, its timeouts and its graceful end.
 
-use crate::client_stream::{Client, ClientStream, InFlight, client_left, is_quiet};
+use crate::client_stream::{
+    ClientStream, ConnectionState, InFlight, client_disconnected, has_no_unread_bytes,
+};
 use crate::forwarder::Forwarder;
 use crate::response_body::ResponseBody;
 use crate::server::{MIN_BUFFER_BYTES, ShutdownPhase, current_phase};
@@ -38,7 +40,7 @@
         }
         let stream = Rc::new(stream);
         let accepted = Instant::now();
-        let client = Rc::new(Client::new(accepted));
+        let client = Rc::new(ConnectionState::new(accepted));
         let io = TokioIo::new(ClientStream { stream: stream.clone(), client: client.clone() });
         let service = self.request_service(&client, &shutdown);
         let limits = self.limits();
@@ -50,10 +52,10 @@
             .timer(TokioTimer::new())
             .serve_connection(io, service);
         let mut connection = pin!(connection);
-        let mut client_left = pin!(client_left(&client, &stream));
+        let mut client_disconnected = pin!(client_disconnected(&client, &stream));
         let mut shutting_down = false;
         loop {
-            // The newest configuration applies to each connection, however old.
+            // The newest configuration applies to existing connections too.
             let limits = self.limits();
             let header_timeout = Duration::from_millis(limits.header_timeout_ms.max(1));
             let idle_timeout = Duration::from_millis(limits.idle_timeout_ms.max(1));
@@ -85,7 +87,7 @@
                     }
                     return;
                 }
-                () = &mut client_left => return,
+                () = &mut client_disconnected => return,
                 _ = shutdown.changed(), if !shutting_down => {}
                 () = sleep_until(next_check) => {}
             }
@@ -95,14 +97,14 @@
     /// The service that responds to the requests of one connection.
     fn request_service(
         self: &Rc<Self>,
-        client: &Rc<Client>,
+        client: &Rc<ConnectionState>,
         shutdown: &watch::Receiver<ShutdownPhase>,
     ) -> impl HttpService<Incoming, ResBody = ResponseBody, Error = Infallible, Future: Sized> + use<T> {
         let (forwarder, client, phase) = (self.clone(), client.clone(), shutdown.clone());
         service_fn(move |request: Request<Incoming>| {
             client.in_flight.set(true);
-            client.fresh.set(false);
-            let arrived = client.head_began.take().unwrap_or_else(Instant::now);
+            client.awaits_first_request.set(false);
+            let arrived = client.head_started_at.take().unwrap_or_else(Instant::now);
             let in_flight = InFlight(client.clone());
             let (forwarder, mut phase) = (forwarder.clone(), phase.clone());
             async move {
@@ -134,13 +136,13 @@
     Close,
     /// Finish the request in flight, if any, and close.
     GracefulShutdown,
-    /// Leave it open and check again then.
+    /// Leave it open and check again at this instant.
     CheckAt(Instant),
 }
 
 /// The state that a check of a connection depends on.
 struct Check<'a> {
-    client: &'a Client,
+    client: &'a ConnectionState,
     stream: &'a TcpStream,
     accepted: Instant,
     phase: ShutdownPhase,
@@ -155,18 +157,18 @@
         let must_shut_down = self.phase != ShutdownPhase::Serving && !self.shutting_down;
         let idle_until = || self.client.idle_since.get() + self.idle_timeout;
         if self.client.in_flight.get() {
-            // The request in flight is completed, and is the last.
+            // The request in flight is completed and is the last on this connection.
             if must_shut_down { Action::GracefulShutdown } else { Action::CheckAt(next_check) }
-        } else if let Some(began) = self.client.head_began.get() {
-            let head_deadline = began + self.header_timeout;
+        } else if let Some(started_at) = self.client.head_started_at.get() {
+            let head_deadline = started_at + self.header_timeout;
             if now >= head_deadline { Action::Close } else { Action::CheckAt(next_check.min(head_deadline)) }
-        } else if !is_quiet(self.stream) {
+        } else if !has_no_unread_bytes(self.stream) {
             Action::CheckAt(now + UNREAD_RECHECK_DELAY)
         } else if now >= idle_until() {
             Action::GracefulShutdown
         } else if must_shut_down {
             let first_request_deadline = self.accepted + FIRST_REQUEST_GRACE;
-            if self.client.fresh.get() && now < first_request_deadline {
+            if self.client.awaits_first_request.get() && now < first_request_deadline {
                 Action::CheckAt(first_request_deadline)
             } else {
                 Action::GracefulShutdown
--- a/system/request-forwarding/src/client_stream.rs
+++ b/system/request-forwarding/src/client_stream.rs
@@ -1,4 +1,4 @@
-//! The stream of a client connection: it records when bytes arrive, and shows whether the client has left.
+//! The stream of a client connection: records when bytes arrive, and detects that the client has disconnected.
 
 use futures_util::FutureExt;
 use socket2::SockRef;
@@ -15,35 +15,36 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep};
 
-/// Interval at which a departed client is looked for where no event reports it.
-const DEPARTURE_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval of checks for a disconnected client while no I/O event would report it.
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What is known of a client's connection.
-pub(crate) struct Client {
+/// State of a client connection.
+pub(crate) struct ConnectionState {
     pub(crate) in_flight: Cell<bool>,
-    /// Whether its next bytes, or its end, wake the connection: not while some lie unread before them.
-    pub(crate) watched: Cell<bool>,
-    /// Whether it has yet to send its first request.
-    pub(crate) fresh: Cell<bool>,
-    /// When the head that is being read began.
-    pub(crate) head_began: Cell<Option<Instant>>,
+    /// Whether a read is pending, so that further bytes or the end of the stream wake the connection's task. It is not while
+    /// earlier bytes are unread.
+    pub(crate) read_pending: Cell<bool>,
+    /// Whether no request has arrived yet.
+    pub(crate) awaits_first_request: Cell<bool>,
+    /// When the first byte of the request head being read arrived.
+    pub(crate) head_started_at: Cell<Option<Instant>>,
     pub(crate) idle_since: Cell<Instant>,
 }
 
-impl Client {
+impl ConnectionState {
     pub(crate) fn new(accepted: Instant) -> Self {
         Self {
             in_flight: Cell::new(false),
-            watched: Cell::new(false),
-            fresh: Cell::new(true),
-            head_began: Cell::new(None),
+            read_pending: Cell::new(false),
+            awaits_first_request: Cell::new(true),
+            head_started_at: Cell::new(None),
             idle_since: Cell::new(accepted),
         }
     }
 }
 
 /// Marks a request as in flight until it is dropped.
-pub(crate) struct InFlight(pub(crate) Rc<Client>);
+pub(crate) struct InFlight(pub(crate) Rc<ConnectionState>);
 
 impl Drop for InFlight {
     fn drop(&mut self) {
@@ -52,23 +53,26 @@
     }
 }
 
-/// The stream of a client, that notes when something comes.
+/// The stream of a client connection; records the start of each request head.
 pub(crate) struct ClientStream {
     pub(crate) stream: Rc<TcpStream>,
-    pub(crate) client: Rc<Client>,
+    pub(crate) client: Rc<ConnectionState>,
 }
 
 impl AsyncRead for ClientStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
-            self.client.watched.set(true);
+            self.client.read_pending.set(true);
             ready!(self.stream.poll_read_ready(cx))?;
-            self.client.watched.set(false);
+            self.client.read_pending.set(false);
             match self.stream.try_read(buf.initialize_unfilled()) {
                 Ok(count) => {
                     buf.advance(count);
-                    if count > 0 && !self.client.in_flight.get() && self.client.head_began.get().is_none() {
-                        self.client.head_began.set(Some(Instant::now()));
+                    if count > 0
+                        && !self.client.in_flight.get()
+                        && self.client.head_started_at.get().is_none()
+                    {
+                        self.client.head_started_at.set(Some(Instant::now()));
                     }
                     return Poll::Ready(Ok(()));
                 }
@@ -102,24 +106,24 @@
     }
 }
 
-/// Ends once the client has left while its request is answered. The connection itself sees that, unless further
-/// requests lie before the end: those it does not read on before it has answered the first.
-pub(crate) async fn client_left(client: &Client, stream: &TcpStream) {
-    let mut look = pin!(sleep(Duration::ZERO));
-    let mut looking = false;
+/// Completes once the client has disconnected while its request is in flight. The HTTP connection itself detects this, unless
+/// pipelined bytes precede the end of the stream: it does not read those before it has responded to the first request.
+pub(crate) async fn client_disconnected(client: &ConnectionState, stream: &TcpStream) {
+    let mut poll_timer = pin!(sleep(Duration::ZERO));
+    let mut timer_armed = false;
     poll_fn(|cx| {
         loop {
-            if !client.in_flight.get() || client.watched.get() {
-                looking = false;
+            if !client.in_flight.get() || client.read_pending.get() {
+                timer_armed = false;
                 return Poll::Pending;
             }
-            if !looking {
-                looking = true;
-                look.as_mut().reset(Instant::now() + DEPARTURE_POLL_INTERVAL);
+            if !timer_armed {
+                timer_armed = true;
+                poll_timer.as_mut().reset(Instant::now() + DISCONNECT_POLL_INTERVAL);
             }
-            ready!(look.as_mut().poll(cx));
-            looking = false;
-            if has_ended(stream) {
+            ready!(poll_timer.as_mut().poll(cx));
+            timer_armed = false;
+            if is_closed_by_client(stream) {
                 return Poll::Ready(());
             }
         }
@@ -127,10 +131,10 @@
     .await;
 }
 
-/// Whether the client has closed its side, as far as that shows past what lies unread.
-pub(crate) fn has_ended(stream: &TcpStream) -> bool {
-    let told = stream.ready(Interest::READABLE).now_or_never();
-    let closed = told.is_some_and(|ready| ready.map_or(true, tokio::io::Ready::is_read_closed));
+/// Whether the client has closed its side, as far as this can be detected behind unread bytes.
+pub(crate) fn is_closed_by_client(stream: &TcpStream) -> bool {
+    let readiness = stream.ready(Interest::READABLE).now_or_never();
+    let closed = readiness.is_some_and(|ready| ready.map_or(true, tokio::io::Ready::is_read_closed));
     closed
         || match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
             Ok(count) => count == 0,
@@ -138,7 +142,7 @@
         }
 }
 
-/// Whether nothing has come that was not read yet.
-pub(crate) fn is_quiet(stream: &TcpStream) -> bool {
+/// Whether no received bytes are unread.
+pub(crate) fn has_no_unread_bytes(stream: &TcpStream) -> bool {
     !matches!(SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]), Ok(count) if count > 0)
 }
--- a/system/request-forwarding/src/delivery.rs
+++ b/system/request-forwarding/src/delivery.rs
@@ -43,7 +43,7 @@
     }
 
     /// Sends until an endpoint responds.
-    pub(crate) async fn answer(&mut self) -> Result<EndpointResponse, GiveUp> {
+    pub(crate) async fn next_response(&mut self) -> Result<EndpointResponse, GiveUp> {
         loop {
             let target = self
                 .core
@@ -54,26 +54,30 @@
             let attempt =
                 self.core.attempt(&self.outgoing, &target, &self.history, &mut call, &mut self.sends);
             match attempt.await {
-                AttemptResult::Answer(response, connection) => {
+                AttemptResult::Responded(response, connection) => {
                     return Ok(EndpointResponse { response, connection, call });
                 }
                 AttemptResult::NoConnection => {
                     call.complete(Outcome::Void);
                     self.wait_for_connection(key).await;
                 }
-                AttemptResult::Ended(end) => {
-                    if end == SendOutcome::Misdirected {
+                AttemptResult::Failed(send_outcome) => {
+                    if send_outcome == SendOutcome::Misdirected {
                         self.core.router.borrow_mut().mark_misdirected(self.core.now(), key);
                         self.core.count(|metrics| metrics.misdirected += 1);
                     }
-                    self.failed(call, end.outcome())?;
+                    self.record_failure(call, send_outcome.outcome())?;
                 }
             }
         }
     }
 
-    /// Records a call without a response to forward. An error means that the request is not retried.
-    pub(crate) fn failed(&mut self, call: CallInFlight, outcome: Outcome) -> Result<(), GiveUp> {
+    /// Records a call without a response to forward.
+    ///
+    /// # Errors
+    ///
+    /// The request must not be retried.
+    pub(crate) fn record_failure(&mut self, call: CallInFlight, outcome: Outcome) -> Result<(), GiveUp> {
         self.core.count(|metrics| match outcome {
             Outcome::Full(_) => metrics.full += 1,
             Outcome::ConnectFailed => metrics.connect_failed += 1,
@@ -83,14 +87,14 @@
         });
         let key = call.key();
         call.complete(outcome);
-        let next = self.core.router.borrow().decide_retry(
+        let decision = self.core.router.borrow().decide_retry(
             self.core.now(),
             &self.routing_request,
             &mut self.history,
             key,
             outcome,
         );
-        match next {
+        match decision {
             RetryDecision::Retry => Ok(()),
             RetryDecision::GiveUp(give_up) => Err(give_up),
         }
@@ -100,12 +104,12 @@
         if !self.history.avoided.contains(&key) {
             self.history.avoided.push(key);
         }
-        let wait = self.core.now().after(CONNECTION_RETRY_DELAY.0 as f64);
-        self.history.not_before = self.history.not_before.max(wait);
+        let retry_at = self.core.now().after(CONNECTION_RETRY_DELAY.0 as f64);
+        self.history.not_before = self.history.not_before.max(retry_at);
         tokio::time::sleep(Duration::from_micros(CONNECTION_RETRY_DELAY.0)).await;
     }
 
-    /// Whether there is time left.
+    /// Whether the request's deadline is still ahead.
     pub(crate) fn has_time(&self) -> bool {
         Instant::now() < self.outgoing.deadline
     }
--- a/system/request-forwarding/src/endpoint_attempt.rs
+++ b/system/request-forwarding/src/endpoint_attempt.rs
@@ -1,4 +1,4 @@
-//! One call of an endpoint.
+//! One call to an endpoint, up to the head of its response.
 
 use crate::headers::{self, ATTEMPT_ID, EXPECT_VERSION, NOT_EXECUTED, SERVER_SEAL};
 use crate::outbound_request::OutboundRequest;
@@ -15,25 +15,25 @@
 
 /// Upper bound on the time to connect to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// The endpoint's own answer at its deadline gets so much longer.
-pub(crate) const GRACE: Duration = Duration::from_millis(50);
+/// Added to the deadline when waiting for an endpoint, so that the endpoint's own response at the deadline still arrives.
+pub(crate) const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
-/// What became of one call.
+/// Result of one call.
 #[expect(
     clippy::large_enum_variant,
-    reason = "it is moved once; a box would be an allocation for each answer"
+    reason = "it is moved once; boxing would cost an allocation for each response"
 )]
 pub(crate) enum AttemptResult {
     /// No connection is free, and none may be opened.
     NoConnection,
-    /// It ended without an answer to pass on.
-    Ended(SendOutcome),
-    /// The head of an answer that belongs to the request.
-    Answer(Response<Incoming>, EndpointConnection),
+    /// The call ended without a response to forward.
+    Failed(SendOutcome),
+    /// The head of a response that belongs to the request.
+    Responded(Response<Incoming>, EndpointConnection),
 }
 
 impl SharedState {
-    /// One call of an endpoint, up to the head of its answer.
+    /// Sends the request to an endpoint and waits for the head of its response.
     pub(crate) async fn attempt(
         self: &Rc<Self>,
         outgoing: &OutboundRequest,
@@ -44,10 +44,10 @@
     ) -> AttemptResult {
         let core = self;
         let routing_request = call.routing_request().clone();
-        let patience = core.router.borrow().attempt_timeout(core.now(), &routing_request, history);
-        let whole = outgoing.deadline + GRACE;
-        let end =
-            patience.map_or(whole, |Span(micros)| whole.min(Instant::now() + Duration::from_micros(micros)));
+        let attempt_timeout = core.router.borrow().attempt_timeout(core.now(), &routing_request, history);
+        let latest = outgoing.deadline + DEADLINE_GRACE;
+        let wait_until = attempt_timeout
+            .map_or(latest, |Span(micros)| latest.min(Instant::now() + Duration::from_micros(micros)));
         let (connection, response) = loop {
             let mut connection = match core.connect(outgoing, target, &routing_request.service).await {
                 Ok(connection) => connection,
@@ -55,24 +55,24 @@
             };
             call.sending();
             let send = connection.connection.send(outgoing.head(&target.instance_id), outgoing.body.clone());
-            match timeout_at(end, send).await {
+            match timeout_at(wait_until, send).await {
                 Ok(Ok(response)) => break (connection, response),
                 Ok(Err(CallError::Stale(_))) => {}
-                Ok(Err(CallError::Connect(_))) => return AttemptResult::Ended(SendOutcome::ConnectFailed),
+                Ok(Err(CallError::Connect(_))) => return AttemptResult::Failed(SendOutcome::ConnectFailed),
                 Ok(Err(CallError::Unsent(_) | CallError::Reset(_))) => {
-                    let end = SendOutcome::connection_lost(connection.connection.head_written());
-                    if end == SendOutcome::ConnectionLost {
+                    let outcome = SendOutcome::connection_lost(connection.connection.head_written());
+                    if outcome == SendOutcome::ConnectionLost {
                         core.record_idle_reuse(&routing_request.service, &connection, true);
                         self.count_send(sends);
                     }
-                    return AttemptResult::Ended(end);
+                    return AttemptResult::Failed(outcome);
                 }
                 Err(_) => {
-                    let end = SendOutcome::timed_out(connection.connection.head_written());
-                    if end == SendOutcome::TimedOut {
+                    let outcome = SendOutcome::timed_out(connection.connection.head_written());
+                    if outcome == SendOutcome::TimedOut {
                         self.count_send(sends);
                     }
-                    return AttemptResult::Ended(end);
+                    return AttemptResult::Failed(outcome);
                 }
             }
         };
@@ -80,28 +80,28 @@
         self.count_send(sends);
         let head = response.headers();
         let status = response.status();
-        if headers::single(head, &ATTEMPT_ID) != Some(&outgoing.attempt) {
-            // An answer that belongs to another request: whatever became of this one, the connection is no good.
+        if headers::single(head, &ATTEMPT_ID) != Some(&outgoing.attempt_id) {
+            // The response belongs to another request. Whether this one was executed is unknown, and the connection is unusable.
             core.count(|metrics| metrics.unusable += 1);
-            return AttemptResult::Ended(SendOutcome::InvalidResponse);
+            return AttemptResult::Failed(SendOutcome::InvalidResponse);
         }
         call.response_received(server_load(head));
         if status == StatusCode::MISDIRECTED_REQUEST || head.contains_key(NOT_EXECUTED) {
-            let end = declined(status, head, outgoing);
+            let outcome = decline_outcome(status, head, outgoing);
             let (head, body) = response.into_parts();
             core.check_in_unread(connection, head.headers, body);
-            return AttemptResult::Ended(end);
+            return AttemptResult::Failed(outcome);
         }
-        let framed = outgoing.method == Method::HEAD
+        let is_framed = outgoing.method == Method::HEAD
             || response.body().is_end_stream()
             || response.body().size_hint().exact().is_some()
             || head.contains_key(TRANSFER_ENCODING);
-        if !framed || status.is_success() && !head.contains_key(SERVER_SEAL) {
-            // It cannot be known to be whole, or is no answer of an endpoint.
+        if !is_framed || status.is_success() && !head.contains_key(SERVER_SEAL) {
+            // Truncation could not be detected, or the response does not come from an endpoint.
             core.count(|metrics| metrics.unusable += 1);
-            return AttemptResult::Ended(SendOutcome::InvalidResponse);
+            return AttemptResult::Failed(SendOutcome::InvalidResponse);
         }
-        AttemptResult::Answer(response, connection)
+        AttemptResult::Responded(response, connection)
     }
 
     /// An idle connection to the endpoint, or a new one, as long as the request's deadline has not passed.
@@ -113,17 +113,17 @@
     ) -> Result<EndpointConnection, AttemptResult> {
         let connection = match self.checkout_idle(target, service, outgoing.number) {
             Some(connection) => connection,
-            None if target.may_open => self.connect_anew(outgoing, target).await?,
+            None if target.may_open => self.connect_new(outgoing, target).await?,
             None => return Err(AttemptResult::NoConnection),
         };
-        // The process may have been suspended while a connection was opened, or found to be stale.
+        // The process may have been suspended while a connection was opened or found to be stale.
         if Instant::now() >= outgoing.deadline {
-            return Err(AttemptResult::Ended(SendOutcome::HeadUnwritten));
+            return Err(AttemptResult::Failed(SendOutcome::HeadUnwritten));
         }
         Ok(connection)
     }
 
-    async fn connect_anew(
+    async fn connect_new(
         self: &Rc<Self>,
         outgoing: &OutboundRequest,
         target: &Target,
@@ -131,8 +131,8 @@
         let remaining = outgoing.deadline.saturating_duration_since(Instant::now());
         let connect_timeout = CONNECT_TIMEOUT.min(remaining / 2);
         self.open_connection(target, connect_timeout, outgoing.number).await.map_err(|error| match error {
-            CallError::Connect(_) => AttemptResult::Ended(SendOutcome::ConnectFailed),
-            _ => AttemptResult::Ended(SendOutcome::HeadUnwritten),
+            CallError::Connect(_) => AttemptResult::Failed(SendOutcome::ConnectFailed),
+            _ => AttemptResult::Failed(SendOutcome::HeadUnwritten),
         })
     }
 
@@ -146,7 +146,7 @@
 }
 
 /// The outcome of a response that states that the request was not executed.
-fn declined(status: StatusCode, head: &HeaderMap, outgoing: &OutboundRequest) -> SendOutcome {
+fn decline_outcome(status: StatusCode, head: &HeaderMap, outgoing: &OutboundRequest) -> SendOutcome {
     let retry_after = headers::text(head, RETRY_AFTER.as_str())
         .and_then(|seconds| seconds.parse::<f64>().ok())
         .filter(|seconds| seconds.is_finite() && *seconds >= 0.0)
--- a/system/request-forwarding/src/event_scan.rs
+++ b/system/request-forwarding/src/event_scan.rs
@@ -1,28 +1,29 @@
-//! Events of a stream, read as its bytes pass.
+//! Incremental parser that counts the events of a stream and collects their data.
 
-/// Reads `text/event-stream` across any cuts between chunks.
+/// Parses `text/event-stream`, whatever the boundaries of its chunks.
 #[derive(Default)]
 pub(crate) struct EventScan {
-    /// Bytes of the line that has not ended.
+    /// Bytes of the current, incomplete line.
     line: Vec<u8>,
-    after_return: bool,
+    after_carriage_return: bool,
     data: Vec<u8>,
+    /// Whether the current event has a `data` line.
     has_data: bool,
     events: u32,
-    keeps: bool,
+    collects_output: bool,
     output: Vec<u8>,
 }
 
 impl EventScan {
-    /// One that collects the events' data, or only counts them.
-    pub(crate) fn new(keeps: bool) -> Self {
-        Self { keeps, ..Self::default() }
+    /// Creates a parser that also collects the events' data if `collects_output`, otherwise only counts the events.
+    pub(crate) fn new(collects_output: bool) -> Self {
+        Self { collects_output, ..Self::default() }
     }
 
-    /// Takes the next bytes.
-    pub(crate) fn take(&mut self, mut bytes: &[u8]) {
+    /// Parses the next bytes of the stream.
+    pub(crate) fn push(&mut self, mut bytes: &[u8]) {
         while let Some(first) = bytes.first() {
-            if std::mem::take(&mut self.after_return) && *first == b'\n' {
+            if std::mem::take(&mut self.after_carriage_return) && *first == b'\n' {
                 bytes = &bytes[1..];
                 continue;
             }
@@ -33,7 +34,7 @@
                 }
                 Some(end) => {
                     self.line.extend_from_slice(&bytes[..end]);
-                    self.after_return = bytes[end] == b'\r';
+                    self.after_carriage_return = bytes[end] == b'\r';
                     bytes = &bytes[end + 1..];
                     self.end_line();
                 }
@@ -46,14 +47,14 @@
         if line.is_empty() {
             if std::mem::take(&mut self.has_data) {
                 self.events = self.events.saturating_add(1);
-                if self.keeps {
+                if self.collects_output {
                     self.output.append(&mut self.data);
                     self.output.push(b'\n');
                 }
                 self.data.clear();
             }
-        } else if let Some(value) = value_of_data(&line) {
-            if self.keeps {
+        } else if let Some(value) = data_value(&line) {
+            if self.collects_output {
                 if self.has_data {
                     self.data.push(b'\n');
                 }
@@ -65,24 +66,24 @@
         self.line = line;
     }
 
-    /// Events handed on, one that has only begun counted in.
-    pub(crate) fn handed(&self) -> u32 {
-        let begun = self.has_data || value_of_data(&self.line).is_some();
-        self.events.saturating_add(u32::from(begun))
+    /// Number of events of which at least a part of the data was parsed: an incomplete one counts, since the client has a part of it.
+    pub(crate) fn delivered_events(&self) -> u32 {
+        let has_incomplete = self.has_data || data_value(&self.line).is_some();
+        self.events.saturating_add(u32::from(has_incomplete))
     }
 
-    /// Whether the last event has ended.
+    /// Whether no event is incomplete.
     pub(crate) fn between_events(&self) -> bool {
         !self.has_data && self.line.is_empty()
     }
 
-    /// The data of all events, each with a line feed after it.
+    /// The data of all complete events, each followed by a line feed.
     pub(crate) fn into_output(self) -> Vec<u8> {
         self.output
     }
 }
 
-fn value_of_data(line: &[u8]) -> Option<&[u8]> {
+fn data_value(line: &[u8]) -> Option<&[u8]> {
     let rest = line.strip_prefix(b"data")?;
     match rest.split_first() {
         None => Some(rest),
--- a/system/request-forwarding/src/exchange.rs
+++ b/system/request-forwarding/src/exchange.rs
@@ -1,9 +1,9 @@
 //! The exchange of one prepared request with the endpoints, and the return of the response: streamed, or collected first.
 
 use crate::active_turn::ActiveTurn;
-use crate::body_collection::read_whole;
+use crate::body_collection::read_response_body;
 use crate::delivery::{Delivery, EndpointResponse};
-use crate::endpoint_attempt::GRACE;
+use crate::endpoint_attempt::DEADLINE_GRACE;
 use crate::forwarder::Forwarder;
 use crate::headers;
 use crate::local_response::{LocalResponse, response_after_give_up};
@@ -41,50 +41,53 @@
         let core = &self.core;
         let mut delivery = Delivery::new(core.clone(), outgoing, routing_request.clone());
         loop {
-            let endpoint_response = delivery.answer().await;
+            let endpoint_response = delivery.next_response().await;
             let EndpointResponse { response, connection, call } = endpoint_response.map_err(|give_up| {
                 response_after_give_up(give_up, &delivery.history, delivery.outgoing.deadline)
             })?;
             let (head, mut body) = response.into_parts();
-            let is_events = headers::is_event_stream(&head.headers);
+            let is_event_stream = headers::is_event_stream(&head.headers);
             let is_streamed =
-                head.status.is_success() && (routing_request.kind == RouteKind::Streaming || is_events);
+                head.status.is_success() && (routing_request.kind == RouteKind::Streaming || is_event_stream);
             let length = body.size_hint().exact();
             let bodiless = delivery.outgoing.method == Method::HEAD || body.is_end_stream();
             let outcome = if is_streamed {
-                let is_resumable = routing_request.resumable && is_events && length.is_none();
-                match first_chunk(is_resumable, &mut body, delivery.outgoing.deadline + GRACE).await {
-                    Ok(first) => {
+                let is_resumable = routing_request.resumable && is_event_stream && length.is_none();
+                match read_first_chunk(is_resumable, &mut body, delivery.outgoing.deadline + DEADLINE_GRACE)
+                    .await
+                {
+                    Ok(first_chunk) => {
                         let (method, deadline) =
                             (delivery.outgoing.method.clone(), delivery.outgoing.deadline);
                         let resumption = is_resumable.then(|| StreamResumption::new(delivery));
                         let options =
-                            StreamOptions { method, deadline, first, length: None, resumption, turn };
+                            StreamOptions { method, deadline, first_chunk, length: None, resumption, turn };
                         return Ok(self.stream(head, UpstreamResponse { body, connection, call }, options));
                     }
-                    Err(outcome) => delivery.failed(call, outcome),
+                    Err(outcome) => delivery.record_failure(call, outcome),
                 }
             } else if length.is_some_and(|length| length > MAX_COLLECTED_BYTES) && !bodiless {
                 let OutboundRequest { method, deadline, .. } = delivery.outgoing;
                 let options = StreamOptions {
                     method,
                     deadline,
-                    first: None,
+                    first_chunk: None,
                     length,
                     resumption: None,
                     turn: turn.without_storage(),
                 };
                 return Ok(self.stream(head, UpstreamResponse { body, connection, call }, options));
             } else {
-                match timeout_at(delivery.outgoing.deadline + GRACE, read_whole(body)).await {
-                    Err(_) => delivery.failed(call, SendOutcome::TimedOut.outcome()),
+                match timeout_at(delivery.outgoing.deadline + DEADLINE_GRACE, read_response_body(body)).await
+                {
+                    Err(_) => delivery.record_failure(call, SendOutcome::TimedOut.outcome()),
                     Ok(None) => {
                         core.count(|metrics| metrics.unusable += 1);
-                        delivery.failed(call, SendOutcome::InvalidResponse.outcome())
+                        delivery.record_failure(call, SendOutcome::InvalidResponse.outcome())
                     }
-                    Ok(Some(whole)) => {
+                    Ok(Some(body)) => {
                         core.check_in(connection, &head.headers);
-                        match self.finish_collected(&mut delivery, call, &head, whole) {
+                        match self.finish_collected(&mut delivery, call, &head, body) {
                             Some(result) => return result,
                             None => continue,
                         }
@@ -101,22 +104,22 @@
     fn stream(
         &self,
         head: Parts,
-        answer: UpstreamResponse,
+        upstream: UpstreamResponse,
         options: StreamOptions<T>,
     ) -> Response<ResponseBody> {
         self.core.count(|metrics| metrics.passed += 1);
         let (chunks, receiver) = mpsc::channel(BODY_CHANNEL_CAPACITY);
         let response =
-            response_to_client(&head, ResponseBody::passed(receiver, options.length), &options.method);
+            response_to_client(&head, ResponseBody::streamed(receiver, options.length), &options.method);
         let forwarding = ResponseForwarding {
             core: self.core.clone(),
             turns: self.turns.clone(),
             headers: head.headers,
-            end: options.deadline + GRACE,
-            events: options.length.is_none(),
+            deadline: options.deadline + DEADLINE_GRACE,
+            is_event_stream: options.length.is_none(),
             resumption: options.resumption,
         };
-        spawn_local(forwarding.run(answer, options.first, chunks, options.turn));
+        spawn_local(forwarding.run(upstream, options.first_chunk, chunks, options.turn));
         response
     }
 
@@ -128,7 +131,7 @@
         head: &Parts,
         body: Bytes,
     ) -> Option<Result<Response<ResponseBody>, LocalResponse>> {
-        let response = response_to_client(head, ResponseBody::whole(body), &delivery.outgoing.method);
+        let response = response_to_client(head, ResponseBody::complete(body), &delivery.outgoing.method);
         let promises_not_executed =
             status_promises_not_executed(head.status.as_u16(), delivery.routing_request.kind);
         if !head.status.is_server_error() && !promises_not_executed {
@@ -136,7 +139,7 @@
             self.core.count(|metrics| metrics.passed += 1);
             return Some(Ok(response));
         }
-        if delivery.failed(call, Outcome::Failure).is_ok() && delivery.has_time() {
+        if delivery.record_failure(call, Outcome::Failure).is_ok() && delivery.has_time() {
             return None;
         }
         if promises_not_executed {
@@ -152,22 +155,22 @@
     method: Method,
     deadline: Instant,
     /// The part of the body that was read already.
-    first: Option<Bytes>,
+    first_chunk: Option<Bytes>,
     length: Option<u64>,
     resumption: Option<StreamResumption>,
     turn: ActiveTurn<T>,
 }
 
-/// The first chunk of a resumable stream: another endpoint may restart the stream until a part of it was forwarded.
-async fn first_chunk(
+/// Reads the first chunk of a resumable stream: until a part was forwarded, another endpoint may restart the stream.
+async fn read_first_chunk(
     is_resumable: bool,
     body: &mut Incoming,
-    end: Instant,
+    deadline: Instant,
 ) -> Result<Option<Bytes>, Outcome> {
     if !is_resumable {
         return Ok(None);
     }
-    match timeout_at(end, body.frame()).await {
+    match timeout_at(deadline, body.frame()).await {
         Err(_) => Err(Outcome::TimedOut),
         Ok(Some(Err(_))) => Err(Outcome::Reset),
         Ok(Some(Ok(frame))) => Ok(Some(frame.into_data().unwrap_or_default())),
--- a/system/request-forwarding/src/forwarder.rs
+++ b/system/request-forwarding/src/forwarder.rs
@@ -32,12 +32,12 @@
 /// Timeout of a request that states none and has no route.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// State of the system that forwarding depends on; passed completely with each change.
+/// State of the system that forwarding depends on; each update passes the complete state.
 #[derive(Clone, Default)]
 pub struct SystemState {
-    /// The configuration in force.
+    /// The configuration in force; `None` until the first one is known, and requests are refused with 503 until then.
     pub config: Option<Rc<OperatorConfig>>,
-    /// The newest list of endpoints.
+    /// The newest list of endpoints; `None` until the first one is known.
     pub list: Option<Rc<EndpointList>>,
     /// Number of proxies that share the endpoints, this one included.
     pub proxies: u32,
@@ -103,7 +103,7 @@
         self.core.queue.wake_all();
     }
 
-    /// Counters since the start.
+    /// Counters since the start, and current gauges.
     pub fn metrics(&self) -> ForwardingMetrics {
         ForwardingMetrics { waiting: self.core.queue.len() as u64, ..self.core.metrics.get() }
     }
@@ -163,7 +163,7 @@
             config.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, |config| config.limits.max_body_bytes as usize);
         let input = read_body(body, max_body_bytes, deadline).await;
         let Some(config) = &config else {
-            // Without a configuration nothing can be denied, whatever became of the body.
+            // Without a configuration nothing can be denied, even if the body was too large or incomplete.
             self.core.count(|metrics| metrics.requests += 1);
             return Err(LocalResponse {
                 close: input.is_err(),
@@ -175,7 +175,7 @@
         let attempt = attempt.ok_or(LocalResponse::new(StatusCode::BAD_REQUEST))?;
         host.ok_or(LocalResponse::new(StatusCode::BAD_REQUEST))?;
         let route = route.ok_or(LocalResponse::new(StatusCode::NOT_FOUND))?;
-        let service = route.pick_service(draw(attempt));
+        let service = route.pick_service(attempt_hash(attempt));
         let urgency = urgency(&head.headers, route.priority);
         let mut routing_request = self.routing_request(&head.headers, route, service, arrived, deadline);
 
@@ -202,7 +202,7 @@
             path,
             headers: forwarded,
             body: complete_input,
-            attempt: attempt.to_owned(),
+            attempt_id: attempt.to_owned(),
             deadline,
         };
         self.forward(outgoing, Rc::new(routing_request), turn).await
@@ -227,12 +227,12 @@
             session: headers::text(request_headers, "session").map(str::to_owned),
             continues: headers::text(request_headers, "previous").is_some(),
             previous_endpoint: None,
-            prefix_tokens: prefix.map_or(0, |part| part.tokens),
-            prefix_id: prefix.map(|part| part.id.to_owned()),
+            prefix_tokens: prefix.map_or(0, |prefix| prefix.tokens),
+            prefix_id: prefix.map(|prefix| prefix.id.to_owned()),
             total_tokens: prompt.saturating_add(max_tokens),
             priority: route.priority,
-            arrived_at: self.core.at(arrived),
-            deadline: self.core.at(deadline),
+            arrived_at: self.core.to_router_time(arrived),
+            deadline: self.core.to_router_time(deadline),
             latency_target: Span(route.target_latency_ms.saturating_mul(1000)),
             max_attempts: route.max_attempts,
         }
@@ -244,14 +244,15 @@
     !matches!(*method, Method::GET | Method::HEAD | Method::DELETE | Method::OPTIONS)
 }
 
-/// The value that `Priority` gets: 0 comes first.
+/// The value of the forwarded `Priority` header; 0 is the most urgent.
 fn urgency(request_headers: &HeaderMap, priority: u8) -> u8 {
     let urgency = priority.saturating_mul(2).saturating_add(1).min(9);
-    let soon = headers::number(request_headers, "finish-ms").is_some_and(|left| left < FINISH_SOON_MS);
-    urgency - u8::from(soon)
+    let finishes_soon =
+        headers::number(request_headers, "finish-ms").is_some_and(|remaining| remaining < FINISH_SOON_MS);
+    urgency - u8::from(finishes_soon)
 }
 
-/// A draw that stays the same for an attempt.
-fn draw(attempt: &str) -> u64 {
+/// A number that is the same for all sends of an attempt.
+fn attempt_hash(attempt: &str) -> u64 {
     fleet_model::rendezvous_rank(attempt.as_bytes(), 0)
 }
--- a/system/request-forwarding/src/headers.rs
+++ b/system/request-forwarding/src/headers.rs
@@ -56,7 +56,7 @@
     (values.next().is_none() && !value.is_empty()).then_some(value)
 }
 
-/// A header's text by its name.
+/// The trimmed text of the first header with this name.
 pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim)
 }
@@ -116,7 +116,6 @@
     }
 }
 
-/// A header value of a number.
 pub(crate) fn value(number: u64) -> HeaderValue {
     HeaderValue::from(number)
 }
--- a/system/request-forwarding/src/headers/tests.rs
+++ b/system/request-forwarding/src/headers/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_concerns_one_connection_is_not_passed_along() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let headers = map(&[
         ("connection", "keep-alive, X-Own"),
         ("x-own", "1"),
@@ -27,21 +27,21 @@
 }
 
 #[test]
-fn an_id_given_twice_is_none() {
+fn a_repeated_or_empty_id_is_ignored() {
     assert_eq!(single(&map(&[("attempt-id", "a")]), &ATTEMPT_ID), Some("a"));
     assert_eq!(single(&map(&[("attempt-id", "a"), ("attempt-id", "a")]), &ATTEMPT_ID), None);
     assert_eq!(single(&map(&[("attempt-id", "")]), &ATTEMPT_ID), None);
 }
 
 #[test]
-fn an_idle_connection_is_left_before_the_told_time_is_over() {
+fn idle_connections_are_reused_for_less_than_the_keep_alive_timeout() {
     assert_eq!(idle_time(&map(&[("keep-alive", "timeout=2, max=5")])), Duration::from_millis(1500));
     assert_eq!(idle_time(&map(&[("keep-alive", "timeout=0")])), Duration::ZERO);
     assert_eq!(idle_time(&map(&[])), Duration::from_secs(4));
 }
 
 #[test]
-fn sizes_are_read() {
+fn numbers_and_token_usage_are_parsed() {
     assert_eq!(token_usage(&map(&[("token-usage", "1460, 80")])), Some((1460, 80)));
     assert_eq!(token_usage(&map(&[("token-usage", "1460")])), None);
     assert_eq!(number(&map(&[("deadline-remaining", "12.7")]), "deadline-remaining"), Some(12));
--- a/system/request-forwarding/src/local_response.rs
+++ b/system/request-forwarding/src/local_response.rs
@@ -35,7 +35,7 @@
 
     pub(crate) fn response(self, attempt: Option<&str>) -> Response<ResponseBody> {
         let text = self.status.canonical_reason().unwrap_or_default();
-        let mut response = Response::new(ResponseBody::whole(text));
+        let mut response = Response::new(ResponseBody::complete(text));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/system/request-forwarding/src/metrics.rs
+++ b/system/request-forwarding/src/metrics.rs
@@ -4,7 +4,7 @@
 
 macro_rules! metrics {
     ($($(#[doc = $doc:literal])* $name:ident,)*) => {
-        /// What a forwarder has done since its start. Its text form is one line for each counter.
+        /// Counters since the forwarder's start, and gauges of its current state. `Display` writes one `name value` line for each.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
         pub struct ForwardingMetrics {
             $($(#[doc = $doc])* pub $name: u64,)*
@@ -20,46 +20,46 @@
 }
 
 metrics! {
-    /// Requests read whole.
+    /// Requests whose head and body were read completely.
     requests,
-    /// Answers of endpoints passed on.
+    /// Endpoint responses forwarded to clients.
     passed,
-    /// Own answers with a promise that nothing ran (503, 402, 408).
+    /// Locally generated responses that guarantee that the request was not executed (503, 402, 408).
     refused,
-    /// Own answers without such a promise (502, 504).
+    /// Locally generated responses without that guarantee (502, 504).
     failed,
-    /// Own answers to requests that no route, turn or limit allows.
+    /// Locally generated responses to requests without a route or previous turn, or beyond a limit.
     denied,
-    /// Sends to endpoints.
+    /// Sends of requests to endpoints, retries included.
     sends,
-    /// Sends after the first one of a request.
+    /// Retries: sends after the first one of a request.
     repeats,
-    /// Endpoints that were full.
+    /// Calls declined because the endpoint was full.
     full,
-    /// Endpoints that were another incarnation.
+    /// Calls that reached another incarnation of the endpoint than expected.
     misdirected,
-    /// Answers of endpoints that belonged to another request or were not whole.
+    /// Endpoint responses that belonged to another request or were incomplete.
     unusable,
-    /// Connections not made.
+    /// Failed attempts to connect to an endpoint.
     connect_failed,
-    /// Connections broken after a request was sent.
+    /// Connections lost after a request was sent.
     reset,
-    /// Calls that got no answer in time.
+    /// Calls without a response in time.
     timed_out,
-    /// New connections to endpoints.
+    /// Connections opened to endpoints; reuse of an idle one is not counted.
     connections_opened,
-    /// Streams that ended whole.
+    /// Streams forwarded to their end.
     streams_ended,
-    /// Streams broken off, for whatever reason.
+    /// Streams aborted, for whatever reason.
     streams_broken,
-    /// Streams that went on at another endpoint.
+    /// Resumptions of a stream at another endpoint.
     streams_resumed,
-    /// Turns that could not be kept.
+    /// Turns that could not be stored.
     turns_unkept,
-    /// Connections of clients that are open now.
+    /// Client connections that are open now.
     clients,
-    /// Connections of clients turned away.
+    /// Client connections rejected beyond the connection limit.
     clients_refused,
-    /// Requests that wait for a place now.
+    /// Requests that are waiting for a slot now.
     waiting,
 }
--- a/system/request-forwarding/src/pool.rs
+++ b/system/request-forwarding/src/pool.rs
@@ -47,9 +47,9 @@
     core: Weak<SharedState>,
     key: EndpointKey,
     pub(crate) connection: Connection,
-    /// The last request that it carried, or the current one.
+    /// The request in flight on it, or else the last one.
     last_request: RequestNumber,
-    /// How long it was idle before this call; none if it is new.
+    /// How long it was idle before this call; `None` if it is new.
     idle_time: Option<Duration>,
 }
 
@@ -91,30 +91,29 @@
 
     /// The current time in the router's time base.
     pub(crate) fn now(&self) -> Time {
-        self.at(Instant::now())
+        self.to_router_time(Instant::now())
     }
 
     /// Converts an instant to the router's time base.
-    pub(crate) fn at(&self, instant: Instant) -> Time {
+    pub(crate) fn to_router_time(&self, instant: Instant) -> Time {
         let micros = instant.saturating_duration_since(self.start).as_micros();
         // Starts at one second, so that no time computed backwards from now falls below 0.
         Time(1_000_000 + u64::try_from(micros).unwrap_or(u64::MAX / 2))
     }
 
-    /// Changes the metrics.
+    /// Applies a change to the metrics.
     pub(crate) fn count(&self, change: impl FnOnce(&mut ForwardingMetrics)) {
         let mut metrics = self.metrics.get();
         change(&mut metrics);
         self.metrics.set(metrics);
     }
 
-    /// Assigns a number to a request.
     pub(crate) fn number_request(&self) -> RequestNumber {
         self.last_request.set(self.last_request.get() + 1);
         RequestNumber(self.last_request.get())
     }
 
-    /// An idle connection that may be reused for this request: none that carried the same request last. An endpoint may
+    /// An idle connection that may be reused for this request; never one whose last request was the same. An endpoint may
     /// respond twice, and a late second response (such as a statement that it was not executed) would be taken for the
     /// response to the new send, since both have the same `Attempt-Id`.
     pub(crate) fn checkout_idle(
@@ -124,14 +123,14 @@
         request: RequestNumber,
     ) -> Option<EndpointConnection> {
         let now = Instant::now();
-        let trusted = self.idle_trust.borrow_mut().get_mut(service).and_then(|trust| {
+        let max_idle_time = self.idle_trust.borrow_mut().get_mut(service).and_then(|trust| {
             trust.forget();
             trust.limit().filter(|_| self.policy.idle_connection_limit)
         });
         loop {
             let mut idle = self.take_idle(target, request)?;
             let idle_time = now - idle.since;
-            if !idle.is_expired(now) && trusted.is_none_or(|trusted| idle_time < trusted) {
+            if !idle.is_expired(now) && max_idle_time.is_none_or(|max| idle_time < max) {
                 idle.connection.idle_time = Some(idle_time);
                 idle.connection.last_request = request;
                 return Some(idle.connection);
@@ -139,24 +138,24 @@
         }
     }
 
-    /// The newest idle connection that did not carry this request last. If all did, and no further connection may be
-    /// opened, one of them is closed to make way for another.
+    /// The newest idle connection whose last request was a different one. If there is none, and no further connection may be
+    /// opened, one idle connection is closed so that a new one can replace it.
     fn take_idle(&self, target: &Target, request: RequestNumber) -> Option<IdleConnection> {
         let mut all = self.idle.borrow_mut();
-        let lines = all.get_mut(&target.key)?;
-        let other = lines.iter().rposition(|idle| idle.connection.last_request != request);
-        if other.is_none() && !target.may_open {
-            drop(lines.pop());
+        let connections = all.get_mut(&target.key)?;
+        let reusable = connections.iter().rposition(|idle| idle.connection.last_request != request);
+        if reusable.is_none() && !target.may_open {
+            drop(connections.pop());
         }
-        Some(lines.remove(other?))
+        Some(connections.remove(reusable?))
     }
 
-    /// Records whether a connection was lost under its call: endpoints may drop an idle one without notice.
+    /// Records whether a connection was lost during its call: endpoints may drop idle connections without closing them.
     pub(crate) fn record_idle_reuse(&self, service: &str, connection: &EndpointConnection, was_lost: bool) {
         let mut all = self.idle_trust.borrow_mut();
         match all.get_mut(service) {
             Some(trust) => trust.learn(connection.idle_time, was_lost),
-            // Until a first loss there is nothing to learn from.
+            // Before the first loss, nothing limits the reuse of idle connections.
             None if was_lost => {
                 all.entry(service.to_owned()).or_default().learn(connection.idle_time, was_lost)
             }
@@ -164,18 +163,17 @@
         }
     }
 
-    /// Opens a new connection.
     pub(crate) async fn open_connection(
         self: &Rc<Self>,
         target: &Target,
         connect_timeout: Duration,
         request: RequestNumber,
     ) -> Result<EndpointConnection, CallError> {
-        // PendingConnection from the start: an endpoint may count one that is never finished here.
+        // Counted from the start: the endpoint may count a connection that is never established from here.
         self.router.borrow_mut().connection_opened(target.key);
-        let counted = PendingConnection { core: self, key: Some(target.key) };
+        let pending = PendingConnection { core: self, key: Some(target.key) };
         let connection = Connection::open(SocketAddr::V4(target.address), connect_timeout).await?;
-        counted.disarm();
+        pending.disarm();
         self.count(|metrics| metrics.connections_opened += 1);
         Ok(EndpointConnection {
             core: Rc::downgrade(self),
@@ -203,7 +201,7 @@
         });
     }
 
-    /// The same, once the rest of an unwanted response has been read.
+    /// Reads the rest of an unwanted response, then returns its connection to the pool.
     pub(crate) fn check_in_unread(
         self: &Rc<Self>,
         connection: EndpointConnection,
@@ -222,10 +220,10 @@
     /// Closes expired idle connections.
     pub(crate) fn sweep(&self) {
         let now = Instant::now();
-        let mut over = Vec::new();
-        self.idle.borrow_mut().retain(|_, lines| {
-            over.extend(lines.extract_if(.., |idle| idle.is_expired(now)));
-            !lines.is_empty()
+        let mut expired = Vec::new();
+        self.idle.borrow_mut().retain(|_, connections| {
+            expired.extend(connections.extract_if(.., |idle| idle.is_expired(now)));
+            !connections.is_empty()
         });
     }
 }
@@ -266,7 +264,7 @@
     }
 }
 
-/// A call in flight. The router is notified of its completion, however that comes about.
+/// A call in flight. The router is notified of its outcome when it is dropped.
 pub(crate) struct CallInFlight {
     core: Rc<SharedState>,
     key: EndpointKey,
@@ -293,17 +291,14 @@
         }
     }
 
-    /// The endpoint.
     pub(crate) fn key(&self) -> EndpointKey {
         self.key
     }
 
-    /// Instance id of the endpoint.
     pub(crate) fn instance_id(&self) -> &Arc<str> {
         &self.instance_id
     }
 
-    /// The request that it carries.
     pub(crate) fn routing_request(&self) -> &Rc<RoutingRequest> {
         &self.routing_request
     }
@@ -322,7 +317,6 @@
         }
     }
 
-    /// Completes the call.
     pub(crate) fn complete(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
--- a/system/request-forwarding/src/readiness.rs
+++ b/system/request-forwarding/src/readiness.rs
@@ -21,7 +21,8 @@
 /// Idle timeout of a connection to the readiness address.
 const PROBE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers `GET /sedgewood/readiness` with 200 while `ready` says so, else with 503.
+/// Responds to `GET /sedgewood/readiness` with 200 while `ready` returns true, otherwise with 503. Connections beyond the limit
+/// are closed without a response.
 pub async fn serve_readiness(listener: TcpListener, ready: impl Fn() -> bool + 'static) {
     let ready = Rc::new(ready);
     let open = Rc::new(OpenConnections::default());
@@ -29,7 +30,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!("readiness: {e}");
+                log::warn!("readiness listener: accept failed: {e}");
                 sleep(Duration::from_millis(5)).await;
                 continue;
             }
@@ -37,7 +38,7 @@
         if open.count.get() >= MAX_PROBE_CONNECTIONS {
             continue;
         }
-        let (ready, place) = (ready.clone(), ConnectionGuard::new(&open));
+        let (ready, guard) = (ready.clone(), ConnectionGuard::new(&open));
         spawn_local(async move {
             let service = service_fn(move |request: Request<Incoming>| {
                 let status = match request.uri().path() {
@@ -45,9 +46,9 @@
                     "/sedgewood/readiness" => StatusCode::SERVICE_UNAVAILABLE,
                     _ => StatusCode::NOT_FOUND,
                 };
-                let mut answer = Response::new(ResponseBody::whole(""));
-                *answer.status_mut() = status;
-                async move { Ok::<_, Infallible>(answer) }
+                let mut response = Response::new(ResponseBody::complete(""));
+                *response.status_mut() = status;
+                async move { Ok::<_, Infallible>(response) }
             });
             let served = http1::Builder::new()
                 .max_buf_size(MIN_BUFFER_BYTES)
@@ -55,9 +56,9 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(PROBE_IDLE_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // An asker that breaks off is its own affair.
+            // A failed probe connection needs no handling here: the prober notices it.
             served.map(drop).await;
-            drop(place);
+            drop(guard);
         });
     }
 }
--- a/system/request-forwarding/src/response_body.rs
+++ b/system/request-forwarding/src/response_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to clients.
+//! Bodies of responses to clients.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -7,32 +7,34 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// What comes through the channel of a body that is passed on as it arrives.
+/// Item of the channel that feeds a streamed body.
 pub(crate) enum BodyChunk {
-    /// Bytes.
     Data(Bytes),
-    /// The body is whole. A channel that closes without it is a body that broke off.
+    /// The body is complete. If the channel closes without it, the body was aborted.
     End,
 }
 
-enum Kind {
-    Whole(Option<Bytes>),
-    Passed { chunks: mpsc::Receiver<BodyChunk>, length: Option<u64>, over: bool },
+enum BodyKind {
+    Complete(Option<Bytes>),
+    Streamed { chunks: mpsc::Receiver<BodyChunk>, length: Option<u64>, ended: bool },
 }
 
-/// The body of an answer; `guard` is dropped with it.
+/// The body of a response; `guard` is dropped with it.
 pub(crate) struct ResponseBody {
-    kind: Kind,
+    kind: BodyKind,
     guard: Option<Box<dyn std::any::Any>>,
 }
 
 impl ResponseBody {
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self { kind: Kind::Whole(Some(bytes.into()).filter(|bytes: &Bytes| !bytes.is_empty())), guard: None }
+    pub(crate) fn complete(bytes: impl Into<Bytes>) -> Self {
+        Self {
+            kind: BodyKind::Complete(Some(bytes.into()).filter(|bytes: &Bytes| !bytes.is_empty())),
+            guard: None,
+        }
     }
 
-    pub(crate) fn passed(chunks: mpsc::Receiver<BodyChunk>, length: Option<u64>) -> Self {
-        Self { kind: Kind::Passed { chunks, length, over: false }, guard: None }
+    pub(crate) fn streamed(chunks: mpsc::Receiver<BodyChunk>, length: Option<u64>) -> Self {
+        Self { kind: BodyKind::Streamed { chunks, length, ended: false }, guard: None }
     }
 
     pub(crate) fn guarded(mut self, guard: impl std::any::Any) -> Self {
@@ -50,31 +52,36 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match &mut self.kind {
-            Kind::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Kind::Passed { over: true, .. } => Poll::Ready(None),
-            Kind::Passed { chunks, over, .. } => chunks.poll_recv(cx).map(|piece| match piece {
+            BodyKind::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            BodyKind::Streamed { ended: true, .. } => Poll::Ready(None),
+            BodyKind::Streamed { chunks, ended, .. } => chunks.poll_recv(cx).map(|chunk| match chunk {
                 Some(BodyChunk::Data(bytes)) => Some(Ok(Frame::data(bytes))),
                 Some(BodyChunk::End) => {
-                    *over = true;
+                    *ended = true;
                     None
                 }
                 None => {
-                    *over = true;
-                    Some(Err(io::Error::new(io::ErrorKind::ConnectionAborted, "the answer broke off")))
+                    *ended = true;
+                    Some(Err(io::Error::new(
+                        io::ErrorKind::ConnectionAborted,
+                        "response body aborted before its end",
+                    )))
                 }
             }),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self.kind, Kind::Whole(None) | Kind::Passed { over: true, .. })
+        matches!(self.kind, BodyKind::Complete(None) | BodyKind::Streamed { ended: true, .. })
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.kind {
-            Kind::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64)),
-            Kind::Passed { length: Some(length), .. } => SizeHint::with_exact(*length),
-            Kind::Passed { .. } => SizeHint::default(),
+            BodyKind::Complete(bytes) => {
+                SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
+            }
+            BodyKind::Streamed { length: Some(length), .. } => SizeHint::with_exact(*length),
+            BodyKind::Streamed { .. } => SizeHint::default(),
         }
     }
 }
--- a/system/request-forwarding/src/response_forwarding.rs
+++ b/system/request-forwarding/src/response_forwarding.rs
@@ -18,14 +18,14 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout_at};
 
-/// An answer as an endpoint sends it.
+/// A response that an endpoint is sending.
 pub(crate) struct UpstreamResponse {
     pub(crate) body: Incoming,
     pub(crate) connection: EndpointConnection,
     pub(crate) call: CallInFlight,
 }
 
-/// What a stream needs to go on at another endpoint.
+/// State needed to resume a stream at another endpoint.
 pub(crate) struct StreamResumption {
     delivery: Delivery,
     events: CompleteEvents,
@@ -37,78 +37,83 @@
     }
 }
 
-/// Carries an answer from the endpoint to the client.
+/// Forwards a response body from the endpoint to the client.
 pub(crate) struct ResponseForwarding<T: TurnStorage> {
     pub(crate) core: Rc<SharedState>,
     pub(crate) turns: Rc<T>,
+    /// Headers of the current endpoint's response; they decide whether its connection is reused.
     pub(crate) headers: HeaderMap,
-    pub(crate) end: Instant,
-    pub(crate) events: bool,
-    /// None for an answer that only its first endpoint can give.
+    pub(crate) deadline: Instant,
+    pub(crate) is_event_stream: bool,
+    /// `None` for a response that cannot be resumed at another endpoint.
     pub(crate) resumption: Option<StreamResumption>,
 }
 
 impl<T: TurnStorage> ResponseForwarding<T> {
     pub(crate) async fn run(
         mut self,
-        answer: UpstreamResponse,
-        first: Option<Bytes>,
+        upstream: UpstreamResponse,
+        first_chunk: Option<Bytes>,
         chunks: mpsc::Sender<BodyChunk>,
         turn: ActiveTurn<T>,
     ) {
-        let whole = self.carry(answer, first, &chunks, turn).await;
-        self.core.count(|metrics| match whole {
+        let is_complete = self.forward_body(upstream, first_chunk, &chunks, turn).await;
+        self.core.count(|metrics| match is_complete {
             true => metrics.streams_ended += 1,
             false => metrics.streams_broken += 1,
         });
     }
 
-    /// True if the client has been handed all, the end included.
-    async fn carry(
+    /// Returns true if the complete response, including its end, was passed to the client's connection.
+    async fn forward_body(
         &mut self,
-        mut answer: UpstreamResponse,
-        mut first: Option<Bytes>,
+        mut upstream: UpstreamResponse,
+        mut first_chunk: Option<Bytes>,
         chunks: &mpsc::Sender<BodyChunk>,
         mut turn: ActiveTurn<T>,
     ) -> bool {
-        let mut scan = EventScan::new(matches!(turn.record, TurnRecord::Whole(_)));
+        let mut scan = EventScan::new(matches!(turn.record, TurnRecord::Complete(_)));
         loop {
-            let read = match first.take() {
+            let read = match first_chunk.take() {
                 Some(data) => Ok(Some(data)),
-                None => self.read(&mut answer.body, chunks).await,
+                None => self.read(&mut upstream.body, chunks).await,
             };
             let data = match read {
-                Ok(Some(data)) => self.complete_events_of(data),
+                Ok(Some(data)) => self.take_complete_events(data),
                 Ok(None) => break,
-                Err(outcome) => match self.resume(answer.call, outcome, chunks).await {
+                Err(outcome) => match self.resume(upstream.call, outcome, chunks).await {
                     Some(resumed) => {
-                        answer = resumed;
+                        upstream = resumed;
                         continue;
                     }
                     None => return false,
                 },
             };
             if let Err(outcome) = self.forward_chunk(data, &mut scan, &mut turn, chunks).await {
-                answer.call.complete(outcome);
+                upstream.call.complete(outcome);
                 return false;
             }
         }
-        let rest = self.resumption.as_mut().map(|resumption| resumption.events.rest()).unwrap_or_default();
-        if let Err(outcome) = self.forward_chunk(rest, &mut scan, &mut turn, chunks).await {
-            answer.call.complete(outcome);
+        let incomplete = self
+            .resumption
+            .as_mut()
+            .map(|resumption| resumption.events.take_incomplete())
+            .unwrap_or_default();
+        if let Err(outcome) = self.forward_chunk(incomplete, &mut scan, &mut turn, chunks).await {
+            upstream.call.complete(outcome);
             return false;
         }
-        let UpstreamResponse { body, connection, call } = answer;
+        let UpstreamResponse { body, connection, call } = upstream;
         drop(body);
         self.core.check_in(connection, &self.headers);
-        if let TurnRecord::Whole(completed) = &mut turn.record {
+        if let TurnRecord::Complete(completed) = &mut turn.record {
             completed.served_by = Some(call.instance_id().clone());
         }
         call.complete(Outcome::Success);
-        self.end(scan, turn, chunks).await
+        self.finish(scan, turn, chunks).await
     }
 
-    /// The next bytes of the endpoint's answer; none at its end.
+    /// Reads the next bytes of the endpoint's response; `None` at its end.
     async fn read(
         &self,
         body: &mut Incoming,
@@ -117,7 +122,7 @@
         let frame = tokio::select! {
             biased;
             () = chunks.closed() => return Err(Outcome::Cancelled),
-            frame = timeout_at(self.end, body.frame()) => frame,
+            frame = timeout_at(self.deadline, body.frame()) => frame,
         };
         match frame {
             Err(_) => Err(Outcome::TimedOut),
@@ -127,15 +132,15 @@
         }
     }
 
-    /// Of a resumable stream, only complete events are forwarded.
-    fn complete_events_of(&mut self, data: Bytes) -> Bytes {
+    /// The bytes to forward: of a resumable stream, only its complete events.
+    fn take_complete_events(&mut self, data: Bytes) -> Bytes {
         match &mut self.resumption {
-            Some(resumption) => resumption.events.take(&data),
+            Some(resumption) => resumption.events.push(&data),
             None => data,
         }
     }
 
-    /// Passes bytes on to the client.
+    /// Forwards bytes to the client and counts their events.
     async fn forward_chunk(
         &self,
         data: Bytes,
@@ -146,20 +151,20 @@
         if data.is_empty() {
             return Ok(());
         }
-        if self.events {
-            scan.take(&data);
+        if self.is_event_stream {
+            scan.push(&data);
             if let Some(reservation) = &mut turn.reservation {
-                reservation.handed = scan.handed().saturating_mul(turn.tokens_per_event);
+                reservation.delivered_tokens = scan.delivered_events().saturating_mul(turn.tokens_per_event);
             }
         }
-        match timeout_at(self.end, chunks.send(BodyChunk::Data(data))).await {
+        match timeout_at(self.deadline, chunks.send(BodyChunk::Data(data))).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(_)) => Err(Outcome::Cancelled),
             Err(_) => Err(Outcome::TimedOut),
         }
     }
 
-    /// The answer of another endpoint, which goes on after the last event that was passed on.
+    /// Obtains a response from another endpoint that continues after the last forwarded event.
     async fn resume(
         &mut self,
         call: CallInFlight,
@@ -173,16 +178,16 @@
             call.complete(outcome);
             return None;
         };
-        // The other endpoint sends the event whole that broke off.
-        resumption.events.rest();
+        // The other endpoint sends the interrupted event again, completely.
+        resumption.events.take_incomplete();
         resumption.delivery.outgoing.headers.insert(LAST_EVENT_ID, last_id);
-        resumption.delivery.failed(call, outcome).ok()?;
-        let answered = tokio::select! {
+        resumption.delivery.record_failure(call, outcome).ok()?;
+        let endpoint_response = tokio::select! {
             biased;
             () = chunks.closed() => return None,
-            answered = resumption.delivery.answer() => answered.ok()?,
+            result = resumption.delivery.next_response() => result.ok()?,
         };
-        let EndpointResponse { response, connection, call } = answered;
+        let EndpointResponse { response, connection, call } = endpoint_response;
         if !response.status().is_success() || !is_event_stream(response.headers()) {
             call.complete(Outcome::Failure);
             return None;
@@ -193,20 +198,25 @@
         Some(UpstreamResponse { body, connection, call })
     }
 
-    /// Ends the answer, once its turn is stored if it is to be; breaks it off if that cannot be.
-    async fn end(&self, scan: EventScan, mut turn: ActiveTurn<T>, chunks: &mpsc::Sender<BodyChunk>) -> bool {
+    /// Stores the turn, if there is one to store, and then ends the response. If the turn cannot be stored, the response is aborted.
+    async fn finish(
+        &self,
+        scan: EventScan,
+        mut turn: ActiveTurn<T>,
+        chunks: &mpsc::Sender<BodyChunk>,
+    ) -> bool {
         let may_end = match std::mem::replace(&mut turn.record, TurnRecord::NotRetained) {
             TurnRecord::NotRetained => true,
-            TurnRecord::Whole(completed) => self.store(completed, scan, &mut turn, chunks).await,
+            TurnRecord::Complete(completed) => self.store(completed, scan, &mut turn, chunks).await,
             TurnRecord::TailOnly => {
                 self.core.count(|metrics| metrics.turns_unkept += 1);
                 false
             }
         };
-        may_end && matches!(timeout_at(self.end, chunks.send(BodyChunk::End)).await, Ok(Ok(())))
+        may_end && matches!(timeout_at(self.deadline, chunks.send(BodyChunk::End)).await, Ok(Ok(())))
     }
 
-    /// Stores a turn whose answer has come to its end; false if that cannot be.
+    /// Stores a turn whose response has ended; returns false if it could not be stored.
     async fn store(
         &self,
         mut completed: CompletedTurn,
@@ -217,9 +227,9 @@
         if !scan.between_events() {
             return false;
         }
-        completed.tokens = scan.handed().saturating_mul(turn.tokens_per_event);
+        completed.tokens = scan.delivered_events().saturating_mul(turn.tokens_per_event);
         completed.output = scan.into_output().into();
-        let store = timeout_at(self.end, self.turns.store_turn(completed));
+        let store = timeout_at(self.deadline, self.turns.store_turn(completed));
         let is_stored = tokio::select! {
             biased;
             stored = store => stored.unwrap_or(false),
@@ -229,7 +239,7 @@
             self.core.count(|metrics| metrics.turns_unkept += 1);
             return false;
         }
-        turn.forget_reservation();
+        turn.mark_settled();
         true
     }
 }
--- a/system/request-forwarding/src/slot_wait.rs
+++ b/system/request-forwarding/src/slot_wait.rs
@@ -33,8 +33,8 @@
             let wait = if std::mem::take(&mut behind) {
                 INITIAL_WAIT_BEHIND_OTHERS
             } else {
-                let pick = self.router.borrow_mut().pick(self.now(), routing_request, history);
-                match pick {
+                let decision = self.router.borrow_mut().pick(self.now(), routing_request, history);
+                match decision {
                     RoutingDecision::Send(target) => return Ok(target),
                     RoutingDecision::GiveUp(give_up) => return Err(give_up),
                     RoutingDecision::Wait(wait) => wait.max(MIN_POLL_INTERVAL),
@@ -49,13 +49,13 @@
             let wait = if waiter.is_near_head() {
                 wait
             } else {
-                let quarter =
+                let until_quarter_of_target =
                     Time(routing_request.arrived_at.0.saturating_add(routing_request.latency_target.0 / 4))
                         .since(self.now());
-                wait.max(Span(quarter)).max(MIN_WAIT_BEHIND_HEAD)
+                wait.max(Span(until_quarter_of_target)).max(MIN_WAIT_BEHIND_HEAD)
             };
             let until = (Instant::now() + Duration::from_micros(wait.0)).min(deadline);
-            // Notified or not, the router is asked again.
+            // The router is asked again whether this was a notification or a timeout.
             let _ = timeout_at(until, waiter.notified()).await;
         }
     }
--- a/system/request-forwarding/src/stream_preparation.rs
+++ b/system/request-forwarding/src/stream_preparation.rs
@@ -1,4 +1,4 @@
-//! What a stream needs before it is sent: a reservation of tokens, and the text that precedes its input.
+//! Preparation of a stream before it is sent: reservation of tokens, and lookup of the text that precedes its input.
 
 use crate::active_turn::{ActiveTurn, Reservation, TurnRecord};
 use crate::forwarder::Forwarder;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use tokio::time::{Instant, timeout_at};
 
-/// A stream that can be sent.
+/// Result of the preparation of a stream.
 pub(crate) struct PreparedStream {
     /// The text of the chain that it continues, and its own input.
     pub(crate) complete_input: Bytes,
@@ -44,8 +44,8 @@
             turn.reservation = Some(Reservation {
                 turns: self.turns.clone(),
                 program: program.to_owned(),
-                attempt: attempt.to_owned(),
-                handed: 0,
+                attempt_id: attempt.to_owned(),
+                delivered_tokens: 0,
                 settled: false,
             });
             self.turns.reserve(program, attempt, max_tokens, budget).await
@@ -63,7 +63,7 @@
         match reserved {
             ReserveOutcome::Granted => {}
             ReserveOutcome::BudgetExhausted => {
-                turn.forget_reservation();
+                turn.mark_settled();
                 return Err(LocalResponse::new(StatusCode::PAYMENT_REQUIRED));
             }
             ReserveOutcome::Unavailable => return Err(LocalResponse::refused(DEFAULT_RETRY_AFTER)),
@@ -84,9 +84,9 @@
     }
 }
 
-/// What is to be stored of a stream. The events before `Last-Event-Id` were the answer to another attempt, and nothing
-/// in the request names that attempt. Whether an endpoint heeds the header does not show, so the route's `resumable`
-/// makes no difference.
+/// What to store when a stream ends. The events before `Last-Event-Id` were part of the response to another attempt, and
+/// nothing in the request names that attempt. Whether an endpoint honors the header cannot be detected, so the route's
+/// `resumable` makes no difference.
 fn turn_record(request_headers: &HeaderMap, route: &Route, attempt: &str, input: &Bytes) -> TurnRecord {
     if !route.retained {
         return TurnRecord::NotRetained;
@@ -94,7 +94,7 @@
     if request_headers.contains_key(LAST_EVENT_ID) {
         return TurnRecord::TailOnly;
     }
-    TurnRecord::Whole(CompletedTurn {
+    TurnRecord::Complete(CompletedTurn {
         attempt: attempt.to_owned(),
         previous: headers::text(request_headers, "previous").map(str::to_owned),
         program: headers::text(request_headers, "program").unwrap_or_default().to_owned(),
--- a/system/request-forwarding/src/wait_queue.rs
+++ b/system/request-forwarding/src/wait_queue.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A waiter's rank: the least goes first. It is its arrival plus a step for each class of lower urgency, so that
-/// whoever has waited for long goes before any who come now.
+/// A waiter's rank; the lowest is served first. It is the arrival time in microseconds plus a penalty for each lower priority,
+/// so that a request that has waited for long precedes any that arrives now, and a sequence number that breaks ties.
 pub(crate) type Rank = (u64, u64);
 
 /// Rank penalty of each lower priority: it counts as having arrived this much later, in microseconds.
@@ -14,18 +14,18 @@
 /// Number of a service's first waiters that poll the router; those behind are notified in order.
 const POLLING_WAITERS: usize = 4;
 
-/// Those who wait for one service.
+/// Waiters of one service.
 type Waiters = BTreeMap<Rank, Rc<Notify>>;
 
 /// Waiters by service and rank.
 pub(crate) struct WaitQueue {
     max_waiting: usize,
     waiting: Cell<usize>,
-    next: Cell<u64>,
+    last_sequence: Cell<u64>,
     services: RefCell<HashMap<Rc<str>, Waiters>>,
 }
 
-/// A position in the queue, left when it is dropped.
+/// A position in the queue, which is given up on drop.
 pub(crate) struct Waiter {
     queue: Rc<WaitQueue>,
     service: Rc<str>,
@@ -38,24 +38,24 @@
         Rc::new(Self {
             max_waiting,
             waiting: Cell::new(0),
-            next: Cell::new(0),
+            last_sequence: Cell::new(0),
             services: RefCell::new(HashMap::new()),
         })
     }
 
     pub(crate) fn rank(&self, arrived: u64, priority: u8) -> Rank {
-        self.next.set(self.next.get() + 1);
-        (arrived.saturating_add(PRIORITY_STEP_MICROS * u64::from(priority)), self.next.get())
+        self.last_sequence.set(self.last_sequence.get() + 1);
+        (arrived.saturating_add(PRIORITY_STEP_MICROS * u64::from(priority)), self.last_sequence.get())
     }
 
-    /// Whether one of the service waits that goes before `rank`.
+    /// Whether a request with a lower rank waits for this service.
     pub(crate) fn is_behind(&self, service: &str, rank: Rank) -> bool {
         let services = self.services.borrow();
         let first = services.get(service).and_then(|waiters| waiters.first_key_value());
         first.is_some_and(|(first, _)| *first < rank)
     }
 
-    /// Enters the queue; none if it is full.
+    /// Enters the queue; `None` if it is full.
     pub(crate) fn enter(self: &Rc<Self>, service: &str, rank: Rank) -> Option<Waiter> {
         if self.waiting.get() >= self.max_waiting {
             return None;
@@ -89,7 +89,7 @@
 }
 
 impl Waiter {
-    /// Whether it is among the first of its service.
+    /// Whether it is among its service's first waiters, which poll the router.
     pub(crate) fn is_near_head(&self) -> bool {
         let services = self.queue.services.borrow();
         services
@@ -109,7 +109,7 @@
         if let Some(waiters) = services.get_mut(&self.service) {
             waiters.remove(&self.rank);
             match waiters.first_key_value() {
-                // There may be free slots for more than the one that leaves.
+                // There may be more free slots than the one taken by the waiter that leaves.
                 Some((_, first)) => first.notify_one(),
                 None => drop(services.remove(&self.service)),
             }
--- a/system/request-forwarding/src/wait_queue/tests.rs
+++ b/system/request-forwarding/src/wait_queue/tests.rs
@@ -2,19 +2,19 @@
 use futures_util::FutureExt;
 
 #[test]
-fn the_most_urgent_is_woken_first_and_the_next_when_it_leaves() {
+fn the_most_urgent_waiter_is_notified_first_and_the_next_when_it_leaves() {
     let queue = WaitQueue::new(10);
-    let late = queue.enter("a", queue.rank(0, 2)).unwrap();
+    let less_urgent = queue.enter("a", queue.rank(0, 2)).unwrap();
     let urgent = queue.enter("a", queue.rank(100, 0)).unwrap();
     queue.wake_first("a");
     assert!(urgent.notified().now_or_never().is_some());
-    assert!(late.notified().now_or_never().is_none());
+    assert!(less_urgent.notified().now_or_never().is_none());
     drop(urgent);
-    assert!(late.notified().now_or_never().is_some());
+    assert!(less_urgent.notified().now_or_never().is_some());
 }
 
 #[test]
-fn whoever_has_waited_for_long_goes_before_the_urgent_who_come_now() {
+fn a_long_wait_outranks_the_priority_of_new_arrivals() {
     let queue = WaitQueue::new(10);
     let old = queue.rank(0, 3);
     let _old = queue.enter("a", old).unwrap();
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn it_holds_no_more_than_its_bound() {
+fn the_queue_holds_at_most_its_maximum_of_waiters() {
     let queue = WaitQueue::new(1);
     let only = queue.enter("a", queue.rank(0, 0)).unwrap();
     assert!(queue.enter("b", queue.rank(0, 0)).is_none());
