--- a/system/request-forwarding/src/metrics.rs
+++ b/system/request-forwarding/src/metrics.rs
@@ -28,7 +28,7 @@
     refused,
     /// Locally generated responses without that guarantee (502, 504).
     failed,
-    /// Locally generated responses to requests without a route or previous turn, or beyond a limit.
+    /// Locally generated responses to requests that are invalid, exceed a limit, or name an unknown route or turn.
     denied,
     /// Sends of requests to endpoints, retries included.
     sends,
--- a/system/request-forwarding/tests/fault_sequences.rs
+++ b/system/request-forwarding/tests/fault_sequences.rs
@@ -1,9 +1,9 @@
-//! Over every order of what endpoints do to the sends of requests: a request that cannot be repeated runs at most once,
-//! nothing is promised of one that ran, and no bytes reach a client or an endpoint but their own.
+//! Sequences of endpoint faults: a non-idempotent request is executed at most once, no response guarantees non-execution of
+//! an executed request, and clients and endpoints receive only bytes that belong to their requests.
 
 mod fixtures;
 
-use fixtures::{Message, Server, TestProxy, Wire, run};
+use fixtures::{HttpConnection, Message, TestEndpoint, TestProxy, run};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
@@ -15,62 +15,62 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinSet, spawn_local};
 
-/// Plays that go on at once.
-const AT_ONCE: usize = 81;
+/// Number of scenarios that run concurrently.
+const MAX_CONCURRENT: usize = 81;
 
-/// What an endpoint does with a request.
+/// An endpoint's behavior for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum Behavior {
     Answer,
-    /// The answer comes once more, at once.
+    /// Sends the response twice in a row.
     AnswerTwice,
-    /// The answer comes once more, in the place of the connection's next one.
+    /// Sends the response once more before the connection's next response.
     AnswerAgainLater,
-    /// It answers before it has read the body.
+    /// Responds before it has read the body.
     AnswerBeforeBody,
-    /// It answers, and forgets the connection with a word, or without.
+    /// Responds, and then closes or resets the connection.
     AnswerAndClose,
     AnswerAndReset,
-    /// It runs the request, and resets before the first byte, after the head, or in the body of its answer.
+    /// Executes the request, and resets the connection before the response, after its head, or within its body.
     ResetBeforeAnswer,
     ResetAfterHead,
     ResetInBody,
     ResetWithoutLength,
     Silence,
     ForeignAnswer,
-    /// It does not run it and says so; again in the place of the connection's next answer.
+    /// States that it has not executed the request; `DeclineAgainLater` repeats this before the connection's next response.
     Decline,
     DeclineAgainLater,
     DeclineBeforeBody,
     AnotherIncarnation,
-    /// It runs it and answers with a status that is a promise only where it comes with the statement.
+    /// Executes the request and responds with 503, which guarantees non-execution only together with `Not-Executed`.
     UnstatedPromise,
     Failure,
 }
 
-const FATES: [Fate; 18] = [
-    Fate::Answer,
-    Fate::AnswerTwice,
-    Fate::AnswerAgainLater,
-    Fate::AnswerBeforeBody,
-    Fate::AnswerAndClose,
-    Fate::AnswerAndReset,
-    Fate::ResetBeforeAnswer,
-    Fate::ResetAfterHead,
-    Fate::ResetInBody,
-    Fate::ResetWithoutLength,
-    Fate::Silence,
-    Fate::ForeignAnswer,
-    Fate::Decline,
-    Fate::DeclineAgainLater,
-    Fate::DeclineBeforeBody,
-    Fate::AnotherIncarnation,
-    Fate::UnstatedPromise,
-    Fate::Failure,
+const BEHAVIORS: [Behavior; 18] = [
+    Behavior::Answer,
+    Behavior::AnswerTwice,
+    Behavior::AnswerAgainLater,
+    Behavior::AnswerBeforeBody,
+    Behavior::AnswerAndClose,
+    Behavior::AnswerAndReset,
+    Behavior::ResetBeforeAnswer,
+    Behavior::ResetAfterHead,
+    Behavior::ResetInBody,
+    Behavior::ResetWithoutLength,
+    Behavior::Silence,
+    Behavior::ForeignAnswer,
+    Behavior::Decline,
+    Behavior::DeclineAgainLater,
+    Behavior::DeclineBeforeBody,
+    Behavior::AnotherIncarnation,
+    Behavior::UnstatedPromise,
+    Behavior::Failure,
 ];
 
-impl Fate {
-    fn runs(self) -> bool {
+impl Behavior {
+    fn executes(self) -> bool {
         !matches!(
             self,
             Self::Decline | Self::DeclineAgainLater | Self::DeclineBeforeBody | Self::AnotherIncarnation
@@ -78,19 +78,19 @@
     }
 }
 
-/// The endpoints of a play together: what they are to do, and what they did.
+/// State that the endpoints of a scenario share: the behaviors to come, and a record of what happened.
 #[derive(Default)]
 struct Endpoints {
-    fates: RefCell<std::vec::IntoIter<Fate>>,
-    /// How often each request was begun.
-    runs: RefCell<HashMap<String, usize>>,
-    /// The statuses that were answered to each.
+    behaviors: RefCell<std::vec::IntoIter<Behavior>>,
+    /// Number of executions by request id.
+    executions: RefCell<HashMap<String, usize>>,
+    /// Response statuses by request id.
     statuses: RefCell<HashMap<String, Vec<u16>>>,
-    /// Requests that no client sent so.
+    /// Received requests that no client sent in this form.
     foreign: RefCell<Vec<Message>>,
 }
 
-fn answer(status: u16, id: &str, more: &str, body: &str) -> String {
+fn response(status: u16, id: &str, more: &str, body: &str) -> String {
     let length = body.len();
     format!(
         "HTTP/1.1 {status} X\r\nAttempt-Id: {id}\r\nServer-Seal: seal-{id}\r\n{more}Content-Length: {length}\r\n\r\n{body}"
@@ -113,21 +113,21 @@
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let endpoints = endpoints.clone();
-                spawn_local(async move { endpoints.attend(stream).await });
+                spawn_local(async move { endpoints.serve(stream).await });
             }
         });
         address
     }
 
-    fn note(&self, id: &str, status: u16) {
+    fn record_status(&self, id: &str, status: u16) {
         self.statuses.borrow_mut().entry(id.to_owned()).or_default().push(status);
     }
 
-    /// Whether it is a request as a client has sent it.
-    fn check(&self, request: &Message) {
+    /// Records the request as foreign unless it equals what a client sent.
+    fn check_request(&self, request: &Message) {
         let id = request.header("attempt-id").unwrap_or_default();
-        let path = request.first.split(' ').nth(1).unwrap_or_default();
-        let is_own = request.whole
+        let path = request.start_line.split(' ').nth(1).unwrap_or_default();
+        let is_own = request.complete
             && path
                 .strip_suffix(id)
                 .is_some_and(|prefix| ["/plain/", "/unsafe/", "/events/"].contains(&prefix))
@@ -137,66 +137,66 @@
         }
     }
 
-    /// One connection, to its end.
-    #[allow(clippy::too_many_lines, reason = "one arm for each kind of fault")]
-    async fn attend(&self, stream: TcpStream) {
-        let mut wire = Wire::new(stream);
-        let mut due: Option<String> = None;
-        while let Some(mut request) = wire.head().await {
+    /// Serves one connection until it ends.
+    #[allow(clippy::too_many_lines, reason = "one arm for each behavior")]
+    async fn serve(&self, stream: TcpStream) {
+        let mut connection = HttpConnection::new(stream);
+        let mut repeated: Option<String> = None;
+        while let Some(mut request) = connection.read_head().await {
             let id = request.header("attempt-id").unwrap_or_default().to_owned();
-            let fate = self.fates.borrow_mut().next().unwrap_or(Fate::Answer);
-            if fate.runs() {
-                *self.runs.borrow_mut().entry(id.clone()).or_default() += 1;
+            let behavior = self.behaviors.borrow_mut().next().unwrap_or(Behavior::Answer);
+            if behavior.executes() {
+                *self.executions.borrow_mut().entry(id.clone()).or_default() += 1;
             }
-            let (good, decline) = (
-                answer(200, &id, "", &body_of(&id)),
-                answer(503, &id, "Not-Executed: 1\r\nRetry-After: 0.01\r\n", ""),
+            let (success, decline) = (
+                response(200, &id, "", &body_of(&id)),
+                response(503, &id, "Not-Executed: 1\r\nRetry-After: 0.01\r\n", ""),
             );
-            let early = match fate {
-                Fate::AnswerBeforeBody => Some((200, &good)),
-                Fate::DeclineBeforeBody => Some((503, &decline)),
+            let early = match behavior {
+                Behavior::AnswerBeforeBody => Some((200, &success)),
+                Behavior::DeclineBeforeBody => Some((503, &decline)),
                 _ => None,
             };
             if let Some((status, early)) = early {
-                self.note(&id, status);
-                send(&mut wire, early).await;
+                self.record_status(&id, status);
+                send(&mut connection, early).await;
             }
-            wire.body_of(&mut request).await;
-            if !request.whole {
+            connection.read_body(&mut request).await;
+            if !request.complete {
                 return;
             }
-            self.check(&request);
-            if let Some(due) = due.take() {
-                send(&mut wire, &due).await;
+            self.check_request(&request);
+            if let Some(repeated) = repeated.take() {
+                send(&mut connection, &repeated).await;
             }
             let mut reply = async |status: u16, bytes: &str| {
-                self.note(&id, status);
-                send(&mut wire, bytes).await;
+                self.record_status(&id, status);
+                send(&mut connection, bytes).await;
             };
-            match fate {
-                Fate::AnswerBeforeBody | Fate::DeclineBeforeBody => {}
-                Fate::Answer => reply(200, &good).await,
-                Fate::AnswerTwice => reply(200, &good.repeat(2)).await,
-                Fate::AnswerAgainLater => {
-                    reply(200, &good).await;
-                    due = Some(good);
+            match behavior {
+                Behavior::AnswerBeforeBody | Behavior::DeclineBeforeBody => {}
+                Behavior::Answer => reply(200, &success).await,
+                Behavior::AnswerTwice => reply(200, &success.repeat(2)).await,
+                Behavior::AnswerAgainLater => {
+                    reply(200, &success).await;
+                    repeated = Some(success);
                 }
-                Fate::AnswerAndClose => return reply(200, &good).await,
-                Fate::AnswerAndReset => {
-                    reply(200, &good).await;
-                    return reset(&wire);
+                Behavior::AnswerAndClose => return reply(200, &success).await,
+                Behavior::AnswerAndReset => {
+                    reply(200, &success).await;
+                    return reset(&connection);
                 }
-                Fate::ResetBeforeAnswer => return reset(&wire),
-                Fate::ResetAfterHead => {
-                    let head = good.find("\r\n\r\n").unwrap() + 4;
-                    reply(200, &good[..head]).await;
-                    return reset(&wire);
+                Behavior::ResetBeforeAnswer => return reset(&connection),
+                Behavior::ResetAfterHead => {
+                    let head = success.find("\r\n\r\n").unwrap() + 4;
+                    reply(200, &success[..head]).await;
+                    return reset(&connection);
                 }
-                Fate::ResetInBody => {
-                    reply(200, &good[..good.len() - 3]).await;
-                    return reset(&wire);
+                Behavior::ResetInBody => {
+                    reply(200, &success[..success.len() - 3]).await;
+                    return reset(&connection);
                 }
-                Fate::ResetWithoutLength => {
+                Behavior::ResetWithoutLength => {
                     let body = body_of(&id);
                     reply(
                         200,
@@ -205,38 +205,38 @@
                         ),
                     )
                     .await;
-                    return reset(&wire);
+                    return reset(&connection);
                 }
-                Fate::Silence => {
-                    // Until the caller gives it up.
-                    let _ = wire.head().await;
+                Behavior::Silence => {
+                    // Until the caller closes the connection.
+                    let _ = connection.read_head().await;
                     return;
                 }
-                Fate::ForeignAnswer => reply(200, &answer(200, "nobody", "", "alien")).await,
-                Fate::Decline => reply(503, &decline).await,
-                Fate::DeclineAgainLater => {
+                Behavior::ForeignAnswer => reply(200, &response(200, "nobody", "", "alien")).await,
+                Behavior::Decline => reply(503, &decline).await,
+                Behavior::DeclineAgainLater => {
                     reply(503, &decline).await;
-                    due = Some(decline);
+                    repeated = Some(decline);
                 }
-                Fate::AnotherIncarnation => reply(421, &answer(421, &id, "", "")).await,
-                Fate::UnstatedPromise => reply(503, &answer(503, &id, "", "")).await,
-                Fate::Failure => reply(500, &answer(500, &id, "", "own words")).await,
+                Behavior::AnotherIncarnation => reply(421, &response(421, &id, "", "")).await,
+                Behavior::UnstatedPromise => reply(503, &response(503, &id, "", "")).await,
+                Behavior::Failure => reply(500, &response(500, &id, "", "own words")).await,
             }
         }
     }
 }
 
-/// Writes what may find nobody any more.
-async fn send(wire: &mut Wire, bytes: &str) {
+/// Writes bytes; the peer may have closed the connection already.
+async fn send(connection: &mut HttpConnection, bytes: &str) {
     use tokio::io::AsyncWriteExt;
-    let _ = wire.stream.write_all(bytes.as_bytes()).await;
+    let _ = connection.stream.write_all(bytes.as_bytes()).await;
 }
 
-fn reset(wire: &Wire) {
-    wire.stream.set_zero_linger().unwrap();
+fn reset(connection: &HttpConnection) {
+    connection.stream.set_zero_linger().unwrap();
 }
 
-/// A request of a client.
+/// Route of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Plain,
@@ -255,19 +255,19 @@
         }
     }
 
-    /// Whether the status promises that it has not run and never will.
-    fn promised(self, status: u16) -> bool {
+    /// Whether the status guarantees that the request was not executed and never will be.
+    fn guarantees_not_executed(self, status: u16) -> bool {
         matches!(status, 408 | 421 | 429 | 503) || self == Self::Events && status == 402
     }
 }
 
-/// What clients send, and what endpoints do to it.
+/// Requests of a client, and the endpoints' behaviors.
 #[derive(Clone, Debug)]
-struct Play {
+struct Scenario {
     requests: Vec<Kind>,
-    /// Whether the client sends each request before it has the answer to the one before.
+    /// Whether the client sends all requests before it reads the first response.
     pipelined: bool,
-    fates: Vec<Fate>,
+    behaviors: Vec<Behavior>,
 }
 
 fn bytes_of(kind: Kind, id: &str) -> String {
@@ -278,125 +278,135 @@
     )
 }
 
-/// What is wrong with an answer to a request.
-fn fault_of(kind: Kind, id: &str, answer: &Message, endpoints: &Endpoints) -> Option<String> {
-    let status = answer.status();
-    if answer.header("attempt-id") != Some(id) {
-        return Some("it belongs to another request".into());
+/// Describes what is wrong with a response to a request.
+fn response_fault(kind: Kind, id: &str, response: &Message, endpoints: &Endpoints) -> Option<String> {
+    let status = response.status();
+    if response.header("attempt-id") != Some(id) {
+        return Some("the response belongs to another request".into());
     }
-    if let Some(seal) = answer.header("server-seal") {
-        let given = endpoints.statuses.borrow().get(id).is_some_and(|given| given.contains(&status));
-        if !given || seal != format!("seal-{id}") {
-            return Some(format!("no endpoint has sealed {status}"));
+    if let Some(seal) = response.header("server-seal") {
+        let sent = endpoints.statuses.borrow().get(id).is_some_and(|sent| sent.contains(&status));
+        if !sent || seal != format!("seal-{id}") {
+            return Some(format!("no endpoint sent a sealed response with status {status}"));
         }
     }
     match status {
-        200 if !answer.whole && kind == Kind::Events => None,
-        _ if !answer.whole => Some("it breaks off".into()),
-        200 if answer.body != body_of(id).as_bytes() => Some("its body is not the endpoint's".into()),
+        200 if !response.complete && kind == Kind::Events => None,
+        _ if !response.complete => Some("the response is truncated".into()),
+        200 if response.body != body_of(id).as_bytes() => {
+            Some("the response body differs from the endpoint's".into())
+        }
         _ => None,
     }
 }
 
-async fn play(play: &Play) -> std::result::Result<(), String> {
-    let endpoints =
-        Rc::new(Endpoints { fates: RefCell::new(play.fates.clone().into_iter()), ..Endpoints::default() });
-    let stub = Server::start("i-0", |_| unreachable!()).await;
-    let first = Server { instance: "i-1", address: endpoints.listen().await, ..stub };
-    let stub = Server::start("i-0", |_| unreachable!()).await;
-    let second = Server { instance: "i-2", address: endpoints.listen().await, ..stub };
-    let world = TestProxy::start(&[(&first, "s"), (&second, "s"), (&first, "m"), (&second, "m")]).await;
+async fn run_scenario(scenario: &Scenario) -> std::result::Result<(), String> {
+    let endpoints = Rc::new(Endpoints {
+        behaviors: RefCell::new(scenario.behaviors.clone().into_iter()),
+        ..Endpoints::default()
+    });
+    let stub = TestEndpoint::start("i-0", |_| unreachable!()).await;
+    let first = TestEndpoint { instance: "i-1", address: endpoints.listen().await, ..stub };
+    let stub = TestEndpoint::start("i-0", |_| unreachable!()).await;
+    let second = TestEndpoint { instance: "i-2", address: endpoints.listen().await, ..stub };
+    let proxy = TestProxy::start(&[(&first, "s"), (&second, "s"), (&first, "m"), (&second, "m")]).await;
     let requests: Vec<(Kind, String)> =
-        play.requests.iter().enumerate().map(|(place, kind)| (*kind, format!("r{place}"))).collect();
-    let mut answers: Vec<Option<Message>> = Vec::new();
-    let mut client = world.client().await;
-    if play.pipelined {
+        scenario.requests.iter().enumerate().map(|(index, kind)| (*kind, format!("r{index}"))).collect();
+    let mut responses: Vec<Option<Message>> = Vec::new();
+    let mut client = proxy.client().await;
+    if scenario.pipelined {
         let all: String = requests.iter().map(|(kind, id)| bytes_of(*kind, id)).collect();
         client.write(all).await;
     }
     for (kind, id) in &requests {
-        if !play.pipelined {
+        if !scenario.pipelined {
             client.write(bytes_of(*kind, id)).await;
         }
-        let answer = client.message().await;
-        let goes_on = answer.as_ref().is_some_and(|answer| answer.whole);
-        if let Some(fault) = answer.as_ref().and_then(|answer| fault_of(*kind, id, answer, &endpoints)) {
-            return Err(format!("{id}: {fault}: {answer:?}"));
+        let response = client.read_message().await;
+        let is_complete = response.as_ref().is_some_and(|response| response.complete);
+        if let Some(fault) =
+            response.as_ref().and_then(|response| response_fault(*kind, id, response, &endpoints))
+        {
+            return Err(format!("{id}: {fault}: {response:?}"));
         }
-        answers.push(answer);
-        if !goes_on {
-            if play.pipelined {
-                // With its answer the connection broke off, and the requests behind it have none.
+        responses.push(response);
+        if !is_complete {
+            if scenario.pipelined {
+                // The connection ended with this response, so the pipelined requests behind it have none.
                 break;
             }
-            client = world.client().await;
+            client = proxy.client().await;
         }
     }
     if let Some(foreign) = endpoints.foreign.borrow().first() {
-        return Err(format!("an endpoint got {foreign:?}"));
+        return Err(format!("an endpoint received a foreign request: {foreign:?}"));
     }
-    for (place, (kind, id)) in requests.iter().enumerate() {
-        let ran = endpoints.runs.borrow().get(id).copied().unwrap_or(0);
-        if *kind != Kind::Plain && ran > 1 {
-            return Err(format!("{id} ran {ran} times"));
+    for (index, (kind, id)) in requests.iter().enumerate() {
+        let executions = endpoints.executions.borrow().get(id).copied().unwrap_or(0);
+        if *kind != Kind::Plain && executions > 1 {
+            return Err(format!("{id} was executed {executions} times"));
         }
-        match answers.get(place) {
-            Some(Some(answer)) if *kind != Kind::Plain && kind.promised(answer.status()) && ran > 0 => {
-                return Err(format!("{id} ran and was answered {}", answer.status()));
+        match responses.get(index) {
+            Some(Some(response))
+                if *kind != Kind::Plain
+                    && kind.guarantees_not_executed(response.status())
+                    && executions > 0 =>
+            {
+                return Err(format!("{id} was executed, but its response has status {}", response.status()));
             }
-            Some(None) => return Err(format!("{id} got no answer")),
+            Some(None) => return Err(format!("{id} got no response")),
             _ => {}
         }
     }
     Ok(())
 }
 
-/// Plays all, some at once; counts them.
-fn play_all(plays: impl IntoIterator<Item = Play>) -> usize {
-    let mut plays = plays.into_iter().peekable();
-    let mut played = 0;
-    while plays.peek().is_some() {
-        let some: Vec<Play> = plays.by_ref().take(AT_ONCE).collect();
-        played += some.len();
+/// Runs all scenarios, a limited number concurrently; returns their number.
+fn run_scenarios(scenarios: impl IntoIterator<Item = Scenario>) -> usize {
+    let mut scenarios = scenarios.into_iter().peekable();
+    let mut count = 0;
+    while scenarios.peek().is_some() {
+        let batch: Vec<Scenario> = scenarios.by_ref().take(MAX_CONCURRENT).collect();
+        count += batch.len();
         run(async move {
             let mut running = JoinSet::new();
-            for one in some {
-                running.spawn_local(async move { (play(&one).await, one) });
+            for scenario in batch {
+                running.spawn_local(async move { (run_scenario(&scenario).await, scenario) });
             }
-            while let Some(ended) = running.join_next().await {
-                let (told, one) = ended.unwrap();
-                expect_that!(told, ok(()), "{one:?}");
+            while let Some(finished) = running.join_next().await {
+                let (result, scenario) = finished.unwrap();
+                expect_that!(result, ok(()), "{scenario:?}");
             }
         });
     }
-    played
+    count
 }
 
 #[gtest]
-fn given_every_pair_of_fates_of_one_request_then_it_runs_and_is_answered_as_is_allowed() {
-    let plays = KINDS.into_iter().flat_map(|kind| {
-        FATES.into_iter().flat_map(move |first| {
-            FATES.into_iter().map(move |second| Play {
+fn given_every_pair_of_endpoint_behaviors_then_executions_and_responses_are_valid() {
+    let scenarios = KINDS.into_iter().flat_map(|kind| {
+        BEHAVIORS.into_iter().flat_map(move |first| {
+            BEHAVIORS.into_iter().map(move |second| Scenario {
                 requests: vec![kind, kind],
                 pipelined: false,
-                fates: vec![first, second],
+                behaviors: vec![first, second],
             })
         })
     });
-    expect_that!(play_all(plays), eq(972));
+    expect_that!(run_scenarios(scenarios), eq(972));
 }
 
 #[gtest]
-fn given_any_longer_order_of_fates_then_each_request_runs_and_is_answered_as_is_allowed() {
+fn given_longer_sequences_of_endpoint_behaviors_then_executions_and_responses_are_valid() {
     let strategy = (
         prop::collection::vec(prop::sample::select(KINDS.to_vec()), 1..6),
         any::<bool>(),
-        prop::collection::vec(prop::sample::select(FATES.to_vec()), 2..10),
+        prop::collection::vec(prop::sample::select(BEHAVIORS.to_vec()), 2..10),
     );
     let mut runner = TestRunner::deterministic();
-    let plays = (0..400).map(|_| {
-        let (requests, pipelined, fates) = strategy.new_tree(&mut runner).unwrap().current();
-        Play { requests, pipelined, fates }
+    let scenarios = (0..400).map(|_| {
+        let (requests, pipelined, behaviors) = strategy.new_tree(&mut runner).unwrap().current();
+        Scenario { requests, pipelined, behaviors }
     });
-    expect_that!(play_all(plays.collect::<Vec<_>>()), eq(400));
+    expect_that!(run_scenarios(scenarios.collect::<Vec<_>>()), eq(400));
 }
--- a/system/request-forwarding/tests/resumption.rs
+++ b/system/request-forwarding/tests/resumption.rs
@@ -1,9 +1,10 @@
-//! Resumable streams whose endpoint fails: before the first event they go again, after it they go on elsewhere.
+//! Resumable streams whose endpoint fails: before the first event the request is retried, after it the stream is resumed at
+//! another endpoint.
 
 mod fixtures;
 
 use bytes::Bytes;
-use fixtures::{Message, Part, Reply, Server, TestProxy, Wire, post, run};
+use fixtures::{HttpConnection, Message, Reply, StreamPart, TestEndpoint, TestProxy, post, run};
 use googletest::prelude::*;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,19 +12,19 @@
 
 const TURN: &str = "Program: p\r\nSession: x\r\nBudget: 500\r\nToken-Usage: 40,12\r\n";
 
-/// The replies of both endpoints, in the order in which they are asked.
+/// Replies to the requests in the order of their arrival, whichever endpoint receives them.
 type Replies = Rc<RefCell<std::collections::VecDeque<Reply>>>;
 
-/// A world with two endpoints, whichever of which is asked gives the next reply.
-struct Story {
-    world: TestProxy,
-    servers: [Server; 2],
-    streams: Vec<mpsc::UnboundedSender<Part>>,
+/// A proxy with two endpoints that share one sequence of replies.
+struct Scenario {
+    proxy: TestProxy,
+    servers: [TestEndpoint; 2],
+    streams: Vec<mpsc::UnboundedSender<StreamPart>>,
 }
 
-impl Story {
-    /// `None` stands for a stream.
-    async fn with(replies: Vec<Option<Reply>>) -> Self {
+impl Scenario {
+    /// Starts the scenario; `None` in the replies is a stream that the test controls.
+    async fn start(replies: Vec<Option<Reply>>) -> Self {
         let mut streams = Vec::new();
         let replies = replies.into_iter().map(|reply| {
             reply.unwrap_or_else(|| {
@@ -33,31 +34,32 @@
             })
         });
         let replies: Replies = Rc::new(RefCell::new(replies.collect()));
-        let server =
-            |name, replies: Replies| Server::start(name, move |_| replies.borrow_mut().pop_front().unwrap());
+        let server = |name, replies: Replies| {
+            TestEndpoint::start(name, move |_| replies.borrow_mut().pop_front().unwrap())
+        };
         let servers = [server("i-1", replies.clone()).await, server("i-2", replies).await];
-        let world = TestProxy::start(&[(&servers[0], "m"), (&servers[1], "m")]).await;
-        Self { world, servers, streams }
+        let proxy = TestProxy::start(&[(&servers[0], "m"), (&servers[1], "m")]).await;
+        Self { proxy, servers, streams }
     }
 
-    fn send(&self, stream: usize, part: Part) {
+    fn send(&self, stream: usize, part: StreamPart) {
         self.streams[stream].send(part).ok().unwrap();
     }
 
-    async fn client(&self, path: &str) -> Wire {
+    async fn client(&self, path: &str) -> HttpConnection {
         self.client_with(path, TURN).await
     }
 
-    async fn client_with(&self, path: &str, headers: &str) -> Wire {
-        let mut client = self.world.client().await;
+    async fn client_with(&self, path: &str, headers: &str) -> HttpConnection {
+        let mut client = self.proxy.client().await;
         client.write(post(path, "t1", headers, "input").bytes()).await;
         client
     }
 
-    /// The `Last-Event-Id` of each request that came, sorted; nothing where there was none.
+    /// The `Last-Event-Id` of each received request, sorted; empty for a request without one.
     fn last_event_ids(&self) -> Vec<String> {
-        let seen = self.seen().0;
-        let mut ids: Vec<String> = seen
+        let received = self.received().0;
+        let mut ids: Vec<String> = received
             .iter()
             .map(|request| request.header("last-event-id").unwrap_or_default().to_owned())
             .collect();
@@ -65,243 +67,246 @@
         ids
     }
 
-    /// All requests that came, and how many endpoints they came to.
-    fn seen(&self) -> (Vec<Message>, usize) {
+    /// All received requests, and the number of endpoints that received any.
+    fn received(&self) -> (Vec<Message>, usize) {
         let by_server: Vec<Vec<Message>> =
-            self.servers.iter().map(|server| server.seen.borrow().clone()).collect();
-        let endpoints = by_server.iter().filter(|seen| !seen.is_empty()).count();
+            self.servers.iter().map(|server| server.received.borrow().clone()).collect();
+        let endpoints = by_server.iter().filter(|received| !received.is_empty()).count();
         (by_server.concat(), endpoints)
     }
 }
 
 #[gtest]
-fn given_a_stream_that_breaks_off_then_another_endpoint_goes_on_after_the_last_whole_event() {
+fn given_an_interrupted_stream_then_another_endpoint_resumes_after_the_last_complete_event() {
     run(async {
-        let story = Story::with(vec![None, None]).await;
-        let mut client = story.client("/resumable/").await;
-        story.send(0, Part::Bytes("id: 1\ndata: one\n\nid: 2\ndata: tw"));
-        let head = client.head().await.unwrap();
+        let scenario = Scenario::start(vec![None, None]).await;
+        let mut client = scenario.client("/resumable/").await;
+        scenario.send(0, StreamPart::Bytes("id: 1\ndata: one\n\nid: 2\ndata: tw"));
+        let head = client.read_head().await.unwrap();
         expect_that!((head.status(), head.header("server-seal")), eq((200, Some("seal-t1"))));
-        // The event that has not ended is held back: the other endpoint will send it whole.
-        expect_that!(client.chunk().await, some(eq(b"id: 1\ndata: one\n\n")));
-        story.send(0, Part::Break);
-        story.send(1, Part::Bytes("id: 2\ndata: two\n\n"));
-        expect_that!(client.chunk().await, some(eq(b"id: 2\ndata: two\n\n")));
-        story.world.turns.keep.send_replace(Some(true));
-        story.send(1, Part::End);
-        expect_that!(client.chunk().await, some(eq(b"")));
+        // The incomplete event is held back: the other endpoint will send it completely.
+        expect_that!(client.read_chunk().await, some(eq(b"id: 1\ndata: one\n\n")));
+        scenario.send(0, StreamPart::Break);
+        scenario.send(1, StreamPart::Bytes("id: 2\ndata: two\n\n"));
+        expect_that!(client.read_chunk().await, some(eq(b"id: 2\ndata: two\n\n")));
+        scenario.proxy.turns.store_result.send_replace(Some(true));
+        scenario.send(1, StreamPart::End);
+        expect_that!(client.read_chunk().await, some(eq(b"")));
 
-        let (seen, endpoints) = story.seen();
-        expect_that!((seen.len(), endpoints), eq((2, 2)));
+        let (received, endpoints) = scenario.received();
+        expect_that!((received.len(), endpoints), eq((2, 2)));
         let ids: Vec<_> =
-            seen.iter().map(|request| request.header("last-event-id").map(str::to_owned)).collect();
+            received.iter().map(|request| request.header("last-event-id").map(str::to_owned)).collect();
         expect_that!(ids, unordered_elements_are![none(), some(eq("1"))]);
-        expect_that!(seen.iter().all(|request| request.header("attempt-id") == Some("t1")), eq(true));
-        let kept = story.world.turns.kept.borrow();
-        expect_that!(kept.len(), eq(1));
-        expect_that!(kept[0].output, eq(&Bytes::from_static(b"one\ntwo\n")));
-        expect_that!(kept[0].tokens, eq(4));
-        expect_that!(story.world.forwarder.metrics().streams_resumed, eq(1));
+        expect_that!(received.iter().all(|request| request.header("attempt-id") == Some("t1")), eq(true));
+        let stored = scenario.proxy.turns.stored.borrow();
+        expect_that!(stored.len(), eq(1));
+        expect_that!(stored[0].output, eq(&Bytes::from_static(b"one\ntwo\n")));
+        expect_that!(stored[0].tokens, eq(4));
+        expect_that!(scenario.proxy.forwarder.metrics().streams_resumed, eq(1));
     });
 }
 
 #[gtest]
-fn given_a_break_before_the_first_event_then_the_request_goes_again_as_it_was() {
+fn given_an_interruption_before_the_first_event_then_the_request_is_retried_unchanged() {
     run(async {
-        let story = Story::with(vec![None, None]).await;
-        story.send(0, Part::Break);
-        let mut client = story.client("/resumable/").await;
-        story.send(1, Part::Bytes("id: 1\ndata: one\n\n"));
-        expect_that!(client.head().await.unwrap().status(), eq(200));
-        expect_that!(client.chunk().await, some(eq(b"id: 1\ndata: one\n\n")));
-        story.world.turns.keep.send_replace(Some(true));
-        story.send(1, Part::End);
-        expect_that!(client.chunk().await, some(eq(b"")));
-        let (seen, endpoints) = story.seen();
-        expect_that!((seen.len(), endpoints), eq((2, 2)));
-        expect_that!(seen.iter().all(|request| request.header("last-event-id").is_none()), eq(true));
+        let scenario = Scenario::start(vec![None, None]).await;
+        scenario.send(0, StreamPart::Break);
+        let mut client = scenario.client("/resumable/").await;
+        scenario.send(1, StreamPart::Bytes("id: 1\ndata: one\n\n"));
+        expect_that!(client.read_head().await.unwrap().status(), eq(200));
+        expect_that!(client.read_chunk().await, some(eq(b"id: 1\ndata: one\n\n")));
+        scenario.proxy.turns.store_result.send_replace(Some(true));
+        scenario.send(1, StreamPart::End);
+        expect_that!(client.read_chunk().await, some(eq(b"")));
+        let (received, endpoints) = scenario.received();
+        expect_that!((received.len(), endpoints), eq((2, 2)));
+        expect_that!(received.iter().all(|request| request.header("last-event-id").is_none()), eq(true));
     });
 }
 
 #[gtest]
-fn given_a_client_that_goes_on_after_an_event_then_each_endpoint_is_told_where_also_after_breaks() {
+fn given_a_client_that_resumes_after_an_event_then_each_endpoint_gets_the_last_event_id() {
     run(async {
-        let story = Story::with(vec![None, None]).await;
+        let scenario = Scenario::start(vec![None, None]).await;
         let headers = format!("{TURN}Last-Event-Id: 4\r\n");
-        story.send(0, Part::Break);
-        let mut client = story.client_with("/resumable/", &headers).await;
-        story.send(1, Part::Bytes("id: 5\ndata: five\n\n"));
-        expect_that!(client.head().await.unwrap().status(), eq(200));
-        expect_that!(client.chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
-        expect_eq!(story.last_event_ids(), ["4", "4"]);
+        scenario.send(0, StreamPart::Break);
+        let mut client = scenario.client_with("/resumable/", &headers).await;
+        scenario.send(1, StreamPart::Bytes("id: 5\ndata: five\n\n"));
+        expect_that!(client.read_head().await.unwrap().status(), eq(200));
+        expect_that!(client.read_chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
+        expect_eq!(scenario.last_event_ids(), ["4", "4"]);
 
-        let story = Story::with(vec![None, None]).await;
-        let mut client = story.client_with("/resumable/", &headers).await;
-        story.send(0, Part::Bytes("id: 5\ndata: five\n\n"));
-        expect_that!(client.head().await.unwrap().status(), eq(200));
-        expect_that!(client.chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
-        story.send(0, Part::Break);
-        story.send(1, Part::Bytes("id: 6\ndata: six\n\n"));
-        expect_that!(client.chunk().await, some(eq(b"id: 6\ndata: six\n\n")));
-        expect_eq!(story.last_event_ids(), ["4", "5"]);
+        let scenario = Scenario::start(vec![None, None]).await;
+        let mut client = scenario.client_with("/resumable/", &headers).await;
+        scenario.send(0, StreamPart::Bytes("id: 5\ndata: five\n\n"));
+        expect_that!(client.read_head().await.unwrap().status(), eq(200));
+        expect_that!(client.read_chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
+        scenario.send(0, StreamPart::Break);
+        scenario.send(1, StreamPart::Bytes("id: 6\ndata: six\n\n"));
+        expect_that!(client.read_chunk().await, some(eq(b"id: 6\ndata: six\n\n")));
+        expect_eq!(scenario.last_event_ids(), ["4", "5"]);
     });
 }
 
 #[gtest]
-fn given_a_client_that_goes_on_after_an_event_then_the_turn_is_not_kept_as_its_tail() {
+fn given_a_client_that_resumes_after_an_event_then_the_partial_output_is_not_stored() {
     run(async {
-        let story = Story::with(vec![None]).await;
-        let mut client = story.client_with("/resumable/", &format!("{TURN}Last-Event-Id: 4\r\n")).await;
-        story.send(0, Part::Bytes("id: 5\ndata: five\n\n"));
-        client.head().await.unwrap();
-        expect_that!(client.chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
-        story.world.turns.keep.send_replace(Some(true));
-        story.send(0, Part::End);
-        client.chunk().await;
+        let scenario = Scenario::start(vec![None]).await;
+        let mut client = scenario.client_with("/resumable/", &format!("{TURN}Last-Event-Id: 4\r\n")).await;
+        scenario.send(0, StreamPart::Bytes("id: 5\ndata: five\n\n"));
+        client.read_head().await.unwrap();
+        expect_that!(client.read_chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
+        scenario.proxy.turns.store_result.send_replace(Some(true));
+        scenario.send(0, StreamPart::End);
+        client.read_chunk().await;
         // Events 1 to 4 belong to the turn's output as well.
-        let kept = story.world.turns.kept.borrow();
-        expect_that!(kept.iter().any(|turn| turn.output == Bytes::from_static(b"five\n")), eq(false));
+        let stored = scenario.proxy.turns.stored.borrow();
+        expect_that!(stored.iter().any(|turn| turn.output == Bytes::from_static(b"five\n")), eq(false));
     });
 }
 
 #[gtest]
-fn given_a_client_that_goes_on_after_an_event_then_its_turn_has_no_end_and_its_tokens_are_settled() {
+fn given_a_client_that_resumes_after_an_event_then_its_turn_is_aborted_and_its_tokens_are_settled() {
     run(async {
-        // Whether the endpoint heeds the header does not show, so the route need not be resumable.
+        // Whether the endpoint honors the header cannot be detected, so this also applies to routes that are not resumable.
         for path in ["/resumable/", "/turns/"] {
-            let story = Story::with(vec![None]).await;
+            let scenario = Scenario::start(vec![None]).await;
             let headers = format!("{TURN}Previous: t0\r\nLast-Event-Id: 4\r\n");
-            let mut client = story.client_with(path, &headers).await;
-            story.send(0, Part::Bytes("id: 5\ndata: five\n\n"));
-            expect_that!(client.head().await.unwrap().status(), eq(200));
-            expect_that!(client.chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
-            story.world.turns.keep.send_replace(Some(true));
-            story.send(0, Part::End);
-            // An end would promise a turn that the next one may name.
-            expect_that!(client.chunk().await, none());
-            expect_that!(story.world.turns.kept.borrow().len(), eq(0));
-            story.world.turns.settles.subscribe().wait_for(|count| *count > 0).await.unwrap();
-            expect_that!(*story.world.turns.settled.borrow(), eq(&vec![("p".into(), "t1".into(), 2)]));
-            expect_that!(story.world.forwarder.metrics().turns_unkept, eq(1));
+            let mut client = scenario.client_with(path, &headers).await;
+            scenario.send(0, StreamPart::Bytes("id: 5\ndata: five\n\n"));
+            expect_that!(client.read_head().await.unwrap().status(), eq(200));
+            expect_that!(client.read_chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
+            scenario.proxy.turns.store_result.send_replace(Some(true));
+            scenario.send(0, StreamPart::End);
+            // A regular end would promise a stored turn that the next one can continue.
+            expect_that!(client.read_chunk().await, none());
+            expect_that!(scenario.proxy.turns.stored.borrow().len(), eq(0));
+            scenario.proxy.turns.settle_count.subscribe().wait_for(|count| *count > 0).await.unwrap();
+            expect_that!(*scenario.proxy.turns.settled.borrow(), eq(&vec![("p".into(), "t1".into(), 2)]));
+            expect_that!(scenario.proxy.forwarder.metrics().turns_unkept, eq(1));
         }
     });
 }
 
 #[gtest]
-fn given_a_break_after_a_client_went_on_after_an_event_then_the_joined_tail_is_not_kept_either() {
+fn given_a_client_that_resumed_and_another_interruption_then_the_joined_output_is_not_stored() {
     run(async {
-        let story = Story::with(vec![None, None]).await;
+        let scenario = Scenario::start(vec![None, None]).await;
         let headers = format!("{TURN}Last-Event-Id: 4\r\n");
-        let mut client = story.client_with("/resumable/", &headers).await;
-        story.send(0, Part::Bytes("id: 5\ndata: five\n\n"));
-        client.head().await.unwrap();
-        expect_that!(client.chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
-        story.send(0, Part::Break);
-        story.send(1, Part::Bytes("id: 6\ndata: six\n\n"));
-        expect_that!(client.chunk().await, some(eq(b"id: 6\ndata: six\n\n")));
-        story.world.turns.keep.send_replace(Some(true));
-        story.send(1, Part::End);
-        expect_that!(client.chunk().await, none());
-        expect_that!(story.world.turns.kept.borrow().len(), eq(0));
+        let mut client = scenario.client_with("/resumable/", &headers).await;
+        scenario.send(0, StreamPart::Bytes("id: 5\ndata: five\n\n"));
+        client.read_head().await.unwrap();
+        expect_that!(client.read_chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
+        scenario.send(0, StreamPart::Break);
+        scenario.send(1, StreamPart::Bytes("id: 6\ndata: six\n\n"));
+        expect_that!(client.read_chunk().await, some(eq(b"id: 6\ndata: six\n\n")));
+        scenario.proxy.turns.store_result.send_replace(Some(true));
+        scenario.send(1, StreamPart::End);
+        expect_that!(client.read_chunk().await, none());
+        expect_that!(scenario.proxy.turns.stored.borrow().len(), eq(0));
     });
 }
 
 #[gtest]
-fn given_a_route_that_retains_no_turns_then_what_a_client_goes_on_with_ends_as_complete() {
+fn given_a_route_that_retains_no_turns_then_a_stream_resumed_by_its_client_ends_regularly() {
     run(async {
-        let story = Story::with(vec![None]).await;
-        let mut client = story.client_with("/events/", "Last-Event-Id: 4\r\n").await;
-        story.send(0, Part::Bytes("id: 5\ndata: five\n\n"));
-        expect_that!(client.head().await.unwrap().status(), eq(200));
-        expect_that!(client.chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
-        story.send(0, Part::End);
-        expect_that!(client.chunk().await, some(eq(b"")));
-        expect_eq!(story.last_event_ids(), ["4"]);
+        let scenario = Scenario::start(vec![None]).await;
+        let mut client = scenario.client_with("/events/", "Last-Event-Id: 4\r\n").await;
+        scenario.send(0, StreamPart::Bytes("id: 5\ndata: five\n\n"));
+        expect_that!(client.read_head().await.unwrap().status(), eq(200));
+        expect_that!(client.read_chunk().await, some(eq(b"id: 5\ndata: five\n\n")));
+        scenario.send(0, StreamPart::End);
+        expect_that!(client.read_chunk().await, some(eq(b"")));
+        expect_eq!(scenario.last_event_ids(), ["4"]);
     });
 }
 
 #[gtest]
-fn given_a_connection_that_is_reset_before_the_head_then_the_request_goes_again() {
+fn given_a_reset_before_the_response_head_then_the_request_is_retried() {
     run(async {
-        let story = Story::with(vec![Some(Reply::Reset), None]).await;
-        let mut client = story.client("/resumable/").await;
-        story.send(0, Part::Bytes("id: 1\ndata: one\n\n"));
-        expect_that!(client.head().await.unwrap().status(), eq(200));
-        expect_that!(story.seen().1, eq(2));
+        let scenario = Scenario::start(vec![Some(Reply::Reset), None]).await;
+        let mut client = scenario.client("/resumable/").await;
+        scenario.send(0, StreamPart::Bytes("id: 1\ndata: one\n\n"));
+        expect_that!(client.read_head().await.unwrap().status(), eq(200));
+        expect_that!(scenario.received().1, eq(2));
     });
 }
 
 #[gtest]
-fn given_a_route_that_is_not_resumable_then_a_reset_is_no_reason_to_send_again() {
+fn given_a_route_that_is_not_resumable_then_a_reset_is_not_retried() {
     run(async {
-        let story = Story::with(vec![Some(Reply::Reset)]).await;
-        let mut client = story.client("/turns/").await;
-        expect_that!(client.head().await.unwrap().status(), eq(502));
-        expect_that!(story.seen().0.len(), eq(1));
+        let scenario = Scenario::start(vec![Some(Reply::Reset)]).await;
+        let mut client = scenario.client("/turns/").await;
+        expect_that!(client.read_head().await.unwrap().status(), eq(502));
+        expect_that!(scenario.received().0.len(), eq(1));
     });
 }
 
 #[gtest]
-fn given_no_attempt_left_or_no_stream_elsewhere_then_the_answer_breaks_off() {
+fn given_no_attempts_left_or_no_stream_elsewhere_then_the_response_is_aborted() {
     run(async {
         for second in [Some(Reply::Answer(500, "", "no")), None] {
             let is_stream = second.is_none();
-            let story = Story::with(vec![None, second]).await;
-            let mut client = story.client("/resumable/").await;
-            story.send(0, Part::Bytes("id: 1\ndata: one\n\n"));
-            client.head().await.unwrap();
-            expect_that!(client.chunk().await, some(eq(b"id: 1\ndata: one\n\n")));
-            story.send(0, Part::Break);
+            let scenario = Scenario::start(vec![None, second]).await;
+            let mut client = scenario.client("/resumable/").await;
+            scenario.send(0, StreamPart::Bytes("id: 1\ndata: one\n\n"));
+            client.read_head().await.unwrap();
+            expect_that!(client.read_chunk().await, some(eq(b"id: 1\ndata: one\n\n")));
+            scenario.send(0, StreamPart::Break);
             if is_stream {
-                story.send(1, Part::Bytes("id: 2\ndata: two\n\n"));
-                expect_that!(client.chunk().await, some(eq(b"id: 2\ndata: two\n\n")));
-                story.send(1, Part::Break);
+                scenario.send(1, StreamPart::Bytes("id: 2\ndata: two\n\n"));
+                expect_that!(client.read_chunk().await, some(eq(b"id: 2\ndata: two\n\n")));
+                scenario.send(1, StreamPart::Break);
             }
-            expect_that!(client.chunk().await, none());
-            expect_that!(story.world.turns.kept.borrow().len(), eq(0));
-            // Two events at most were handed out, of two tokens each.
-            story.world.turns.settles.subscribe().wait_for(|count| *count > 0).await.unwrap();
-            let handed = if is_stream { 4 } else { 2 };
-            expect_that!(*story.world.turns.settled.borrow(), eq(&vec![("p".into(), "t1".into(), handed)]));
+            expect_that!(client.read_chunk().await, none());
+            expect_that!(scenario.proxy.turns.stored.borrow().len(), eq(0));
+            // At most two events of two tokens each were sent to the client.
+            scenario.proxy.turns.settle_count.subscribe().wait_for(|count| *count > 0).await.unwrap();
+            let delivered_tokens = if is_stream { 4 } else { 2 };
+            expect_that!(
+                *scenario.proxy.turns.settled.borrow(),
+                eq(&vec![("p".into(), "t1".into(), delivered_tokens)])
+            );
         }
     });
 }
 
 #[gtest]
-fn given_a_stream_without_ids_when_it_breaks_off_then_nothing_is_sent_again() {
+fn given_a_stream_without_ids_when_it_is_interrupted_then_it_is_not_resumed() {
     run(async {
-        let story = Story::with(vec![None]).await;
-        let mut client = story.client("/resumable/").await;
-        story.send(0, Part::Bytes("data: one\n\n"));
-        client.head().await.unwrap();
-        expect_that!(client.chunk().await, some(eq(b"data: one\n\n")));
-        story.send(0, Part::Break);
-        expect_that!(client.chunk().await, none());
-        expect_that!(story.seen().0.len(), eq(1));
+        let scenario = Scenario::start(vec![None]).await;
+        let mut client = scenario.client("/resumable/").await;
+        scenario.send(0, StreamPart::Bytes("data: one\n\n"));
+        client.read_head().await.unwrap();
+        expect_that!(client.read_chunk().await, some(eq(b"data: one\n\n")));
+        scenario.send(0, StreamPart::Break);
+        expect_that!(client.read_chunk().await, none());
+        expect_that!(scenario.received().0.len(), eq(1));
     });
 }
 
 #[gtest]
-fn given_a_client_that_leaves_while_its_stream_is_resumed_then_the_second_call_ends_too() {
+fn given_a_client_that_disconnects_during_resumption_then_the_second_call_is_cancelled() {
     run(async {
-        let story = Story::with(vec![None, Some(Reply::Silence)]).await;
-        let mut client = story.client("/resumable/").await;
-        story.send(0, Part::Bytes("id: 1\ndata: one\n\n"));
-        client.head().await.unwrap();
-        expect_that!(client.chunk().await, some(anything()));
-        story.send(0, Part::Break);
-        let mut second = story.servers.iter().map(|server| server.requests.clone());
-        let (mut one, mut two) = (second.next().unwrap(), second.next().unwrap());
-        while *one.borrow() + *two.borrow() < 2 {
+        let scenario = Scenario::start(vec![None, Some(Reply::Silence)]).await;
+        let mut client = scenario.client("/resumable/").await;
+        scenario.send(0, StreamPart::Bytes("id: 1\ndata: one\n\n"));
+        client.read_head().await.unwrap();
+        expect_that!(client.read_chunk().await, some(anything()));
+        scenario.send(0, StreamPart::Break);
+        let mut counters = scenario.servers.iter().map(|server| server.requests.clone());
+        let (mut first_count, mut second_count) = (counters.next().unwrap(), counters.next().unwrap());
+        while *first_count.borrow() + *second_count.borrow() < 2 {
             tokio::select! {
-                changed = one.changed() => changed.unwrap(),
-                changed = two.changed() => changed.unwrap(),
+                changed = first_count.changed() => changed.unwrap(),
+                changed = second_count.changed() => changed.unwrap(),
             }
         }
         drop(client);
-        story.world.turns.settles.subscribe().wait_for(|count| *count > 0).await.unwrap();
-        for server in &story.servers {
-            server.has_closed(1).await;
+        scenario.proxy.turns.settle_count.subscribe().wait_for(|count| *count > 0).await.unwrap();
+        for server in &scenario.servers {
+            server.wait_for_closed(1).await;
         }
     });
 }
--- a/system/request-forwarding/tests/shutdown.rs
+++ b/system/request-forwarding/tests/shutdown.rs
@@ -1,110 +1,110 @@
-//! Winding down.
+//! Graceful shutdown.
 
 mod fixtures;
 
-use fixtures::{Part, Reply, Server, TestProxy, get, post, run};
+use fixtures::{Reply, StreamPart, TestEndpoint, TestProxy, get, post, run};
 use googletest::prelude::*;
 use request_forwarding::ShutdownPhase;
 use tokio::sync::mpsc;
 use tokio::task::yield_now;
 
 #[gtest]
-fn while_it_drains_a_stream_under_way_is_finished() {
+fn a_stream_in_progress_completes_during_shutdown() {
     run(async {
         let (parts, receiver) = mpsc::unbounded_channel();
         let mut receiver = Some(receiver);
-        let server = Server::start("i-1", move |_| Reply::Stream(receiver.take().unwrap())).await;
-        let world = TestProxy::start(&[(&server, "m")]).await;
-        let mut client = world.client().await;
+        let server = TestEndpoint::start("i-1", move |_| Reply::Stream(receiver.take().unwrap())).await;
+        let proxy = TestProxy::start(&[(&server, "m")]).await;
+        let mut client = proxy.client().await;
         client.write(post("/events/", "t1", "", "input").bytes()).await;
-        client.head().await.unwrap();
-        world.stage.send_replace(ShutdownPhase::Draining);
-        world.stage.send_replace(ShutdownPhase::Closing);
-        parts.send(Part::Bytes("data: one\n\n")).ok().unwrap();
-        expect_that!(client.chunk().await, some(anything()));
-        parts.send(Part::End).ok().unwrap();
-        expect_that!(client.chunk().await, some(eq(b"")));
-        expect_true!(client.ends().await);
-        world.serving.await.unwrap();
+        client.read_head().await.unwrap();
+        proxy.shutdown_phase.send_replace(ShutdownPhase::Draining);
+        proxy.shutdown_phase.send_replace(ShutdownPhase::Closing);
+        parts.send(StreamPart::Bytes("data: one\n\n")).ok().unwrap();
+        expect_that!(client.read_chunk().await, some(anything()));
+        parts.send(StreamPart::End).ok().unwrap();
+        expect_that!(client.read_chunk().await, some(eq(b"")));
+        expect_true!(client.is_closed_by_peer().await);
+        proxy.serving.await.unwrap();
     });
 }
 
 #[gtest]
-fn while_it_drains_new_requests_are_answered_and_are_the_last_of_their_connections() {
+fn requests_during_draining_are_served_and_close_their_connections() {
     run(async {
-        let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = TestProxy::start(&[(&server, "s")]).await;
-        world.stage.send_replace(ShutdownPhase::Draining);
-        let mut client = world.client().await;
-        let answer = client.send_request(&get("/plain/", "a")).await;
-        expect_that!((answer.status(), answer.header("connection")), eq((200, Some("close"))));
-        expect_true!(client.ends().await);
+        let server = TestEndpoint::start("i-1", |_| Reply::Answer(200, "", "done")).await;
+        let proxy = TestProxy::start(&[(&server, "s")]).await;
+        proxy.shutdown_phase.send_replace(ShutdownPhase::Draining);
+        let mut client = proxy.client().await;
+        let response = client.send_request(&get("/plain/", "a")).await;
+        expect_that!((response.status(), response.header("connection")), eq((200, Some("close"))));
+        expect_true!(client.is_closed_by_peer().await);
     });
 }
 
 #[gtest]
-fn idle_connections_are_closed_at_once() {
+fn idle_connections_are_closed_when_draining_begins() {
     run(async {
-        let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = TestProxy::start(&[(&server, "s")]).await;
-        let mut client = world.client().await;
-        let answer = client.send_request(&get("/plain/", "a")).await;
-        expect_that!(answer.header("connection"), none());
-        world.stage.send_replace(ShutdownPhase::Draining);
-        expect_true!(client.ends().await);
+        let server = TestEndpoint::start("i-1", |_| Reply::Answer(200, "", "done")).await;
+        let proxy = TestProxy::start(&[(&server, "s")]).await;
+        let mut client = proxy.client().await;
+        let response = client.send_request(&get("/plain/", "a")).await;
+        expect_that!(response.header("connection"), none());
+        proxy.shutdown_phase.send_replace(ShutdownPhase::Draining);
+        expect_true!(client.is_closed_by_peer().await);
     });
 }
 
 #[gtest]
-fn a_request_that_is_being_read_in_that_moment_is_answered() {
+fn a_partially_read_request_is_served_at_shutdown() {
     run(async {
-        let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = TestProxy::start(&[(&server, "s")]).await;
-        let mut client = world.client().await;
-        // On a connection that has carried one, so that it could pass for idle.
+        let server = TestEndpoint::start("i-1", |_| Reply::Answer(200, "", "done")).await;
+        let proxy = TestProxy::start(&[(&server, "s")]).await;
+        let mut client = proxy.client().await;
+        // A connection that has served a request already could be mistaken for an idle one.
         client.send_request(&get("/plain/", "a")).await;
         let request = post("/unsafe/", "b", "", "body").bytes();
-        let (begin, rest) = request.split_at(30);
-        client.write(begin).await;
-        world.stage.send_replace(ShutdownPhase::Closing);
+        let (beginning, rest) = request.split_at(30);
+        client.write(beginning).await;
+        proxy.shutdown_phase.send_replace(ShutdownPhase::Closing);
         for _ in 0..50 {
             yield_now().await;
         }
         client.write(rest).await;
-        let answer = client.message().await.unwrap();
-        expect_that!((answer.status(), answer.header("connection")), eq((200, Some("close"))));
-        world.serving.await.unwrap();
+        let response = client.read_message().await.unwrap();
+        expect_that!((response.status(), response.header("connection")), eq((200, Some("close"))));
+        proxy.serving.await.unwrap();
     });
 }
 
 #[gtest]
-fn a_request_that_has_come_unread_in_that_moment_is_answered() {
+fn a_received_but_unread_request_is_served_at_shutdown() {
     run(async {
-        let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = TestProxy::start(&[(&server, "s")]).await;
-        let mut client = world.client().await;
+        let server = TestEndpoint::start("i-1", |_| Reply::Answer(200, "", "done")).await;
+        let proxy = TestProxy::start(&[(&server, "s")]).await;
+        let mut client = proxy.client().await;
         client.send_request(&get("/plain/", "a")).await;
-        // Both without a turn of the runtime between them.
+        // The request and the phase change happen without a scheduler step between them.
         let request = get("/plain/", "b").bytes();
         expect_that!(client.stream.try_write(&request).unwrap(), eq(request.len()));
-        world.stage.send_replace(ShutdownPhase::Closing);
-        let answer = client.message().await.unwrap();
-        expect_that!((answer.status(), answer.header("connection")), eq((200, Some("close"))));
-        world.serving.await.unwrap();
+        proxy.shutdown_phase.send_replace(ShutdownPhase::Closing);
+        let response = client.read_message().await.unwrap();
+        expect_that!((response.status(), response.header("connection")), eq((200, Some("close"))));
+        proxy.serving.await.unwrap();
     });
 }
 
 #[gtest]
-fn whoever_is_still_in_the_listener_is_served_before_it_closes() {
+fn connections_in_the_listen_backlog_are_served_before_the_listener_closes() {
     run(async {
-        let server = Server::start("i-1", |_| Reply::Answer(200, "", "done")).await;
-        let world = TestProxy::start(&[(&server, "s")]).await;
-        let late = std::net::TcpStream::connect(world.front).unwrap();
-        world.stage.send_replace(ShutdownPhase::Closing);
+        let server = TestEndpoint::start("i-1", |_| Reply::Answer(200, "", "done")).await;
+        let proxy = TestProxy::start(&[(&server, "s")]).await;
+        let late = std::net::TcpStream::connect(proxy.client_address).unwrap();
+        proxy.shutdown_phase.send_replace(ShutdownPhase::Closing);
         late.set_nonblocking(true).unwrap();
-        let mut late = fixtures::Wire::new(tokio::net::TcpStream::from_std(late).unwrap());
+        let mut late = fixtures::HttpConnection::new(tokio::net::TcpStream::from_std(late).unwrap());
         expect_that!(late.send_request(&get("/plain/", "a")).await.status(), eq(200));
-        world.serving.await.unwrap();
-        expect_that!(tokio::net::TcpStream::connect(world.front).await, err(anything()));
+        proxy.serving.await.unwrap();
+        expect_that!(tokio::net::TcpStream::connect(proxy.client_address).await, err(anything()));
     });
 }
