--- a/system/request-forwarding/src/client_connection.rs
+++ b/system/request-forwarding/src/client_connection.rs
@@ -22,9 +22,9 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// During shutdown, a connection that has carried no request yet stays open this long.
+/// During shutdown, a connection without a request so far stays open for this long after it was accepted.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(300);
-/// A connection on which bytes have arrived at the moment of a check is checked again after this.
+/// Delay before the next check of a connection that has unread bytes at a check.
 const UNREAD_RECHECK_DELAY: Duration = Duration::from_millis(20);
 
 impl<T: TurnStorage> Forwarder<T> {
--- a/system/request-forwarding/src/client_stream.rs
+++ b/system/request-forwarding/src/client_stream.rs
@@ -21,8 +21,8 @@
 /// State of a client connection.
 pub(crate) struct ConnectionState {
     pub(crate) in_flight: Cell<bool>,
-    /// Whether a read is pending, so that further bytes or the end of the stream wake the connection's task. It is not while
-    /// earlier bytes are unread.
+    /// Whether a read is pending, so that further bytes or the end of the stream wake the connection's task. It is
+    /// not while earlier bytes are unread.
     pub(crate) read_pending: Cell<bool>,
     /// Whether no request has arrived yet.
     pub(crate) awaits_first_request: Cell<bool>,
@@ -106,8 +106,9 @@
     }
 }
 
-/// Completes once the client has disconnected while its request is in flight. The HTTP connection itself detects this, unless
-/// pipelined bytes precede the end of the stream: it does not read those before it has responded to the first request.
+/// Completes once the client has disconnected while its request is in flight. The HTTP connection itself detects
+/// this, unless pipelined bytes precede the end of the stream: it does not read those before it has responded to the
+/// first request.
 pub(crate) async fn client_disconnected(client: &ConnectionState, stream: &TcpStream) {
     let mut poll_timer = pin!(sleep(Duration::ZERO));
     let mut timer_armed = false;
--- a/system/request-forwarding/src/delivery.rs
+++ b/system/request-forwarding/src/delivery.rs
@@ -17,7 +17,7 @@
 
 /// A request and its attempts so far.
 pub(crate) struct Delivery {
-    core: Rc<SharedState>,
+    shared: Rc<SharedState>,
     pub(crate) outgoing: OutboundRequest,
     pub(crate) routing_request: Rc<RoutingRequest>,
     pub(crate) history: AttemptHistory,
@@ -34,25 +34,25 @@
 
 impl Delivery {
     pub(crate) fn new(
-        core: Rc<SharedState>,
+        shared: Rc<SharedState>,
         outgoing: OutboundRequest,
         routing_request: Rc<RoutingRequest>,
     ) -> Self {
-        let rank = core.queue.rank(routing_request.arrived_at.0, routing_request.priority);
-        Self { core, outgoing, routing_request, history: AttemptHistory::default(), sends: 0, rank }
+        let rank = shared.queue.rank(routing_request.arrived_at.0, routing_request.priority);
+        Self { shared, outgoing, routing_request, history: AttemptHistory::default(), sends: 0, rank }
     }
 
     /// Sends until an endpoint responds.
     pub(crate) async fn next_response(&mut self) -> Result<EndpointResponse, GiveUp> {
         loop {
             let target = self
-                .core
+                .shared
                 .wait_for_slot(&self.routing_request, &self.history, self.rank, self.outgoing.deadline)
                 .await?;
             let key = target.key;
-            let mut call = CallInFlight::new(self.core.clone(), &target, self.routing_request.clone());
+            let mut call = CallInFlight::new(self.shared.clone(), &target, self.routing_request.clone());
             let attempt =
-                self.core.attempt(&self.outgoing, &target, &self.history, &mut call, &mut self.sends);
+                self.shared.attempt(&self.outgoing, &target, &self.history, &mut call, &mut self.sends);
             match attempt.await {
                 AttemptResult::Responded(response, connection) => {
                     return Ok(EndpointResponse { response, connection, call });
@@ -63,8 +63,8 @@
                 }
                 AttemptResult::Failed(send_outcome) => {
                     if send_outcome == SendOutcome::Misdirected {
-                        self.core.router.borrow_mut().mark_misdirected(self.core.now(), key);
-                        self.core.count(|metrics| metrics.misdirected += 1);
+                        self.shared.router.borrow_mut().mark_misdirected(self.shared.now(), key);
+                        self.shared.count(|metrics| metrics.misdirected += 1);
                     }
                     self.record_failure(call, send_outcome.outcome())?;
                 }
@@ -78,7 +78,7 @@
     ///
     /// The request must not be retried.
     pub(crate) fn record_failure(&mut self, call: CallInFlight, outcome: Outcome) -> Result<(), GiveUp> {
-        self.core.count(|metrics| match outcome {
+        self.shared.count(|metrics| match outcome {
             Outcome::Full(_) => metrics.full += 1,
             Outcome::ConnectFailed => metrics.connect_failed += 1,
             Outcome::Reset => metrics.reset += 1,
@@ -87,8 +87,8 @@
         });
         let key = call.key();
         call.complete(outcome);
-        let decision = self.core.router.borrow().decide_retry(
-            self.core.now(),
+        let decision = self.shared.router.borrow().decide_retry(
+            self.shared.now(),
             &self.routing_request,
             &mut self.history,
             key,
@@ -104,7 +104,7 @@
         if !self.history.avoided.contains(&key) {
             self.history.avoided.push(key);
         }
-        let retry_at = self.core.now().after(CONNECTION_RETRY_DELAY.0 as f64);
+        let retry_at = self.shared.now().after(CONNECTION_RETRY_DELAY.0 as f64);
         self.history.not_before = self.history.not_before.max(retry_at);
         tokio::time::sleep(Duration::from_micros(CONNECTION_RETRY_DELAY.0)).await;
     }
--- a/system/request-forwarding/src/endpoint_attempt.rs
+++ b/system/request-forwarding/src/endpoint_attempt.rs
@@ -16,7 +16,7 @@
 /// Upper bound on the time to connect to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Added to the deadline when waiting for an endpoint, so that the endpoint's own response at the deadline still arrives.
-pub(crate) const DEADLINE_GRACE: Duration = Duration::from_millis(50);
+pub(crate) const GRACE: Duration = Duration::from_millis(50);
 
 /// Result of one call.
 #[expect(
@@ -42,14 +42,14 @@
         call: &mut CallInFlight,
         sends: &mut u32,
     ) -> AttemptResult {
-        let core = self;
+        let shared = self;
         let routing_request = call.routing_request().clone();
-        let attempt_timeout = core.router.borrow().attempt_timeout(core.now(), &routing_request, history);
-        let latest = outgoing.deadline + DEADLINE_GRACE;
+        let attempt_timeout = shared.router.borrow().attempt_timeout(shared.now(), &routing_request, history);
+        let latest = outgoing.deadline + GRACE;
         let wait_until = attempt_timeout
             .map_or(latest, |Span(micros)| latest.min(Instant::now() + Duration::from_micros(micros)));
         let (connection, response) = loop {
-            let mut connection = match core.connect(outgoing, target, &routing_request.service).await {
+            let mut connection = match shared.connect(outgoing, target, &routing_request.service).await {
                 Ok(connection) => connection,
                 Err(result) => return result,
             };
@@ -62,7 +62,7 @@
                 Ok(Err(CallError::Unsent(_) | CallError::Reset(_))) => {
                     let outcome = SendOutcome::connection_lost(connection.connection.head_written());
                     if outcome == SendOutcome::ConnectionLost {
-                        core.record_idle_reuse(&routing_request.service, &connection, true);
+                        shared.record_idle_reuse(&routing_request.service, &connection, true);
                         self.count_send(sends);
                     }
                     return AttemptResult::Failed(outcome);
@@ -76,20 +76,21 @@
                 }
             }
         };
-        core.record_idle_reuse(&routing_request.service, &connection, false);
+        shared.record_idle_reuse(&routing_request.service, &connection, false);
         self.count_send(sends);
         let head = response.headers();
         let status = response.status();
         if headers::single(head, &ATTEMPT_ID) != Some(&outgoing.attempt_id) {
-            // The response belongs to another request. Whether this one was executed is unknown, and the connection is unusable.
-            core.count(|metrics| metrics.unusable += 1);
+            // The response belongs to another request. Whether this one was executed is unknown, and the connection
+            // is unusable.
+            shared.count(|metrics| metrics.unusable += 1);
             return AttemptResult::Failed(SendOutcome::InvalidResponse);
         }
         call.response_received(server_load(head));
         if status == StatusCode::MISDIRECTED_REQUEST || head.contains_key(NOT_EXECUTED) {
             let outcome = decline_outcome(status, head, outgoing);
             let (head, body) = response.into_parts();
-            core.check_in_unread(connection, head.headers, body);
+            shared.check_in_unread(connection, head.headers, body);
             return AttemptResult::Failed(outcome);
         }
         let is_framed = outgoing.method == Method::HEAD
@@ -98,7 +99,7 @@
             || head.contains_key(TRANSFER_ENCODING);
         if !is_framed || status.is_success() && !head.contains_key(SERVER_SEAL) {
             // Truncation could not be detected, or the response does not come from an endpoint.
-            core.count(|metrics| metrics.unusable += 1);
+            shared.count(|metrics| metrics.unusable += 1);
             return AttemptResult::Failed(SendOutcome::InvalidResponse);
         }
         AttemptResult::Responded(response, connection)
--- a/system/request-forwarding/src/event_scan.rs
+++ b/system/request-forwarding/src/event_scan.rs
@@ -66,7 +66,8 @@
         self.line = line;
     }
 
-    /// Number of events of which at least a part of the data was parsed: an incomplete one counts, since the client has a part of it.
+    /// Number of events of which at least a part of the data was parsed: an incomplete one counts, since the client
+    /// has a part of it.
     pub(crate) fn delivered_events(&self) -> u32 {
         let has_incomplete = self.has_data || data_value(&self.line).is_some();
         self.events.saturating_add(u32::from(has_incomplete))
--- a/system/request-forwarding/src/exchange.rs
+++ b/system/request-forwarding/src/exchange.rs
@@ -3,7 +3,7 @@
 use crate::active_turn::ActiveTurn;
 use crate::body_collection::read_response_body;
 use crate::delivery::{Delivery, EndpointResponse};
-use crate::endpoint_attempt::DEADLINE_GRACE;
+use crate::endpoint_attempt::GRACE;
 use crate::forwarder::Forwarder;
 use crate::headers;
 use crate::local_response::{LocalResponse, response_after_give_up};
@@ -38,8 +38,8 @@
         routing_request: Rc<RoutingRequest>,
         turn: ActiveTurn<T>,
     ) -> Result<Response<ResponseBody>, LocalResponse> {
-        let core = &self.core;
-        let mut delivery = Delivery::new(core.clone(), outgoing, routing_request.clone());
+        let shared = &self.shared;
+        let mut delivery = Delivery::new(shared.clone(), outgoing, routing_request.clone());
         loop {
             let endpoint_response = delivery.next_response().await;
             let EndpointResponse { response, connection, call } = endpoint_response.map_err(|give_up| {
@@ -53,9 +53,7 @@
             let bodiless = delivery.outgoing.method == Method::HEAD || body.is_end_stream();
             let outcome = if is_streamed {
                 let is_resumable = routing_request.resumable && is_event_stream && length.is_none();
-                match read_first_chunk(is_resumable, &mut body, delivery.outgoing.deadline + DEADLINE_GRACE)
-                    .await
-                {
+                match read_first_chunk(is_resumable, &mut body, delivery.outgoing.deadline + GRACE).await {
                     Ok(first_chunk) => {
                         let (method, deadline) =
                             (delivery.outgoing.method.clone(), delivery.outgoing.deadline);
@@ -78,15 +76,14 @@
                 };
                 return Ok(self.stream(head, UpstreamResponse { body, connection, call }, options));
             } else {
-                match timeout_at(delivery.outgoing.deadline + DEADLINE_GRACE, read_response_body(body)).await
-                {
+                match timeout_at(delivery.outgoing.deadline + GRACE, read_response_body(body)).await {
                     Err(_) => delivery.record_failure(call, SendOutcome::TimedOut.outcome()),
                     Ok(None) => {
-                        core.count(|metrics| metrics.unusable += 1);
+                        shared.count(|metrics| metrics.unusable += 1);
                         delivery.record_failure(call, SendOutcome::InvalidResponse.outcome())
                     }
                     Ok(Some(body)) => {
-                        core.check_in(connection, &head.headers);
+                        shared.check_in(connection, &head.headers);
                         match self.finish_collected(&mut delivery, call, &head, body) {
                             Some(result) => return result,
                             None => continue,
@@ -107,15 +104,15 @@
         upstream: UpstreamResponse,
         options: StreamOptions<T>,
     ) -> Response<ResponseBody> {
-        self.core.count(|metrics| metrics.passed += 1);
+        self.shared.count(|metrics| metrics.passed += 1);
         let (chunks, receiver) = mpsc::channel(BODY_CHANNEL_CAPACITY);
         let response =
             response_to_client(&head, ResponseBody::streamed(receiver, options.length), &options.method);
         let forwarding = ResponseForwarding {
-            core: self.core.clone(),
+            shared: self.shared.clone(),
             turns: self.turns.clone(),
             headers: head.headers,
-            deadline: options.deadline + DEADLINE_GRACE,
+            deadline: options.deadline + GRACE,
             is_event_stream: options.length.is_none(),
             resumption: options.resumption,
         };
@@ -123,7 +120,7 @@
         response
     }
 
-    /// Forwards a response that was read completely, or ends its attempt as failed; None if the request is retried.
+    /// Forwards a response that was read completely, or records its call as failed; `None` if the request is retried.
     fn finish_collected(
         &self,
         delivery: &mut Delivery,
@@ -136,7 +133,7 @@
             status_promises_not_executed(head.status.as_u16(), delivery.routing_request.kind);
         if !head.status.is_server_error() && !promises_not_executed {
             call.complete(Outcome::Success);
-            self.core.count(|metrics| metrics.passed += 1);
+            self.shared.count(|metrics| metrics.passed += 1);
             return Some(Ok(response));
         }
         if delivery.record_failure(call, Outcome::Failure).is_ok() && delivery.has_time() {
@@ -145,7 +142,7 @@
         if promises_not_executed {
             return Some(Err(LocalResponse::new(StatusCode::BAD_GATEWAY)));
         }
-        self.core.count(|metrics| metrics.passed += 1);
+        self.shared.count(|metrics| metrics.passed += 1);
         Some(Ok(response))
     }
 }
--- a/system/request-forwarding/src/forwarder.rs
+++ b/system/request-forwarding/src/forwarder.rs
@@ -43,9 +43,9 @@
     pub proxies: u32,
 }
 
-/// The data plane of a process.
+/// The data plane of a process. It is bound to the thread that creates it, inside a `LocalSet`.
 pub struct Forwarder<T: TurnStorage> {
-    pub(crate) core: Rc<SharedState>,
+    pub(crate) shared: Rc<SharedState>,
     pub(crate) max_clients: usize,
     pub(crate) turns: Rc<T>,
     system: RefCell<SystemState>,
@@ -63,7 +63,7 @@
     ) -> Rc<Self> {
         let max_clients = usize::try_from(max_file_descriptors / 3).unwrap_or(usize::MAX).max(4);
         Rc::new(Self {
-            core: SharedState::new(zone, seed, policy, MAX_WAITING_REQUESTS),
+            shared: SharedState::new(zone, seed, policy, MAX_WAITING_REQUESTS),
             max_clients,
             turns,
             system: RefCell::default(),
@@ -72,9 +72,9 @@
 
     /// Replaces the state of the system and notifies the router of what changed.
     pub fn update(&self, system: SystemState) {
-        let now = self.core.now();
+        let now = self.shared.now();
         let old = self.system.replace(system.clone());
-        let mut router = self.core.router.borrow_mut();
+        let mut router = self.shared.router.borrow_mut();
         if old.proxies != system.proxies {
             router.set_proxy_count(now, system.proxies);
         }
@@ -100,22 +100,22 @@
             router.update_endpoints(now, &list);
         }
         drop(router);
-        self.core.queue.wake_all();
+        self.shared.queue.wake_all();
     }
 
     /// Counters since the start, and current gauges.
     pub fn metrics(&self) -> ForwardingMetrics {
-        ForwardingMetrics { waiting: self.core.queue.len() as u64, ..self.core.metrics.get() }
+        ForwardingMetrics { waiting: self.shared.queue.len() as u64, ..self.shared.metrics.get() }
     }
 
     /// Counters of placement since the start.
     pub fn placement_metrics(&self) -> PlacementMetrics {
-        self.core.router.borrow().placement_metrics()
+        self.shared.router.borrow().placement_metrics()
     }
 
     /// Snapshot of all endpoints, for the admin endpoint.
     pub fn endpoints(&self) -> Vec<EndpointView> {
-        self.core.router.borrow().endpoint_views()
+        self.shared.router.borrow().endpoint_views()
     }
 
     pub(crate) fn config(&self) -> Option<Rc<OperatorConfig>> {
@@ -131,7 +131,7 @@
         let attempt = headers::single(request.headers(), &ATTEMPT_ID).map(str::to_owned);
         let result = self.try_respond(request, attempt.as_deref(), arrived).await;
         result.unwrap_or_else(|local| {
-            self.core.count(|metrics| match local.status.as_u16() {
+            self.shared.count(|metrics| match local.status.as_u16() {
                 402 | 408 | 503 => metrics.refused += 1,
                 502 | 504 => metrics.failed += 1,
                 _ => metrics.denied += 1,
@@ -163,15 +163,15 @@
             config.as_ref().map_or(DEFAULT_MAX_BODY_BYTES, |config| config.limits.max_body_bytes as usize);
         let input = read_body(body, max_body_bytes, deadline).await;
         let Some(config) = &config else {
-            // Without a configuration nothing can be denied, even if the body was too large or incomplete.
-            self.core.count(|metrics| metrics.requests += 1);
+            // Without a configuration no request can be denied, even if the body was too large or incomplete.
+            self.shared.count(|metrics| metrics.requests += 1);
             return Err(LocalResponse {
                 close: input.is_err(),
                 ..LocalResponse::refused(DEFAULT_RETRY_AFTER)
             });
         };
         let input = input?;
-        self.core.count(|metrics| metrics.requests += 1);
+        self.shared.count(|metrics| metrics.requests += 1);
         let attempt = attempt.ok_or(LocalResponse::new(StatusCode::BAD_REQUEST))?;
         host.ok_or(LocalResponse::new(StatusCode::BAD_REQUEST))?;
         let route = route.ok_or(LocalResponse::new(StatusCode::NOT_FOUND))?;
@@ -197,7 +197,7 @@
         }
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
         let outgoing = OutboundRequest {
-            number: self.core.number_request(),
+            number: self.shared.number_request(),
             method: head.method,
             path,
             headers: forwarded,
@@ -223,7 +223,7 @@
             kind: route.kind,
             resumable: route.resumable
                 && route.kind == RouteKind::Streaming
-                && self.core.policy.stream_resumption,
+                && self.shared.policy.stream_resumption,
             session: headers::text(request_headers, "session").map(str::to_owned),
             continues: headers::text(request_headers, "previous").is_some(),
             previous_endpoint: None,
@@ -231,8 +231,8 @@
             prefix_id: prefix.map(|prefix| prefix.id.to_owned()),
             total_tokens: prompt.saturating_add(max_tokens),
             priority: route.priority,
-            arrived_at: self.core.to_router_time(arrived),
-            deadline: self.core.to_router_time(deadline),
+            arrived_at: self.shared.to_router_time(arrived),
+            deadline: self.shared.to_router_time(deadline),
             latency_target: Span(route.target_latency_ms.saturating_mul(1000)),
             max_attempts: route.max_attempts,
         }
--- a/system/request-forwarding/src/lib.rs
+++ b/system/request-forwarding/src/lib.rs
@@ -1,8 +1,9 @@
 //! The data plane: receives HTTP requests from clients, forwards them to endpoints and streams the responses back.
 //!
-//! Where a request goes, whether it waits and whether it is retried is decided by [`request_routing`]; this crate does the
-//! I/O: client connections, pooled connections to endpoints, deadlines, response streaming with resumption at another
-//! endpoint, and graceful shutdown. Turns and token budgets are stored by the host, behind [`TurnStorage`].
+//! Where a request goes, whether it waits and whether it is retried is decided by [`request_routing`]; this crate
+//! does the I/O: client connections, pooled connections to endpoints, deadlines, response streaming with resumption
+//! at another endpoint, and graceful shutdown. Turns and token budgets are stored by the host, behind
+//! [`TurnStorage`].
 //!
 //! Everything runs on one thread, inside a `LocalSet`.
 
--- a/system/request-forwarding/src/local_response.rs
+++ b/system/request-forwarding/src/local_response.rs
@@ -28,7 +28,7 @@
         Self { close: true, ..Self::new(status) }
     }
 
-    /// A guarantee that the request has not executed and never will.
+    /// A 503, which guarantees that the request has not been executed and never will be.
     pub(crate) fn refused(retry_after: Span) -> Self {
         Self { retry_after: Some(retry_after), ..Self::new(StatusCode::SERVICE_UNAVAILABLE) }
     }
--- a/system/request-forwarding/src/metrics.rs
+++ b/system/request-forwarding/src/metrics.rs
@@ -4,7 +4,8 @@
 
 macro_rules! metrics {
     ($($(#[doc = $doc:literal])* $name:ident,)*) => {
-        /// Counters since the forwarder's start, and gauges of its current state. `Display` writes one `name value` line for each.
+        /// Counters since the forwarder's start, and gauges of its current state. `Display` writes one `name value`
+        /// line for each.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
         pub struct ForwardingMetrics {
             $($(#[doc = $doc])* pub $name: u64,)*
@@ -38,7 +39,7 @@
     full,
     /// Calls that reached another incarnation of the endpoint than expected.
     misdirected,
-    /// Endpoint responses that belonged to another request or were incomplete.
+    /// Endpoint responses that belonged to another request, were incomplete or lacked the server seal.
     unusable,
     /// Failed attempts to connect to an endpoint.
     connect_failed,
--- a/system/request-forwarding/src/pool.rs
+++ b/system/request-forwarding/src/pool.rs
@@ -20,7 +20,7 @@
 
 /// Upper bound on the bytes of an unwanted response body that are read so that its connection can be reused.
 const MAX_DRAINED_BYTES: usize = 64 * 1024;
-/// Time limit for that, and for the check of a returned connection.
+/// Time limit for reading those bytes, and for the check of a returned connection.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Identifies a request within this process.
@@ -44,7 +44,7 @@
 
 /// A connection to an endpoint. The router is notified when it closes.
 pub(crate) struct EndpointConnection {
-    core: Weak<SharedState>,
+    shared: Weak<SharedState>,
     key: EndpointKey,
     pub(crate) connection: Connection,
     /// The request in flight on it, or else the last one.
@@ -69,8 +69,8 @@
 
 impl Drop for EndpointConnection {
     fn drop(&mut self) {
-        if let Some(core) = self.core.upgrade() {
-            core.router.borrow_mut().connection_closed(self.key);
+        if let Some(shared) = self.shared.upgrade() {
+            shared.router.borrow_mut().connection_closed(self.key);
         }
     }
 }
@@ -138,8 +138,8 @@
         }
     }
 
-    /// The newest idle connection whose last request was a different one. If there is none, and no further connection may be
-    /// opened, one idle connection is closed so that a new one can replace it.
+    /// The newest idle connection whose last request was a different one. If there is none, and no further connection
+    /// may be opened, one idle connection is closed so that a new one can replace it.
     fn take_idle(&self, target: &Target, request: RequestNumber) -> Option<IdleConnection> {
         let mut all = self.idle.borrow_mut();
         let connections = all.get_mut(&target.key)?;
@@ -171,12 +171,12 @@
     ) -> Result<EndpointConnection, CallError> {
         // Counted from the start: the endpoint may count a connection that is never established from here.
         self.router.borrow_mut().connection_opened(target.key);
-        let pending = PendingConnection { core: self, key: Some(target.key) };
+        let pending = PendingConnection { shared: self, key: Some(target.key) };
         let connection = Connection::open(SocketAddr::V4(target.address), connect_timeout).await?;
         pending.disarm();
         self.count(|metrics| metrics.connections_opened += 1);
         Ok(EndpointConnection {
-            core: Rc::downgrade(self),
+            shared: Rc::downgrade(self),
             key: target.key,
             connection,
             last_request: request,
@@ -191,12 +191,12 @@
         if headers::closes(head) || idle_limit.is_zero() || !connection.connection.request_written() {
             return;
         }
-        let core = self.clone();
+        let shared = self.clone();
         spawn_local(async move {
             if matches!(timeout(DRAIN_TIMEOUT, connection.connection.is_alive()).await, Ok(true)) {
                 let since = Instant::now();
                 let idle = IdleConnection { since, expires_at: since + idle_limit, connection };
-                core.idle.borrow_mut().entry(idle.connection.key).or_default().push(idle);
+                shared.idle.borrow_mut().entry(idle.connection.key).or_default().push(idle);
             }
         });
     }
@@ -208,11 +208,11 @@
         head: HeaderMap,
         mut body: Incoming,
     ) {
-        let core = self.clone();
+        let shared = self.clone();
         spawn_local(async move {
             if drain_body(&mut body).await {
                 drop(body);
-                core.check_in(connection, &head);
+                shared.check_in(connection, &head);
             }
         });
     }
@@ -244,9 +244,9 @@
     timeout(DRAIN_TIMEOUT, complete).await.unwrap_or(false)
 }
 
-/// Counts a connection as open while it is being established.
+/// Counts a connection as open while it is being established; undoes that on drop unless disarmed.
 struct PendingConnection<'a> {
-    core: &'a SharedState,
+    shared: &'a SharedState,
     key: Option<EndpointKey>,
 }
 
@@ -259,14 +259,14 @@
 impl Drop for PendingConnection<'_> {
     fn drop(&mut self) {
         if let Some(key) = self.key {
-            self.core.router.borrow_mut().connection_closed(key);
+            self.shared.router.borrow_mut().connection_closed(key);
         }
     }
 }
 
 /// A call in flight. The router is notified of its outcome when it is dropped.
 pub(crate) struct CallInFlight {
-    core: Rc<SharedState>,
+    shared: Rc<SharedState>,
     key: EndpointKey,
     instance_id: Arc<str>,
     routing_request: Rc<RoutingRequest>,
@@ -277,10 +277,10 @@
 }
 
 impl CallInFlight {
-    pub(crate) fn new(core: Rc<SharedState>, target: &Target, routing_request: Rc<RoutingRequest>) -> Self {
+    pub(crate) fn new(shared: Rc<SharedState>, target: &Target, routing_request: Rc<RoutingRequest>) -> Self {
         let started_at = Instant::now();
         Self {
-            core,
+            shared,
             key: target.key,
             instance_id: target.instance_id.clone(),
             routing_request,
@@ -313,7 +313,7 @@
         self.first_byte_at = Some(Instant::now());
         self.load = load;
         if let Some(load) = load {
-            self.core.router.borrow_mut().record_load(self.core.now(), self.key, load);
+            self.shared.router.borrow_mut().record_load(self.shared.now(), self.key, load);
         }
     }
 
@@ -326,8 +326,8 @@
     fn drop(&mut self) {
         let time_to_first_byte = self.first_byte_at.unwrap_or_else(Instant::now) - self.started_at;
         let time_to_first_byte = Span(u64::try_from(time_to_first_byte.as_micros()).unwrap_or(u64::MAX));
-        let now = self.core.now();
-        self.core.router.borrow_mut().record_completion(
+        let now = self.shared.now();
+        self.shared.router.borrow_mut().record_completion(
             now,
             self.key,
             &self.routing_request,
@@ -335,6 +335,6 @@
             self.load,
             time_to_first_byte,
         );
-        self.core.queue.wake_first(&self.routing_request.service);
+        self.shared.queue.wake_first(&self.routing_request.service);
     }
 }
--- a/system/request-forwarding/src/readiness.rs
+++ b/system/request-forwarding/src/readiness.rs
@@ -21,10 +21,10 @@
 /// Idle timeout of a connection to the readiness address.
 const PROBE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Responds to `GET /sedgewood/readiness` with 200 while `ready` returns true, otherwise with 503. Connections beyond the limit
-/// are closed without a response.
-pub async fn serve_readiness(listener: TcpListener, ready: impl Fn() -> bool + 'static) {
-    let ready = Rc::new(ready);
+/// Responds to `GET /sedgewood/readiness` with 200 while `is_ready` returns true, otherwise with 503. Connections
+/// beyond the limit are closed without a response.
+pub async fn serve_readiness(listener: TcpListener, is_ready: impl Fn() -> bool + 'static) {
+    let is_ready = Rc::new(is_ready);
     let open = Rc::new(OpenConnections::default());
     loop {
         let stream = match listener.accept().await {
@@ -38,11 +38,11 @@
         if open.count.get() >= MAX_PROBE_CONNECTIONS {
             continue;
         }
-        let (ready, guard) = (ready.clone(), ConnectionGuard::new(&open));
+        let (is_ready, guard) = (is_ready.clone(), ConnectionGuard::new(&open));
         spawn_local(async move {
             let service = service_fn(move |request: Request<Incoming>| {
                 let status = match request.uri().path() {
-                    "/sedgewood/readiness" if ready() => StatusCode::OK,
+                    "/sedgewood/readiness" if is_ready() => StatusCode::OK,
                     "/sedgewood/readiness" => StatusCode::SERVICE_UNAVAILABLE,
                     _ => StatusCode::NOT_FOUND,
                 };
--- a/system/request-forwarding/src/response_forwarding.rs
+++ b/system/request-forwarding/src/response_forwarding.rs
@@ -39,7 +39,7 @@
 
 /// Forwards a response body from the endpoint to the client.
 pub(crate) struct ResponseForwarding<T: TurnStorage> {
-    pub(crate) core: Rc<SharedState>,
+    pub(crate) shared: Rc<SharedState>,
     pub(crate) turns: Rc<T>,
     /// Headers of the current endpoint's response; they decide whether its connection is reused.
     pub(crate) headers: HeaderMap,
@@ -58,7 +58,7 @@
         turn: ActiveTurn<T>,
     ) {
         let is_complete = self.forward_body(upstream, first_chunk, &chunks, turn).await;
-        self.core.count(|metrics| match is_complete {
+        self.shared.count(|metrics| match is_complete {
             true => metrics.streams_ended += 1,
             false => metrics.streams_broken += 1,
         });
@@ -105,7 +105,7 @@
         }
         let UpstreamResponse { body, connection, call } = upstream;
         drop(body);
-        self.core.check_in(connection, &self.headers);
+        self.shared.check_in(connection, &self.headers);
         if let TurnRecord::Complete(completed) = &mut turn.record {
             completed.served_by = Some(call.instance_id().clone());
         }
@@ -192,13 +192,14 @@
             call.complete(Outcome::Failure);
             return None;
         }
-        self.core.count(|metrics| metrics.streams_resumed += 1);
+        self.shared.count(|metrics| metrics.streams_resumed += 1);
         let (head, body) = response.into_parts();
         self.headers = head.headers;
         Some(UpstreamResponse { body, connection, call })
     }
 
-    /// Stores the turn, if there is one to store, and then ends the response. If the turn cannot be stored, the response is aborted.
+    /// Stores the turn, if there is one to store, and then ends the response. If the turn cannot be stored, the
+    /// response is aborted.
     async fn finish(
         &self,
         scan: EventScan,
@@ -209,7 +210,7 @@
             TurnRecord::NotRetained => true,
             TurnRecord::Complete(completed) => self.store(completed, scan, &mut turn, chunks).await,
             TurnRecord::TailOnly => {
-                self.core.count(|metrics| metrics.turns_unkept += 1);
+                self.shared.count(|metrics| metrics.turns_unkept += 1);
                 false
             }
         };
@@ -236,7 +237,7 @@
             () = chunks.closed() => return false,
         };
         if !is_stored {
-            self.core.count(|metrics| metrics.turns_unkept += 1);
+            self.shared.count(|metrics| metrics.turns_unkept += 1);
             return false;
         }
         turn.mark_settled();
--- a/system/request-forwarding/src/server.rs
+++ b/system/request-forwarding/src/server.rs
@@ -10,7 +10,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, timeout};
 
-/// At the end, the listener's backlog counts as empty once no connection has come for this long.
+/// After shutdown, the listen backlog counts as empty once no connection has been accepted for this long.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(20);
 /// Interval between sweeps of the idle connections to endpoints.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
@@ -45,7 +45,7 @@
                 break;
             }
             tokio::select! {
-                // A client that has disconnected, or no free descriptor: both are transient.
+                // The client has disconnected, or no file descriptor is free: both errors are transient.
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => self.accept(stream, &open, &rejecting, &shutdown),
                     Err(e) => {
@@ -54,7 +54,7 @@
                     }
                 },
                 _ = shutdown.changed() => {}
-                _ = sweep.tick() => self.core.sweep(),
+                _ = sweep.tick() => self.shared.sweep(),
             }
         }
         while let Ok(Ok((stream, _))) = timeout(FINAL_ACCEPT_TIMEOUT, listener.accept()).await {
@@ -64,7 +64,7 @@
         while open.count.get() > 0 {
             tokio::select! {
                 () = open.changed.notified() => {}
-                _ = sweep.tick() => self.core.sweep(),
+                _ = sweep.tick() => self.shared.sweep(),
             }
         }
     }
@@ -78,7 +78,7 @@
         shutdown: &watch::Receiver<ShutdownPhase>,
     ) {
         if open.count.get() >= self.max_clients {
-            self.core.count(|metrics| metrics.clients_refused += 1);
+            self.shared.count(|metrics| metrics.clients_refused += 1);
             if rejecting.count.get() < MAX_REJECTING {
                 let guard = ConnectionGuard::new(rejecting);
                 spawn_local(async move {
@@ -89,11 +89,11 @@
             return;
         }
         let guard = ConnectionGuard::new(open);
-        self.core.count(|metrics| metrics.clients += 1);
+        self.shared.count(|metrics| metrics.clients += 1);
         let (forwarder, shutdown) = (self.clone(), shutdown.clone());
         spawn_local(async move {
             forwarder.clone().serve_connection(stream, shutdown).await;
-            forwarder.core.count(|metrics| metrics.clients -= 1);
+            forwarder.shared.count(|metrics| metrics.clients -= 1);
             drop(guard);
         });
     }
--- a/system/request-forwarding/src/slot_wait.rs
+++ b/system/request-forwarding/src/slot_wait.rs
@@ -16,7 +16,7 @@
 const MIN_POLL_INTERVAL: Span = Span(1_000);
 
 impl SharedState {
-    /// Waits for a slot in the order of the queue.
+    /// Waits until the router assigns an endpoint, in the order of the queue.
     pub(crate) async fn wait_for_slot(
         &self,
         routing_request: &RoutingRequest,
--- a/system/request-forwarding/src/stream_preparation.rs
+++ b/system/request-forwarding/src/stream_preparation.rs
@@ -21,8 +21,8 @@
 }
 
 impl<T: TurnStorage> Forwarder<T> {
-    /// Prepares a stream: reserves tokens of the program's budget, and completes the input with the text of the chain that
-    /// it continues.
+    /// Prepares a stream: reserves tokens of the program's budget, and completes the input with the text of the chain
+    /// that it continues.
     pub(crate) async fn prepare_stream(
         &self,
         request_headers: &HeaderMap,
--- a/system/request-forwarding/src/turn_storage.rs
+++ b/system/request-forwarding/src/turn_storage.rs
@@ -57,18 +57,18 @@
 
 /// Storage of turns and token budgets.
 ///
-/// Every call of `reserve` is followed by `settle`, even if its future was dropped before it completed. The exceptions are a
-/// `reserve` that returned `BudgetExhausted`, and an attempt for which `store_turn` returned true.
+/// Every call of `reserve` is followed by `settle`, even if its future was dropped before it completed. The
+/// exceptions are a `reserve` that returned `BudgetExhausted`, and an attempt for which `store_turn` returned true.
 #[expect(async_fn_in_trait, reason = "all of it runs on one thread")]
 pub trait TurnStorage: 'static {
     /// Reserves `max_tokens` for an attempt out of the program's `budget`, also in tokens.
     async fn reserve(&self, program: &str, attempt: &str, max_tokens: u32, budget: u32) -> ReserveOutcome;
-    /// Records how many tokens an attempt sent to the client in the end, and releases the rest of its reservation. Returns at
-    /// once; the work continues in the background.
+    /// Records how many tokens an attempt sent to the client in the end, and releases the rest of its reservation.
+    /// Returns at once; the work continues in the background.
     fn settle(&self, program: &str, attempt: &str, tokens: u32);
     /// Looks up the chain that ends with the turn `previous`.
     async fn chain(&self, previous: &str) -> ChainLookup;
-    /// Stores a turn and settles its tokens. Returns true once a sufficient number of replicas have synced it, and false if it
-    /// could not be stored.
+    /// Stores a turn and settles its tokens. Returns true once a sufficient number of replicas have synced it, and
+    /// false if it could not be stored.
     async fn store_turn(&self, turn: CompletedTurn) -> bool;
 }
--- a/system/request-forwarding/src/wait_queue.rs
+++ b/system/request-forwarding/src/wait_queue.rs
@@ -5,8 +5,9 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A waiter's rank; the lowest is served first. It is the arrival time in microseconds plus a penalty for each lower priority,
-/// so that a request that has waited for long precedes any that arrives now, and a sequence number that breaks ties.
+/// A waiter's rank; the lowest is served first. It is the arrival time in microseconds plus a penalty for each lower
+/// priority, so that a request that has waited for long precedes any that arrives now, and a sequence number that
+/// breaks ties.
 pub(crate) type Rank = (u64, u64);
 
 /// Rank penalty of each lower priority: it counts as having arrived this much later, in microseconds.
--- a/system/request-forwarding/tests/fault_sequences.rs
+++ b/system/request-forwarding/tests/fault_sequences.rs
@@ -1,5 +1,5 @@
-//! Sequences of endpoint faults: a non-idempotent request is executed at most once, no response guarantees non-execution of
-//! an executed request, and clients and endpoints receive only bytes that belong to their requests.
+//! Sequences of endpoint faults: a non-idempotent request is executed at most once, no response guarantees
+//! non-execution of an executed request, and clients and endpoints receive only bytes that belong to their requests.
 
 mod fixtures;
 
@@ -38,7 +38,8 @@
     ResetWithoutLength,
     Silence,
     ForeignAnswer,
-    /// States that it has not executed the request; `DeclineAgainLater` repeats this before the connection's next response.
+    /// States that it has not executed the request; `DeclineAgainLater` repeats this before the connection's next
+    /// response.
     Decline,
     DeclineAgainLater,
     DeclineBeforeBody,
--- a/system/request-forwarding/tests/priorities.rs
+++ b/system/request-forwarding/tests/priorities.rs
@@ -1,5 +1,5 @@
-//! Priorities under overload, measured at the clients: within one service, the served share of a priority class must not be
-//! lower than that of a less urgent class by more than 0.05.
+//! Priorities under overload, measured at the clients: within one service, the served share of a priority class must
+//! not be lower than that of a less urgent class by more than 0.05.
 
 mod fixtures;
 
@@ -97,8 +97,8 @@
     served as f64 / count as f64
 }
 
-/// Sends this many urgent and less urgent requests within a second, together more than the endpoint can serve; returns the
-/// served share of both.
+/// Sends this many urgent and less urgent requests within a second, together more than the endpoint can serve;
+/// returns the served share of both.
 async fn check_served_shares(urgent: usize, less_urgent: usize) -> (f64, f64) {
     let proxy = start_proxy().await;
     let second = Duration::from_secs(1);
@@ -115,8 +115,8 @@
 #[gtest]
 fn no_priority_class_is_served_less_often_than_a_less_urgent_one() {
     run_within(Duration::from_secs(60), async {
-        // Twice what the endpoint can serve: with equal shares of both classes, and with the urgent class as a twentieth and as
-        // nine tenths of it.
+        // Twice what the endpoint can serve: with equal shares of both classes, and with the urgent class as a
+        // twentieth and as nine tenths of it.
         let (urgent_share, other_share) = check_served_shares(100, 100).await;
         // Without ranks both classes would be served equally.
         expect_that!(urgent_share, gt(2.0 * other_share));
--- a/system/request-forwarding/tests/resumption.rs
+++ b/system/request-forwarding/tests/resumption.rs
@@ -1,5 +1,5 @@
-//! Resumable streams whose endpoint fails: before the first event the request is retried, after it the stream is resumed at
-//! another endpoint.
+//! Resumable streams whose endpoint fails: before the first event the request is retried, after it the stream is
+//! resumed at another endpoint.
 
 mod fixtures;
 
@@ -169,7 +169,8 @@
 #[gtest]
 fn given_a_client_that_resumes_after_an_event_then_its_turn_is_aborted_and_its_tokens_are_settled() {
     run(async {
-        // Whether the endpoint honors the header cannot be detected, so this also applies to routes that are not resumable.
+        // Whether the endpoint honors the header cannot be detected, so this also applies to routes that are not
+        // resumable.
         for path in ["/resumable/", "/turns/"] {
             let scenario = Scenario::start(vec![None]).await;
             let headers = format!("{TURN}Previous: t0\r\nLast-Event-Id: 4\r\n");
--- a/system/request-forwarding/tests/suspended_proxy.rs
+++ b/system/request-forwarding/tests/suspended_proxy.rs
@@ -34,8 +34,8 @@
         Self { listener, address }
     }
 
-    /// Accepts the next connection as soon as it is established. The proxy has not noticed that yet, since it runs after the
-    /// scenario.
+    /// Accepts the next connection as soon as it is established. The proxy has not noticed that yet, since it runs
+    /// after the scenario.
     async fn accept(&self) -> HttpConnection {
         for _ in 0..MAX_ACCEPT_POLLS {
             if let Ok((stream, _)) = self.listener.accept() {
@@ -178,8 +178,8 @@
     }
 }
 
-/// Given two idle connections of which the endpoint has closed the newer one, suspends the proxy `steps` scheduler steps after
-/// the arrival of a request.
+/// Given two idle connections of which the endpoint has closed the newer one, suspends the proxy `steps` scheduler
+/// steps after the arrival of a request.
 async fn suspend_after_steps(steps: usize, duration: Duration) {
     let endpoint = ListeningEndpoint::start();
     let proxy = endpoint.start_proxy().await;
--- a/system/request-forwarding/tests/timeouts_and_connection_reuse.rs
+++ b/system/request-forwarding/tests/timeouts_and_connection_reuse.rs
@@ -315,7 +315,8 @@
                 format!("HTTP/1.1 200 X\r\nAttempt-Id: {id}\r\nServer-Seal: s\r\nContent-Length: 2\r\n\r\nok")
             };
             connection.write(response("a")).await;
-            // The next request arrives on another connection, since the rest of the first body is still to be written here.
+            // The next request arrives on another connection, since the rest of the first body is still to be written
+            // here.
             let (stream, _) = listener.accept().await.unwrap();
             let mut next = fixtures::HttpConnection::new(stream);
             let second = next.read_message().await.unwrap();
