--- a/system/request-forwarding/src/local_response.rs
+++ b/system/request-forwarding/src/local_response.rs
@@ -28,14 +28,14 @@
         Self { close: true, ..Self::new(status) }
     }
 
-    /// A guarantee that the request has not executed and never will.
+    /// A 503, which guarantees that the request has not been executed and never will be.
     pub(crate) fn refused(retry_after: Span) -> Self {
         Self { retry_after: Some(retry_after), ..Self::new(StatusCode::SERVICE_UNAVAILABLE) }
     }
 
     pub(crate) fn response(self, attempt: Option<&str>) -> Response<ResponseBody> {
         let text = self.status.canonical_reason().unwrap_or_default();
-        let mut response = Response::new(ResponseBody::whole(text));
+        let mut response = Response::new(ResponseBody::complete(text));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
--- a/system/request-forwarding/src/pool.rs
+++ b/system/request-forwarding/src/pool.rs
@@ -20,7 +20,7 @@
 
 /// Upper bound on the bytes of an unwanted response body that are read so that its connection can be reused.
 const MAX_DRAINED_BYTES: usize = 64 * 1024;
-/// Time limit for that, and for the check of a returned connection.
+/// Time limit for reading those bytes, and for the check of a returned connection.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Identifies a request within this process.
@@ -44,12 +44,12 @@
 
 /// A connection to an endpoint. The router is notified when it closes.
 pub(crate) struct EndpointConnection {
-    core: Weak<SharedState>,
+    shared: Weak<SharedState>,
     key: EndpointKey,
     pub(crate) connection: Connection,
-    /// The last request that it carried, or the current one.
+    /// The request in flight on it, or else the last one.
     last_request: RequestNumber,
-    /// How long it was idle before this call; none if it is new.
+    /// How long it was idle before this call; `None` if it is new.
     idle_time: Option<Duration>,
 }
 
@@ -69,8 +69,8 @@
 
 impl Drop for EndpointConnection {
     fn drop(&mut self) {
-        if let Some(core) = self.core.upgrade() {
-            core.router.borrow_mut().connection_closed(self.key);
+        if let Some(shared) = self.shared.upgrade() {
+            shared.router.borrow_mut().connection_closed(self.key);
         }
     }
 }
@@ -91,30 +91,29 @@
 
     /// The current time in the router's time base.
     pub(crate) fn now(&self) -> Time {
-        self.at(Instant::now())
+        self.to_router_time(Instant::now())
     }
 
     /// Converts an instant to the router's time base.
-    pub(crate) fn at(&self, instant: Instant) -> Time {
+    pub(crate) fn to_router_time(&self, instant: Instant) -> Time {
         let micros = instant.saturating_duration_since(self.start).as_micros();
         // Starts at one second, so that no time computed backwards from now falls below 0.
         Time(1_000_000 + u64::try_from(micros).unwrap_or(u64::MAX / 2))
     }
 
-    /// Changes the metrics.
+    /// Applies a change to the metrics.
     pub(crate) fn count(&self, change: impl FnOnce(&mut ForwardingMetrics)) {
         let mut metrics = self.metrics.get();
         change(&mut metrics);
         self.metrics.set(metrics);
     }
 
-    /// Assigns a number to a request.
     pub(crate) fn number_request(&self) -> RequestNumber {
         self.last_request.set(self.last_request.get() + 1);
         RequestNumber(self.last_request.get())
     }
 
-    /// An idle connection that may be reused for this request: none that carried the same request last. An endpoint may
+    /// An idle connection that may be reused for this request; never one whose last request was the same. An endpoint may
     /// respond twice, and a late second response (such as a statement that it was not executed) would be taken for the
     /// response to the new send, since both have the same `Attempt-Id`.
     pub(crate) fn checkout_idle(
@@ -124,14 +123,14 @@
         request: RequestNumber,
     ) -> Option<EndpointConnection> {
         let now = Instant::now();
-        let trusted = self.idle_trust.borrow_mut().get_mut(service).and_then(|trust| {
+        let max_idle_time = self.idle_trust.borrow_mut().get_mut(service).and_then(|trust| {
             trust.forget();
             trust.limit().filter(|_| self.policy.idle_connection_limit)
         });
         loop {
             let mut idle = self.take_idle(target, request)?;
             let idle_time = now - idle.since;
-            if !idle.is_expired(now) && trusted.is_none_or(|trusted| idle_time < trusted) {
+            if !idle.is_expired(now) && max_idle_time.is_none_or(|max| idle_time < max) {
                 idle.connection.idle_time = Some(idle_time);
                 idle.connection.last_request = request;
                 return Some(idle.connection);
@@ -139,24 +138,24 @@
         }
     }
 
-    /// The newest idle connection that did not carry this request last. If all did, and no further connection may be
-    /// opened, one of them is closed to make way for another.
+    /// The newest idle connection whose last request was a different one. If there is none, and no further connection
+    /// may be opened, one idle connection is closed so that a new one can replace it.
     fn take_idle(&self, target: &Target, request: RequestNumber) -> Option<IdleConnection> {
         let mut all = self.idle.borrow_mut();
-        let lines = all.get_mut(&target.key)?;
-        let other = lines.iter().rposition(|idle| idle.connection.last_request != request);
-        if other.is_none() && !target.may_open {
-            drop(lines.pop());
+        let connections = all.get_mut(&target.key)?;
+        let reusable = connections.iter().rposition(|idle| idle.connection.last_request != request);
+        if reusable.is_none() && !target.may_open {
+            drop(connections.pop());
         }
-        Some(lines.remove(other?))
+        Some(connections.remove(reusable?))
     }
 
-    /// Records whether a connection was lost under its call: endpoints may drop an idle one without notice.
+    /// Records whether a connection was lost during its call: endpoints may drop idle connections without closing them.
     pub(crate) fn record_idle_reuse(&self, service: &str, connection: &EndpointConnection, was_lost: bool) {
         let mut all = self.idle_trust.borrow_mut();
         match all.get_mut(service) {
             Some(trust) => trust.learn(connection.idle_time, was_lost),
-            // Until a first loss there is nothing to learn from.
+            // Before the first loss, nothing limits the reuse of idle connections.
             None if was_lost => {
                 all.entry(service.to_owned()).or_default().learn(connection.idle_time, was_lost)
             }
@@ -164,21 +163,20 @@
         }
     }
 
-    /// Opens a new connection.
     pub(crate) async fn open_connection(
         self: &Rc<Self>,
         target: &Target,
         connect_timeout: Duration,
         request: RequestNumber,
     ) -> Result<EndpointConnection, CallError> {
-        // PendingConnection from the start: an endpoint may count one that is never finished here.
+        // Counted from the start: the endpoint may count a connection that is never established from here.
         self.router.borrow_mut().connection_opened(target.key);
-        let counted = PendingConnection { core: self, key: Some(target.key) };
+        let pending = PendingConnection { shared: self, key: Some(target.key) };
         let connection = Connection::open(SocketAddr::V4(target.address), connect_timeout).await?;
-        counted.disarm();
+        pending.disarm();
         self.count(|metrics| metrics.connections_opened += 1);
         Ok(EndpointConnection {
-            core: Rc::downgrade(self),
+            shared: Rc::downgrade(self),
             key: target.key,
             connection,
             last_request: request,
@@ -193,28 +191,28 @@
         if headers::closes(head) || idle_limit.is_zero() || !connection.connection.request_written() {
             return;
         }
-        let core = self.clone();
+        let shared = self.clone();
         spawn_local(async move {
             if matches!(timeout(DRAIN_TIMEOUT, connection.connection.is_alive()).await, Ok(true)) {
                 let since = Instant::now();
                 let idle = IdleConnection { since, expires_at: since + idle_limit, connection };
-                core.idle.borrow_mut().entry(idle.connection.key).or_default().push(idle);
+                shared.idle.borrow_mut().entry(idle.connection.key).or_default().push(idle);
             }
         });
     }
 
-    /// The same, once the rest of an unwanted response has been read.
+    /// Reads the rest of an unwanted response, then returns its connection to the pool.
     pub(crate) fn check_in_unread(
         self: &Rc<Self>,
         connection: EndpointConnection,
         head: HeaderMap,
         mut body: Incoming,
     ) {
-        let core = self.clone();
+        let shared = self.clone();
         spawn_local(async move {
             if drain_body(&mut body).await {
                 drop(body);
-                core.check_in(connection, &head);
+                shared.check_in(connection, &head);
             }
         });
     }
@@ -222,10 +220,10 @@
     /// Closes expired idle connections.
     pub(crate) fn sweep(&self) {
         let now = Instant::now();
-        let mut over = Vec::new();
-        self.idle.borrow_mut().retain(|_, lines| {
-            over.extend(lines.extract_if(.., |idle| idle.is_expired(now)));
-            !lines.is_empty()
+        let mut expired = Vec::new();
+        self.idle.borrow_mut().retain(|_, connections| {
+            expired.extend(connections.extract_if(.., |idle| idle.is_expired(now)));
+            !connections.is_empty()
         });
     }
 }
@@ -246,9 +244,9 @@
     timeout(DRAIN_TIMEOUT, complete).await.unwrap_or(false)
 }
 
-/// Counts a connection as open while it is being established.
+/// Counts a connection as open while it is being established; undoes that on drop unless disarmed.
 struct PendingConnection<'a> {
-    core: &'a SharedState,
+    shared: &'a SharedState,
     key: Option<EndpointKey>,
 }
 
@@ -261,14 +259,14 @@
 impl Drop for PendingConnection<'_> {
     fn drop(&mut self) {
         if let Some(key) = self.key {
-            self.core.router.borrow_mut().connection_closed(key);
+            self.shared.router.borrow_mut().connection_closed(key);
         }
     }
 }
 
-/// A call in flight. The router is notified of its completion, however that comes about.
+/// A call in flight. The router is notified of its outcome when it is dropped.
 pub(crate) struct CallInFlight {
-    core: Rc<SharedState>,
+    shared: Rc<SharedState>,
     key: EndpointKey,
     instance_id: Arc<str>,
     routing_request: Rc<RoutingRequest>,
@@ -279,10 +277,10 @@
 }
 
 impl CallInFlight {
-    pub(crate) fn new(core: Rc<SharedState>, target: &Target, routing_request: Rc<RoutingRequest>) -> Self {
+    pub(crate) fn new(shared: Rc<SharedState>, target: &Target, routing_request: Rc<RoutingRequest>) -> Self {
         let started_at = Instant::now();
         Self {
-            core,
+            shared,
             key: target.key,
             instance_id: target.instance_id.clone(),
             routing_request,
@@ -293,17 +291,14 @@
         }
     }
 
-    /// The endpoint.
     pub(crate) fn key(&self) -> EndpointKey {
         self.key
     }
 
-    /// Instance id of the endpoint.
     pub(crate) fn instance_id(&self) -> &Arc<str> {
         &self.instance_id
     }
 
-    /// The request that it carries.
     pub(crate) fn routing_request(&self) -> &Rc<RoutingRequest> {
         &self.routing_request
     }
@@ -318,11 +313,10 @@
         self.first_byte_at = Some(Instant::now());
         self.load = load;
         if let Some(load) = load {
-            self.core.router.borrow_mut().record_load(self.core.now(), self.key, load);
+            self.shared.router.borrow_mut().record_load(self.shared.now(), self.key, load);
         }
     }
 
-    /// Completes the call.
     pub(crate) fn complete(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -332,8 +326,8 @@
     fn drop(&mut self) {
         let time_to_first_byte = self.first_byte_at.unwrap_or_else(Instant::now) - self.started_at;
         let time_to_first_byte = Span(u64::try_from(time_to_first_byte.as_micros()).unwrap_or(u64::MAX));
-        let now = self.core.now();
-        self.core.router.borrow_mut().record_completion(
+        let now = self.shared.now();
+        self.shared.router.borrow_mut().record_completion(
             now,
             self.key,
             &self.routing_request,
@@ -341,6 +335,6 @@
             self.load,
             time_to_first_byte,
         );
-        self.core.queue.wake_first(&self.routing_request.service);
+        self.shared.queue.wake_first(&self.routing_request.service);
     }
 }
