--- a/system/coordination/src/counters.rs
+++ b/system/coordination/src/counters.rs
@@ -1,38 +1,38 @@
-//! Counters, each of which gives every number once.
+//! Named counters: each issues the numbers from 1 upwards, each number once.
 
-use crate::limits::{MAX_COUNTERS, are_within_limit};
+use crate::limits::{MAX_COUNTERS, fit_text_limit};
 use fleet_model::CoordinationOutcome;
 use std::collections::BTreeMap;
 
-/// The last number that each counter gave.
+/// All counters. A counter exists once it has issued a number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Counters {
-    last_numbers: BTreeMap<String, u64>,
+    last_issued: BTreeMap<String, u64>,
 }
 
 impl Counters {
-    /// Counters with their last numbers.
-    pub(crate) fn restore(last_numbers: BTreeMap<String, u64>) -> Self {
-        Self { last_numbers }
+    /// Restores the counters from the last number that each has issued.
+    pub(crate) fn restore(last_issued: BTreeMap<String, u64>) -> Self {
+        Self { last_issued }
     }
 
-    /// Takes the next number of a counter.
+    /// Issues the next number of a counter; creates the counter if the limits allow it.
     pub(crate) fn next(&mut self, name: &str) -> CoordinationOutcome {
-        let last = self.last_numbers.get(name).copied();
-        let has_room =
-            last.is_some() || (are_within_limit(&[name]) && self.last_numbers.len() < MAX_COUNTERS);
-        let Some(value) = last.unwrap_or(0).checked_add(1).filter(|_| has_room) else {
+        let last = self.last_issued.get(name).copied();
+        let is_within_limits =
+            last.is_some() || (fit_text_limit(&[name]) && self.last_issued.len() < MAX_COUNTERS);
+        let Some(value) = last.unwrap_or(0).checked_add(1).filter(|_| is_within_limits) else {
             return CoordinationOutcome::LimitReached;
         };
-        match self.last_numbers.get_mut(name) {
+        match self.last_issued.get_mut(name) {
             Some(last) => *last = value,
-            None => drop(self.last_numbers.insert(name.to_owned(), value)),
+            None => drop(self.last_issued.insert(name.to_owned(), value)),
         }
         CoordinationOutcome::Number { value }
     }
 
-    /// The counters in the order of their names, with the last number of each.
+    /// The counters in order of name, each with the last number that it issued.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, u64)> {
-        self.last_numbers.iter().map(|(name, last)| (name.as_str(), *last))
+        self.last_issued.iter().map(|(name, last)| (name.as_str(), *last))
     }
 }
--- a/system/coordination/src/lib.rs
+++ b/system/coordination/src/lib.rs
@@ -1,9 +1,12 @@
 //! The state machine of the coordination service: locks with fencing tokens, counters, and keys in groups whose changes can be
 //! watched.
 //!
-//! The replicated log orders the commands; each replica applies them to its [`CoordinationState`], and all reach the same state.
-//! Nothing here does I/O, reads a clock or draws random numbers: the only time in the state is the one that the leader proposes
-//! with each batch. [`HoldTracker`] is not part of the state: with it a process measures holds on its own steady clock.
+//! The replicated log orders the commands. Each replica applies them to its [`CoordinationState`], so that all replicas reach the
+//! same state. The crate does no I/O, reads no clock and generates no random numbers: the only time in the state is the logical
+//! time that the leader proposes with each batch.
+//!
+//! A lock is granted for a limited time, its *hold* (a lease). [`HoldTracker`] is not part of the state: each process uses one to
+//! measure holds on its own monotonic clock.
 
 mod counters;
 mod hold_tracker;
@@ -14,7 +17,7 @@
 mod snapshot;
 mod state;
 
-pub use hold_tracker::{HoldTracker, MIN_CLOCK_RATE_ALLOWANCE_MS, RELATIVE_CLOCK_RATE_ALLOWANCE};
+pub use hold_tracker::{CLOCK_RATE_ALLOWANCE_DIVISOR, HoldTracker, MIN_CLOCK_RATE_ALLOWANCE_MS};
 pub use key_event::KeyEvent;
 pub use keys::{EventsPruned, GroupSummary, HISTORY_MARGIN_MS, group_of};
 pub use limits::{MAX_COUNTERS, MAX_HOLD_MS, MAX_KEYS, MAX_LOCKS, MAX_TEXT_BYTES};
--- a/system/coordination/src/locks.rs
+++ b/system/coordination/src/locks.rs
@@ -1,13 +1,13 @@
 //! Locks with fencing tokens.
 //!
-//! One count of grants serves all locks and never falls: each acquisition and renewal takes its next number, and a new holder
-//! gets that number as its fencing token. Fencing tokens therefore rise over the release of a lock, and nothing is kept of
-//! locks that are free.
+//! All locks share one counter of grants, which never decreases. Each acquisition and renewal gets the next grant number, and a
+//! new holder gets its grant number as its fencing token. The fencing tokens of a lock therefore increase even after a release,
+//! and nothing needs to be stored for free locks.
 //!
-//! Time has no part in this. A leader that finds a hold expired names the grant that it saw when it proposes another holder;
-//! if the hold was extended since, the grant differs and the proposal fails.
+//! The state machine does not measure the duration of holds. A leader that finds a hold expired proposes the next holder together
+//! with the grant that has expired. If the hold has been extended meanwhile, its grant differs and the command fails.
 
-use crate::limits::{MAX_HOLD_MS, MAX_LOCKS, are_within_limit};
+use crate::limits::{MAX_HOLD_MS, MAX_LOCKS, fit_text_limit};
 use fleet_model::CoordinationOutcome;
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -15,14 +15,14 @@
 /// A held lock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lock {
-    /// Name of the holder.
+    /// The name that the caller gave itself in its request.
     pub holder: String,
-    /// Fencing token of the hold.
+    /// Fencing token: the grant with which this holder acquired the lock. Renewals leave it unchanged.
     pub fence: u64,
-    /// Duration of the hold in milliseconds, from its last grant on: the longest that was granted under this fencing token. A
-    /// holder that asks for less may miss the answer and go on counting on the longer one.
+    /// Duration of the hold in milliseconds, measured from the last grant. It is the longest duration that was granted under this
+    /// fencing token: a holder that renews for a shorter time may miss the reply and continue to rely on the longer one.
     pub hold_ms: u64,
-    /// Number of the last acquisition or renewal.
+    /// Grant number of the last acquisition or renewal.
     pub grant: u64,
 }
 
@@ -35,7 +35,8 @@
 }
 
 impl Locks {
-    /// Locks and the last grant; `None` if two locks have the same grant, or one a grant or fencing token that was not given.
+    /// Restores the held locks. `None` if two locks have the same grant, a lock has a grant or a fencing token that was never
+    /// issued, or a hold is too long.
     pub(crate) fn restore(held: BTreeMap<String, Lock>, last_grant: u64) -> Option<Self> {
         let is_consistent = held.values().all(|lock| {
             (1..=lock.grant).contains(&lock.fence) && lock.grant <= last_grant && lock.hold_ms <= MAX_HOLD_MS
@@ -49,7 +50,8 @@
         })
     }
 
-    /// Grants the lock to the holder if it is free, already held by it, or held under the expired grant.
+    /// Grants the lock if it is free, if this holder has it already (the hold is extended), or if its current grant is
+    /// `expired_grant`.
     pub(crate) fn acquire(
         &mut self,
         name: &str,
@@ -57,18 +59,18 @@
         hold_ms: u64,
         expired_grant: Option<u64>,
     ) -> CoordinationOutcome {
-        if !are_within_limit(&[name, holder]) {
+        if !fit_text_limit(&[name, holder]) {
             return CoordinationOutcome::LimitReached;
         }
         match self.held.get(name) {
             Some(lock) if lock.holder == holder => self.extend(name, hold_ms),
             Some(lock) if expired_grant != Some(lock.grant) => CoordinationOutcome::LockNotHeld,
             None if self.held.len() >= MAX_LOCKS => CoordinationOutcome::LimitReached,
-            _ => self.grant_anew(name, holder, hold_ms),
+            _ => self.grant_to_new_holder(name, holder, hold_ms),
         }
     }
 
-    /// Extends a hold if it was not lost.
+    /// Extends the hold if the lock is still held by this holder with this fencing token.
     pub(crate) fn renew(
         &mut self,
         name: &str,
@@ -76,15 +78,16 @@
         fence: u64,
         hold_ms: u64,
     ) -> CoordinationOutcome {
-        if !self.is_held_under(name, holder, fence) {
+        if !self.is_held_with_fence(name, holder, fence) {
             return CoordinationOutcome::LockNotHeld;
         }
         self.extend(name, hold_ms)
     }
 
-    /// Frees the lock if it is held by this holder under this fencing token.
+    /// Frees the lock if it is held by this holder with this fencing token; otherwise nothing changes, and the outcome is the
+    /// same, so that a caller can safely retry.
     pub(crate) fn release(&mut self, name: &str, holder: &str, fence: u64) -> CoordinationOutcome {
-        if self.is_held_under(name, holder, fence)
+        if self.is_held_with_fence(name, holder, fence)
             && let Some(lock) = self.held.remove(name)
         {
             self.names_by_grant.remove(&lock.grant);
@@ -92,41 +95,40 @@
         CoordinationOutcome::LockReleased
     }
 
-    /// A held lock.
+    /// The lock with this name; `None` if it is free.
     pub(crate) fn get(&self, name: &str) -> Option<&Lock> {
         self.held.get(name)
     }
 
-    /// The held locks in the order of their names.
+    /// The held locks in order of name.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, &Lock)> {
         self.held.iter().map(|(name, lock)| (name.as_str(), lock))
     }
 
-    /// The number of held locks.
     pub(crate) fn len(&self) -> usize {
         self.held.len()
     }
 
-    /// The current grants above one, rising.
+    /// The current grants greater than `grant`, in ascending order.
     pub(crate) fn grants_after(&self, grant: u64) -> impl Iterator<Item = u64> {
         self.names_by_grant.range((Bound::Excluded(grant), Bound::Unbounded)).map(|(grant, _)| *grant)
     }
 
-    /// Whether this is the current grant of a lock.
-    pub(crate) fn is_current(&self, grant: u64) -> bool {
+    /// Whether a lock is held under this grant; `false` once it was superseded.
+    pub(crate) fn is_current_grant(&self, grant: u64) -> bool {
         self.names_by_grant.contains_key(&grant)
     }
 
-    /// The last grant of any lock.
+    /// The last grant that was issued to any lock.
     pub(crate) fn last_grant(&self) -> u64 {
         self.last_grant
     }
 
-    fn is_held_under(&self, name: &str, holder: &str, fence: u64) -> bool {
+    fn is_held_with_fence(&self, name: &str, holder: &str, fence: u64) -> bool {
         self.held.get(name).is_some_and(|lock| lock.holder == holder && lock.fence == fence)
     }
 
-    /// The next grant, if a hold of this duration is allowed.
+    /// The next grant number; `None` if the hold is too long or the numbers are exhausted.
     fn next_grant(&self, hold_ms: u64) -> Option<u64> {
         self.last_grant.checked_add(1).filter(|_| hold_ms <= MAX_HOLD_MS)
     }
@@ -142,7 +144,7 @@
         CoordinationOutcome::LockGranted { fence: lock.fence }
     }
 
-    fn grant_anew(&mut self, name: &str, holder: &str, hold_ms: u64) -> CoordinationOutcome {
+    fn grant_to_new_holder(&mut self, name: &str, holder: &str, hold_ms: u64) -> CoordinationOutcome {
         let Some(grant) = self.next_grant(hold_ms) else { return CoordinationOutcome::LimitReached };
         let lock = Lock { holder: holder.to_owned(), fence: grant, hold_ms, grant };
         if let Some(replaced) = self.held.insert(name.to_owned(), lock) {
--- a/system/coordination/src/snapshot.rs
+++ b/system/coordination/src/snapshot.rs
@@ -1,7 +1,8 @@
-//! The format of an encoded state.
+//! The snapshot format of the state.
 //!
-//! A byte tells the format; the rest is encoded by `postcard`. Names are strictly rising, so that a state has one form only. The
-//! events of all groups stand in the order of their puts: their revisions follow from their places.
+//! The first byte is the format version; the rest is encoded by `postcard`. Names are in strictly ascending order, so that each
+//! state has exactly one encoding. The events of all groups are stored in one list, oldest first, and their revisions follow from
+//! their positions.
 
 use crate::counters::Counters;
 use crate::keys::Keys;
@@ -11,30 +12,30 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The number of the current format.
+/// Version of the snapshot format, which is the first byte of a snapshot.
 pub const SNAPSHOT_FORMAT: u8 = 1;
 
-/// Bytes that are not an encoded state.
+/// Why bytes could not be decoded as a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// There are no bytes.
+    /// The input has no bytes, not even the format version.
     #[error("the snapshot is empty")]
     Empty,
-    /// The format is not one that this program knows.
+    /// This program does not support the format version.
     #[error("unknown snapshot format {0}")]
     UnknownFormat(u8),
-    /// The bytes cannot be decoded.
+    /// `postcard` cannot decode the bytes after the format version.
     #[error("malformed snapshot: {0}")]
     Malformed(#[from] postcard::Error),
-    /// Bytes follow the state.
-    #[error("{0} surplus bytes after the snapshot")]
-    SurplusBytes(usize),
-    /// The parts do not fit together.
+    /// This many bytes follow the encoded state.
+    #[error("{0} trailing bytes after the snapshot")]
+    TrailingBytes(usize),
+    /// The named section (locks, counters or keys) violates an invariant of the state.
     #[error("inconsistent {0} in the snapshot")]
     Inconsistent(&'static str),
 }
 
-/// The encoded form; the order of the fields is that of the bytes.
+/// The encoded state. The order of the fields is part of the format, here and in the types below.
 #[derive(Serialize, Deserialize)]
 struct EncodedState<'a> {
     last_grant: u64,
@@ -77,7 +78,6 @@
     stored_at_ms: u64,
 }
 
-/// Encodes a state.
 pub(crate) fn encode(locks: &Locks, counters: &Counters, keys: &Keys) -> Vec<u8> {
     let encoded = EncodedState {
         last_grant: locks.last_grant(),
@@ -89,7 +89,7 @@
             .map(|(name, summary)| EncodedGroup {
                 name,
                 pruned_revision: summary.revision.saturating_sub(summary.event_count as u64),
-                keys: keys.keys_of(name).map(encoded_key).collect(),
+                keys: keys.group_keys(name).map(encoded_key).collect(),
             })
             .collect(),
         events: keys
@@ -98,7 +98,7 @@
             .collect(),
     };
     postcard::to_extend(&encoded, vec![SNAPSHOT_FORMAT])
-        .expect("numbers, texts and sequences of known lengths are always encoded into a growing vector")
+        .expect("encoding numbers, strings and sequences of known length into a vector cannot fail")
 }
 
 fn encoded_lock<'a>((name, lock): (&'a str, &'a Lock)) -> EncodedLock<'a> {
@@ -109,20 +109,21 @@
     EncodedKey { key, value: &stored.value, revision: stored.revision }
 }
 
-/// Decodes a state.
+/// Decodes a snapshot and checks the invariants of the state.
 pub(crate) fn decode(bytes: &[u8]) -> Result<CoordinationState, SnapshotError> {
     let (format, bytes) = bytes.split_first().ok_or(SnapshotError::Empty)?;
     if *format != SNAPSHOT_FORMAT {
         return Err(SnapshotError::UnknownFormat(*format));
     }
-    let (encoded, surplus) = postcard::take_from_bytes::<EncodedState>(bytes)?;
-    if !surplus.is_empty() {
-        return Err(SnapshotError::SurplusBytes(surplus.len()));
+    let (encoded, trailing) = postcard::take_from_bytes::<EncodedState>(bytes)?;
+    if !trailing.is_empty() {
+        return Err(SnapshotError::TrailingBytes(trailing.len()));
     }
-    let locks = rising(encoded.locks.iter().map(|lock| (lock.name, decoded_lock(lock))))
+    let locks = collect_ascending(encoded.locks.iter().map(|lock| (lock.name, decoded_lock(lock))))
         .and_then(|locks| Locks::restore(locks, encoded.last_grant))
         .ok_or(SnapshotError::Inconsistent("locks"))?;
-    let counters = rising(encoded.counters.iter().copied()).ok_or(SnapshotError::Inconsistent("counters"))?;
+    let counters =
+        collect_ascending(encoded.counters.iter().copied()).ok_or(SnapshotError::Inconsistent("counters"))?;
     let keys = decoded_keys(&encoded).ok_or(SnapshotError::Inconsistent("keys"))?;
     Ok(CoordinationState::new(locks, Counters::restore(counters), keys))
 }
@@ -132,13 +133,13 @@
 }
 
 fn decoded_keys(encoded: &EncodedState) -> Option<Keys> {
-    if !encoded.groups.is_sorted_by(|before, after| before.name < after.name) {
+    if !encoded.groups.is_sorted_by(|left, right| left.name < right.name) {
         return None;
     }
-    let mut keys = Keys::at(encoded.clock_ms);
+    let mut keys = Keys::with_clock(encoded.clock_ms);
     for group in &encoded.groups {
         let stored = group.keys.iter().map(|key| (key.key, decoded_key(key)));
-        keys.restore_group(group.name, group.pruned_revision, rising(stored)?)?;
+        keys.restore_group(group.name, group.pruned_revision, collect_ascending(stored)?)?;
     }
     for event in &encoded.events {
         keys.restore_event(event.key, event.value, event.stored_at_ms)?;
@@ -150,8 +151,10 @@
     KeyRevision { value: key.value.to_owned(), revision: key.revision }
 }
 
-/// A map of entries whose names rise strictly; `None` if they do not.
-fn rising<'a, Entry>(entries: impl Iterator<Item = (&'a str, Entry)>) -> Option<BTreeMap<String, Entry>> {
+/// Collects entries into a map; `None` if the names are not in strictly ascending order.
+fn collect_ascending<'a, Entry>(
+    entries: impl Iterator<Item = (&'a str, Entry)>,
+) -> Option<BTreeMap<String, Entry>> {
     let mut map: BTreeMap<String, Entry> = BTreeMap::new();
     for (name, entry) in entries {
         if map.last_key_value().is_some_and(|(last, _)| last.as_str() >= name) {
--- a/system/coordination/tests/coordination/commands.rs
+++ b/system/coordination/tests/coordination/commands.rs
@@ -1,16 +1,17 @@
-//! Short forms of commands and batches.
+//! Helpers that build commands, batches and expected outcomes.
 
 use coordination::CoordinationState;
 use fleet_model::{CoordinationBatch, CoordinationCommand, CoordinationOutcome};
 
-/// The history of the batches here, in milliseconds.
+/// The `history_ms` of the batches that [`batch`] builds.
 pub(crate) const HISTORY_MS: u64 = 20_000;
 
 pub(crate) fn acquire(lock: &str, holder: &str, hold_ms: u64) -> CoordinationCommand {
-    take(lock, holder, hold_ms, None)
+    acquire_after_expiry(lock, holder, hold_ms, None)
 }
 
-pub(crate) fn take(
+/// An acquisition that the leader has proposed with the grant that it found expired.
+pub(crate) fn acquire_after_expiry(
     lock: &str,
     holder: &str,
     hold_ms: u64,
@@ -28,7 +29,7 @@
     CoordinationCommand::ReleaseLock { lock: lock.to_owned(), holder: holder.to_owned(), fence }
 }
 
-pub(crate) fn next(name: &str) -> CoordinationCommand {
+pub(crate) fn next_number(name: &str) -> CoordinationCommand {
     CoordinationCommand::NextNumber { name: name.to_owned() }
 }
 
@@ -40,15 +41,15 @@
     CoordinationBatch { elapsed_ms, history_ms: HISTORY_MS, commands }
 }
 
-/// Applies one command at the same logical time as the last.
+/// Applies one command without advancing the logical clock.
 pub(crate) fn apply(state: &mut CoordinationState, command: CoordinationCommand) -> CoordinationOutcome {
     let mut outcomes = state.apply(&batch(0, vec![command]));
     assert_eq!(outcomes.len(), 1);
     outcomes.remove(0)
 }
 
-/// Lets logical time pass.
-pub(crate) fn elapse(state: &mut CoordinationState, elapsed_ms: u64) {
+/// Advances the logical clock without a command.
+pub(crate) fn advance_clock(state: &mut CoordinationState, elapsed_ms: u64) {
     assert_eq!(state.apply(&batch(elapsed_ms, Vec::new())), Vec::new());
 }
 
--- a/system/coordination/tests/coordination/counters.rs
+++ b/system/coordination/tests/coordination/counters.rs
@@ -1,14 +1,15 @@
-//! Counters.
+//! Tests of the counters: consecutive numbers and limits.
 
-use crate::commands::{apply, batch, next};
+use crate::commands::{apply, batch, next_number};
 use coordination::{CoordinationState, MAX_COUNTERS, MAX_TEXT_BYTES};
 use fleet_model::CoordinationOutcome::{LimitReached, Number};
 use googletest::prelude::*;
 
 #[gtest]
-fn each_counter_gives_each_number_once_from_1_on() {
+fn each_counter_issues_consecutive_numbers_from_1() {
     let mut state = CoordinationState::default();
-    let outcomes = state.apply(&batch(0, vec![next("a"), next("a"), next("b"), next("a")]));
+    let outcomes =
+        state.apply(&batch(0, vec![next_number("a"), next_number("a"), next_number("b"), next_number("a")]));
     expect_that!(
         outcomes,
         eq(&[Number { value: 1 }, Number { value: 2 }, Number { value: 1 }, Number { value: 3 }])
@@ -17,13 +18,13 @@
 }
 
 #[gtest]
-fn a_counter_beyond_the_limits_is_refused_and_existing_ones_go_on() {
+fn counters_beyond_the_limits_are_rejected_and_existing_ones_still_work() {
     let mut state = CoordinationState::default();
-    expect_that!(apply(&mut state, next(&"n".repeat(MAX_TEXT_BYTES + 1))), eq(&LimitReached));
+    expect_that!(apply(&mut state, next_number(&"n".repeat(MAX_TEXT_BYTES + 1))), eq(&LimitReached));
     expect_that!(state, eq(&CoordinationState::default()));
-    apply(&mut state, next(&"n".repeat(MAX_TEXT_BYTES)));
-    state.apply(&batch(0, (1..MAX_COUNTERS).map(|number| next(&number.to_string())).collect()));
-    expect_that!(apply(&mut state, next("one more")), eq(&LimitReached));
-    expect_that!(apply(&mut state, next("5")), eq(&Number { value: 2 }));
+    apply(&mut state, next_number(&"n".repeat(MAX_TEXT_BYTES)));
+    state.apply(&batch(0, (1..MAX_COUNTERS).map(|number| next_number(&number.to_string())).collect()));
+    expect_that!(apply(&mut state, next_number("one more")), eq(&LimitReached));
+    expect_that!(apply(&mut state, next_number("5")), eq(&Number { value: 2 }));
     expect_that!(state.counters().count(), eq(MAX_COUNTERS));
 }
--- a/system/coordination/tests/coordination/hold_tracker.rs
+++ b/system/coordination/tests/coordination/hold_tracker.rs
@@ -1,17 +1,17 @@
-//! How long holds last on a process's own clock.
+//! Tests of hold expiry on the monotonic clock of one process.
 
-use crate::commands::{acquire, apply, batch, release, renew, take};
+use crate::commands::{acquire, acquire_after_expiry, apply, batch, release, renew};
 use coordination::{CoordinationState, HoldTracker, MIN_CLOCK_RATE_ALLOWANCE_MS};
 use googletest::prelude::*;
 
 #[gtest]
-fn a_hold_lasts_from_when_its_grant_was_seen_with_an_allowance() {
+fn a_hold_expires_after_its_duration_and_an_allowance_from_the_first_observation() {
     let (mut state, mut tracker) = (CoordinationState::default(), HoldTracker::default());
     apply(&mut state, acquire("a", "x", 1_000));
     expect_that!(tracker.remaining_ms("a", &state, 500), none());
     expect_that!(tracker.is_expired("a", &state, u64::MAX), eq(false));
     tracker.observe(&state, 500);
-    // Seen again: the hold goes on from the first time.
+    // A repeated observation does not restart the hold.
     tracker.observe(&state, 900);
     let expired_ms = 500 + 1_000 + MIN_CLOCK_RATE_ALLOWANCE_MS + 1;
     expect_that!(tracker.remaining_ms("a", &state, 500), some(eq(expired_ms - 500)));
@@ -24,7 +24,7 @@
 }
 
 #[gtest]
-fn a_long_hold_gets_a_hundredth_more() {
+fn the_allowance_of_a_long_hold_is_a_hundredth_of_it() {
     let (mut state, mut tracker) = (CoordinationState::default(), HoldTracker::default());
     apply(&mut state, acquire("a", "x", 60_000));
     tracker.observe(&state, 0);
@@ -33,17 +33,17 @@
 }
 
 #[gtest]
-fn a_renewal_and_another_holder_begin_anew() {
+fn a_renewal_and_a_new_holder_restart_the_hold() {
     let (mut state, mut tracker) = (CoordinationState::default(), HoldTracker::default());
     apply(&mut state, acquire("a", "x", 1_000));
     tracker.observe(&state, 0);
     apply(&mut state, renew("a", "x", 1, 1_000));
-    // Not seen yet: the old grant's time does not count for the new one.
+    // The new grant has not been observed yet; the time of the old grant must not apply to it.
     expect_that!(tracker.is_expired("a", &state, 5_000), eq(false));
     tracker.observe(&state, 5_000);
     expect_that!(tracker.is_expired("a", &state, 6_050), eq(false));
     expect_that!(tracker.is_expired("a", &state, 6_051), eq(true));
-    apply(&mut state, take("a", "y", 1_000, Some(2)));
+    apply(&mut state, acquire_after_expiry("a", "y", 1_000, Some(2)));
     tracker.observe(&state, 7_000);
     expect_that!(tracker.is_expired("a", &state, 8_050), eq(false));
     expect_that!(tracker.is_expired("a", &state, 8_051), eq(true));
@@ -52,7 +52,7 @@
 }
 
 #[gtest]
-fn another_process_waits_the_whole_hold() {
+fn a_process_that_restores_a_snapshot_waits_for_the_full_hold() {
     let mut state = CoordinationState::default();
     apply(&mut state, acquire("a", "x", 1_000));
     let restored = CoordinationState::restore(&state.snapshot()).unwrap();
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn a_state_that_lies_before_the_last_seen_begins_anew() {
+fn observing_an_earlier_state_restarts_its_holds() {
     let mut state = CoordinationState::default();
     apply(&mut state, acquire("a", "x", 1_000));
     let earlier = state.clone();
@@ -75,22 +75,22 @@
 }
 
 #[gtest]
-fn many_grants_of_few_locks_are_forgotten() {
+fn superseded_grants_are_pruned() {
     let (mut state, mut tracker) = (CoordinationState::default(), HoldTracker::default());
     apply(&mut state, acquire("idle", "x", 1_000));
     for now_ms in 0..1_000 {
         apply(&mut state, acquire("a", "x", 1_000));
         tracker.observe(&state, now_ms);
     }
-    // The idle lock keeps its first time through all forgetting.
+    // Pruning retains the time of the lock that was granted only once.
     expect_that!(tracker.remaining_ms("idle", &state, 1_000), some(eq(51)));
     expect_that!(tracker.remaining_ms("a", &state, 1_000), some(eq(1_050)));
-    let text = format!("{tracker:?}");
-    expect_that!(text.len(), lt(2_000));
+    let debug_text = format!("{tracker:?}");
+    expect_that!(debug_text.len(), lt(2_000));
 }
 
 #[gtest]
-fn several_grants_of_one_batch_count_from_its_application() {
+fn all_grants_of_one_batch_are_measured_from_its_observation() {
     let (mut state, mut tracker) = (CoordinationState::default(), HoldTracker::default());
     state.apply(&batch(0, vec![acquire("a", "x", 100), acquire("b", "y", 100), renew("a", "x", 1, 100)]));
     tracker.observe(&state, 10);
--- a/system/coordination/tests/coordination/keys.rs
+++ b/system/coordination/tests/coordination/keys.rs
@@ -1,6 +1,6 @@
-//! Keys, revisions and the history of groups.
+//! Tests of keys, revisions and the event history of groups.
 
-use crate::commands::{HISTORY_MS, apply, batch, elapse, put, stored};
+use crate::commands::{HISTORY_MS, advance_clock, apply, batch, put, stored};
 use coordination::{
     CoordinationState, EventsPruned, GroupSummary, HISTORY_MARGIN_MS, KeyEvent, MAX_KEYS, MAX_TEXT_BYTES,
     group_of,
@@ -9,7 +9,7 @@
 use fleet_model::{CoordinationBatch, KeyRevision};
 use googletest::prelude::*;
 
-/// For how long an event is retained.
+/// The age up to which an event is retained, in milliseconds.
 const RETAINED_MS: u64 = HISTORY_MS + HISTORY_MARGIN_MS;
 
 fn event(key: &str, value: &str, revision: u64) -> KeyEvent {
@@ -21,7 +21,7 @@
 }
 
 #[gtest]
-fn a_group_is_named_up_to_the_first_dot() {
+fn the_group_of_a_key_ends_at_its_first_dot() {
     expect_that!(group_of("g1.2.3"), eq("g1."));
     expect_that!(group_of("g1."), eq("g1."));
     expect_that!(group_of("g1"), eq("g1"));
@@ -30,7 +30,7 @@
 }
 
 #[gtest]
-fn the_keys_of_a_group_share_one_count_of_revisions() {
+fn the_keys_of_a_group_share_one_revision_counter() {
     let mut state = CoordinationState::default();
     expect_that!(state.group_revision("g."), eq(0));
     expect_that!(state.events("g.", 0), ok(eq(&vec![])));
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn an_expected_revision_is_that_of_the_key() {
+fn the_expected_revision_is_compared_with_that_of_the_key() {
     let mut state = CoordinationState::default();
     let mismatch = |revision| RevisionMismatch { revision };
     expect_that!(apply(&mut state, put("g.a", "1", Some(1))), eq(&mismatch(0)));
@@ -67,36 +67,36 @@
 }
 
 #[gtest]
-fn a_put_that_comes_again_gets_its_first_revision() {
+fn a_repeated_put_returns_its_original_revision() {
     let mut state = CoordinationState::default();
     apply(&mut state, put("g.a", "1", Some(0)));
-    // While it is the current value, then after another has replaced it.
+    // First while the value is current, then after another value has replaced it.
     expect_that!(apply(&mut state, put("g.a", "1", Some(0))), eq(&stored(1)));
     apply(&mut state, put("g.a", "2", Some(1)));
     let before = state.clone();
     expect_that!(apply(&mut state, put("g.a", "1", Some(0))), eq(&stored(1)));
     expect_that!(state, eq(&before));
-    // The same value under another key is another put.
+    // The same value under another key is a separate put.
     expect_that!(apply(&mut state, put("g.b", "1", Some(0))), eq(&stored(3)));
-    // The current value is known after its event was pruned.
-    elapse(&mut state, RETAINED_MS + 1);
+    // A put of the current value is still recognised after its event was pruned.
+    advance_clock(&mut state, RETAINED_MS + 1);
     expect_that!(apply(&mut state, put("g.a", "2", Some(1))), eq(&stored(2)));
 }
 
 #[gtest]
-fn events_are_pruned_only_past_the_history_and_its_margin() {
+fn events_are_pruned_only_after_the_history_and_its_margin() {
     let mut state = CoordinationState::default();
     apply(&mut state, put("g.a", "1", None));
-    elapse(&mut state, 10);
+    advance_clock(&mut state, 10);
     apply(&mut state, put("g.a", "2", None));
     apply(&mut state, put("h.a", "3", None));
-    elapse(&mut state, RETAINED_MS - 10);
+    advance_clock(&mut state, RETAINED_MS - 10);
     expect_that!(state.events("g.", 0), ok(len(eq(2))));
-    elapse(&mut state, 1);
+    advance_clock(&mut state, 1);
     expect_that!(state.events("g.", 0), err(eq(&EventsPruned { pruned_revision: 1 })));
     expect_that!(state.events("g.", 1), ok(eq(&vec![event("g.a", "2", 2)])));
     expect_that!(state.events("h.", 0), ok(len(eq(1))));
-    elapse(&mut state, 10);
+    advance_clock(&mut state, 10);
     expect_that!(state.events("g.", 1), err(eq(&EventsPruned { pruned_revision: 2 })));
     expect_that!(state.events("g.", 2), ok(eq(&vec![])));
     expect_that!(state.events("h.", 0), err(eq(&EventsPruned { pruned_revision: 1 })));
@@ -106,20 +106,20 @@
 }
 
 #[gtest]
-fn the_history_is_that_of_each_batch() {
+fn each_batch_sets_the_history_that_applies_to_it() {
     let mut state = CoordinationState::default();
     apply(&mut state, put("g.a", "1", None));
-    let history = |history_ms, elapsed_ms| CoordinationBatch { elapsed_ms, history_ms, commands: vec![] };
-    state.apply(&history(100_000, 60_000));
+    let empty_batch = |history_ms, elapsed_ms| CoordinationBatch { elapsed_ms, history_ms, commands: vec![] };
+    state.apply(&empty_batch(100_000, 60_000));
     expect_that!(state.events("g.", 0), ok(len(eq(1))));
-    state.apply(&history(50_000, 0));
+    state.apply(&empty_batch(50_000, 0));
     expect_that!(state.events("g.", 0), ok(len(eq(1))));
-    state.apply(&history(49_999, 0));
+    state.apply(&empty_batch(49_999, 0));
     expect_that!(state.events("g.", 0), err(anything()));
 }
 
 #[gtest]
-fn a_logical_clock_at_its_end_stands_still() {
+fn the_logical_clock_saturates_at_its_maximum() {
     let mut state = CoordinationState::default();
     state.apply(&batch(u64::MAX, vec![put("g.a", "1", None)]));
     state.apply(&batch(u64::MAX, vec![put("g.a", "2", None)]));
@@ -127,7 +127,7 @@
 }
 
 #[gtest]
-fn keys_beyond_the_limits_are_refused_and_existing_ones_change() {
+fn keys_beyond_the_limits_are_rejected_and_existing_ones_can_change() {
     let long = "n".repeat(MAX_TEXT_BYTES + 1);
     let mut state = CoordinationState::default();
     for command in [put(&long, "1", None), put("g.a", &long, None)] {
@@ -140,6 +140,6 @@
     expect_that!(apply(&mut state, put("new.a", "1", None)), eq(&LimitReached));
     expect_that!(state.group_revision("new."), eq(0));
     expect_that!(apply(&mut state, put("g1.new", "1", Some(4))), eq(&RevisionMismatch { revision: 0 }));
-    let last = state.group_revision("g1.");
-    expect_that!(apply(&mut state, put("g1.8", "2", None)), eq(&stored(last + 1)));
+    let last_revision = state.group_revision("g1.");
+    expect_that!(apply(&mut state, put("g1.8", "2", None)), eq(&stored(last_revision + 1)));
 }
--- a/system/coordination/tests/coordination/locks.rs
+++ b/system/coordination/tests/coordination/locks.rs
@@ -1,6 +1,6 @@
-//! Locks: grants, fencing tokens, expiry by grant, limits.
+//! Tests of locks: grants, fencing tokens, takeover of an expired grant, limits.
 
-use crate::commands::{acquire, apply, batch, granted, release, renew, take};
+use crate::commands::{acquire, acquire_after_expiry, apply, batch, granted, release, renew};
 use coordination::{CoordinationState, Lock, MAX_HOLD_MS, MAX_LOCKS, MAX_TEXT_BYTES};
 use fleet_model::CoordinationOutcome::{LimitReached, LockNotHeld, LockReleased};
 use googletest::prelude::*;
@@ -10,7 +10,7 @@
 }
 
 #[gtest]
-fn a_free_lock_is_granted_and_refused_to_others() {
+fn a_free_lock_is_granted_and_then_denied_to_others() {
     let mut state = CoordinationState::default();
     expect_that!(state.lock("a"), none());
     expect_that!(apply(&mut state, acquire("a", "x", 100)), eq(&granted(1)));
@@ -21,7 +21,7 @@
 }
 
 #[gtest]
-fn the_holder_that_asks_again_keeps_its_fence_under_a_new_grant() {
+fn a_repeated_acquire_keeps_the_fencing_token_and_gets_a_new_grant() {
     let mut state = CoordinationState::default();
     apply(&mut state, acquire("a", "x", 100));
     expect_that!(apply(&mut state, acquire("a", "x", 300)), eq(&granted(1)));
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn a_renewal_needs_holder_and_fence() {
+fn a_renewal_needs_the_holder_and_its_fencing_token() {
     let mut state = CoordinationState::default();
     expect_that!(apply(&mut state, renew("a", "x", 1, 100)), eq(&LockNotHeld));
     apply(&mut state, acquire("a", "x", 100));
@@ -41,7 +41,7 @@
 }
 
 #[gtest]
-fn a_release_needs_holder_and_fence_and_is_always_answered() {
+fn a_release_needs_the_holder_and_its_fencing_token_but_always_succeeds() {
     let mut state = CoordinationState::default();
     expect_that!(apply(&mut state, release("a", "x", 1)), eq(&LockReleased));
     apply(&mut state, acquire("a", "x", 100));
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn fences_rise_over_release() {
+fn fencing_tokens_increase_across_a_release() {
     let mut state = CoordinationState::default();
     apply(&mut state, acquire("a", "x", 100));
     apply(&mut state, renew("a", "x", 1, 100));
@@ -65,29 +65,29 @@
 }
 
 #[gtest]
-fn another_holder_replaces_only_the_grant_that_was_found_expired() {
+fn a_new_holder_replaces_only_the_grant_that_was_found_expired() {
     let mut state = CoordinationState::default();
     apply(&mut state, acquire("a", "x", 100));
-    // The hold is extended after the leader found its first grant expired.
+    // The hold is extended after the leader has found its first grant expired.
     apply(&mut state, renew("a", "x", 1, 100));
-    expect_that!(apply(&mut state, take("a", "y", 100, Some(1))), eq(&LockNotHeld));
-    expect_that!(apply(&mut state, take("a", "y", 100, Some(3))), eq(&LockNotHeld));
-    expect_that!(apply(&mut state, take("a", "y", 50, Some(2))), eq(&granted(3)));
+    expect_that!(apply(&mut state, acquire_after_expiry("a", "y", 100, Some(1))), eq(&LockNotHeld));
+    expect_that!(apply(&mut state, acquire_after_expiry("a", "y", 100, Some(3))), eq(&LockNotHeld));
+    expect_that!(apply(&mut state, acquire_after_expiry("a", "y", 50, Some(2))), eq(&granted(3)));
     expect_that!(state.lock("a"), some(eq(&lock("y", 3, 50, 3))));
     expect_that!(apply(&mut state, renew("a", "x", 1, 100)), eq(&LockNotHeld));
 }
 
 #[gtest]
-fn an_expired_hold_that_nobody_took_is_renewed() {
+fn an_expired_hold_without_a_new_holder_can_be_renewed() {
     let mut state = CoordinationState::default();
     apply(&mut state, acquire("a", "x", 100));
     state.apply(&batch(1_000_000, Vec::new()));
     expect_that!(apply(&mut state, renew("a", "x", 1, 100)), eq(&granted(1)));
-    expect_that!(apply(&mut state, take("a", "x", 100, Some(2))), eq(&granted(1)));
+    expect_that!(apply(&mut state, acquire_after_expiry("a", "x", 100, Some(2))), eq(&granted(1)));
 }
 
 #[gtest]
-fn a_shorter_renewal_whose_answer_is_lost_does_not_end_the_longer_hold() {
+fn a_shorter_renewal_does_not_shorten_the_hold() {
     let mut state = CoordinationState::default();
     apply(&mut state, acquire("a", "x", 300));
     apply(&mut state, renew("a", "x", 1, 100));
@@ -97,7 +97,7 @@
 }
 
 #[gtest]
-fn texts_and_holds_beyond_the_limits_change_nothing() {
+fn texts_and_holds_beyond_the_limits_are_rejected_without_a_change() {
     let (fits, long) = ("n".repeat(MAX_TEXT_BYTES), "n".repeat(MAX_TEXT_BYTES + 1));
     let mut state = CoordinationState::default();
     for command in [acquire(&long, "x", 1), acquire("a", &long, 1), acquire("a", "x", MAX_HOLD_MS + 1)] {
@@ -111,14 +111,17 @@
 }
 
 #[gtest]
-fn a_lock_beyond_the_largest_number_is_refused_and_held_ones_are_served() {
+fn locks_beyond_the_maximum_are_rejected_and_held_ones_still_work() {
     let mut state = CoordinationState::default();
     let commands = (0..MAX_LOCKS).map(|number| acquire(&number.to_string(), "x", 100)).collect();
     let outcomes = state.apply(&batch(0, commands));
     expect_that!(outcomes.last(), some(eq(&granted(MAX_LOCKS as u64))));
     expect_that!(apply(&mut state, acquire("one more", "x", 100)), eq(&LimitReached));
     expect_that!(apply(&mut state, renew("7", "x", 8, 100)), eq(&granted(8)));
-    expect_that!(apply(&mut state, take("8", "y", 100, Some(9))), eq(&granted(MAX_LOCKS as u64 + 2)));
+    expect_that!(
+        apply(&mut state, acquire_after_expiry("8", "y", 100, Some(9))),
+        eq(&granted(MAX_LOCKS as u64 + 2))
+    );
     apply(&mut state, release("7", "x", 8));
     expect_that!(apply(&mut state, acquire("one more", "x", 100)), eq(&granted(MAX_LOCKS as u64 + 3)));
 }
--- a/system/coordination/tests/coordination/main.rs
+++ b/system/coordination/tests/coordination/main.rs
@@ -4,7 +4,7 @@
 mod counters;
 mod hold_tracker;
 mod keys;
+mod lock_interleavings;
 mod locks;
 mod random_batches;
 mod snapshot;
-mod two_callers;
--- a/system/coordination/tests/coordination/random_batches.rs
+++ b/system/coordination/tests/coordination/random_batches.rs
@@ -1,6 +1,6 @@
-//! Random batches, compared with a plain record of all that was ever granted and stored.
+//! Applies random batches and compares the outcomes with a simple model that remembers every grant and every stored value.
 
-use crate::commands::{acquire, next, put, release, renew, take};
+use crate::commands::{acquire, acquire_after_expiry, next_number, put, release, renew};
 use coordination::{CoordinationState, EventsPruned, HISTORY_MARGIN_MS, KeyEvent, group_of};
 use fleet_model::{CoordinationBatch, CoordinationCommand, CoordinationOutcome};
 use googletest::prelude::*;
@@ -9,7 +9,7 @@
 use std::cell::Cell;
 use std::collections::BTreeMap;
 
-/// A put that was stored.
+/// A put that changed its key.
 #[derive(Clone, Debug)]
 struct StoredPut {
     event: KeyEvent,
@@ -17,46 +17,46 @@
     pruned: bool,
 }
 
-/// Everything that was granted and stored.
+/// All grants, numbers and stored values since the start.
 #[derive(Debug, Default)]
-struct Record {
+struct ReferenceModel {
     clock_ms: u64,
-    /// The lock and the holder of each fencing token.
-    fences: BTreeMap<u64, (String, String)>,
+    /// Lock and holder, by fencing token.
+    fence_owners: BTreeMap<u64, (String, String)>,
     numbers: BTreeMap<String, u64>,
     puts: BTreeMap<String, Vec<StoredPut>>,
     repeated_puts: u64,
 }
 
-impl Record {
-    fn begin(&mut self, batch: &CoordinationBatch) {
+impl ReferenceModel {
+    fn begin_batch(&mut self, batch: &CoordinationBatch) {
         self.clock_ms += batch.elapsed_ms;
         for stored in self.puts.values_mut().flatten() {
             stored.pruned |= self.clock_ms - stored.stored_at_ms > batch.history_ms + HISTORY_MARGIN_MS;
         }
     }
 
-    fn check(&mut self, command: &CoordinationCommand, outcome: &CoordinationOutcome) {
+    fn check_outcome(&mut self, command: &CoordinationCommand, outcome: &CoordinationOutcome) {
         match (command, outcome) {
             (
                 CoordinationCommand::AcquireLock { lock, holder, .. },
                 CoordinationOutcome::LockGranted { fence },
             ) => {
-                let highest = self.fences.last_key_value().map_or(0, |(fence, _)| *fence);
-                let known = self.fences.entry(*fence).or_insert_with(|| {
+                let highest = self.fence_owners.last_key_value().map_or(0, |(fence, _)| *fence);
+                let known = self.fence_owners.entry(*fence).or_insert_with(|| {
                     assert!(*fence > highest, "fence {fence} after {highest}");
                     (lock.clone(), holder.clone())
                 });
                 assert_eq!((&known.0, &known.1), (lock, holder));
             }
             (
-                CoordinationCommand::RenewLock { lock, holder, fence: asked, .. },
+                CoordinationCommand::RenewLock { lock, holder, fence: requested, .. },
                 CoordinationOutcome::LockGranted { fence },
             ) => {
-                assert_eq!(asked, fence);
-                assert_eq!(self.fences.get(fence), Some(&(lock.clone(), holder.clone())));
-                let later = self.fences.range(fence + 1..).any(|(_, (other, _))| other == lock);
-                assert!(!later, "renewed under {fence} after another had the lock");
+                assert_eq!(requested, fence);
+                assert_eq!(self.fence_owners.get(fence), Some(&(lock.clone(), holder.clone())));
+                let later = self.fence_owners.range(fence + 1..).any(|(_, (other, _))| other == lock);
+                assert!(!later, "renewal with fence {fence} succeeded after a later holder got the lock");
             }
             (
                 CoordinationCommand::AcquireLock { .. } | CoordinationCommand::RenewLock { .. },
@@ -96,24 +96,24 @@
         }
     }
 
-    /// Compares the events after each revision. Returns how often some were pruned.
+    /// Compares the events after each revision. Returns how many of the reads failed because events were pruned.
     fn check_events(&self, state: &CoordinationState) -> u64 {
-        let mut refusals = 0;
+        let mut pruned_reads = 0;
         for (group, puts) in &self.puts {
             assert_eq!(state.group_revision(group), puts.len() as u64);
             for after in 0..=puts.len() as u64 + 1 {
-                let asked = || puts.iter().filter(|stored| stored.event.revision > after);
-                let expected = if asked().any(|stored| stored.pruned) {
-                    refusals += 1;
-                    let pruned = puts.iter().rev().find(|stored| stored.pruned).unwrap();
-                    Err(EventsPruned { pruned_revision: pruned.event.revision })
+                let later_puts = || puts.iter().filter(|stored| stored.event.revision > after);
+                let expected = if later_puts().any(|stored| stored.pruned) {
+                    pruned_reads += 1;
+                    let last_pruned = puts.iter().rev().find(|stored| stored.pruned).unwrap();
+                    Err(EventsPruned { pruned_revision: last_pruned.event.revision })
                 } else {
-                    Ok(asked().map(|stored| stored.event.clone()).collect())
+                    Ok(later_puts().map(|stored| stored.event.clone()).collect())
                 };
                 assert_eq!(state.events(group, after), expected);
             }
         }
-        refusals
+        pruned_reads
     }
 }
 
@@ -127,16 +127,16 @@
     prop_oneof![
         3 => (lock(), holder(), hold_ms()).prop_map(|(lock, holder, hold_ms)| acquire(lock, holder, hold_ms)),
         4 => (lock(), holder(), hold_ms(), grant())
-            .prop_map(|(lock, holder, hold_ms, grant)| take(lock, holder, hold_ms, Some(grant))),
+            .prop_map(|(lock, holder, hold_ms, grant)| acquire_after_expiry(lock, holder, hold_ms, Some(grant))),
         4 => (lock(), holder(), grant(), hold_ms())
             .prop_map(|(lock, holder, fence, hold_ms)| renew(lock, holder, fence, hold_ms)),
         4 => (lock(), holder(), grant()).prop_map(|(lock, holder, fence)| release(lock, holder, fence)),
-        2 => prop::sample::select(vec!["n", "m"]).prop_map(next),
+        2 => prop::sample::select(vec!["n", "m"]).prop_map(next_number),
         8 => (key, 0..12_u8, expected).prop_map(|(key, value, expected)| put(key, &format!("v{value}"), expected)),
     ]
 }
 
-/// A batch, and whether the state goes through a snapshot before it.
+/// A batch, and whether the second state is restored from a snapshot before it is applied.
 fn step() -> impl Strategy<Value = (CoordinationBatch, bool)> {
     let times = (0..9_000_u64, prop::sample::select(vec![0, 3_000, 20_000]));
     (times, prop::collection::vec(command(), 0..8), any::<bool>()).prop_map(
@@ -147,12 +147,12 @@
 }
 
 #[gtest]
-fn random_batches_agree_with_the_record_with_and_without_snapshots() {
+fn random_batches_match_the_model_with_and_without_snapshots() {
     let config = Config { cases: 1_500, failure_persistence: None, ..Config::default() };
-    let (repeated_puts, refusals, fences) = (Cell::new(0), Cell::new(0), Cell::new(0));
+    let (repeated_puts, pruned_reads, fence_count) = (Cell::new(0), Cell::new(0), Cell::new(0));
     TestRunner::new(config)
         .run(&prop::collection::vec(step(), 1..30), |steps| {
-            let (mut state, mut record) = (CoordinationState::default(), Record::default());
+            let (mut state, mut model) = (CoordinationState::default(), ReferenceModel::default());
             let mut through_snapshots = state.clone();
             for (batch, is_restored) in &steps {
                 if *is_restored {
@@ -162,19 +162,24 @@
                 assert_eq!(outcomes, through_snapshots.apply(batch));
                 assert_eq!(state, through_snapshots);
                 assert_eq!(outcomes.len(), batch.commands.len());
-                record.begin(batch);
+                model.begin_batch(batch);
                 for (command, outcome) in batch.commands.iter().zip(&outcomes) {
-                    record.check(command, outcome);
+                    model.check_outcome(command, outcome);
                 }
-                refusals.set(refusals.get() + record.check_events(&state));
+                pruned_reads.set(pruned_reads.get() + model.check_events(&state));
             }
-            repeated_puts.set(repeated_puts.get() + record.repeated_puts);
-            fences.set(fences.get() + record.fences.len());
+            repeated_puts.set(repeated_puts.get() + model.repeated_puts);
+            fence_count.set(fence_count.get() + model.fence_owners.len());
             Ok(())
         })
         .unwrap();
-    println!("{} repeated puts, {} refusals, {} fences", repeated_puts.get(), refusals.get(), fences.get());
+    println!(
+        "{} repeated puts, {} reads of pruned events, {} fencing tokens",
+        repeated_puts.get(),
+        pruned_reads.get(),
+        fence_count.get()
+    );
     expect_that!(repeated_puts.get(), gt(1_000));
-    expect_that!(refusals.get(), gt(1_000));
-    expect_that!(fences.get(), gt(1_000));
+    expect_that!(pruned_reads.get(), gt(1_000));
+    expect_that!(fence_count.get(), gt(1_000));
 }
--- a/system/coordination/tests/coordination/snapshot.rs
+++ b/system/coordination/tests/coordination/snapshot.rs
@@ -1,20 +1,20 @@
-//! The form of an encoded state.
+//! Tests of the snapshot format.
 
-use crate::commands::{HISTORY_MS, acquire, batch, next, put, renew};
+use crate::commands::{HISTORY_MS, acquire, batch, next_number, put, renew};
 use coordination::{CoordinationState, HISTORY_MARGIN_MS, SNAPSHOT_FORMAT, SnapshotError};
 use googletest::prelude::*;
 
-/// A snapshot of [`sample`] as the first release of format 1 wrote it, in hexadecimal digits.
+/// A snapshot of [`sample_state`] as the first release of format 1 wrote it, in hexadecimal digits.
 const RECORDED: &str = include_str!("../recorded/snapshot-format-1.hex");
 
-fn recorded() -> Vec<u8> {
+fn recorded_snapshot() -> Vec<u8> {
     let digits: Vec<u8> = RECORDED.bytes().filter(|byte| !byte.is_ascii_whitespace()).collect();
     let text = String::from_utf8(digits).unwrap();
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+    (0..text.len()).step_by(2).map(|start| u8::from_str_radix(&text[start..start + 2], 16).unwrap()).collect()
 }
 
-/// A state with each kind of content: pruned and retained events, an extended and a fresh lock.
-fn sample() -> CoordinationState {
+/// A state with each kind of content: pruned and retained events, a renewed and a newly acquired lock, and counters.
+fn sample_state() -> CoordinationState {
     let mut state = CoordinationState::default();
     state
         .apply(&batch(0, vec![put("g1.a", "5c0e", None), put("g1.b", "7d21", None), put("h", "94b3", None)]));
@@ -23,9 +23,9 @@
         acquire("l1f", "a3.7", 3_000),
         acquire("l2", "b", 60_000),
         renew("l1f", "a3.7", 1, 3_000),
-        next("n2"),
-        next("n2"),
-        next("n1"),
+        next_number("n2"),
+        next_number("n2"),
+        next_number("n1"),
     ];
     state.apply(&batch(HISTORY_MS + HISTORY_MARGIN_MS + 1, second));
     state.apply(&batch(250, vec![put("h", "11aa", None), put("g1.b", "22bb", None)]));
@@ -33,17 +33,17 @@
 }
 
 #[gtest]
-fn a_recorded_snapshot_is_decoded_and_written_again() {
-    expect_that!(CoordinationState::restore(&recorded()), ok(eq(&sample())));
-    expect_that!(sample().snapshot(), eq(&recorded()));
+fn a_recorded_snapshot_is_decoded_and_encoded_to_the_same_bytes() {
+    expect_that!(CoordinationState::restore(&recorded_snapshot()), ok(eq(&sample_state())));
+    expect_that!(sample_state().snapshot(), eq(&recorded_snapshot()));
 }
 
 #[gtest]
-fn a_restored_state_is_the_same() {
-    let sample = sample();
-    let restored = CoordinationState::restore(&sample.snapshot()).unwrap();
-    expect_that!(restored, eq(&sample));
-    expect_that!(restored.events("g1.", 2), eq(&sample.events("g1.", 2)));
+fn a_restored_state_equals_the_original() {
+    let sample_state = sample_state();
+    let restored = CoordinationState::restore(&sample_state.snapshot()).unwrap();
+    expect_that!(restored, eq(&sample_state));
+    expect_that!(restored.events("g1.", 2), eq(&sample_state.events("g1.", 2)));
     expect_that!(restored.events("g1.", 1), err(anything()));
     expect_that!(
         CoordinationState::restore(&CoordinationState::default().snapshot()),
@@ -52,26 +52,26 @@
 }
 
 #[gtest]
-fn other_formats_missing_and_surplus_bytes_are_rejected() {
-    let bytes = sample().snapshot();
+fn unknown_formats_and_missing_or_trailing_bytes_are_rejected() {
+    let bytes = sample_state().snapshot();
     expect_that!(bytes[0], eq(SNAPSHOT_FORMAT));
     expect_that!(CoordinationState::restore(&[]), err(eq(&SnapshotError::Empty)));
     for format in (0..=u8::MAX).filter(|format| *format != SNAPSHOT_FORMAT) {
-        let other = [&[format], &bytes[1..]].concat();
-        expect_that!(CoordinationState::restore(&other), err(eq(&SnapshotError::UnknownFormat(format))));
+        let unknown = [&[format], &bytes[1..]].concat();
+        expect_that!(CoordinationState::restore(&unknown), err(eq(&SnapshotError::UnknownFormat(format))));
     }
     for len in 1..bytes.len() {
-        let cut = CoordinationState::restore(&bytes[..len]);
-        expect_that!(cut, err(matches_pattern!(SnapshotError::Malformed(_))));
+        let truncated = CoordinationState::restore(&bytes[..len]);
+        expect_that!(truncated, err(matches_pattern!(SnapshotError::Malformed(_))));
     }
-    let surplus = [&bytes[..], &[0, 0]].concat();
-    expect_that!(CoordinationState::restore(&surplus), err(eq(&SnapshotError::SurplusBytes(2))));
+    let trailing = [&bytes[..], &[0, 0]].concat();
+    expect_that!(CoordinationState::restore(&trailing), err(eq(&SnapshotError::TrailingBytes(2))));
 }
 
 /// A group's name, its last pruned revision, and its keys, each with value and revision.
 type GroupFields<'a> = (&'a str, u64, Vec<(&'a str, &'a str, u64)>);
 
-/// A snapshot from the fields in their order: last grant, locks, counters, clock, groups, events.
+/// Encodes a snapshot from its fields without any check, so that tests can build inconsistent ones. The clock is at 1,000 ms.
 fn encoded(
     last_grant: u64,
     locks: &[(&str, &str, u64, u64, u64)],
@@ -84,8 +84,8 @@
     postcard::to_extend(&fields, vec![SNAPSHOT_FORMAT]).unwrap()
 }
 
-fn inconsistent(part: &'static str) -> Result<CoordinationState, SnapshotError> {
-    Err(SnapshotError::Inconsistent(part))
+fn inconsistent(section: &'static str) -> Result<CoordinationState, SnapshotError> {
+    Err(SnapshotError::Inconsistent(section))
 }
 
 #[gtest]
@@ -115,17 +115,21 @@
     let group = || ("g.", 4, vec![("g.a", "1", 3), ("g.b", "2", 5)]);
     expect_that!(restored(&[group()], &[("g.b", "2", 700)]), ok(anything()));
     for (fault, groups, events) in [
-        ("two of a group", vec![group(), group()], vec![("g.b", "2", 700)]),
+        ("a duplicate group", vec![group(), group()], vec![("g.b", "2", 700)]),
         ("a key of another group", vec![("h.", 4, group().2)], vec![]),
-        ("a key without revision", vec![("g.", 4, vec![("g.a", "1", 0)])], vec![]),
-        ("a group without revision", vec![("g.", 0, vec![])], vec![]),
-        ("a key's revision that was not given", vec![group()], vec![]),
-        ("an event of no group", vec![group()], vec![("g.b", "2", 700), ("h.b", "2", 700)]),
-        ("an event of no key", vec![group()], vec![("g.c", "2", 700)]),
-        ("an event of another value", vec![group()], vec![("g.b", "3", 700)]),
-        ("an event after the key's last", vec![group()], vec![("g.b", "2", 700), ("g.b", "9", 700)]),
-        ("an event of the future", vec![group()], vec![("g.b", "2", 1_001)]),
-        ("falling times", vec![("g.", 3, group().2)], vec![("g.b", "7", 700), ("g.b", "2", 699)]),
+        ("a key with revision 0", vec![("g.", 4, vec![("g.a", "1", 0)])], vec![]),
+        ("a group with revision 0", vec![("g.", 0, vec![])], vec![]),
+        ("a key's revision above that of its group", vec![group()], vec![]),
+        ("an event of an unknown group", vec![group()], vec![("g.b", "2", 700), ("h.b", "2", 700)]),
+        ("an event of an unknown key", vec![group()], vec![("g.c", "2", 700)]),
+        ("an event whose value differs from the key's", vec![group()], vec![("g.b", "3", 700)]),
+        ("an event after the key's last change", vec![group()], vec![("g.b", "2", 700), ("g.b", "9", 700)]),
+        ("an event later than the clock", vec![group()], vec![("g.b", "2", 1_001)]),
+        (
+            "events in descending order of time",
+            vec![("g.", 3, group().2)],
+            vec![("g.b", "7", 700), ("g.b", "2", 699)],
+        ),
     ] {
         expect_that!(restored(&groups, &events), eq(&inconsistent("keys")), "{fault}");
     }
