--- a/system/replicated-log/src/journal.rs
+++ b/system/replicated-log/src/journal.rs
@@ -1,32 +1,33 @@
-//! What a replica writes to its disk and finds there.
+//! The durable journal of a replica: a checkpoint followed by records.
 
 use bytes::Bytes;
 use fleet_model::{AcceptedEntry, Ballot, CommitPosition, LogMember, ReplicaId, SlotEntry};
 use serde::{Deserialize, Serialize};
 
-/// Format of the checkpoint and of the records that follow it.
-const FORMAT: u8 = 1;
+/// Version of the format of checkpoints and records. It is the first byte of a checkpoint.
+const JOURNAL_FORMAT: u8 = 1;
 
-/// A write to a replica's journal. Writes are done one after another, in their order.
+/// A write to a replica's journal. The host must perform the writes one at a time and in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JournalWrite {
     /// Append these records.
     Append(Vec<Bytes>),
-    /// Replace the journal by one that begins with this checkpoint and has no records yet.
+    /// Replace the journal by this checkpoint without records.
     Checkpoint(Bytes),
 }
 
-/// The journal that a process finds at its start.
+/// The journal that a process finds when it starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum RecoveredJournal {
-    /// None, or one that cannot be read: the replica may have voted and forgotten it, so it is a new replica.
+    /// There is no journal, or it is unreadable. The replica may have lost votes that it had sent, so the node must start as a new
+    /// replica.
     #[default]
     Empty,
-    /// The newest checkpoint and the records appended to it, in their order.
+    /// The last checkpoint and the records appended after it.
     Stored {
-        /// The checkpoint.
+        /// The argument of the last [`JournalWrite::Checkpoint`].
         checkpoint: Bytes,
-        /// The records.
+        /// All later records, oldest first.
         records: Vec<Bytes>,
     },
 }
@@ -34,15 +35,15 @@
 /// Why a journal could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JournalError {
-    /// It was written by a program with another format.
+    /// Another version of the program wrote the journal in a format that this one does not support.
     #[error("unknown format {0} of the coordination journal")]
     UnknownFormat(u8),
-    /// The checkpoint, or the record with this index, cannot be decoded.
+    /// The checkpoint or a record cannot be decoded; the text says why.
     #[error("undecodable coordination journal: {0}")]
     Undecodable(String),
 }
 
-/// The durable state of a replica.
+/// The durable state of a replica. The order of the fields is part of the journal format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Checkpoint {
     pub(crate) replica: ReplicaId,
@@ -53,16 +54,15 @@
     pub(crate) state: Bytes,
 }
 
-/// A change of the durable state.
+/// A change of the durable state. The order of the variants is part of the journal format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Record {
-    /// A ballot was promised.
     Promised(Ballot),
-    /// An entry was accepted for the slot after the applied ones.
+    /// An entry was accepted for the next slot.
     Accepted(AcceptedEntry),
-    /// The accepted entry is chosen.
+    /// The accepted entry was chosen under this ballot and applied.
     Committed(CommitPosition),
-    /// An entry is known to be chosen.
+    /// A chosen entry was received from another replica and applied.
     Learned(SlotEntry),
 }
 
@@ -71,14 +71,14 @@
 }
 
 impl Checkpoint {
-    /// Encodes it after the format. Serialization into memory fails for none of its types.
+    /// Encodes the format version and the checkpoint. Serialization into memory cannot fail for its types.
     pub(crate) fn encode(&self) -> Bytes {
-        postcard::to_extend(self, vec![FORMAT]).unwrap_or_default().into()
+        postcard::to_extend(self, vec![JOURNAL_FORMAT]).unwrap_or_default().into()
     }
 
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, JournalError> {
         match bytes.split_first() {
-            Some((&FORMAT, rest)) => postcard::from_bytes(rest).map_err(|error| undecodable(&error)),
+            Some((&JOURNAL_FORMAT, rest)) => postcard::from_bytes(rest).map_err(|error| undecodable(&error)),
             Some((format, _)) => Err(JournalError::UnknownFormat(*format)),
             None => Err(JournalError::Undecodable("the checkpoint is empty".to_owned())),
         }
--- a/system/replicated-log/src/membership.rs
+++ b/system/replicated-log/src/membership.rs
@@ -1,23 +1,25 @@
-//! Which change of the members a leader proposes next.
+//! Selects the next membership change that a leader proposes.
 //!
-//! The voters of the configuration register decide which nodes take part; a change there is followed here by one entry for each
-//! node that joined, left or came back with an empty disk.
+//! The voter list in the configuration register decides which nodes are members. The log follows it with one entry for each node
+//! that joined, left or returned with an empty disk.
 
 use fleet_model::{LogMember, ReplicaId};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// What the leader knows of the replica at an address.
+/// The replica that a leader has last seen at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownReplica {
-    /// The replica that replied last from there.
+    /// Sender of the last reply from the address. It changes when a node returns with an empty disk.
     pub replica: ReplicaId,
-    /// Whether that was recently.
+    /// Whether the last reply is recent; the host sets the time limit.
     pub is_responsive: bool,
 }
 
-/// The members after the next change, if one is due: in this order, a replica that lost its disk is replaced, a voter added, and a
-/// node that is no voter any more removed. No change is made after which no majority of the members is known to respond.
+/// The members after the next change; `None` if no change is due or safe.
+///
+/// The first of these changes that applies is made: replace a replica that lost its disk, add a voter, remove a node that is no
+/// longer a voter. A change is not made unless a majority of the resulting members is responsive.
 pub fn next_members(
     members: &[LogMember],
     voters: &[Ipv4Addr],
@@ -25,22 +27,23 @@
 ) -> Option<Vec<LogMember>> {
     let responsive =
         |ip: &Ipv4Addr| known.get(ip).filter(|known| known.is_responsive).map(|known| known.replica);
-    let replaced = members.iter().position(|member| {
+    let replaced_index = members.iter().position(|member| {
         voters.contains(&member.ip) && responsive(&member.ip).is_some_and(|replica| replica != member.replica)
     });
-    let added =
+    let added_ip =
         voters.iter().find(|ip| members.iter().all(|member| member.ip != **ip) && responsive(ip).is_some());
-    let removed = members.iter().position(|member| !voters.contains(&member.ip));
+    let removed_index = members.iter().position(|member| !voters.contains(&member.ip));
     let mut next = members.to_vec();
-    if let Some(index) = replaced {
+    if let Some(index) = replaced_index {
         next[index].replica = responsive(&next[index].ip)?;
-    } else if let Some(ip) = added {
+    } else if let Some(ip) = added_ip {
         next.push(LogMember { ip: *ip, replica: responsive(ip)? });
     } else if !voters.is_empty() {
-        next.remove(removed?);
+        next.remove(removed_index?);
     } else {
         return None;
     }
-    let live = next.iter().filter(|member| responsive(&member.ip) == Some(member.replica)).count();
-    (live > next.len() / 2).then_some(next)
+    let responsive_count =
+        next.iter().filter(|member| responsive(&member.ip) == Some(member.replica)).count();
+    (responsive_count > next.len() / 2).then_some(next)
 }
--- a/system/replicated-log/src/replica.rs
+++ b/system/replicated-log/src/replica.rs
@@ -1,4 +1,4 @@
-//! A replica: acceptor of the next slot and learner of those before it.
+//! A replica: the acceptor of the next slot and the learner of all slots before it.
 
 use crate::journal::{Checkpoint, Record};
 use crate::{JournalError, StateMachine};
@@ -9,36 +9,36 @@
 };
 use std::collections::VecDeque;
 
-/// Number of applied entries that a replica retains for others that lack them.
+/// Number of applied entries that a replica retains, to send them to replicas that are missing some.
 pub const MAX_RECENT_ENTRIES: usize = 256;
 
-/// Whether a reply is a vote, which may be sent only after the replica's records are synced.
+/// Whether a reply is a vote. A vote may be sent only after the records of the replica are synced.
 pub fn is_vote(reply: &LogReply) -> bool {
     matches!(reply, LogReply::Promised { .. } | LogReply::Accepted)
 }
 
-/// The replica of a node.
+/// The acceptor and learner of one node.
 #[derive(Clone, Debug)]
 pub struct Replica<M> {
     id: ReplicaId,
     promised: Ballot,
     /// The last slot that is applied to the machine.
     applied: u64,
-    /// The members that decide on the slot after it; empty before slot 1 is known.
+    /// The members that decide on the next slot; empty until slot 1 is applied.
     members: Vec<LogMember>,
-    /// The entry accepted for the slot after it.
+    /// The entry accepted for the next slot.
     pending: Option<AcceptedEntry>,
     machine: M,
     /// The last applied entries, oldest first.
-    recent: VecDeque<SlotEntry>,
-    /// Changes of the durable state that the host has not taken yet.
+    recent_entries: VecDeque<SlotEntry>,
+    /// Encoded changes of the durable state that the host has not collected yet.
     records: Vec<Bytes>,
-    /// Whether the state was replaced, so that only a checkpoint can make it durable.
+    /// Whether only a checkpoint can make the state durable: the state was replaced, or a write failed.
     needs_checkpoint: bool,
 }
 
 impl<M: StateMachine> Replica<M> {
-    /// A new replica; it becomes durable by a checkpoint.
+    /// A new replica without state. Write a [`Replica::checkpoint`] to make its identity durable.
     pub fn new(id: ReplicaId) -> Self {
         Self {
             id,
@@ -47,28 +47,28 @@
             members: Vec::new(),
             pending: None,
             machine: M::default(),
-            recent: VecDeque::new(),
+            recent_entries: VecDeque::new(),
             records: Vec::new(),
             needs_checkpoint: true,
         }
     }
 
-    /// The replica that a journal describes.
+    /// Restores a replica from its journal.
     ///
     /// # Errors
     ///
-    /// [`JournalError`] if a part of it cannot be decoded; the replica that wrote it is lost then.
+    /// [`JournalError`] if the checkpoint or a record cannot be decoded. The replica that wrote the journal is lost in that case.
     pub fn recover(checkpoint: &[u8], records: &[Bytes]) -> Result<Self, JournalError> {
-        let stored = Checkpoint::decode(checkpoint)?;
+        let checkpoint_data = Checkpoint::decode(checkpoint)?;
         let mut replica = Self {
-            promised: stored.promised,
-            applied: stored.applied,
-            members: stored.members,
-            pending: stored.pending,
+            promised: checkpoint_data.promised,
+            applied: checkpoint_data.applied,
+            members: checkpoint_data.members,
+            pending: checkpoint_data.pending,
             needs_checkpoint: false,
-            ..Self::new(stored.replica)
+            ..Self::new(checkpoint_data.replica)
         };
-        if !replica.machine.restore(&stored.state) {
+        if !replica.machine.restore(&checkpoint_data.state) {
             return Err(JournalError::Undecodable("the state in the checkpoint".to_owned()));
         }
         for record in records {
@@ -94,32 +94,32 @@
         }
     }
 
-    /// Its identity.
+    /// The identity of this replica, which changes only when its disk is lost.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// The highest ballot that it has promised.
+    /// The highest ballot that this replica has promised; requests with a lower one are rejected.
     pub fn promised(&self) -> Ballot {
         self.promised
     }
 
-    /// The last applied slot.
+    /// The last applied slot; 0 before the first.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// The members that decide on the next slot; empty before slot 1 is known.
+    /// The members that decide on the next slot; empty until slot 1 is applied.
     pub fn members(&self) -> &[LogMember] {
         &self.members
     }
 
-    /// The state machine, with all applied slots.
+    /// The state machine after all applied slots.
     pub fn machine(&self) -> &M {
         &self.machine
     }
 
-    /// Handles a request. The reply may be sent at once unless it [`is_vote`].
+    /// Handles a request. The reply may be sent immediately unless it is a vote, see [`is_vote`].
     pub fn handle(&mut self, request: LogRequest) -> LogReply {
         match request {
             LogRequest::Prepare(ballot) => self.prepare(ballot),
@@ -158,7 +158,7 @@
         if !self.commit(committed) || accepted.entry.slot > self.applied + 1 {
             return LogReply::Behind(self.applied);
         }
-        // A slot that is applied here is chosen, and a valid leader proposes nothing else for it.
+        // An applied slot is chosen, and a valid leader proposes no other entry for it.
         if accepted.entry.slot == self.applied + 1 {
             self.promised = accepted.ballot;
             self.records.push(Record::Accepted(accepted.clone()).encode());
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Applies the accepted entry if it is the one at this position. Returns whether all slots up to there are applied.
+    /// Applies the accepted entry if it is the one at the position. Returns whether all slots up to the position are applied.
     fn commit(&mut self, committed: CommitPosition) -> bool {
         let is_pending = committed.slot == self.applied + 1
             && self.pending.as_ref().is_some_and(|pending| pending.ballot == committed.ballot);
@@ -188,8 +188,8 @@
         committed.slot <= self.applied
     }
 
-    /// Applies the entry that this replica has accepted as a part of its own leader's round, once that is chosen. Returns the
-    /// outcomes of its commands; `None` if another entry is accepted meanwhile.
+    /// Applies the entry that the leader on the same node has proposed, once it is chosen. Returns the outcomes of its commands;
+    /// `None` if this replica has accepted another entry in the meantime.
     pub fn commit_own(&mut self, committed: CommitPosition) -> Option<Vec<CoordinationOutcome>> {
         let pending = self
             .pending
@@ -217,14 +217,14 @@
                 Vec::new()
             }
         };
-        self.recent.push_back(entry);
-        if self.recent.len() > MAX_RECENT_ENTRIES {
-            self.recent.pop_front();
+        self.recent_entries.push_back(entry);
+        if self.recent_entries.len() > MAX_RECENT_ENTRIES {
+            self.recent_entries.pop_front();
         }
         outcomes
     }
 
-    /// Replaces the state by a newer one.
+    /// Replaces the state by a newer snapshot; an older or undecodable one is ignored.
     pub fn install(&mut self, snapshot: LogSnapshot) {
         if snapshot.slot <= self.applied || !self.machine.restore(&snapshot.state) {
             return;
@@ -232,12 +232,12 @@
         self.applied = snapshot.slot;
         self.members = snapshot.members;
         self.pending = None;
-        self.recent.clear();
+        self.recent_entries.clear();
         self.records.clear();
         self.needs_checkpoint = true;
     }
 
-    /// The state of the applied slots.
+    /// A snapshot of the state after the last applied slot.
     pub fn snapshot(&self) -> LogSnapshot {
         LogSnapshot {
             slot: self.applied,
@@ -246,23 +246,24 @@
         }
     }
 
-    /// The request that brings a replica which has applied the slots up to `applied` up to date.
+    /// The request that brings another replica up to date, which has applied the slots up to `applied`: the missing entries if
+    /// they are all retained, otherwise a snapshot.
     pub fn catch_up(&self, applied: u64) -> LogRequest {
-        let has_all = self.recent.front().is_some_and(|oldest| oldest.slot <= applied + 1);
-        match has_all {
+        let is_retained = self.recent_entries.front().is_some_and(|oldest| oldest.slot <= applied + 1);
+        match is_retained {
             true => LogRequest::Learn {
-                entries: self.recent.iter().filter(|entry| entry.slot > applied).cloned().collect(),
+                entries: self.recent_entries.iter().filter(|entry| entry.slot > applied).cloned().collect(),
             },
             false => LogRequest::Install(self.snapshot()),
         }
     }
 
-    /// Takes the records to append to the journal; `None` if the journal has to begin anew with a checkpoint.
+    /// Removes and returns the records to append to the journal; `None` if the next write must be a [`Replica::checkpoint`].
     pub fn take_records(&mut self) -> Option<Vec<Bytes>> {
         (!self.needs_checkpoint).then(|| std::mem::take(&mut self.records))
     }
 
-    /// The complete durable state, which supersedes all records so far.
+    /// Encodes the complete durable state, which supersedes all earlier records.
     pub fn checkpoint(&mut self) -> Bytes {
         self.records.clear();
         self.needs_checkpoint = false;
@@ -277,7 +278,7 @@
         checkpoint.encode()
     }
 
-    /// Has the next write be a checkpoint, after a write failed.
+    /// Requires that the next write is a checkpoint. The host calls this after a failed write.
     pub fn require_checkpoint(&mut self) {
         self.needs_checkpoint = true;
     }
--- a/system/replicated-log/tests/journal_recovery.rs
+++ b/system/replicated-log/tests/journal_recovery.rs
@@ -1,5 +1,5 @@
-//! What a replica finds in its journal: each prefix of the records restores the state at that time, a promise outlives the
-//! process, and bytes that are no journal are errors.
+//! Tests of recovery from the journal: each prefix of the records restores the state at that time, promises survive a restart, and
+//! invalid bytes are errors.
 
 use byte_mutation::mutated;
 use bytes::Bytes;
@@ -52,7 +52,7 @@
     }
 }
 
-/// Requests that lead to each kind of record.
+/// Requests that together produce each kind of record.
 fn requests() -> Vec<LogRequest> {
     let batch = || LogEntry::Batch(CoordinationBatch::default());
     let learned = |slot| SlotEntry { slot, entry: batch() };
@@ -68,8 +68,10 @@
     ]
 }
 
-/// All that a replica tells of its state.
-fn told(replica: &CountingReplica) -> (ReplicaId, Ballot, u64, Vec<LogMember>, BatchCount, LogReply) {
+/// Everything that the interface of a replica reveals about its state.
+fn observable_state(
+    replica: &CountingReplica,
+) -> (ReplicaId, Ballot, u64, Vec<LogMember>, BatchCount, LogReply) {
     let reply = replica.clone().handle(LogRequest::Prepare(replica.promised()));
     (
         replica.id(),
@@ -95,9 +97,9 @@
         replica.handle(request);
         records.extend(replica.take_records().unwrap());
         let recovered = CountingReplica::recover(&checkpoint, &records).unwrap();
-        expect_that!(told(&recovered), eq(&told(&replica)));
+        expect_that!(observable_state(&recovered), eq(&observable_state(&replica)));
         let from_checkpoint = CountingReplica::recover(&replica.clone().checkpoint(), &[]).unwrap();
-        expect_that!(told(&from_checkpoint), eq(&told(&replica)));
+        expect_that!(observable_state(&from_checkpoint), eq(&observable_state(&replica)));
     }
     for length in 0..records.len() {
         expect_that!(CountingReplica::recover(&checkpoint, &records[..length]), ok(anything()));
@@ -112,8 +114,8 @@
     let error = CountingReplica::recover(&unknown, &[]).map(drop);
     expect_that!(error, err(eq(&JournalError::UnknownFormat(2))));
     for length in 0..checkpoint.len() {
-        let cut = CountingReplica::recover(&checkpoint[..length], &[]).map(drop);
-        expect_that!(cut, err(matches_pattern!(JournalError::Undecodable(_))));
+        let truncated = CountingReplica::recover(&checkpoint[..length], &[]).map(drop);
+        expect_that!(truncated, err(matches_pattern!(JournalError::Undecodable(_))));
     }
     for record in [&[][..], &[4], &[0]] {
         let error = CountingReplica::recover(&checkpoint, &[Bytes::copy_from_slice(record)]).map(drop);
@@ -122,8 +124,8 @@
 }
 
 #[gtest]
-fn the_format_of_a_recorded_journal_is_still_read() {
-    // A checkpoint and the record of a promise, as format 1 has them.
+fn a_journal_recorded_in_format_1_is_still_read() {
+    // A checkpoint and the record of a promise, as encoded in format 1.
     let checkpoint = [1, 7, 0, 0, 0, 0, 0, 0, 1, 0];
     let record = Bytes::from_static(&[0, 5, 1, 1]);
     let (_, written) = first_checkpoint();
@@ -133,7 +135,8 @@
     expect_that!(recovered.promised(), eq(ballot(5)));
 }
 
-/// Whether a late accept of the first leader is chosen although a second leader had its entry chosen for the same slot.
+/// Whether two leaders both have an entry chosen for the same slot. Replica 2 restarts after it has promised the ballot of the
+/// second leader, and then receives a late accept of the first leader.
 fn two_entries_are_chosen(keeps_record: impl Fn(&[u8]) -> bool) -> bool {
     let mut replicas: Vec<CountingReplica> = (1..=3).map(|id| CountingReplica::new(ReplicaId(id))).collect();
     let checkpoint = replicas[1].checkpoint();
@@ -143,28 +146,28 @@
     let records = replicas[1].take_records().unwrap();
     let records: Vec<Bytes> = records.into_iter().filter(|record| keeps_record(record)).collect();
     replicas[1] = CountingReplica::recover(&checkpoint, &records).unwrap();
-    let mut first = VoteCount::new(&members());
-    first.record(ReplicaId(1));
+    let mut first_votes = VoteCount::new(&members());
+    first_votes.record(ReplicaId(1));
     if replicas[1].handle(accept(1, 1, LogEntry::Empty, (0, 0))) == LogReply::Accepted {
-        first.record(ReplicaId(2));
+        first_votes.record(ReplicaId(2));
     }
-    let mut second = VoteCount::new(&members());
+    let mut second_votes = VoteCount::new(&members());
     for replica in &mut replicas[1..] {
         if replica.handle(accept(2, 1, LogEntry::Members(members()), (0, 0))) == LogReply::Accepted {
-            second.record(replica.id());
+            second_votes.record(replica.id());
         }
     }
-    first.is_quorum() && second.is_quorum()
+    first_votes.is_quorum() && second_votes.is_quorum()
 }
 
 #[gtest]
-fn a_promise_that_is_not_persisted_lets_two_entries_be_chosen() {
+fn losing_a_promise_lets_two_entries_be_chosen() {
     const PROMISE_TAG: u8 = 0;
     expect_that!(two_entries_are_chosen(|_| true), eq(false));
     expect_that!(two_entries_are_chosen(|record| record.first() != Some(&PROMISE_TAG)), eq(true));
 }
 
-fn samples() -> (Vec<Vec<u8>>, Vec<Vec<u8>>) {
+fn sample_journals() -> (Vec<Vec<u8>>, Vec<Vec<u8>>) {
     let (mut replica, checkpoint) = first_checkpoint();
     let (mut checkpoints, mut records) = (vec![checkpoint.to_vec()], Vec::new());
     for request in requests() {
@@ -179,15 +182,15 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(2_000) })]
 
     #[test]
-    fn mutated_journals_are_read_or_refused(
-        checkpoint in mutated(samples().0),
-        record in mutated(samples().1),
+    fn mutated_journals_are_recovered_or_rejected(
+        checkpoint in mutated(sample_journals().0),
+        record in mutated(sample_journals().1),
     ) {
         let (_, valid) = first_checkpoint();
         let _ = CountingReplica::recover(&valid, &[record.into()]);
         if let Ok(mut replica) = CountingReplica::recover(&checkpoint, &[]) {
-            let again = CountingReplica::recover(&replica.checkpoint(), &[]).unwrap();
-            prop_assert!(told(&again) == told(&replica));
+            let recovered = CountingReplica::recover(&replica.checkpoint(), &[]).unwrap();
+            prop_assert!(observable_state(&recovered) == observable_state(&replica));
         }
     }
 }
--- a/system/replicated-log/tests/membership_changes.rs
+++ b/system/replicated-log/tests/membership_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the members: which one is due next, whose votes count, and why each is followed by a campaign.
+//! Tests of membership changes: which change comes next, whose votes count, and why a change must be followed by a campaign.
 
 use fleet_model::{
     AcceptedEntry, Ballot, CommitPosition, CoordinationBatch, CoordinationOutcome, LogEntry, LogMember,
@@ -10,9 +10,9 @@
 use std::net::Ipv4Addr;
 
 #[derive(Clone, Debug, Default)]
-struct NoState;
+struct EmptyState;
 
-impl StateMachine for NoState {
+impl StateMachine for EmptyState {
     fn apply(&mut self, _: &CoordinationBatch) -> Vec<CoordinationOutcome> {
         Vec::new()
     }
@@ -35,8 +35,8 @@
 }
 
 fn known(replicas: &[(u8, u64, bool)]) -> BTreeMap<Ipv4Addr, KnownReplica> {
-    let of = |id: u64, is_responsive| KnownReplica { replica: ReplicaId(id), is_responsive };
-    replicas.iter().map(|(last, id, is_responsive)| (ip(*last), of(*id, *is_responsive))).collect()
+    let known_replica = |id: u64, is_responsive| KnownReplica { replica: ReplicaId(id), is_responsive };
+    replicas.iter().map(|(last, id, is_responsive)| (ip(*last), known_replica(*id, *is_responsive))).collect()
 }
 
 fn ballot(round: u64) -> Ballot {
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn no_change_is_made_without_a_responsive_majority_after_it() {
+fn no_change_is_made_unless_a_majority_of_its_members_responds() {
     let current = members(&[(1, 1), (2, 2), (3, 3)]);
     let voters = [ip(1), ip(2)];
     let one = known(&[(1, 1, true), (2, 2, false), (3, 3, true)]);
@@ -74,7 +74,7 @@
 }
 
 #[gtest]
-fn only_members_count_and_each_once() {
+fn only_members_count_and_each_counts_once() {
     let mut votes = VoteCount::new(&members(&[(1, 1), (2, 2), (3, 3)]));
     expect_that!(votes.record(ReplicaId(1)), eq(false));
     expect_that!(votes.record(ReplicaId(1)), eq(false));
@@ -84,8 +84,8 @@
 }
 
 #[gtest]
-fn a_candidate_proposes_the_newest_entry_of_the_next_slot_and_yields_to_those_ahead() {
-    let of_round = |round, slot, entry: LogEntry| LogReply::Promised {
+fn a_candidate_proposes_the_entry_with_the_highest_ballot_and_yields_to_members_that_are_ahead() {
+    let promise = |round, slot, entry: LogEntry| LogReply::Promised {
         applied: 4,
         pending: Some(AcceptedEntry { ballot: ballot(round), entry: SlotEntry { slot, entry } }),
     };
@@ -93,7 +93,7 @@
     let current = members(&[(1, 1), (2, 2), (3, 3), (4, 4), (5, 5)]);
     let mut campaign = Campaign::new(4, &current);
     let replies =
-        [of_round(2, 5, newest.clone()), of_round(1, 5, LogEntry::Empty), of_round(3, 4, LogEntry::Empty)];
+        [promise(2, 5, newest.clone()), promise(1, 5, LogEntry::Empty), promise(3, 4, LogEntry::Empty)];
     let mut steps =
         (1..).zip(&replies).map(|(id, reply)| campaign.on_reply(ip(id), ReplicaId(id.into()), reply));
     expect_that!(steps.next(), some(eq(&CampaignStep::Wait)));
@@ -107,20 +107,21 @@
     expect_that!(step, eq(&CampaignStep::Lost(ballot(9))));
 }
 
-/// The entries chosen for slot 3 by two leaders, of which the second has found a change of the members pending.
+/// The entries that two leaders have chosen for slot 3. The campaign of the second leader finds a membership change pending for
+/// slot 2.
 fn entries_of_slot_3(campaigns_after_change: bool) -> (LogEntry, LogEntry) {
     let former = members(&[(1, 1), (2, 2), (3, 3)]);
     let changed = members(&[(1, 1), (2, 2), (3, 4)]);
-    let [mut a, mut b, mut c, mut d] = [1, 2, 3, 4].map(|id| Replica::<NoState>::new(ReplicaId(id)));
-    let first = SlotEntry { slot: 1, entry: LogEntry::Members(former.clone()) };
+    let [mut a, mut b, mut c, mut d] = [1, 2, 3, 4].map(|id| Replica::<EmptyState>::new(ReplicaId(id)));
+    let initial = SlotEntry { slot: 1, entry: LogEntry::Members(former.clone()) };
     for replica in [&mut a, &mut b, &mut c] {
-        replica.handle(LogRequest::Learn { entries: vec![first.clone()] });
+        replica.handle(LogRequest::Learn { entries: vec![initial.clone()] });
         replica.handle(LogRequest::Prepare(ballot(1)));
     }
-    // The second leader's first promise comes from a replica that is replaced then; its other request is under way for long.
+    // The first promise to the second leader comes from a replica that is replaced later; the leader's other request is delayed.
     let mut campaign = Campaign::new(1, &former);
     campaign.on_reply(ip(3), c.id(), &c.handle(LogRequest::Prepare(ballot(5))));
-    // The first leader has the change chosen by a and b, and slot 3 by b and d under a ballot of the new members.
+    // The first leader has the change chosen by a and b, then slot 3 by b and d under a new ballot among the new members.
     let change = LogEntry::Members(changed.clone());
     a.handle(accept(1, 2, &change, (1, 1)));
     b.handle(accept(1, 2, &change, (1, 1)));
@@ -131,7 +132,7 @@
     let entry = LogEntry::Batch(CoordinationBatch::default());
     let replies = [&mut b, &mut d].map(|replica| replica.handle(accept(2, 3, &entry, (2, 1))));
     expect_that!(replies, each(eq(&LogReply::Accepted)));
-    // The second leader wins, and has the change chosen once more.
+    // The second leader wins its campaign and has the change chosen again.
     let step = campaign.on_reply(ip(1), a.id(), &a.handle(LogRequest::Prepare(ballot(5))));
     expect_that!(step, eq(&CampaignStep::Won(Some(change.clone()))));
     a.handle(accept(5, 2, &change, (1, 1)));
@@ -153,7 +154,7 @@
 }
 
 #[gtest]
-fn a_leader_that_goes_on_after_a_pending_change_of_members_replaces_a_chosen_entry() {
+fn a_leader_without_a_campaign_after_a_pending_change_replaces_a_chosen_entry() {
     let (first, second) = entries_of_slot_3(true);
     expect_that!(second, eq(&first));
     let (first, second) = entries_of_slot_3(false);
--- a/system/replicated-log/tests/random_schedules/defect.rs
+++ b/system/replicated-log/tests/random_schedules/defect.rs
@@ -1,4 +1,4 @@
-//! Defects that the schedules must find.
+//! Deliberate defects that the random schedules must detect.
 
 use crate::node::Node;
 use fleet_model::{AcceptedEntry, Ballot, LogEntry, LogReply, LogRequest};
@@ -6,7 +6,7 @@
 /// A deliberate departure from the protocol or from the obligations of its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Defect {
-    /// None: the protocol as it is.
+    /// The protocol without a defect.
     None,
     /// Votes are sent before their records are synced.
     VotesBeforeSync,
@@ -14,18 +14,18 @@
     ReplicaIdKeptAfterWipe,
     /// A candidate proposes the entry of the lowest ballot.
     LowestBallotProposed,
-    /// An entry is accepted though the slot before it is not known to be chosen.
+    /// An entry is accepted although the previous slot is not known to be chosen.
     AcceptWithoutCommitCheck,
-    /// A leader goes on after a change of the members.
+    /// A leader continues after a membership change without another campaign.
     NoCampaignAfterChange,
-    /// Votes are counted by address.
+    /// Votes are counted by address and not by replica.
     VotesCountedByAddress,
-    /// A commit applies to whatever is accepted for its slot.
+    /// A commit applies any entry that is accepted for its slot, whatever its ballot.
     CommitIgnoresBallot,
 }
 
-/// The defects that random schedules find. Two others have tests of their own: promises that are
-/// not persisted, and a leader that goes on after a change of the members that it has found pending.
+/// The defects that random schedules detect. Two others have separate tests: promises that are not persisted, and a leader that
+/// continues without another campaign after a membership change that it found pending.
 pub(crate) const DEFECTS: [Defect; 7] = [
     Defect::VotesBeforeSync,
     Defect::ReplicaIdKeptAfterWipe,
@@ -37,7 +37,7 @@
 ];
 
 impl Defect {
-    /// The remainder of the seeds of the schedules that find it soonest.
+    /// The kind of schedule that detects the defect soonest, as the remainder of its seed.
     pub(crate) fn emphasis(self) -> u64 {
         match self {
             Defect::NoCampaignAfterChange
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Has a node's replica handle a request.
+    /// Handles a request at a node, with the defect if it concerns acceptors.
     pub(crate) fn handle(self, node: &mut Node, request: LogRequest) -> LogReply {
         match self {
             Defect::CommitIgnoresBallot => {
@@ -70,13 +70,13 @@
     request
 }
 
-/// An entry for a later slot than the next replaces the accepted one.
+/// Also accepts an entry for a slot after the next one, and reports it in promises instead of the accepted entry.
 fn handle_without_commit_check(node: &mut Node, request: LogRequest) -> LogReply {
-    let offered = match &request {
+    let proposed = match &request {
         LogRequest::Accept { accepted, .. } => Some(accepted.clone()),
         _ => None,
     };
-    match (node.replica.handle(request), offered) {
+    match (node.replica.handle(request), proposed) {
         (LogReply::Behind(_), Some(accepted)) => {
             node.skipped = Some(accepted);
             LogReply::Accepted
@@ -89,15 +89,15 @@
     }
 }
 
-/// The entry that a candidate proposes first.
+/// The entry that a candidate proposes first, given the entries that were reported to it.
 pub(crate) fn proposed_entry(
     defect: Defect,
     won: Option<LogEntry>,
-    heard: &[AcceptedEntry],
+    reported: &[AcceptedEntry],
 ) -> Option<LogEntry> {
     match defect {
         Defect::LowestBallotProposed => {
-            let lowest = heard.iter().min_by_key(|pending: &&AcceptedEntry| -> Ballot { pending.ballot });
+            let lowest = reported.iter().min_by_key(|pending: &&AcceptedEntry| -> Ballot { pending.ballot });
             lowest.map(|pending| pending.entry.entry.clone())
         }
         _ => won,
