--- a/src/bin/message-sender-cli.rs
+++ b/src/bin/message-sender-cli.rs
@@ -1,7 +1,7 @@
-//! What a person can ask of the sender. `message-sender` becomes this program where it is given any word, and this one
-//! becomes `message-sender` to run.
+//! The command line of the sender, for operators. `message-sender` executes this program if it has any arguments, and the
+//! `run` command executes `message-sender`.
 use clap::{Parser, Subcommand};
-use message_sender::config::{self, Checked, ConfigError};
+use message_sender::config::{self, CheckReport, ConfigError};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,9 +10,9 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Takes messages on from clients and delivers each to its partner's endpoints.
+/// Accepts messages from clients and delivers each to an endpoint of its destination.
 ///
-/// Without a command it runs, as $PROXY_CONFIG and $PROXY_STATE say.
+/// Without a command, runs the sender with the configuration $PROXY_CONFIG and the state directory $PROXY_STATE.
 #[derive(Parser)]
 #[command(name = "message-sender", version)]
 struct Cli {
@@ -22,206 +22,211 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs until SIGTERM; SIGHUP has the configuration read again.
+    /// Runs the sender until SIGTERM; SIGHUP reloads the configuration.
     Run {
-        /// The configuration, in JSON or (by its ending) TOML; without it $PROXY_CONFIG.
+        /// Configuration file, in TOML if its extension is `.toml`, else in JSON; defaults to $PROXY_CONFIG.
         #[arg(long)]
         config: Option<PathBuf>,
-        /// The folder that outlasts the process; without it $PROXY_STATE.
+        /// State directory, kept between runs; defaults to $PROXY_STATE.
         #[arg(long)]
         state: Option<PathBuf>,
     },
-    /// Looks a configuration over: all that is wrong, with its place. Exit code 2 if it cannot be used.
+    /// Validates a configuration and lists all errors with their keys. Exits with code 2 if the configuration is invalid.
     Check {
-        /// The file; without it $PROXY_CONFIG.
+        /// Configuration file; defaults to $PROXY_CONFIG.
         file: Option<PathBuf>,
     },
-    /// Asks a running sender for what it knows of its fleet, or to change it.
+    /// Shows or changes the fleet's membership through a running sender.
     Fleet {
-        /// The second address of the sender; without it $PROXY_MGMT.
-        #[arg(long, global = true)]
-        at: Option<SocketAddr>,
-        /// The answer as JSON, for programs.
+        /// Admin address of the sender; defaults to $PROXY_MGMT.
+        #[arg(long = "at", global = true, value_name = "AT")]
+        admin_address: Option<SocketAddr>,
+        /// Prints the response as JSON.
         #[arg(long, global = true)]
         json: bool,
         #[command(subcommand)]
-        what: FleetCall,
+        command: FleetCommand,
     },
-    /// Shows configurations.
+    /// Shows the values of a configuration, the schema or an example.
     Config {
         #[command(subcommand)]
-        what: Configs,
+        command: ConfigCommand,
     },
 }
 
 #[derive(Subcommand)]
-enum Configs {
-    /// Every value that holds, and where it is from.
+enum ConfigCommand {
+    /// Prints every value in effect with its origin.
     Show {
-        /// The file; without it $PROXY_CONFIG.
+        /// Configuration file; defaults to $PROXY_CONFIG.
         file: Option<PathBuf>,
     },
-    /// The schema, as JSON Schema.
+    /// Prints the JSON Schema of the configuration.
     Schema,
-    /// A whole configuration in TOML with comments, to begin with.
+    /// Prints a complete TOML configuration with comments.
     Example,
 }
 
 #[derive(Subcommand)]
-enum FleetCall {
-    /// Members, and whether they answer.
+enum FleetCommand {
+    /// Lists the members with their health, as this sender sees them.
     View,
-    /// Who belongs, and who did.
+    /// Lists current and former members, as agreed by the voters.
     Roster,
-    /// Who agrees on that.
+    /// Lists the voters, which agree on the membership.
     Keepers,
-    /// A short sign of view and roster: senders that print the same one see the same fleet.
+    /// Prints a digest of view and roster: senders with the same digest see the same fleet.
     Mark,
-    /// A member does not belong any more.
+    /// Removes a member from the fleet.
     Remove {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
-    /// This sender leaves for good.
+    /// Removes this sender from the fleet permanently.
     Leave,
-    /// A majority of the keepers is lost for good: goes on from what this sender has. Ask one sender only.
+    /// Restores the fleet from this sender's state after a permanent loss of the majority of voters. Run on one sender only.
     Refound,
 }
 
-/// How long a sender may take for an answer: what keepers agree on takes up to 8 s.
-const FLEET_PATIENCE: Duration = Duration::from_secs(12);
+/// Timeout for connecting to a sender and for its response: a change that voters agree on takes up to 8 s.
+const FLEET_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// The configuration cannot be used, or not be read.
-const UNUSABLE: u8 = 2;
+/// Exit code if a command fails, for instance because the configuration is invalid.
+const EXIT_FAILURE: u8 = 2;
 
 #[derive(Debug, thiserror::Error)]
-enum ShellError {
-    #[error("no file is given, and $PROXY_CONFIG is not set")]
+enum CliError {
+    #[error("no configuration file: pass FILE or set $PROXY_CONFIG")]
     NoFile,
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error("starting the sender, which is to lie beside this program: {0}")]
-    Sender(std::io::Error),
-    #[error("no sender is named: --at ADDRESS:PORT, its second address, or $PROXY_MGMT")]
-    NoSender,
-    #[error("asking {address}: {source}")]
-    Unreached { address: SocketAddr, source: std::io::Error },
+    #[error("cannot start message-sender in the directory of this program: {0}")]
+    Start(std::io::Error),
+    #[error("no admin address of a sender: pass --at ADDRESS:PORT or set $PROXY_MGMT")]
+    NoAdminAddress,
+    #[error("sender at {address}: {source}")]
+    Unreachable { address: SocketAddr, source: std::io::Error },
     #[error("{0}")]
-    Refused(String),
-    #[error("the answer: {0}")]
-    Out(#[from] std::io::Error),
-    #[error("the schema: {0}")]
-    Schema(#[from] serde_json::Error),
+    Rejected(String),
+    #[error("writing the output: {0}")]
+    Output(#[from] std::io::Error),
+    #[error("invalid JSON: {0}")]
+    Json(#[from] serde_json::Error),
 }
 
 fn main() -> ExitCode {
-    let answered = match Cli::parse().command {
+    let result = match Cli::parse().command {
         None => run(None, None),
         Some(Command::Run { config, state }) => run(config, state),
         Some(Command::Check { file }) => check(file),
-        Some(Command::Fleet { at, json, what }) => fleet(at, json, what).map(|()| ExitCode::SUCCESS),
-        Some(Command::Config { what }) => show(what).map(|()| ExitCode::SUCCESS),
+        Some(Command::Fleet { admin_address, json, command }) => {
+            fleet(admin_address, json, command).map(|()| ExitCode::SUCCESS)
+        }
+        Some(Command::Config { command }) => show(command).map(|()| ExitCode::SUCCESS),
     };
-    answered.unwrap_or_else(|e| {
+    result.unwrap_or_else(|e| {
         eprintln!("message-sender: {e}");
-        ExitCode::from(UNUSABLE)
+        ExitCode::from(EXIT_FAILURE)
     })
 }
 
-/// Becomes the sender. A file that a person names is checked first, whole.
-fn run(config: Option<PathBuf>, state: Option<PathBuf>) -> Result<ExitCode, ShellError> {
-    let own = std::env::current_exe().map_err(ShellError::Sender)?;
-    let mut sender = std::process::Command::new(own.with_file_name("message-sender"));
+/// Replaces this process by the sender. A configuration given on the command line is validated first, so that all its
+/// errors are printed.
+fn run(config: Option<PathBuf>, state: Option<PathBuf>) -> Result<ExitCode, CliError> {
+    let executable = std::env::current_exe().map_err(CliError::Start)?;
+    let mut sender = std::process::Command::new(executable.with_file_name("message-sender"));
     if let Some(config) = config {
-        let checked = config::check(&config)?;
-        if !checked.errors.is_empty() {
-            tell(&mut std::io::stderr().lock(), &checked)?;
-            return Ok(ExitCode::from(UNUSABLE));
+        let report = config::check(&config)?;
+        if !report.errors.is_empty() {
+            print_report(&mut std::io::stderr().lock(), &report)?;
+            return Ok(ExitCode::from(EXIT_FAILURE));
         }
         sender.env("PROXY_CONFIG", config);
     }
     if let Some(state) = state {
         sender.env("PROXY_STATE", state);
     }
-    Err(ShellError::Sender(sender.exec()))
+    Err(CliError::Start(sender.exec()))
 }
 
-fn tell(out: &mut impl Write, checked: &Checked) -> std::io::Result<()> {
-    for problem in &checked.unknown {
+fn print_report(out: &mut impl Write, report: &CheckReport) -> std::io::Result<()> {
+    for problem in &report.unknown_keys {
         writeln!(out, "warning: {problem}")?;
     }
-    for problem in &checked.errors {
+    for problem in &report.errors {
         writeln!(out, "error: {problem}")?;
     }
     Ok(())
 }
 
-fn named(file: Option<PathBuf>) -> Result<PathBuf, ShellError> {
-    file.or_else(|| std::env::var_os("PROXY_CONFIG").map(PathBuf::from)).ok_or(ShellError::NoFile)
+fn config_file(file: Option<PathBuf>) -> Result<PathBuf, CliError> {
+    file.or_else(|| std::env::var_os("PROXY_CONFIG").map(PathBuf::from)).ok_or(CliError::NoFile)
 }
 
-fn check(file: Option<PathBuf>) -> Result<ExitCode, ShellError> {
-    let file = named(file)?;
-    let checked = config::check(&file)?;
+fn check(file: Option<PathBuf>) -> Result<ExitCode, CliError> {
+    let file = config_file(file)?;
+    let report = config::check(&file)?;
     let mut out = std::io::stdout().lock();
-    tell(&mut out, &checked)?;
-    let usable = checked.errors.is_empty();
-    let word = if usable { "can be used" } else { "cannot be used" };
-    writeln!(out, "{} {word}", file.display())?;
-    Ok(if usable { ExitCode::SUCCESS } else { ExitCode::from(UNUSABLE) })
+    print_report(&mut out, &report)?;
+    let is_valid = report.errors.is_empty();
+    let verdict = if is_valid { "is valid" } else { "is invalid" };
+    writeln!(out, "{} {verdict}", file.display())?;
+    Ok(if is_valid { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAILURE) })
 }
 
-fn fleet(at: Option<SocketAddr>, json: bool, what: FleetCall) -> Result<(), ShellError> {
-    let told = std::env::var("PROXY_MGMT").ok().and_then(|address| address.parse().ok());
-    let address = at.or(told).ok_or(ShellError::NoSender)?;
-    let call = match what {
-        FleetCall::View => "view".to_owned(),
-        FleetCall::Roster => "roster".to_owned(),
-        FleetCall::Keepers => "keepers".to_owned(),
-        FleetCall::Mark => "mark".to_owned(),
-        FleetCall::Remove { name } => format!("remove {name}"),
-        FleetCall::Leave => "leave".to_owned(),
-        FleetCall::Refound => "refound".to_owned(),
+fn fleet(admin_address: Option<SocketAddr>, json: bool, command: FleetCommand) -> Result<(), CliError> {
+    let from_environment = std::env::var("PROXY_MGMT").ok().and_then(|address| address.parse().ok());
+    let address = admin_address.or(from_environment).ok_or(CliError::NoAdminAddress)?;
+    let request = match command {
+        FleetCommand::View => "view".to_owned(),
+        FleetCommand::Roster => "roster".to_owned(),
+        FleetCommand::Keepers => "keepers".to_owned(),
+        FleetCommand::Mark => "mark".to_owned(),
+        FleetCommand::Remove { name } => format!("remove {name}"),
+        FleetCommand::Leave => "leave".to_owned(),
+        FleetCommand::Refound => "refound".to_owned(),
     };
-    let answer = ask(address, &call).map_err(|source| ShellError::Unreached { address, source })?;
-    let Some(text) = answer.strip_prefix("done").map(str::trim) else {
-        return Err(ShellError::Refused(answer.trim_start_matches("error ").to_owned()));
+    let response =
+        send_request(address, &request).map_err(|source| CliError::Unreachable { address, source })?;
+    let Some(text) = response.strip_prefix("done").map(str::trim) else {
+        return Err(CliError::Rejected(response.trim_start_matches("error ").to_owned()));
     };
     let mut out = std::io::stdout().lock();
     let value: Value = if text.is_empty() { Value::Null } else { serde_json::from_str(text)? };
     match value {
         Value::Null => writeln!(out, "done")?,
         value if json => writeln!(out, "{value}")?,
-        value => write!(out, "{}", table(&value))?,
+        value => write!(out, "{}", format_table(&value))?,
     }
     Ok(())
 }
 
-/// The answer of a sender to a call on its fleet.
-fn ask(address: SocketAddr, call: &str) -> std::io::Result<String> {
-    let mut stream = TcpStream::connect_timeout(&address, FLEET_PATIENCE)?;
-    stream.set_read_timeout(Some(FLEET_PATIENCE))?;
-    stream.write_all(format!("fleet {call}\n").as_bytes())?;
-    let mut answer = String::new();
-    BufReader::new(stream).read_line(&mut answer)?;
-    Ok(answer.trim_end().to_owned())
+/// Sends a fleet request to a sender's admin endpoint and returns the response line.
+fn send_request(address: SocketAddr, request: &str) -> std::io::Result<String> {
+    let mut stream = TcpStream::connect_timeout(&address, FLEET_TIMEOUT)?;
+    stream.set_read_timeout(Some(FLEET_TIMEOUT))?;
+    stream.write_all(format!("fleet {request}\n").as_bytes())?;
+    let mut response = String::new();
+    BufReader::new(stream).read_line(&mut response)?;
+    Ok(response.trim_end().to_owned())
 }
 
-/// For people: what stands alone a line each, what stands in a list a row each.
-fn table(value: &Value) -> String {
-    let word = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
+/// Formats a JSON object for people: a list of objects as a table, any other value as a line.
+fn format_table(value: &Value) -> String {
+    let cell_text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
     let mut text = String::new();
     for (key, value) in value.as_object().into_iter().flatten() {
         let rows: Vec<_> = value.as_array().into_iter().flatten().filter_map(Value::as_object).collect();
         let Some(first) = rows.first() else {
-            text.push_str(&format!("{key}: {}\n", word(value)));
+            text.push_str(&format!("{key}: {}\n", cell_text(value)));
             continue;
         };
         text.push_str(&format!("{key}:\n"));
         let names: Vec<&String> = first.keys().collect();
         let mut lines: Vec<Vec<String>> = vec![names.iter().map(|name| (*name).clone()).collect()];
-        lines.extend(rows.iter().map(|row| names.iter().map(|name| word(&row[*name])).collect()));
-        let width = |at: usize| lines.iter().map(|line| line[at].chars().count()).max().unwrap_or_default();
+        lines.extend(rows.iter().map(|row| names.iter().map(|name| cell_text(&row[*name])).collect()));
+        let width =
+            |column: usize| lines.iter().map(|line| line[column].chars().count()).max().unwrap_or_default();
         let widths: Vec<usize> = (0..names.len()).map(width).collect();
         for line in &lines {
             let cells = line.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}"));
@@ -231,16 +236,16 @@
     text
 }
 
-fn show(what: Configs) -> Result<(), ShellError> {
+fn show(command: ConfigCommand) -> Result<(), CliError> {
     let mut out = std::io::stdout().lock();
-    match what {
-        Configs::Show { file } => {
-            for value in config::effective(&named(file)?)? {
+    match command {
+        ConfigCommand::Show { file } => {
+            for value in config::effective_values(&config_file(file)?)? {
                 writeln!(out, "{} = {}  # {}", value.key, value.value, value.origin)?;
             }
         }
-        Configs::Schema => writeln!(out, "{}", serde_json::to_string_pretty(&config::schema())?)?,
-        Configs::Example => write!(out, "{}", config::EXAMPLE)?,
+        ConfigCommand::Schema => writeln!(out, "{}", serde_json::to_string_pretty(&config::schema())?)?,
+        ConfigCommand::Example => write!(out, "{}", config::EXAMPLE)?,
     }
     Ok(())
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! One real sender: takes messages on from clients and delivers them to endpoints, over sockets.
+//! The sender as a network service: accepts messages from clients and delivers them to endpoints.
 use message_sender::config::{self, ConfigError};
 use message_sender::net;
 use net::Descriptors;
@@ -31,18 +31,19 @@
 #[global_allocator]
 static COUNTED: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
 
-/// How long another process may keep the address: one that is told to end is killed within 4 s, and told after 6 s.
-const BIND_PATIENCE: Duration = Duration::from_secs(12);
-const BIND_PAUSE: Duration = Duration::from_millis(50);
-/// Share of the memory that bodies may have while they are read: those that are held have a quarter, and connections'
-/// buffers most of the rest.
-const BODIES_OF_MEMORY: f64 = 0.125;
-/// Connections that may wait to be accepted.
+/// How long another process may hold the listening address: the platform sends SIGTERM to the process that is replaced
+/// after 6 s, and SIGKILL within 4 s of that.
+const BIND_TIMEOUT: Duration = Duration::from_secs(12);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Share of the memory for request bodies that are being read. Held messages may use a quarter of the memory, and
+/// connection buffers take most of the rest.
+const REQUEST_BODY_MEMORY_SHARE: f64 = 0.125;
+/// Length of the kernel's queue of connections that are not yet accepted.
 const BACKLOG: u32 = 1024;
-/// How long answers on their way out may take once the time to wind down is over.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
-/// How long the fleet's keepers may take to agree that this sender leaves; SIGKILL comes 3.7 s after SIGTERM.
-const LAST_LEAVE: Duration = Duration::from_millis(1500);
+/// Time to send the remaining responses after the graceful shutdown period.
+const RESPONSE_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long the fleet's voters may take to agree that this sender leaves; SIGKILL follows 3.7 s after SIGTERM.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 #[derive(Debug, thiserror::Error)]
 enum StartError {
@@ -62,240 +63,270 @@
     Fleet(#[from] fleet::FleetError),
     #[error("settings: {0}")]
     Settings(String),
-    #[error("settings: {0:?} is missing, which the running ones have")]
-    Short(String),
+    #[error("settings: key {0:?} is missing, but is present in the running configuration")]
+    MissingKey(String),
     #[error("listening on {address}: {source}")]
     Listen { address: SocketAddr, source: std::io::Error },
     #[error("starting: {0}")]
     Runtime(#[from] std::io::Error),
 }
 
-fn variable(name: &'static str) -> Result<PathBuf, StartError> {
+fn environment_path(name: &'static str) -> Result<PathBuf, StartError> {
     std::env::var_os(name).map(PathBuf::from).ok_or(StartError::Unset(name))
 }
 
-/// What the log calls this sender.
-fn name_of(config: &config::Config) -> String {
-    let told = std::env::var("PROXY_NAME").ok().filter(|name| !name.is_empty());
+/// This sender's name in the log: its name in the fleet, `$PROXY_NAME` or its listening address.
+fn sender_name(config: &config::Config) -> String {
+    let from_environment = std::env::var("PROXY_NAME").ok().filter(|name| !name.is_empty());
     let member = config.fleet.as_ref().map(|fleet| fleet.member.clone());
-    member.or(told).unwrap_or_else(|| config.listen.to_string())
+    member.or(from_environment).unwrap_or_else(|| config.listen.to_string())
 }
 
-/// A key that `old` has and `new` lacks, in the objects that both hold. Of the objects of a list, such as the
-/// classes, each needs the keys that all had.
+/// A key that `old` has and `new` lacks, in nested objects that both have. Each object in a list, such as the message
+/// classes, must have the keys that all objects of the old list have in common.
 fn missing_key(old: &Value, new: &Value) -> Option<String> {
-    let lacks = |old: &Map<String, Value>, new: &Map<String, Value>| {
+    let missing_in_object = |old: &Map<String, Value>, new: &Map<String, Value>| {
         old.iter().find_map(|(key, value)| match new.get(key) {
             None => Some(key.clone()),
             Some(other) => missing_key(value, other),
         })
     };
     match (old, new) {
-        (Value::Object(old), Value::Object(new)) => lacks(old, new),
+        (Value::Object(old), Value::Object(new)) => missing_in_object(old, new),
         (Value::Array(old), Value::Array(new)) => {
-            let mut rows = old.iter().filter_map(Value::as_object);
-            let first = rows.next()?;
-            let common: Vec<&String> =
-                first.keys().filter(|key| rows.clone().all(|row| row.contains_key(*key))).collect();
-            let mut new = new.iter().filter_map(Value::as_object);
-            new.find_map(|row| common.iter().find(|key| !row.contains_key(**key)).map(|key| key.to_string()))
+            let mut old_objects = old.iter().filter_map(Value::as_object);
+            let first = old_objects.next()?;
+            let common: Vec<&String> = first
+                .keys()
+                .filter(|key| old_objects.clone().all(|other| other.contains_key(*key)))
+                .collect();
+            let mut new_objects = new.iter().filter_map(Value::as_object);
+            new_objects.find_map(|object| {
+                common.iter().find(|key| !object.contains_key(**key)).map(|key| key.to_string())
+            })
         }
         _ => None,
     }
 }
 
-/// Listens where clients come. A process that cannot hand over may still be there, and about to end.
+/// Listens for clients. Retries while the address is in use, as a previous process that cannot hand over may still be
+/// shutting down.
 async fn bind(address: SocketAddr) -> Result<std::net::TcpListener, StartError> {
-    let error = |source| StartError::Listen { address, source };
-    let given_up = Instant::now() + BIND_PATIENCE;
+    let to_error = |source| StartError::Listen { address, source };
+    let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
-        let socket = socket.map_err(error)?;
-        socket.set_reuseaddr(true).map_err(error)?;
+        let socket = socket.map_err(to_error)?;
+        socket.set_reuseaddr(true).map_err(to_error)?;
         match socket.bind(address).and_then(|()| socket.listen(BACKLOG)) {
-            Ok(listener) => return listener.into_std().map_err(error),
-            Err(e) if e.kind() == std::io::ErrorKind::AddrInUse && Instant::now() < given_up => {
-                sleep(BIND_PAUSE).await;
+            Ok(listener) => return listener.into_std().map_err(to_error),
+            Err(e) if e.kind() == std::io::ErrorKind::AddrInUse && Instant::now() < deadline => {
+                sleep(BIND_RETRY_INTERVAL).await;
             }
-            Err(source) => return Err(error(source)),
+            Err(source) => return Err(to_error(source)),
         }
     }
 }
 
 async fn run() -> Result<(), StartError> {
-    // Before all else: a signal that comes early must not end the process.
-    let hung_up = signal(SignalKind::hangup())?;
-    let path = variable("PROXY_CONFIG")?;
-    let (file, config) = config::read(&path)?;
-    let log = log::begin(&config.log.clone().unwrap_or_else(config::Log::bare), &name_of(&config))?;
+    // First, since SIGHUP ends a process that does not handle it.
+    let hangup = signal(SignalKind::hangup())?;
+    let path = environment_path("PROXY_CONFIG")?;
+    let (document, config) = config::read(&path)?;
+    let log =
+        log::begin(&config.log.clone().unwrap_or_else(config::Log::unconfigured), &sender_name(&config))?;
     let seed = u64::from_str_radix(&config.seed, 16).map_err(|_| StartError::Seed(config.seed))?;
-    let (standing, stands) = watch::channel(ServiceState::Starting);
-    let (to_host, mut orders) = mpsc::channel(admin_endpoint::MAX_CONNECTIONS);
+    let (service_state, service_state_receiver) = watch::channel(ServiceState::Starting);
+    let (admin_commands, mut admin_command_receiver) = mpsc::channel(admin_endpoint::MAX_CONNECTIONS);
     let shared = Arc::new(Shared::default());
-    // Without a part `fleet` nothing of it is begun.
-    let (to_fleet, at_fleet) = match &config.fleet {
+    // Without a `fleet` section, none of the fleet's tasks are started.
+    let (fleet_commands, fleet_command_receiver) = match &config.fleet {
         Some(_) => Some(mpsc::channel(admin_endpoint::MAX_CONNECTIONS)).unzip(),
         None => (None, None),
     };
-    if let Some(address) = config.mgmt {
-        let error = |source| StartError::Listen { address, source };
-        let listener = std::net::TcpListener::bind(address).map_err(error)?;
-        tracing::info!("second address: {}", listener.local_addr().map_err(error)?);
-        admin_endpoint::spawn(listener, to_host, stands, to_fleet.clone()).map_err(error)?;
+    if let Some(address) = config.admin_address {
+        let to_error = |source| StartError::Listen { address, source };
+        let listener = std::net::TcpListener::bind(address).map_err(to_error)?;
+        tracing::info!("second address: {}", listener.local_addr().map_err(to_error)?);
+        admin_endpoint::spawn(listener, admin_commands, service_state_receiver, fleet_commands.clone())
+            .map_err(to_error)?;
     }
     let zone = config.settings.zone().to_owned();
     let tuning = Tuning::new(config.settings).map_err(StartError::Settings)?;
-    let pauses = discovery::Pauses::new(seed, tuning.senders(), tuning.must_ask_in());
-    let folder = variable("PROXY_STATE")?;
-    // From here on the journal is this process's alone; the one that had it may have handed over the rest.
-    let (lock, inherited) = handover::claim(&folder, &tuning.numbering()).await?;
-    let (inputs, mut from_all) = mpsc::unbounded_channel();
-    let (notices, queue) = mpsc::unbounded_channel();
-    let (doors, at_doors) = watch::channel(Doors::Open);
-    let (to_discovery, at_discovery) = watch::channel(config.discovery);
+    let poll_intervals = discovery::Pauses::new(seed, tuning.senders(), tuning.must_ask_in());
+    let state_directory = environment_path("PROXY_STATE")?;
+    // The lock makes this process the only one that uses the journal. `inherited` is the state of a previous process
+    // that handed over.
+    let (lock, inherited) = handover::claim(&state_directory, &tuning.numbering()).await?;
+    let (inputs, mut input_receiver) = mpsc::unbounded_channel();
+    let (notice_sender, notice_receiver) = mpsc::unbounded_channel();
+    let (doors, doors_receiver) = watch::channel(Doors::Open);
+    let (discovery_address, discovery_address_receiver) = watch::channel(config.discovery);
     let descriptors = Descriptors::share(config.limits.sockets);
-    let (listener, origin, revision, taken) = match inherited {
+    let (listener, origin, revision, inherited_clients) = match inherited {
         None => {
-            let revision = config.known.revision;
-            (bind(config.listen).await?, Origin::Listed(config.known), revision, 0)
+            let revision = config.initial_endpoints.revision;
+            (bind(config.listen).await?, Origin::Listed(config.initial_endpoints), revision, 0)
         }
         Some(Inherited { state, listener, stream }) => {
-            let passed_on = inputs.clone();
-            let (to_old, _) = handover::link(stream, move |came| passed_on.send(Input::Old(came)).is_ok());
+            let relayed_inputs = inputs.clone();
+            let (to_old_process, _) =
+                handover::link(stream, move |message| relayed_inputs.send(Input::Old(message)).is_ok());
             let (revision, clients) = (state.revision, state.clients);
-            (listener, Origin::Inherited(state, to_old), revision, clients)
+            (listener, Origin::Inherited(state, to_old_process), revision, clients)
         }
     };
     let memory = config.limits.memory_mb.map(|mb| mb * 1e6);
-    // What is owed is in memory too, and the journal is read whole at the next start.
-    let of_fleet = if config.fleet.is_some() { fleet::DISK as f64 } else { 0.0 };
-    let disk = (config.limits.disk_mb * 1e6 - of_fleet).min(memory.unwrap_or(f64::INFINITY)).max(0.0);
-    let (journal, damage) = Journal::open(&folder, disk as u64)?;
+    // The memory limit also bounds the journal: accepted messages are held in memory too, and the next start reads the
+    // whole journal.
+    let fleet_disk = if config.fleet.is_some() { fleet::DISK as f64 } else { 0.0 };
+    let disk = (config.limits.disk_mb * 1e6 - fleet_disk).min(memory.unwrap_or(f64::INFINITY)).max(0.0);
+    let (journal, damage) = Journal::open(&state_directory, disk as u64)?;
     if damage != net::journal::Damage::default() {
-        tracing::warn!("journal: {} bytes cut off at the end, {} passed over", damage.torn, damage.skipped);
+        tracing::warn!(
+            "journal: truncated {} bytes at the end, skipped {} unreadable bytes",
+            damage.torn,
+            damage.skipped
+        );
     }
-    let (stop_fleet, fleet_stops) = watch::channel(false);
-    if let (Some(fleet), Some(at_fleet)) = (&config.fleet, at_fleet) {
-        fleet::spawn(fleet, &zone, &folder, at_fleet, fleet_stops)?;
+    let (stop_fleet, fleet_stop_receiver) = watch::channel(false);
+    if let (Some(fleet), Some(commands)) = (&config.fleet, fleet_command_receiver) {
+        fleet::spawn(fleet, &zone, &state_directory, commands, fleet_stop_receiver)?;
     }
-    let room = Arc::new(Semaphore::new(descriptors.clients.saturating_sub(taken)));
-    let listening = |source| StartError::Listen { address: config.listen, source };
-    let estate = Estate { lock, journal, listener: listener.try_clone().map_err(listening)? };
+    let connection_permits = Arc::new(Semaphore::new(descriptors.clients.saturating_sub(inherited_clients)));
+    let listen_error = |source| StartError::Listen { address: config.listen, source };
+    let estate = Estate { lock, journal, listener: listener.try_clone().map_err(listen_error)? };
     let links = Links {
         inputs: inputs.clone(),
-        notices,
+        notices: notice_sender,
         doors,
-        standing,
-        room: room.clone(),
+        standing: service_state,
+        room: connection_permits.clone(),
         most_clients: descriptors.clients,
         shared: shared.clone(),
     };
     let host = Host::new(tuning, seed, origin, estate, descriptors.endpoints, links)
         .map_err(StartError::Settings)?;
-    // Only now: a sender that can be reached has taken up what it owes.
-    listener.set_nonblocking(true).map_err(listening)?;
-    let listener = TcpListener::from_std(listener).map_err(listening)?;
+    // Clients are accepted only now, after recovery of the messages that are still to be delivered.
+    listener.set_nonblocking(true).map_err(listen_error)?;
+    let listener = TcpListener::from_std(listener).map_err(listen_error)?;
     tracing::info!("listening on {}", listener.local_addr()?);
-    let watching = tokio::spawn(discovery::watch(
-        at_discovery.clone(),
+    let discovery_task = tokio::spawn(discovery::watch(
+        discovery_address_receiver.clone(),
         revision,
-        pauses,
+        poll_intervals,
         inputs.clone(),
         shared.clone(),
     ));
-    tokio::spawn(notices::run(at_discovery, queue, !seed, inputs.clone(), shared.clone()));
-    let asked = inputs.clone();
-    if let Err(e) = handover::listen(&folder, move |stream| asked.send(Input::TakeOver(stream)).is_ok()) {
-        tracing::warn!("no upgrade can take over from this process: {e}");
+    tokio::spawn(notices::run(
+        discovery_address_receiver,
+        notice_receiver,
+        !seed,
+        inputs.clone(),
+        shared.clone(),
+    ));
+    let takeover_inputs = inputs.clone();
+    if let Err(e) = handover::listen(&state_directory, move |stream| {
+        takeover_inputs.send(Input::TakeOver(stream)).is_ok()
+    }) {
+        tracing::warn!("handover is unavailable, no new process can take over from this one: {e}");
     }
     let (mut terminated, mut interrupted) =
         (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-    let on_signal = inputs.clone();
+    let signal_inputs = inputs.clone();
     tokio::spawn(async move {
         tokio::select! {
             _ = terminated.recv() => {}
             _ = interrupted.recv() => {}
         }
-        let _ = on_signal.send(Input::WindDown);
+        let _ = signal_inputs.send(Input::WindDown);
     });
-    tokio::spawn(reload(hung_up, path, file, to_discovery, inputs.clone(), shared.clone(), log));
-    let bodies = server::bodies(memory.map(|memory| (memory * BODIES_OF_MEMORY) as usize));
-    let server =
-        tokio::spawn(server::serve(listener, room, descriptors.clients, inputs, at_doors, bodies, shared));
-    match host.run(&mut from_all, &mut orders).await {
+    tokio::spawn(reload(hangup, path, document, discovery_address, inputs.clone(), shared.clone(), log));
+    let request_bodies = server::bodies(memory.map(|memory| (memory * REQUEST_BODY_MEMORY_SHARE) as usize));
+    let server = tokio::spawn(server::serve(
+        listener,
+        connection_permits,
+        descriptors.clients,
+        inputs,
+        doors_receiver,
+        request_bodies,
+        shared,
+    ));
+    match host.run(&mut input_receiver, &mut admin_command_receiver).await {
         Ended::HandedOver(remains) => {
-            // The new process takes the fleet's part on, and its address.
+            // The new process becomes the fleet's member, and listens on the member's address.
             stop_fleet.send_replace(true);
-            watching.abort();
-            remains.pass_on(from_all, orders, server).await;
+            discovery_task.abort();
+            remains.pass_on(input_receiver, admin_command_receiver, server).await;
         }
-        Ended::WoundDown(until) => {
-            // Nobody takes anything on any more: whoever is still handing in hears so at once.
-            drop(from_all);
-            if let Some(to_fleet) = to_fleet.filter(|_| config.fleet.is_some_and(|fleet| fleet.leave)) {
-                leave(&to_fleet).await;
+        Ended::WoundDown(deadline) => {
+            // No message is accepted any more: closing the channel rejects pending submissions at once.
+            drop(input_receiver);
+            if let Some(commands) = fleet_commands.filter(|_| config.fleet.is_some_and(|fleet| fleet.leave)) {
+                leave(&commands).await;
             }
-            let until = until.max(Instant::now()) + LAST_ANSWERS;
-            drop(timeout_at(until, server).await);
+            let deadline = deadline.max(Instant::now()) + RESPONSE_FLUSH_TIMEOUT;
+            drop(timeout_at(deadline, server).await);
         }
     }
     Ok(())
 }
 
-/// Leaves the fleet in order. Whoever cannot be told in time goes all the same, and is held lost.
-async fn leave(to_fleet: &mpsc::Sender<fleet::Asked>) {
-    let (answer, answered) = oneshot::channel();
-    let asked = fleet::Asked::Order(sender_membership::Command::Leave, answer);
-    if to_fleet.send(asked).await.is_ok() {
-        match timeout(LAST_LEAVE, answered).await {
-            Ok(Ok(Ok(_))) => tracing::info!("fleet: left"),
-            Ok(Ok(Err(e))) => tracing::warn!("fleet: not left: {e}"),
-            _ => tracing::warn!("fleet: not left: the keepers did not agree in time"),
+/// Leaves the fleet. If the voters do not agree in time, the process ends nevertheless, and the other members consider
+/// this sender failed.
+async fn leave(fleet_commands: &mpsc::Sender<fleet::Asked>) {
+    let (response, response_receiver) = oneshot::channel();
+    let command = fleet::Asked::Order(sender_membership::Command::Leave, response);
+    if fleet_commands.send(command).await.is_ok() {
+        match timeout(LEAVE_TIMEOUT, response_receiver).await {
+            Ok(Ok(Ok(_))) => tracing::info!("fleet: left the fleet"),
+            Ok(Ok(Err(e))) => tracing::warn!("fleet: leaving failed: {e}"),
+            _ => tracing::warn!("fleet: leaving failed: the voters did not agree in time"),
         }
     }
 }
 
-/// Takes up the settings and where discovery is from the configuration file at each SIGHUP, as a whole: a file
-/// that cannot be used changes nothing. Addresses to listen at and limits hold from the next start.
+/// Applies the settings, the discovery address and the log level from the configuration file at each SIGHUP. A file with
+/// an error changes nothing. Listening addresses and limits take effect at the next start.
 async fn reload(
-    mut hung_up: Signal,
+    mut hangup: Signal,
     path: PathBuf,
     mut running: Value,
-    discovery: watch::Sender<SocketAddr>,
+    discovery_address: watch::Sender<SocketAddr>,
     host: UnboundedSender<Input>,
     shared: Arc<Shared>,
     log: log::Handle,
 ) {
-    while hung_up.recv().await.is_some() {
-        let reloaded = reloaded(&path, &running, &host).await;
-        shared.reloads.count(reloaded.is_ok());
-        match reloaded {
-            Ok((file, address, level)) => {
+    while hangup.recv().await.is_some() {
+        let result = apply_configuration(&path, &running, &host).await;
+        shared.reloads.count(result.is_ok());
+        match result {
+            Ok((document, address, level)) => {
                 log.set(level);
-                tracing::info!("reloaded: new settings hold, discovery is at {address}");
-                running = file;
-                discovery.send_replace(address);
+                tracing::info!("reloaded: settings applied, discovery address is {address}");
+                running = document;
+                discovery_address.send_replace(address);
             }
-            Err(e) => tracing::warn!("not reloaded, the running configuration stays: {e}"),
+            Err(e) => tracing::warn!("not reloaded, keeping the running configuration: {e}"),
         }
     }
 }
 
-async fn reloaded(
+async fn apply_configuration(
     path: &Path,
     running: &Value,
     host: &UnboundedSender<Input>,
 ) -> Result<(Value, SocketAddr, config::Level), StartError> {
-    let (file, new) = config::read(path)?;
-    if let Some(key) = missing_key(&running["settings"], &file["settings"]) {
-        return Err(StartError::Short(key));
+    let (document, new) = config::read(path)?;
+    if let Some(key) = missing_key(&running["settings"], &document["settings"]) {
+        return Err(StartError::MissingKey(key));
     }
     let tuning = Tuning::new(new.settings).map_err(StartError::Settings)?;
-    let (done, swapped) = oneshot::channel();
-    let _ = host.send(Input::Retune(Box::new(tuning), done));
-    // A host that has ended answers nothing, and nothing is to be done.
-    swapped.await.unwrap_or(Ok(())).map_err(StartError::Settings)?;
-    Ok((file, new.discovery, new.log.unwrap_or_else(config::Log::bare).level))
+    let (response, response_receiver) = oneshot::channel();
+    let _ = host.send(Input::Retune(Box::new(tuning), response));
+    // A host that has ended does not respond, and has no settings left to change.
+    response_receiver.await.unwrap_or(Ok(())).map_err(StartError::Settings)?;
+    Ok((document, new.discovery, new.log.unwrap_or_else(config::Log::unconfigured).level))
 }
 
 fn serve() -> ExitCode {
@@ -310,17 +341,17 @@
 }
 
 fn main() -> ExitCode {
-    // As the platform starts it: no word of the command line is read, and nothing of that is paid for.
+    // The platform starts the program without arguments: the sender does not pay for parsing a command line.
     if std::env::args_os().len() <= 1 {
         return serve();
     }
-    // All else is the shell's, a program of its own beside this one: what it links would cost each sender 1.3 MB.
+    // The command line is a separate program in the same directory: its dependencies would cost each sender 1.3 MB.
     let error = match std::env::current_exe() {
-        Ok(own) => {
-            Command::new(own.with_file_name("message-sender-cli")).args(std::env::args_os().skip(1)).exec()
-        }
+        Ok(executable) => Command::new(executable.with_file_name("message-sender-cli"))
+            .args(std::env::args_os().skip(1))
+            .exec(),
         Err(e) => e,
     };
-    eprintln!("message-sender: starting message-sender-cli, which is to lie beside this program: {error}");
+    eprintln!("message-sender: cannot start message-sender-cli in the directory of this program: {error}");
     ExitCode::FAILURE
 }
