--- a/src/bin/message-sender-cli.rs
+++ b/src/bin/message-sender-cli.rs
@@ -1,5 +1,5 @@
-//! The command line of the sender, for operators. `message-sender` executes this program if it has any arguments, and the
-//! `run` command executes `message-sender`.
+//! The command line of the sender, for operators. `message-sender` executes this program if it is given arguments, and
+//! the `run` command executes `message-sender`.
 use clap::{Parser, Subcommand};
 use message_sender::config::{self, CheckReport, ConfigError};
 use serde_json::Value;
@@ -31,7 +31,7 @@
         #[arg(long)]
         state: Option<PathBuf>,
     },
-    /// Validates a configuration and lists all errors with their keys. Exits with code 2 if the configuration is invalid.
+    /// Validates a configuration and lists all errors with their keys. Exits with code 2 if it is invalid.
     Check {
         /// Configuration file; defaults to $PROXY_CONFIG.
         file: Option<PathBuf>,
@@ -84,7 +84,7 @@
     },
     /// Removes this sender from the fleet permanently.
     Leave,
-    /// Restores the fleet from this sender's state after a permanent loss of the majority of voters. Run on one sender only.
+    /// Restores the fleet from this sender's state after most voters are permanently lost. Run on one sender only.
     Refound,
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -115,7 +115,7 @@
     /// Address announced to other members; defaults to `listen`.
     #[schemars(with = "Option<String>")]
     pub advertise: Option<SocketAddr>,
-    /// Addresses of 2 to 9 members, the same in the same order at all members. The fleet's first start needs all of them.
+    /// Addresses of 2 to 9 members, in the same order at all members. The fleet's first start needs all of them.
     #[schemars(with = "Vec<String>")]
     pub seeds: Vec<SocketAddr>,
     /// This sender's zone; defaults to the zone in the settings.
--- a/src/profile.rs
+++ b/src/profile.rs
@@ -1,269 +1,302 @@
-//! The settings' JSON, as the simulator's first message and a sender's configuration hold it.
+//! The settings of the sending policy, as in the simulator's first message and in the `settings` section of a sender's
+//! configuration.
 use crate::interface::*;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::collections::HashMap;
 
-/// What a sender is told at its start. Keys that nothing here needs are passed over. Times are in microseconds.
+/// Settings of the sending policy. Unknown keys are ignored. Times are in microseconds.
 #[derive(Deserialize, JsonSchema)]
 pub struct Profile {
-    /// All zones.
-    azs: Vec<String>,
+    /// Names of all zones.
+    #[serde(rename = "azs")]
+    zones: Vec<String>,
     /// Zone of this sender: one of `azs`.
     zone: String,
-    /// Whether the list comes by itself or is asked for.
-    discovery: Mode,
-    /// Senders that share the traffic, this one counted.
+    /// Whether discovery pushes the endpoint list or the sender requests it.
+    discovery: DiscoveryMode,
+    /// Number of senders that share the traffic, including this one.
     #[schemars(range(min = 1))]
     fleet_size: usize,
-    /// Kinds of destination; the list's `flavor` names one.
+    /// Names of the kinds of destination; `flavor` in the endpoint list refers to them.
     kinds: Vec<String>,
-    /// Classes of message.
+    /// Message classes.
     #[schemars(length(min = 1))]
-    lanes: Vec<Lane>,
-    /// Limits of the sender's own.
+    #[serde(rename = "lanes")]
+    message_classes: Vec<MessageClass>,
+    /// Limits for connections, attempts and held messages.
     limits: Limits,
-    /// Figures of the rules.
+    /// Parameters of the sending rules.
     invariants: Invariants,
-    /// What is particular to this kind of system.
+    /// Batching, independence of endpoints, value decay and concurrency.
     specifics: Specifics,
-    /// Tenants, where the deployment has any.
+    /// Tenants and their quotas; may be empty.
     #[serde(default)]
-    tenants: Vec<TenantRow>,
-    /// Worth of a message above its tenant's share, from 0 to 1.
-    over_share_worth: Option<f64>,
-    /// Shortest time between two steps of the decision module.
+    tenants: Vec<TenantQuota>,
+    /// Value of a message above its tenant's quota, as a fraction (0 to 1) of the value within it; 1 by default.
+    #[serde(rename = "over_share_worth")]
+    over_quota_value: Option<f64>,
+    /// Minimum interval between two steps of the sending policy.
     #[schemars(range(min = 1))]
     period: u64,
-    /// Which load reports answers hold.
-    report: ReportRow,
-    /// What a list entry's `size` says: `none`, or the calls a second that its destination takes.
+    /// Format of the load reports in responses.
+    report: LoadReportFormat,
+    /// Meaning of `size` in the endpoint list: `none`, or with any other value the calls per second of the destination.
     weights: String,
 }
 
 #[derive(Deserialize, Clone, Copy, JsonSchema)]
+#[schemars(rename = "Mode")]
 #[serde(rename_all = "snake_case")]
-enum Mode {
-    /// It comes by itself.
+enum DiscoveryMode {
+    /// Discovery pushes the list and its changes.
     Pushed,
-    /// It is asked for.
+    /// The sender requests the list.
     OnRequest,
 }
 
 #[derive(Deserialize, JsonSchema)]
-struct Lane {
-    /// Name, as clients give it in `X-Lane`.
+#[schemars(rename = "Lane")]
+struct MessageClass {
+    /// Name, as in the header `X-Lane`.
     name: String,
-    /// Delivered within this, a message earns its full worth.
+    /// Latency target: a message delivered within this time earns its full value.
     #[schemars(range(min = 1))]
-    aim: u64,
-    /// Given up after this.
+    #[serde(rename = "aim")]
+    latency_target: u64,
+    /// Time from first submission until the message expires.
     #[schemars(range(min = 1))]
-    hard_limit: u64,
-    /// Worth of one message.
-    worth: f64,
-    /// Share of the worth that is left at the end, from 0 to 1.
+    #[serde(rename = "hard_limit")]
+    deadline: u64,
+    /// Value of one message delivered within the latency target.
+    #[serde(rename = "worth")]
+    value: f64,
+    /// Share of the value that remains at the deadline, from 0 to 1.
     late_value: f64,
-    /// What a repeat does: nothing, dropped under its key, or a second effect.
-    repeat: RepeatWord,
-    /// Where a repeat is dropped, for `dedup`: `all`, `zone` or `cell`.
+    /// Effect of a repeat: `retryable` (none), `dedup` (dropped by its key) or `fragile` (a second effect).
+    repeat: RepeatEffect,
+    /// For `dedup`, the scope of deduplication: `all`, `zone` or `cell`.
     group: Option<String>,
-    /// For how long it is dropped, for `dedup`.
+    /// For `dedup`, how long endpoints remember a key.
     key_ttl: Option<u64>,
-    /// Messages of one subject go one at a time, in the order taken.
-    fifo_by_key: Option<bool>,
+    /// Whether messages with the same ordering key are sent one at a time, in the order of submission.
+    #[serde(rename = "fifo_by_key")]
+    ordered: Option<bool>,
 }
 
 #[derive(Deserialize, Clone, Copy, JsonSchema)]
+#[schemars(rename = "RepeatWord")]
 #[serde(rename_all = "snake_case")]
-enum RepeatWord {
-    /// Repeated freely.
+enum RepeatEffect {
+    /// Idempotent: may be retried freely.
     Retryable,
-    /// Repeated under its key.
+    /// Endpoints drop repeats with the same key.
     Dedup,
-    /// Never repeated once it may have run.
+    /// Not idempotent: never retried once it may have executed.
     Fragile,
 }
 
 #[derive(Deserialize, JsonSchema)]
 struct Limits {
-    /// Whether an attempt may be called off.
+    /// Whether attempts in flight may be cancelled.
     cancel: bool,
-    /// A connection that is not made within this is unreachable.
+    /// An endpoint is unreachable if connecting takes longer.
     connect_timeout: u64,
-    /// For how long an endpoint keeps an idle connection.
+    /// How long endpoints keep an idle connection open.
     conn_idle: Option<u64>,
-    /// Attempts for one message at most.
+    /// Maximum number of attempts for one message.
     #[schemars(range(min = 1))]
     max_attempts: u32,
-    /// Messages held at most.
+    /// Maximum number of pending messages.
     #[schemars(range(min = 1))]
-    most_held: usize,
-    /// Whether endpoints may be probed; this sender never does.
+    #[serde(rename = "most_held")]
+    max_pending: usize,
+    /// Whether endpoints may be probed; this sender never probes.
     probes: bool,
 }
 
 #[derive(Deserialize, JsonSchema)]
 struct Invariants {
-    /// New calls to an endpoint that drains end within this.
+    /// Sending to a draining endpoint must stop within this time.
     drain_grace: u64,
-    /// Share of its capacity with which a destination returns, from 0 to 1.
-    cold_share: f64,
-    /// Until when it has all of it.
-    ramp_time: u64,
-    /// Sent more than this multiple of its present capacity ...
+    /// Slow start: share of its capacity, from 0 to 1, that a destination has when it recovers from an outage.
+    #[serde(rename = "cold_share")]
+    slow_start_share: f64,
+    /// Slow start: time from recovery to full capacity.
+    #[serde(rename = "ramp_time")]
+    slow_start: u64,
+    /// During slow start, a destination fails if it is sent more than this multiple of its current capacity for `fall`.
     overload_factor: f64,
-    /// ... for this long, a cold destination falls over.
-    fall: u64,
-    /// How long a subject rests after an attempt that may still run.
+    /// How long a destination in slow start withstands a load above `overload_factor`.
+    #[serde(rename = "fall")]
+    overload_tolerance: u64,
+    /// Minimum interval between an attempt that may still execute and the next message of its ordering key; default 0.
     order_settle: Option<u64>,
-    /// A sender that asks for no list for so long counts as told.
+    /// Time after which a sender is assumed to know the list even if it did not request it.
     must_ask_in: Option<u64>,
 }
 
 #[derive(Deserialize, JsonSchema)]
 struct Specifics {
-    /// Messages that one call carries, by kind.
-    bundle_max: Option<Vec<usize>>,
-    /// Whether a destination's endpoints have limits of their own, by kind.
-    kind_apart: Option<Vec<bool>>,
-    /// How worth falls after the aim: `by_half`, or `even`.
+    /// Maximum number of messages in one call (batch size), by kind; 1 by default.
+    #[serde(rename = "bundle_max")]
+    batch: Option<Vec<usize>>,
+    /// Whether each endpoint of a destination has its own rate limit, by kind; false by default.
+    #[serde(rename = "kind_apart")]
+    independent_routes: Option<Vec<bool>>,
+    /// How the value falls after the latency target: `by_half`, or linearly with `even` (the default).
     decay: Option<String>,
-    /// Calls out at once at most.
+    /// Maximum number of calls in flight.
     #[schemars(range(min = 1))]
     max_calls: usize,
 }
 
 #[derive(Deserialize, JsonSchema)]
-struct TenantRow {
-    /// Name, as clients give it in `X-Org`.
+#[schemars(rename = "TenantRow")]
+struct TenantQuota {
+    /// Name, as in the header `X-Org`.
     name: String,
-    /// Messages a second that count as within its share.
+    /// Quota, in messages per second.
     allowance_per_s: f64,
 }
 
 #[derive(Deserialize, JsonSchema)]
-struct ReportRow {
-    /// The fields' names in their order.
+#[schemars(rename = "ReportRow")]
+struct LoadReportFormat {
+    /// Names of the fields, in their order.
     #[serde(default)]
     names: Vec<String>,
 }
 
-/// The module's numbers for the names that the settings use.
+/// Maps the names in the settings to the ids that the sending policy uses.
 pub struct Names {
-    /// Classes of messages.
+    /// Ids of the message classes.
     pub classes: HashMap<String, ClassId>,
-    /// Tenants.
+    /// Ids of the tenants.
     pub tenants: HashMap<String, TenantId>,
-    /// Kinds of destination.
+    /// Ids of the kinds of destination.
     pub kinds: HashMap<String, KindId>,
-    /// Zones.
+    /// Ids of the zones.
     pub zones: HashMap<String, ZoneId>,
 }
 
-fn index<T>(names: impl Iterator<Item = String>, make: fn(usize) -> T) -> HashMap<String, T> {
-    names.enumerate().map(|(i, name)| (name, make(i))).collect()
+fn assign_ids<T>(names: impl Iterator<Item = String>, new_id: fn(usize) -> T) -> HashMap<String, T> {
+    names.enumerate().map(|(i, name)| (name, new_id(i))).collect()
 }
 
-/// The module's number for a name; the error says `what` was not known.
-pub fn look<T: Copy>(table: &HashMap<String, T>, name: &str, what: &str) -> Result<T, String> {
-    table.get(name).copied().ok_or_else(|| format!("unknown {what} {name:?}"))
+/// Looks up the id of a name. The error message calls the name an unknown `kind_of_name`.
+pub fn look<T: Copy>(ids: &HashMap<String, T>, name: &str, kind_of_name: &str) -> Result<T, String> {
+    ids.get(name).copied().ok_or_else(|| format!("unknown {kind_of_name} {name:?}"))
 }
 
-impl Lane {
+impl MessageClass {
     fn class(&self) -> Result<Class, String> {
         let repeat = match self.repeat {
-            RepeatWord::Retryable => Repeat::Safe,
-            RepeatWord::Fragile => Repeat::Unsafe,
-            RepeatWord::Dedup => Repeat::Keyed {
+            RepeatEffect::Retryable => Repeat::Safe,
+            RepeatEffect::Fragile => Repeat::Unsafe,
+            RepeatEffect::Dedup => Repeat::Keyed {
                 group: match self.group.as_deref() {
                     Some("all") => Group::All,
-                    // A cell is one destination here, so its zone's part is always inside it.
+                    // A cell is one destination here, so the part of it in one zone is the narrower scope.
                     Some("zone" | "cell") => Group::Zone,
                     other => return Err(format!("class {:?}: unknown group {other:?}", self.name)),
                 },
-                window: Span(self.key_ttl.ok_or("a keyed class lacks key_ttl")?),
+                window: Span(self.key_ttl.ok_or("a class with repeat `dedup` needs key_ttl")?),
             },
         };
         Ok(Class {
-            latency_target: Span(self.aim),
-            deadline: Span(self.hard_limit),
-            value: self.worth,
+            latency_target: Span(self.latency_target),
+            deadline: Span(self.deadline),
+            value: self.value,
             late_value: self.late_value,
             repeat,
-            ordered: self.fifo_by_key.unwrap_or(false),
+            ordered: self.ordered.unwrap_or(false),
         })
     }
 }
 
 impl Profile {
-    /// The zone that the sender stands in.
+    /// Name of this sender's zone.
     pub fn zone(&self) -> &str {
         &self.zone
     }
 
-    /// The numbers of all names.
+    /// Assigns ids to all names, by their position in the settings.
     pub fn names(&self) -> Names {
         Names {
-            classes: index(self.lanes.iter().map(|l| l.name.clone()), ClassId),
-            tenants: index(self.tenants.iter().map(|t| t.name.clone()), TenantId),
-            kinds: index(self.kinds.iter().cloned(), KindId),
-            zones: index(self.azs.iter().cloned(), ZoneId),
+            classes: assign_ids(self.message_classes.iter().map(|class| class.name.clone()), ClassId),
+            tenants: assign_ids(self.tenants.iter().map(|tenant| tenant.name.clone()), TenantId),
+            kinds: assign_ids(self.kinds.iter().cloned(), KindId),
+            zones: assign_ids(self.zones.iter().cloned(), ZoneId),
         }
     }
 
-    /// The names of the classes.
+    /// Names of the message classes, in the order of their ids.
     pub fn classes(&self) -> impl Iterator<Item = String> {
-        self.lanes.iter().map(|lane| lane.name.clone())
+        self.message_classes.iter().map(|class| class.name.clone())
     }
 
-    /// The names that the module's numbers for zones, kinds and tenants stand for, and this sender's zone.
+    /// This sender's zone, then the names of zones, kinds and tenants in the order of their ids. Two processes with the
+    /// same result can exchange ids.
     pub fn numbering(&self) -> Vec<Vec<String>> {
-        let tenants = self.tenants.iter().map(|t| t.name.clone()).collect();
-        vec![vec![self.zone.clone()], self.azs.clone(), self.kinds.clone(), tenants]
+        let tenants = self.tenants.iter().map(|tenant| tenant.name.clone()).collect();
+        vec![vec![self.zone.clone()], self.zones.clone(), self.kinds.clone(), tenants]
     }
 
-    /// Where the named field stands among those of a load report.
+    /// Index of the named field in a load report.
     pub fn report_field(&self, name: &str) -> Option<usize> {
-        self.report.names.iter().position(|n| n == name)
+        self.report.names.iter().position(|field| field == name)
     }
 
-    /// How long an endpoint keeps an idle connection open, at the most.
+    /// How long endpoints keep an idle connection open.
     pub fn connection_idle(&self) -> Option<Span> {
         self.limits.conn_idle.map(Span)
     }
 
-    /// The settings of the decision module, checked.
+    /// The settings of the sending policy. Fails if they are inconsistent or out of range.
     pub fn settings(&self, names: &Names) -> Result<Settings, String> {
-        let s = &self.specifics;
+        let specifics = &self.specifics;
         let kinds = (0..self.kinds.len())
             .map(|i| Kind {
-                independent_routes: s.kind_apart.as_ref().and_then(|v| v.get(i)).copied().unwrap_or(false),
-                batch: s.bundle_max.as_ref().and_then(|v| v.get(i)).copied().unwrap_or(1),
+                independent_routes: specifics
+                    .independent_routes
+                    .as_ref()
+                    .and_then(|v| v.get(i))
+                    .copied()
+                    .unwrap_or(false),
+                batch: specifics.batch.as_ref().and_then(|v| v.get(i)).copied().unwrap_or(1),
             })
             .collect();
-        let r = &self.invariants;
-        for (i, lane) in self.lanes.iter().enumerate() {
-            if self.lanes[..i].iter().any(|other| other.name == lane.name) {
-                return Err(format!("class {:?} comes more than once", lane.name));
+        let invariants = &self.invariants;
+        for (i, class) in self.message_classes.iter().enumerate() {
+            if self.message_classes[..i].iter().any(|other| other.name == class.name) {
+                return Err(format!("duplicate class {:?}", class.name));
             }
         }
         let settings = Settings {
-            classes: self.lanes.iter().map(Lane::class).collect::<Result<_, _>>()?,
+            classes: self.message_classes.iter().map(MessageClass::class).collect::<Result<_, _>>()?,
             kinds,
-            tenants: self.tenants.iter().map(|t| Tenant { allowance_per_s: t.allowance_per_s }).collect(),
-            over_share_value: self.over_share_worth.unwrap_or(1.0),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|tenant| Tenant { allowance_per_s: tenant.allowance_per_s })
+                .collect(),
+            over_share_value: self.over_quota_value.unwrap_or(1.0),
             zone: look(&names.zones, &self.zone, "zone")?,
             senders: self.fleet_size,
-            slots: s.max_calls,
-            max_pending: self.limits.most_held,
+            slots: specifics.max_calls,
+            max_pending: self.limits.max_pending,
             max_attempts: self.limits.max_attempts,
             period: Span(self.period),
             connect_timeout: Span(self.limits.connect_timeout),
-            decay: if s.decay.as_deref() == Some("by_half") { Decay::Exponential } else { Decay::Linear },
+            decay: if specifics.decay.as_deref() == Some("by_half") {
+                Decay::Exponential
+            } else {
+                Decay::Linear
+            },
             discovery: match self.discovery {
-                Mode::Pushed => Discovery::Pushed,
-                Mode::OnRequest => Discovery::OnRequest,
+                DiscoveryMode::Pushed => Discovery::Pushed,
+                DiscoveryMode::OnRequest => Discovery::OnRequest,
             },
             hints: if self.weights == "none" { Hints::None } else { Hints::CallsPerSecond },
             probes: self.limits.probes,
@@ -271,13 +304,13 @@
             outcomes_acknowledged: false,
             batches_expire_together: false,
             rules: Rules {
-                drain_grace: Span(r.drain_grace),
-                slow_start_share: r.cold_share,
-                slow_start: Span(r.ramp_time),
-                overload_factor: r.overload_factor,
-                overload_tolerance: Span(r.fall),
-                order_settle: Span(r.order_settle.unwrap_or(0)),
-                must_ask_in: Span(r.must_ask_in.unwrap_or(0)),
+                drain_grace: Span(invariants.drain_grace),
+                slow_start_share: invariants.slow_start_share,
+                slow_start: Span(invariants.slow_start),
+                overload_factor: invariants.overload_factor,
+                overload_tolerance: Span(invariants.overload_tolerance),
+                order_settle: Span(invariants.order_settle.unwrap_or(0)),
+                must_ask_in: Span(invariants.must_ask_in.unwrap_or(0)),
             },
         };
         settings.check().map_err(|e| e.to_string())?;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,97 +1,97 @@
-//! What goes over the wire between clients, senders, endpoints, discovery and the platform, as the protocol page has
-//! it: one place for those who write it and those who read it.
+//! Headers, paths and JSON bodies of the HTTP protocol between clients, senders, endpoints, discovery and the platform.
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Id of a message, new each time that it is handed in.
+/// Header: id of a message, new for each submission.
 pub const TXN: &str = "X-Txn";
-/// Class of a message.
+/// Header: name of the message class.
 pub const LANE: &str = "X-Lane";
-/// Seconds left, with decimals.
+/// Header: remaining time until the deadline, in seconds with decimals.
 pub const REMAINING: &str = "X-Remaining";
-/// Holds the destination, as `dest=7`.
+/// Header: destination of the message, such as `dest=7`.
 pub const ENVELOPE: &str = "X-Envelope";
-/// Key under which repeats are dropped.
+/// Header: key by which endpoints drop repeats.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
-/// On a 503: not sent, as all slots of the sender were taken.
+/// Header of a response with status 503: the call was not executed, as all slots for this sender were in use.
 pub const NO_SLOT: &str = "X-No-Slot";
-/// Where clients hand messages in.
+/// Path at a sender where clients submit messages.
 pub const HAND_IN: &str = "/api";
-/// Where endpoints take calls.
+/// Path at an endpoint that receives calls.
 pub const HOOK: &str = "/hook";
-/// Where a sender tells whether it is to be used.
+/// Path of a sender's readiness check.
 pub const READY: &str = "/-/ready";
-/// Where discovery tells the list.
+/// Path at discovery that returns the endpoint list.
 pub const TARGETS: &str = "/api/targets";
-/// Where the platform takes notices.
+/// Path at the platform that receives notices of undelivered messages.
 pub const NOTICES: &str = "/v1/notices";
 
-/// A version of the list of endpoints, or the changes that led to it.
+/// A version of the endpoint list, or the changes from an earlier version to this one.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Targets {
-    /// Its number: it only grows.
+    /// Version number, which only grows.
     pub revision: u64,
-    /// Whether this is the whole list.
+    /// Whether `members` is the full list; otherwise it has only the changes.
     pub complete: bool,
-    /// The endpoints, or those that changed.
+    /// All endpoints, or those that changed.
     pub members: Vec<Member>,
 }
 
-/// One endpoint of the list.
+/// An endpoint in the list.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Member {
-    /// The same at every sender.
+    /// Unique id, the same at all senders.
     pub id: String,
-    /// Where calls go.
+    /// Address that calls are sent to.
     #[schemars(with = "String")]
     pub host_port: SocketAddr,
-    /// Its zone.
+    /// Name of its zone.
     pub locality: String,
-    /// Its kind.
+    /// Name of the kind of its destination.
     pub flavor: String,
-    /// The destination that it belongs to.
+    /// Id of its destination.
     pub cell: u64,
-    /// Whether it is in service.
+    /// Whether it accepts calls.
     pub phase: Phase,
-    /// Calls a second that its destination takes from all senders together, where the settings say so.
+    /// Calls per second that its destination accepts from all senders together; ignored if `weights` in the settings is
+    /// `none`.
     #[serde(default)]
     pub size: f64,
-    /// Its last start, in Unix time in milliseconds; 0 for long ago.
+    /// Time of its last start, in milliseconds of Unix time; 0 if that was long ago.
     #[serde(default)]
     pub up_since_ms: u64,
 }
 
-/// Whether an endpoint is in service.
+/// Whether an endpoint accepts calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Phase {
-    /// It is.
+    /// Accepts calls.
     Serving,
-    /// It finishes what it has and wants nothing new.
+    /// Completes the calls in flight and accepts no new ones.
     Draining,
-    /// It is gone; among changes only.
+    /// Removed from the list; only used in changes.
     Deleted,
 }
 
-/// How a message ended that was taken on and not delivered: one line of a request with notices.
+/// Outcome of a message that was accepted and not delivered: one line in the body of a request to [`NOTICES`].
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NoticeLine<T> {
-    /// The message's id.
+    /// Message id, as in the header [`TXN`].
     pub id: T,
-    /// How it ended.
+    /// Whether the client can submit the message again.
     pub state: NoticeState,
-    /// When its client may come again, in milliseconds from then.
+    /// Minimum delay before the client submits the message again, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after_ms: Option<u64>,
 }
 
-/// How a message ended.
+/// Outcome of an undelivered message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum NoticeState {
-    /// With no promise about its effect: it does not come again.
+    /// No guarantee about its effect: the client does not submit it again.
     Failed,
-    /// Handing it in again is harmless.
+    /// The message can safely be submitted again.
     Returned,
 }
