--- a/src/bin/message-sender-cli.rs
+++ b/src/bin/message-sender-cli.rs
@@ -84,7 +84,7 @@
     },
     /// Removes this sender from the fleet permanently.
     Leave,
-    /// Restores the fleet from this sender's state after most voters are permanently lost. Run on one sender only.
+    /// Restores the fleet from this sender's state after a majority of the voters is lost for good. Run on one sender only.
     Refound,
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -286,8 +286,8 @@
     }
 }
 
-/// Applies the settings, the discovery address and the log level of the configuration file at each SIGHUP. A file with an
-/// error changes nothing. Listening addresses and limits take effect at the next start.
+/// Applies the settings, the discovery address and the log level of the configuration file at each SIGHUP. A file with
+/// an error changes nothing. Listening addresses and limits take effect at the next start.
 async fn reload(
     mut hangup: Signal,
     path: PathBuf,
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -5,7 +5,7 @@
 
 const MANIFEST: &str = "[package]\nname = \"sample\"\nversion = \"0.1.0\"\nedition = \"2024\"\n";
 const LOCK: &str = "version = 4\n\n[[package]]\nname = \"sample\"\nversion = \"0.1.0\"\n";
-/// Two failing tests, three passing ones and a doc test. The name of one passing test begins with that of a failing one.
+/// Two failing tests, three passing ones and a doc test. One passing test's name begins with a failing one's name.
 const LIBRARY: &str = "
 /// ```
 /// assert_eq!(sample::one(), 1);
