--- a/sender-membership/src/disk.rs
+++ b/sender-membership/src/disk.rs
@@ -1,91 +1,91 @@
-//! What a sender keeps of its fleet on disk: records that add up to a state. Whoever drives the machines writes each record
-//! before it carries out what comes after it.
+//! The membership state that a sender persists: a log of records whose replay gives a [`State`]. The host writes each
+//! record before it carries out the effects that follow it.
 use crate::member_list::{Change, MemberList};
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::StopSign;
 use serde::{Deserialize, Serialize};
 
-/// What a voter has promised and accepted, as a write to its log.
+/// A write to the consensus log of a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum VoterRecord {
-    /// A voter of this group from now on, with an empty log.
-    Began(u32),
-    /// Steps accepted, from this place in the log on; what stood there goes.
+    /// This sender became a voter of the group with this number and starts with an empty log.
+    GroupStarted(u32),
+    /// Entries accepted at this log index; existing entries from the index on are replaced.
     Accepted(usize, Vec<Change>),
-    /// No earlier ballot is listened to.
+    /// The voter promised to ignore lower ballots than this one.
     Promised(Ballot),
-    /// So many steps are agreed.
+    /// The number of decided entries.
     Decided(usize),
-    /// The ballot of the accepted steps.
-    Round(Ballot),
-    /// The group ends with the next one, or does not.
+    /// The ballot in which the entries were accepted.
+    AcceptedBallot(Ballot),
+    /// The stop sign that ends the group and names the next one; `None` withdraws it.
     Stop(Option<StopSign>),
 }
 
-/// A write.
+/// One record of the log on disk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The folder's own number, drawn at its first use.
+    /// The random ID of the data folder, written at its first use.
     Folder(u64),
-    /// A start.
+    /// The incarnation of a process that started on this folder.
     Incarnation(u32),
-    /// The founder that this blank seed has promised to follow.
+    /// Folder ID of the founder that this seed, not yet in a fleet, promised to follow.
     Promise(u64),
-    /// The latest record of who belongs.
+    /// A full member list, which replaces the stored one.
     MemberList(Box<MemberList>),
-    /// The step that has this number: it follows the record before it, and nothing else. Where a write in between failed, the
-    /// disk goes on holding what it held, which is old and sound.
+    /// The change with this number. It applies only to the member list with the preceding number: if a write in between
+    /// failed, the stored list stays at its older, consistent version.
     Step(u64, Change),
-    /// A voter's log.
+    /// A write to the consensus log of this voter.
     Voter(VoterRecord),
-    /// All of it, in one: what a log written anew begins with.
+    /// A snapshot of the complete state, with which a compacted log begins.
     Whole(Box<State>),
 }
 
-/// A voter's log.
+/// The consensus log of a voter, as persisted.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VoterState {
     pub(crate) group: u32,
     pub(crate) log: Vec<Change>,
     pub(crate) promised: Option<Ballot>,
-    pub(crate) decided: usize,
-    pub(crate) round: Option<Ballot>,
-    pub(crate) stop: Option<StopSign>,
+    pub(crate) decided_count: usize,
+    pub(crate) accepted_ballot: Option<Ballot>,
+    pub(crate) stop_sign: Option<StopSign>,
 }
 
 impl VoterState {
     pub(crate) fn apply(&mut self, record: VoterRecord) {
         match record {
-            VoterRecord::Began(group) => *self = Self { group, ..Self::default() },
+            VoterRecord::GroupStarted(group) => *self = Self { group, ..Self::default() },
             VoterRecord::Accepted(from, changes) => {
                 self.log.truncate(from);
                 self.log.extend(changes);
             }
             VoterRecord::Promised(ballot) => self.promised = Some(ballot),
-            VoterRecord::Decided(count) => self.decided = count,
-            VoterRecord::Round(ballot) => self.round = Some(ballot),
-            VoterRecord::Stop(stop) => self.stop = stop,
+            VoterRecord::Decided(count) => self.decided_count = count,
+            VoterRecord::AcceptedBallot(ballot) => self.accepted_ballot = Some(ballot),
+            VoterRecord::Stop(stop_sign) => self.stop_sign = stop_sign,
         }
     }
 }
 
-/// What the records add up to.
+/// The state that results from replaying all records.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// The folder's own number; 0 in a folder that was never used.
+    /// Random ID of the data folder; 0 before its first use.
     pub folder: u64,
-    /// How often a sender has started on it.
+    /// Number of process starts on this folder.
     pub incarnation: u32,
-    /// The founder that it has promised to follow, while it belongs to no fleet.
+    /// Folder ID of the founder that this sender promised to follow while it belonged to no fleet.
     pub promise: Option<u64>,
-    /// Who belongs.
+    /// The latest persisted member list; `None` before the sender has joined a fleet.
     pub member_list: Option<MemberList>,
-    /// Its log as a voter.
+    /// The consensus log; `None` if the sender was never a voter.
     pub voter: Option<VoterState>,
 }
 
 impl State {
-    /// Adds a record.
+    /// Replays a record on top of the state.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Folder(folder) => self.folder = folder,
--- a/sender-membership/src/disk/tests.rs
+++ b/sender-membership/src/disk/tests.rs
@@ -1,18 +1,19 @@
-//! Records that earlier versions wrote are read as they meant them, and written again by the same bytes.
+//! Compatibility with records on disk: records of earlier versions decode to the same values and encode to the same bytes.
 use super::*;
 use crate::member_list::{Departure, Info};
 use omnipaxos::ClusterConfig;
 
-/// Recorded records, a line each: a word on it, and its bytes in hexadecimal digits.
+/// Reads the recorded records. Each line has a label, a space and the bytes in hexadecimal.
 fn recorded() -> Vec<Vec<u8>> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/recorded/disk.txt");
     let text = std::fs::read_to_string(path).unwrap();
-    let byte = |pair: &[u8]| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap();
-    let bytes = |line: &str| line.split_once(' ').unwrap().1.as_bytes().chunks(2).map(byte).collect();
-    text.lines().map(bytes).collect()
+    let parse_byte = |pair: &[u8]| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap();
+    let parse_line =
+        |line: &str| line.split_once(' ').unwrap().1.as_bytes().chunks(2).map(parse_byte).collect();
+    text.lines().map(parse_line).collect()
 }
 
-fn info(name: &str) -> Info {
+fn member_info(name: &str) -> Info {
     Info {
         name: name.to_owned(),
         zone: "zone".to_owned(),
@@ -22,32 +23,32 @@
     }
 }
 
-/// A step of every kind.
+/// A change of every kind.
 fn changes() -> Vec<Change> {
     let mut changes = vec![
-        Change::Start { folder: 5, incarnation: 2, boot: 1 << 60, info: info("five") },
+        Change::Start { folder: 5, incarnation: 2, boot: 1 << 60, info: member_info("five") },
         Change::Leaving { folder: 1 },
         Change::Voters { group: 2, folders: vec![3, 2, 1] },
     ];
-    let why = [Departure::Left, Departure::Removed, Departure::Replaced];
-    changes.extend(why.into_iter().zip(2..).map(|(why, folder)| Change::Departure { folder, why }));
+    let reasons = [Departure::Left, Departure::Removed, Departure::Replaced];
+    changes.extend(reasons.into_iter().zip(2..).map(|(why, folder)| Change::Departure { folder, why }));
     changes
 }
 
-/// A member list with members and former members.
+/// A member list with current and departed members.
 fn member_list() -> MemberList {
     let founders =
-        (1..=4).map(|folder| (folder, 300 + folder as u32, folder << 40, info(&folder.to_string())));
+        (1..=4).map(|folder| (folder, 300 + folder as u32, folder << 40, member_info(&folder.to_string())));
     let mut member_list = MemberList::found(0x0123_4567_89ab_cdef, 1, founders.collect());
     changes().into_iter().for_each(|change| member_list.apply(change));
     member_list
 }
 
-fn ballot(n: u32) -> Ballot {
-    Ballot::with(7, n, 8, 9)
+fn ballot(number: u32) -> Ballot {
+    Ballot::with(7, number, 8, 9)
 }
 
-fn stop() -> StopSign {
+fn stop_sign() -> StopSign {
     let next = ClusterConfig { configuration_id: 3, nodes: vec![1, 2, 3], flexible_quorum: None };
     StopSign::with(next, Some(vec![4, 5]))
 }
@@ -57,9 +58,9 @@
         group: 2,
         log: changes(),
         promised: Some(ballot(10)),
-        decided: 4,
-        round: Some(ballot(11)),
-        stop: Some(stop()),
+        decided_count: 4,
+        accepted_ballot: Some(ballot(11)),
+        stop_sign: Some(stop_sign()),
     };
     State {
         folder: 77,
@@ -72,13 +73,13 @@
 
 /// A record of every kind.
 fn records() -> Vec<Record> {
-    let voter = [
-        VoterRecord::Began(4),
+    let voter_records = [
+        VoterRecord::GroupStarted(4),
         VoterRecord::Accepted(300, changes()),
         VoterRecord::Promised(ballot(1)),
         VoterRecord::Decided(301),
-        VoterRecord::Round(ballot(2)),
-        VoterRecord::Stop(Some(stop())),
+        VoterRecord::AcceptedBallot(ballot(2)),
+        VoterRecord::Stop(Some(stop_sign())),
         VoterRecord::Stop(None),
     ];
     let mut records = vec![
@@ -90,12 +91,12 @@
         Record::Whole(Box::default()),
     ];
     records.extend(changes().into_iter().zip(500..).map(|(change, number)| Record::Step(number, change)));
-    records.extend(voter.map(Record::Voter));
+    records.extend(voter_records.map(Record::Voter));
     records
 }
 
 #[test]
-fn records_of_the_fleet_written_before_are_read_and_written_alike() {
+fn recorded_records_decode_and_encode_unchanged() {
     let recorded = recorded();
     assert_eq!(recorded.len(), records().len());
     for (record, bytes) in records().into_iter().zip(recorded) {
--- a/sender-membership/src/failure_view.rs
+++ b/sender-membership/src/failure_view.rs
@@ -1,6 +1,6 @@
-//! Whether members answer: SWIM with suspicion, by the library `foca`. It never changes who belongs (V3); it is a guess, and
-//! says so. Of local health it has what the library lacks: one that was itself starved of time doubts itself first, and
-//! gives those that it suspects their time anew (V2).
+//! Failure detection with SWIM and suspicion, by the library `foca`. Its results are estimates and never change the member
+//! list (V3). In addition to the library it has a form of local health awareness: a sender that was itself short of CPU time
+//! restarts the timeouts of the members that it suspects (V2).
 use crate::Millis;
 use crate::settings::Settings;
 use crate::wire::Identity;
@@ -12,123 +12,124 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Room that the envelope takes of a datagram.
+/// Bytes of a datagram that are reserved for the envelope.
 const ENVELOPE_BYTES: usize = 120;
-/// Members that are told of a change at a time, and how often.
-const GOSSIP_TO: usize = 3;
+/// Members that receive gossip in each round, and the interval of the rounds.
+const GOSSIP_FANOUT: usize = 3;
 const GOSSIP_INTERVAL: Millis = 300;
-/// How often a change is told on: enough for ten thousand members by SWIM's rule, 4 log10(n).
+/// Transmissions of each update: enough for ten thousand members by SWIM's rule, 4 log10(n).
 const MAX_TRANSMISSIONS: u8 = 16;
-/// One that is held lost is remembered for so long.
+/// How long a member that is down is remembered.
 const DOWN_RETENTION: Duration = Duration::from_secs(600);
-/// Members that ask one which they hear is lost whether that is so, all in all.
+/// About how many members, in total, contact a member that was declared down, so that it can refute that.
 const MAX_CONFIRMING_PEERS: u64 = 8;
-/// Suspicions are looked at this often, and taken for forgotten by the library so long after their time.
+/// Interval of the check for overdue suspicions, and the time past its deadline at which a suspicion counts as dropped by
+/// the library.
 const SUSPECT_CHECK_INTERVAL: Millis = 1_000;
 const SUSPECT_GRACE: Millis = 500;
-/// One that is held lost is greeted this often, by each.
+/// Interval at which each sender announces itself to a member that is down.
 const DOWN_ANNOUNCE_INTERVAL: Millis = 4_000;
 
-/// Whether a member answers, as far as this sender knows: a guess in all four cases.
+/// Estimate of this sender whether a member answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
-    /// It answers, or others heard it.
+    /// It answers this sender or others.
     Answers,
-    /// It did not answer, and has not objected yet.
+    /// It missed a probe and has not refuted the suspicion yet.
     Suspected,
-    /// It did not object in its time.
+    /// It did not refute the suspicion in time.
     Lost,
-    /// This sender has only just begun to listen.
+    /// This sender has not listened for long enough to tell.
     Unknown,
 }
 
-/// How a member belongs.
+/// State of a member in the agreed member list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It has asked, and the voters have not agreed yet.
+    /// Its start is not agreed on yet.
     Joining,
-    /// It belongs.
+    /// It is a member.
     #[serde(rename = "in")]
     Active,
-    /// It is about to go.
+    /// It announced that it leaves.
     Leaving,
-    /// It does not belong any more.
+    /// It is no longer a member.
     #[serde(rename = "gone")]
     Departed,
 }
 
-/// A member, as a line of the view.
+/// One member in a [`View`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize)]
 pub struct Row {
-    /// Its name.
+    /// Unique in the fleet.
     pub name: String,
-    /// Its number.
+    /// Number within the fleet, never reused.
     pub number: u32,
-    /// How often it has started.
+    /// Number of process starts on its data folder.
     pub incarnation: u32,
-    /// How it belongs.
+    /// State in the agreed member list.
     #[serde(rename = "standing")]
     pub state: MemberState,
-    /// Whether it answers.
+    /// Estimate of the failure detector.
     pub health: Health,
-    /// Whether it is one of the voters.
+    /// Whether it belongs to the current group of voters.
     #[serde(rename = "keeper")]
     pub voter: bool,
-    /// Its zone.
+    /// Availability zone.
     pub zone: String,
-    /// Its machine.
+    /// Label of its failure domain.
     pub machine: String,
-    /// Its program's version.
+    /// Version of its program.
     pub version: String,
-    /// Where its peers reach it.
+    /// Address at which peers reach it.
     pub address: SocketAddr,
 }
 
-/// What a sender knows of its fleet.
+/// The fleet as one sender sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct View {
-    /// The fleet's own number; none while there is no fleet.
+    /// Random ID of the fleet; `None` while this sender belongs to no fleet.
     pub fleet: Option<u64>,
-    /// How often operators founded it anew.
+    /// Epoch of the member list: 1 at the founding, one more for each recovery by an operator.
     pub epoch: u32,
-    /// The number of the member list that this is of.
+    /// Number of the member list.
     pub number: u64,
-    /// Milliseconds since another member was last heard; none if none ever was.
+    /// Milliseconds since the last packet of another member; `None` before the first one.
     pub age_ms: Option<Millis>,
-    /// Voters that answer, this one included, and voters in all: with half of them or fewer nothing is agreed on.
+    /// Voters that answer, including this sender: no change is agreed on without a majority.
     #[serde(rename = "keepers_answering")]
     pub voters_answering: usize,
-    /// Voters in all.
+    /// Size of the group of voters.
     #[serde(rename = "keepers")]
     pub voters: usize,
-    /// Whether this sender's own start is agreed on.
+    /// Whether the voters agreed on this sender's own start.
     pub confirmed: bool,
-    /// Why it takes no part, where it does not.
+    /// Why this sender stopped taking part in the fleet; `None` while it takes part.
     pub halted: Option<String>,
-    /// Members and, last, some of those that were.
+    /// Current members, ordered by number.
     pub members: Vec<Row>,
 }
 
-/// A short sign of a view, to compare those of many senders by.
+/// Digest of a [`View`], to compare the views of many senders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 pub struct ViewDigest {
-    /// The fleet's own number; none while there is no fleet.
+    /// Random ID of the fleet; `None` while this sender belongs to no fleet.
     pub fleet: Option<u64>,
-    /// The epoch of the member list.
+    /// Epoch of the member list.
     pub epoch: u32,
-    /// Its number.
+    /// Number of the member list.
     pub number: u64,
-    /// Whether this sender's own start is agreed on.
+    /// Whether the voters agreed on this sender's own start.
     pub confirmed: bool,
-    /// Whether it takes no part any more.
+    /// Whether this sender stopped taking part in the fleet.
     pub halted: bool,
-    /// A checksum of all members, how they belong and whether they answer.
+    /// Checksum of all members with their states and health.
     pub view: u32,
 }
 
-/// What foca wants done.
+/// The output of one call of `foca`.
 #[derive(Default)]
 struct FocaOutput {
     sends: Vec<(Identity, Vec<u8>)>,
@@ -136,12 +137,12 @@
     changes: Vec<HealthChange>,
 }
 
-/// A change of who answers.
+/// A change that the failure detector reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthChange {
     Up(Identity),
     Down(Identity),
-    /// This sender was held lost, and has come back under this identity.
+    /// Others declared this sender down, and it rejoined with this identity.
     Returned(Identity),
 }
 
@@ -164,44 +165,48 @@
     }
 }
 
-/// One that the library holds lost.
-struct Lost {
+/// A member that the library declared down.
+struct DownMember {
     since: Millis,
     id: Identity,
-    /// How often this sender has asked it itself whether that is so.
-    asked: u8,
-    /// Whether it counts as lost.
-    notified: bool,
+    /// Number of announcements that this sender sent so that the member can refute its state.
+    announcements: u8,
+    /// Whether the member was reported as lost.
+    reported: bool,
 }
 
-impl Lost {
-    /// When it is to be asked, or to be told of as lost. By half of its time most have heard that it objects; those that have
-    /// not, as a datagram of theirs was lost too often, ask it themselves, twice.
-    fn due(&self, confirm: Millis) -> Option<Millis> {
-        let share = [confirm / 2, confirm * 3 / 4].get(usize::from(self.asked)).copied().unwrap_or(confirm);
-        (!self.notified).then_some(self.since + share)
+impl DownMember {
+    /// When the next announcement to the member, or its report as lost, is due. After half of the delay most senders have
+    /// received a refutation; the others, which lost too many datagrams, contact the member themselves, up to twice.
+    fn next_due(&self, confirmation_delay: Millis) -> Option<Millis> {
+        let delay = [confirmation_delay / 2, confirmation_delay * 3 / 4]
+            .get(usize::from(self.announcements))
+            .copied()
+            .unwrap_or(confirmation_delay);
+        (!self.reported).then_some(self.since + delay)
     }
 }
 
-/// Who answers.
+/// Wraps `foca` and turns its output into packets to send and changes to report.
 pub(crate) struct FailureDetector {
     foca: Foca<Identity, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
     timers: BTreeMap<(Millis, u64), Timer<Identity>>,
-    count: u64,
-    suspect: Millis,
-    answer: Millis,
-    confirm: Millis,
-    lost: BTreeMap<u64, Lost>,
-    /// Since when those that are suspected are, and when that is looked at next.
+    /// Number of timers so far: the second part of a timer's key.
+    timer_count: u64,
+    suspicion_timeout: Millis,
+    answer_timeout: Millis,
+    confirmation_delay: Millis,
+    down_members: BTreeMap<u64, DownMember>,
+    /// Suspected members by folder ID, with the time at which the suspicion was first seen.
     suspected: BTreeMap<u64, (Millis, Identity)>,
     next_suspect_check: Millis,
     pub(crate) sends: Vec<(Identity, Vec<u8>)>,
     pub(crate) changes: Vec<HealthChange>,
 }
 
-fn periodic(every: Millis, members: usize) -> Option<PeriodicParams> {
+fn periodic(interval: Millis, members: usize) -> Option<PeriodicParams> {
     let num_members = NonZeroUsize::new(members)?;
-    Some(PeriodicParams { frequency: Duration::from_millis(every), num_members })
+    Some(PeriodicParams { frequency: Duration::from_millis(interval), num_members })
 }
 
 impl FailureDetector {
@@ -209,7 +214,7 @@
         let config = Config {
             probe_period: Duration::from_millis(settings.probe),
             probe_rtt: Duration::from_millis(settings.answer),
-            num_indirect_probes: NonZeroUsize::new(GOSSIP_TO).unwrap_or(NonZeroUsize::MIN),
+            num_indirect_probes: NonZeroUsize::new(GOSSIP_FANOUT).unwrap_or(NonZeroUsize::MIN),
             max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: Duration::from_millis(settings.suspect),
             remove_down_after: Some(DOWN_RETENTION),
@@ -218,16 +223,16 @@
             notify_down_members: true,
             periodic_announce: None,
             periodic_announce_to_down_members: periodic(DOWN_ANNOUNCE_INTERVAL, 1),
-            periodic_gossip: periodic(GOSSIP_INTERVAL, GOSSIP_TO),
+            periodic_gossip: periodic(GOSSIP_INTERVAL, GOSSIP_FANOUT),
         };
         Self {
             foca: Foca::new(own, config, rng, PostcardCodec),
             timers: BTreeMap::new(),
-            count: 0,
-            suspect: settings.suspect,
-            answer: settings.answer,
-            confirm: settings.confirm,
-            lost: BTreeMap::new(),
+            timer_count: 0,
+            suspicion_timeout: settings.suspect,
+            answer_timeout: settings.answer,
+            confirmation_delay: settings.confirm,
+            down_members: BTreeMap::new(),
             suspected: BTreeMap::new(),
             next_suspect_check: 0,
             sends: Vec::new(),
@@ -235,176 +240,181 @@
         }
     }
 
-    pub(crate) fn own(&self) -> Identity {
+    pub(crate) fn identity(&self) -> Identity {
         *self.foca.identity()
     }
 
-    pub(crate) fn next(&self) -> Option<Millis> {
+    pub(crate) fn next_due(&self) -> Option<Millis> {
         let timer = self.timers.first_key_value().map(|((due, _), _)| *due);
-        let untold = self.lost.values().filter_map(|lost| lost.due(self.confirm)).min();
-        timer.into_iter().chain(untold).min()
+        let down = self.down_members.values().filter_map(|down| down.next_due(self.confirmation_delay)).min();
+        timer.into_iter().chain(down).min()
     }
 
-    fn take(&mut self, now: Millis, wanted: FocaOutput) {
-        for (timer, after) in wanted.timers {
-            self.count += 1;
+    fn apply_output(&mut self, now: Millis, output: FocaOutput) {
+        for (timer, after) in output.timers {
+            self.timer_count += 1;
             let after = u64::try_from(after.as_millis()).unwrap_or(u64::MAX);
-            self.timers.insert((now.saturating_add(after), self.count), timer);
+            self.timers.insert((now.saturating_add(after), self.timer_count), timer);
         }
-        let mut doubtful = Vec::new();
-        for change in &wanted.changes {
+        let mut newly_down = Vec::new();
+        for change in &output.changes {
             match change {
-                // Who was never told of as lost has never been away.
-                HealthChange::Up(id) => match self.lost.remove(&id.folder) {
-                    Some(Lost { notified: false, .. }) => {}
+                // A member that was never reported as lost needs no report of its return.
+                HealthChange::Up(id) => match self.down_members.remove(&id.folder) {
+                    Some(DownMember { reported: false, .. }) => {}
                     _ => self.changes.push(*change),
                 },
                 HealthChange::Down(id) => {
-                    self.lost.entry(id.folder).or_insert(Lost {
+                    self.down_members.entry(id.folder).or_insert(DownMember {
                         since: now,
                         id: *id,
-                        asked: 0,
-                        notified: false,
+                        announcements: 0,
+                        reported: false,
                     });
-                    doubtful.push(*id);
+                    newly_down.push(*id);
                 }
                 HealthChange::Returned(_) => self.changes.push(*change),
             }
         }
-        self.sends.extend(wanted.sends);
-        // Nobody speaks to one that is lost any more, so that it would not learn of it soon; some ask it.
+        self.sends.extend(output.sends);
+        // Members stop sending to a member that is down, so it would not learn soon that it has to refute its state. A few
+        // senders therefore announce themselves to it.
         let members = self.foca.num_members() as u64 + 1;
-        for id in doubtful {
-            if (id.folder ^ self.own().folder).wrapping_add(now) % members < MAX_CONFIRMING_PEERS {
+        for id in newly_down {
+            if (id.folder ^ self.identity().folder).wrapping_add(now) % members < MAX_CONFIRMING_PEERS {
                 self.announce_to(now, id);
             }
         }
     }
 
-    /// Fires what is due. Whoever drives this hands in what has come before.
+    /// Handles everything that is due. The host must pass in all received packets first.
     pub(crate) fn tick(&mut self, now: Millis) {
         let due = self.timers.first_key_value().map(|((due, _), _)| *due);
-        if due.is_some_and(|due| now > due + self.answer) {
-            self.doubt(now);
+        if due.is_some_and(|due| now > due + self.answer_timeout) {
+            self.extend_suspicions(now);
         }
         if now >= self.next_suspect_check {
             self.next_suspect_check = now + SUSPECT_CHECK_INTERVAL;
             self.check_suspects(now);
         }
-        let mut ask = Vec::new();
-        for lost in self.lost.values_mut() {
-            if lost.due(self.confirm).is_none_or(|due| now < due) {
+        let mut to_contact = Vec::new();
+        for down in self.down_members.values_mut() {
+            if down.next_due(self.confirmation_delay).is_none_or(|due| now < due) {
                 continue;
             }
-            if now >= lost.since + self.confirm {
-                lost.notified = true;
-                self.changes.push(HealthChange::Down(lost.id));
+            if now >= down.since + self.confirmation_delay {
+                down.reported = true;
+                self.changes.push(HealthChange::Down(down.id));
             } else {
-                lost.asked += 1;
-                ask.push(lost.id);
+                down.announcements += 1;
+                to_contact.push(down.id);
             }
         }
-        ask.into_iter().for_each(|id| self.announce_to(now, id));
+        to_contact.into_iter().for_each(|id| self.announce_to(now, id));
         while let Some(entry) = self.timers.first_entry()
             && entry.key().0 <= now
         {
             let timer = entry.remove();
-            let mut wanted = FocaOutput::default();
-            // An error says that a probe was cut short, as after a pause: the next one is whole.
-            let _ = self.foca.handle_timer(timer, &mut wanted);
-            self.take(now, wanted);
+            let mut output = FocaOutput::default();
+            // An error means that a probe did not complete, as after a pause of the process; the next probe is unaffected.
+            let _ = self.foca.handle_timer(timer, &mut output);
+            self.apply_output(now, output);
         }
     }
 
-    /// Ends suspicions that the library has forgotten: one that comes back under a new identity drops its timers, and those
-    /// that it suspected would stay so for ever. Held lost, they object if they live, before that counts.
+    /// Ends suspicions whose timers the library lost: a sender that rejoins under a new identity drops its timers, and the
+    /// members that it suspected would stay suspected forever. Declaring them down lets live ones refute that before they
+    /// are reported as lost.
     fn check_suspects(&mut self, now: Millis) {
         let suspects = self.foca.iter_members().filter(|member| member.state() == foca::State::Suspect);
         let suspects: BTreeMap<u64, foca::Member<Identity>> =
             suspects.map(|member| (member.id().folder, member.clone())).collect();
-        self.suspected.retain(|folder, (_, id)| suspects.get(folder).is_some_and(|m| m.id() == id));
+        self.suspected.retain(|folder, (_, id)| suspects.get(folder).is_some_and(|member| member.id() == id));
         for (folder, member) in suspects {
             let (since, id) = *self.suspected.entry(folder).or_insert((now, *member.id()));
-            if now >= since + self.suspect + SUSPECT_GRACE {
-                let lost = foca::Member::new(id, member.incarnation(), foca::State::Down);
-                let mut wanted = FocaOutput::default();
-                // An error is one of writing into memory: it is looked at again.
-                let _ = self.foca.apply_many(std::iter::once(lost), true, &mut wanted);
-                self.take(now, wanted);
+            if now >= since + self.suspicion_timeout + SUSPECT_GRACE {
+                let down = foca::Member::new(id, member.incarnation(), foca::State::Down);
+                let mut output = FocaOutput::default();
+                // An error can only be one of encoding into memory; the next check tries again.
+                let _ = self.foca.apply_many(std::iter::once(down), true, &mut output);
+                self.apply_output(now, output);
             }
         }
     }
 
-    /// This sender had no time for longer than others have to answer: it may have missed their objections.
-    fn doubt(&mut self, now: Millis) {
+    /// Restarts the timeouts of all suspicions. Called when this sender had no CPU time for longer than members have to
+    /// answer, so that it may have missed refutations.
+    fn extend_suspicions(&mut self, now: Millis) {
         self.suspected.clear();
-        let suspects = |timer: &Timer<Identity>| matches!(timer, Timer::ChangeSuspectToDown { .. });
-        let again = now + self.suspect;
+        let is_suspicion = |timer: &Timer<Identity>| matches!(timer, Timer::ChangeSuspectToDown { .. });
+        let deadline = now + self.suspicion_timeout;
         let early: Vec<_> = self
             .timers
             .iter()
-            .filter(|((due, _), timer)| *due < again && suspects(timer))
+            .filter(|((due, _), timer)| *due < deadline && is_suspicion(timer))
             .map(|(key, _)| *key)
             .collect();
         for key in early {
             if let Some(timer) = self.timers.remove(&key) {
-                self.timers.insert((again, key.1), timer);
+                self.timers.insert((deadline, key.1), timer);
             }
         }
     }
 
-    /// Takes in what a peer says; false if it cannot be read.
-    pub(crate) fn hear(&mut self, now: Millis, data: &[u8]) -> bool {
-        let mut wanted = FocaOutput::default();
-        let heard = self.foca.handle_data(data, &mut wanted);
-        self.take(now, wanted);
-        heard.is_ok()
+    /// Handles a message of a peer; returns false if the library rejects it.
+    pub(crate) fn handle_data(&mut self, now: Millis, data: &[u8]) -> bool {
+        let mut output = FocaOutput::default();
+        let result = self.foca.handle_data(data, &mut output);
+        self.apply_output(now, output);
+        result.is_ok()
     }
 
-    /// Makes itself known to one.
+    /// Announces this sender to a peer, which answers with the members that it knows to be alive.
     pub(crate) fn announce_to(&mut self, now: Millis, to: Identity) {
-        let mut wanted = FocaOutput::default();
-        // An error is one of writing into memory: nothing is greeted, and that is done again soon.
-        let _ = self.foca.announce(to, &mut wanted);
-        self.take(now, wanted);
+        let mut output = FocaOutput::default();
+        // An error can only be one of encoding into memory; the announcement is repeated soon.
+        let _ = self.foca.announce(to, &mut output);
+        self.apply_output(now, output);
     }
 
-    /// Tells that it goes.
+    /// Tells some members that this sender leaves, and stops all timers.
     pub(crate) fn leave(&mut self, now: Millis) {
-        let mut wanted = FocaOutput::default();
-        let _ = self.foca.leave_cluster(&mut wanted);
-        self.take(now, wanted);
+        let mut output = FocaOutput::default();
+        let _ = self.foca.leave_cluster(&mut output);
+        self.apply_output(now, output);
         self.timers.clear();
     }
 
-    /// Members that answer, besides this one.
+    /// Other members that are alive or suspected.
     pub(crate) fn answering(&self) -> impl Iterator<Item = &Identity> {
         self.foca.iter_members().map(foca::Member::id)
     }
 
-    fn state(&self, member: &foca::Member<Identity>) -> Health {
-        let notified = || self.lost.get(&member.id().folder).is_none_or(|lost| lost.notified);
+    fn health_of_member(&self, member: &foca::Member<Identity>) -> Health {
+        let reported = || self.down_members.get(&member.id().folder).is_none_or(|down| down.reported);
         match member.state() {
             foca::State::Alive => Health::Answers,
-            foca::State::Down if notified() => Health::Lost,
+            foca::State::Down if reported() => Health::Lost,
             foca::State::Suspect | foca::State::Down => Health::Suspected,
         }
     }
 
-    /// What is known of those that are, or were, heard.
+    /// Incarnation and health of all members that the failure detector knows, by folder ID.
     pub(crate) fn health(&self) -> BTreeMap<u64, (u32, Health)> {
         let members = self.foca.iter_membership_state();
-        members.map(|m| (m.id().folder, (m.id().incarnation, self.state(m)))).collect()
+        members
+            .map(|member| (member.id().folder, (member.id().incarnation, self.health_of_member(member))))
+            .collect()
     }
 
-    /// What is known of the one with that folder.
+    /// Health of the member with this folder ID; `None` if the failure detector does not know it.
     pub(crate) fn health_of(&self, folder: u64) -> Option<Health> {
         let member = self.foca.iter_membership_state().find(|member| member.id().folder == folder)?;
-        Some(self.state(member))
+        Some(self.health_of_member(member))
     }
 
-    /// Since when the one with that folder is held lost.
-    pub(crate) fn lost_since(&self, folder: u64) -> Option<Millis> {
-        self.lost.get(&folder).map(|lost| lost.since)
+    /// Since when the member with this folder ID has been down.
+    pub(crate) fn down_since(&self, folder: u64) -> Option<Millis> {
+        self.down_members.get(&folder).map(|down| down.since)
     }
 }
--- a/sender-membership/src/lib.rs
+++ b/sender-membership/src/lib.rs
@@ -1,7 +1,8 @@
-//! What a fleet of senders knows of itself: who belongs to it, who of them answers, and who keeps the record. State
-//! machines without I/O, clock or runtime: whoever drives them (sockets, simulated time, a checker) hands in bytes and
-//! the time in milliseconds, and carries out the [`Effect`]s in their order. The promises V1 to V6 that the names of
-//! tests and checkers refer to stand in `docs/fleet.md`.
+//! Membership of a fleet of senders: failure detection, an agreed member list, and the voters that agree on it.
+//!
+//! The crate is a set of state machines without I/O, clock or async runtime. The host (sockets, a simulation or a
+//! checker) passes in received bytes and the time in milliseconds, and carries out the returned [`Effect`]s in order.
+//! The guarantees V1 to V6 that comments, tests and checkers cite are defined in `docs/fleet.md`.
 #![forbid(unsafe_code)]
 
 mod disk;
@@ -19,5 +20,5 @@
 pub use settings::{InjectedFaults, Settings, SettingsError};
 pub use wire::{Identity, MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES, WireError};
 
-/// Milliseconds of a clock that never steps, from any beginning.
+/// Milliseconds of a monotonic clock with an arbitrary origin.
 pub type Millis = u64;
--- a/sender-membership/src/member_list.rs
+++ b/sender-membership/src/member_list.rs
@@ -1,129 +1,129 @@
-//! Who belongs to the fleet: a record that changes only by agreed, numbered steps (V3). Applying a step is a function of
-//! the record and the step alone, so whoever has the same number has the same record.
+//! The member list of the fleet. It changes only by numbered changes that the voters agreed on (V3). Applying a change is
+//! deterministic, so two senders with the same epoch and number have the same list.
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Former members that are remembered, so that they cannot come back as what they were.
+/// Departed members that the list remembers, so that their folder IDs cannot rejoin.
 const MAX_DEPARTED: usize = 1_000;
-/// Members a fleet can have: what peers may make a sender hold is bounded.
+/// Largest fleet: bounds the memory that peers can make a sender use.
 const MAX_MEMBERS: usize = 10_000;
 
-/// What a sender tells of itself.
+/// Description of a sender, as it reports it to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Info {
-    /// Its name, the same after a restart.
+    /// Name of the sender, unique in the fleet and unchanged by a restart.
     pub name: String,
-    /// The zone that it stands in.
+    /// Availability zone.
     pub zone: String,
-    /// The machine that it stands on: what is lost together has the same label.
+    /// Failure domain: senders that fail together have the same label.
     pub machine: String,
-    /// The program's version.
+    /// Version of the program.
     pub version: String,
-    /// Where its peers reach it.
+    /// Address at which peers reach it.
     pub address: SocketAddr,
 }
 
-/// One that belongs to the fleet.
+/// A current member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// What it told of itself.
+    /// The description that it reported at its latest start.
     pub info: Info,
-    /// Its number: given once, never again.
+    /// Number within the fleet, never reused.
     pub number: u32,
-    /// How often it has started on its folder.
+    /// Number of process starts on its folder.
     pub incarnation: u32,
-    /// Drawn at that start: two processes on copies of one folder differ in it.
+    /// Random ID of that process start, which tells apart processes that run on copies of one folder.
     pub boot: u64,
-    /// Whether it said that it leaves.
+    /// Whether it announced that it leaves the fleet.
     pub leaving: bool,
 }
 
-/// Why one does not belong any more.
+/// Why a member departed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Departure {
-    /// It left in order.
+    /// It left gracefully.
     Left,
-    /// Operators removed it.
+    /// An operator removed it.
     Removed,
-    /// Another one has its name: it came back with an empty folder.
+    /// A sender with the same name and another folder ID joined, as after a restart with an empty folder.
     Replaced,
 }
 
-/// One that belonged to the fleet.
+/// A former member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DepartedMember {
-    /// The folder it had.
+    /// Its folder ID.
     pub folder: u64,
-    /// Its name.
+    /// Name that it had as a member.
     pub name: String,
-    /// Its last incarnation.
+    /// Incarnation at the time of its departure.
     pub incarnation: u32,
-    /// Why.
+    /// Why it departed.
     pub why: Departure,
 }
 
-/// A step.
+/// A change of the member list that the voters agree on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Change {
-    /// A sender started: a new one, or a member in a higher incarnation.
+    /// A sender started: a new one, or a member with a higher incarnation.
     Start {
-        /// Drawn when the folder was first used.
+        /// Random ID of its data folder.
         folder: u64,
-        /// How often it has started on it.
+        /// Number of process starts on the folder.
         incarnation: u32,
-        /// Drawn at this start.
+        /// Random ID of this process start.
         boot: u64,
-        /// What it tells of itself.
+        /// Its description.
         info: Info,
     },
-    /// A sender says that it is about to leave.
+    /// A member announced that it leaves.
     Leaving {
-        /// Its folder.
+        /// Its folder ID.
         folder: u64,
     },
-    /// A sender goes for good.
+    /// A member departs for good.
     Departure {
-        /// Its folder.
+        /// Its folder ID.
         folder: u64,
-        /// Why.
+        /// Why it departs.
         why: Departure,
     },
-    /// The senders with these folders agree on the steps from here on.
+    /// A new group of voters takes over: it agrees on all later changes.
     Voters {
         /// The number of this group.
         group: u32,
-        /// In the order of their numbers within it.
+        /// Folder IDs, in the order of the voters' numbers within the group.
         folders: Vec<u64>,
     },
 }
 
-/// Who belongs to the fleet, as of a number.
+/// The members of the fleet at one version, given by epoch and number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberList {
-    /// Drawn at the founding: no other fleet has it, not even one of the same name.
+    /// Random ID drawn at the founding, which tells apart fleets of the same name.
     pub fleet: u64,
-    /// The folder of the sender that founded it.
+    /// Folder ID of the sender that founded the fleet.
     pub founder: u64,
-    /// Raised by operators alone, when a majority of the voters is lost for good.
+    /// Raised only by operators, when a majority of the voters is permanently lost.
     pub epoch: u32,
-    /// How many steps there were.
+    /// Number of changes applied so far.
     pub number: u64,
-    /// The number of the group of voters, and the number of steps at its beginning.
+    /// Number of the current group of voters.
     pub group: u32,
-    /// How many steps there were when the group began.
+    /// Value of `number` when the current group took over.
     pub group_began: u64,
-    /// Folders of the voters.
+    /// Folder IDs of the voters.
     pub voters: Vec<u64>,
-    /// Members by folder.
+    /// Members by folder ID.
     pub members: BTreeMap<u64, Member>,
-    /// Former members, the latest last.
+    /// Departed members, the most recent last.
     pub departed: VecDeque<DepartedMember>,
-    next: u32,
+    next_number: u32,
 }
 
 impl MemberList {
-    /// The first record: the founders, who are also its voters.
+    /// Creates the first member list. The founders, given as (folder, incarnation, boot, info), are also its voters.
     pub fn found(fleet: u64, founder: u64, founders: Vec<(u64, u32, u64, Info)>) -> Self {
         let voters = founders.iter().map(|(folder, ..)| *folder).collect();
         let mut member_list = Self {
@@ -136,41 +136,43 @@
             voters,
             members: BTreeMap::new(),
             departed: VecDeque::new(),
-            next: 1,
+            next_number: 1,
         };
         for (folder, incarnation, boot, info) in founders {
-            member_list.start(folder, incarnation, boot, info);
+            member_list.apply_start(folder, incarnation, boot, info);
         }
         member_list.number = 1;
         member_list
     }
 
-    /// A checksum of all of it: two records of one fleet, epoch and number have the same one.
+    /// Checksum of the whole list, equal for all lists with the same fleet, epoch and number.
     pub fn digest(&self) -> u32 {
         postcard::to_allocvec(self).map_or(0, |bytes| crc32fast::hash(&bytes))
     }
 
-    /// Which of two records of one fleet is later.
+    /// Version of the list as (epoch, number): of two lists of one fleet, the later one has the greater version.
     pub fn age(&self) -> (u32, u64) {
         (self.epoch, self.number)
     }
 
-    /// Steps that the present group of voters has agreed on.
-    pub fn in_group(&self) -> usize {
+    /// Number of changes that the current group of voters has agreed on.
+    pub fn changes_in_group(&self) -> usize {
         usize::try_from(self.number - self.group_began).unwrap_or(usize::MAX)
     }
 
-    /// Takes a step. One that changes nothing still counts.
+    /// Applies a change. The number grows even if the change has no effect.
     pub fn apply(&mut self, change: Change) {
         self.number += 1;
         match change {
-            Change::Start { folder, incarnation, boot, info } => self.start(folder, incarnation, boot, info),
+            Change::Start { folder, incarnation, boot, info } => {
+                self.apply_start(folder, incarnation, boot, info)
+            }
             Change::Leaving { folder } => {
                 if let Some(member) = self.members.get_mut(&folder) {
                     member.leaving = true;
                 }
             }
-            Change::Departure { folder, why } => self.depart(folder, why),
+            Change::Departure { folder, why } => self.apply_departure(folder, why),
             Change::Voters { group, folders } => {
                 if group > self.group {
                     self.group = group;
@@ -181,12 +183,12 @@
         }
     }
 
-    fn start(&mut self, folder: u64, incarnation: u32, boot: u64, info: Info) {
-        if self.departed.iter().any(|gone| gone.folder == folder) {
+    fn apply_start(&mut self, folder: u64, incarnation: u32, boot: u64, info: Info) {
+        if self.departed.iter().any(|departed| departed.folder == folder) {
             return;
         }
         if let Some(member) = self.members.get_mut(&folder) {
-            // The same start told twice, or that of a copy of the folder: the first one stands.
+            // A repeated start, or one on a copy of the folder: the first one is kept.
             if incarnation > member.incarnation {
                 let number = member.number;
                 *member = Member { info, number, incarnation, boot, leaving: false };
@@ -196,15 +198,15 @@
         if self.members.len() >= MAX_MEMBERS {
             return;
         }
-        if let Some(former) = self.folder_of(&info.name) {
-            self.depart(former, Departure::Replaced);
+        if let Some(previous) = self.folder_by_name(&info.name) {
+            self.apply_departure(previous, Departure::Replaced);
         }
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         self.members.insert(folder, Member { info, number, incarnation, boot, leaving: false });
     }
 
-    fn depart(&mut self, folder: u64, why: Departure) {
+    fn apply_departure(&mut self, folder: u64, why: Departure) {
         if let Some(member) = self.members.remove(&folder) {
             self.departed.push_back(DepartedMember {
                 folder,
@@ -218,18 +220,19 @@
         }
     }
 
-    /// The folder of the member of that name.
-    pub fn folder_of(&self, name: &str) -> Option<u64> {
+    /// Folder ID of the current member with this name.
+    pub fn folder_by_name(&self, name: &str) -> Option<u64> {
         self.members.iter().find(|(_, member)| member.info.name == name).map(|(folder, _)| *folder)
     }
 
-    /// The former member with that folder.
+    /// The departed member with this folder ID; `None` if it never departed or was forgotten since.
     pub fn departure_of(&self, folder: u64) -> Option<&DepartedMember> {
-        self.departed.iter().find(|gone| gone.folder == folder)
+        self.departed.iter().find(|departed| departed.folder == folder)
     }
 
-    /// What operators do when a majority of the voters is lost for good: the same members, under new voters.
-    pub(crate) fn refounded(&self, voters: Vec<u64>) -> Self {
+    /// Returns a list of a new epoch with the same members and the given voters, for operators to recover from the
+    /// permanent loss of a majority of the voters.
+    pub(crate) fn with_new_epoch(&self, voters: Vec<u64>) -> Self {
         let number = self.number + 1;
         Self {
             epoch: self.epoch + 1,
--- a/sender-membership/src/node/effect.rs
+++ b/sender-membership/src/node/effect.rs
@@ -1,100 +1,101 @@
-//! What a node hands to its host: effects, log events, and counters.
+//! What a node returns to its host: effects, log events and counters.
 use super::CommandError;
 use crate::disk::Record;
 use crate::failure_view::Health;
 use crate::member_list::Change;
 use std::net::SocketAddr;
 
-/// What is to be done, in the order given: a record is on disk before what stands after it is carried out.
+/// An action for the host. The host carries out effects in order: a record must be on disk before the effects after it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write to disk.
+    /// Append the record to the log on disk.
     Persist(Record),
-    /// Send, as a datagram or, if it has to come whole and in order, on a connection.
+    /// Send a packet as a datagram, or on a connection if it needs ordered delivery or is too large.
     Send {
-        /// Where to.
+        /// Address of the receiving peer.
         to: SocketAddr,
-        /// What.
+        /// The encoded packet.
         bytes: Vec<u8>,
-        /// Whether it needs a connection.
+        /// Whether to send it on a connection.
         connection: bool,
     },
-    /// A line for the log.
+    /// Write an event to the log of the program.
     Notify(Notification),
-    /// The disk took no record, and may again: try it, and tell what it holds by [`Node::reloaded`](super::Node::reloaded).
+    /// Try the disk again after a failed write, and on success pass the stored state to
+    /// [`Node::reloaded`](super::Node::reloaded).
     Reload,
-    /// This sender takes no part any more.
+    /// This sender stopped taking part in the fleet.
     Halt(Halt),
-    /// The answer to an order.
+    /// The result of the command with this ID, as passed to [`Node::execute`](super::Node::execute).
     Answer(u64, Result<(), CommandError>),
 }
 
-/// Why a sender takes no part any more.
+/// Why a sender stopped taking part in the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Halt {
-    /// Another process runs on a copy of this folder, or ran and was known first.
+    /// Another process runs, or ran, on a copy of this folder and was agreed on first.
     #[error(
-        "another process has this folder's identity (incarnation {theirs}, and this is {own}): two run on copies of one folder"
+        "another process has this folder's identity (incarnation {theirs}, this process has {own}): two processes run on copies of one folder"
     )]
     Copied {
-        /// The incarnation that is agreed on.
+        /// The incarnation in the member list.
         theirs: u32,
-        /// This one's.
+        /// The incarnation of this process.
         own: u32,
     },
-    /// It does not belong any more.
-    #[error("this sender does not belong to the fleet any more: {0}")]
+    /// This sender is a departed member, for the given reason.
+    #[error("this sender is no longer a member of the fleet: {0}")]
     Departed(&'static str),
 }
 
-/// A line for the log: what changed, and why.
+/// An event for the log of the program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notification {
     /// A member's health changed.
     Health {
-        /// Its name.
+        /// The member's name, or its folder ID if the member list does not have it.
         name: String,
-        /// What was believed before.
+        /// Health reported before.
         before: Health,
-        /// What is believed now.
+        /// Health reported with this event.
         now: Health,
-        /// Its incarnation.
+        /// The member's incarnation.
         incarnation: u32,
     },
-    /// The member list has a new number.
+    /// The member list has a new version.
     MemberList {
-        /// The number before.
+        /// Number of the previous version; 0 if there was none.
         before: u64,
-        /// The number now.
+        /// Number of the new version.
         now: u64,
-        /// What the step says; none where the whole record was taken over.
+        /// The change that was applied; `None` if a full list was adopted.
         change: Option<Change>,
     },
-    /// This sender was held lost by others, and is back.
+    /// Others declared this sender down, and it rejoined; with the number of times that this happened to the process.
     Returned(u32),
-    /// Founding waits.
+    /// The sender cannot join or found a fleet yet, for the given reason.
     Waiting(String),
-    /// A fleet of the same name, but another one, was heard.
+    /// The peer at this address belongs to another fleet of the same name.
     OtherFleet(SocketAddr),
-    /// The voters' group that this one works in.
+    /// The group in which this sender is now a voter; `None` if it is no longer a voter.
     Voter(Option<u32>),
 }
 
-/// What came and went.
+/// Traffic counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams sent.
+    /// Packets sent as datagrams.
     pub datagrams: u64,
-    /// Frames sent.
+    /// Packets sent as frames on connections.
     pub frames: u64,
-    /// Bytes sent in both.
+    /// Bytes sent in datagrams and frames.
     pub bytes: u64,
-    /// Packets taken in.
+    /// Packets received and accepted.
     pub received: u64,
-    /// Dropped: of another fleet, of another version, damaged or unreadable.
+    /// Packets dropped because they are from another fleet.
     pub foreign: u64,
-    /// Dropped, being of another version.
+    /// Packets dropped because of another protocol version.
     pub versions: u64,
-    /// Dropped, being damaged or unreadable.
+    /// Packets dropped because they are damaged or cannot be decoded.
     pub damaged: u64,
 }
--- a/sender-membership/src/node/joining.rs
+++ b/sender-membership/src/node/joining.rs
@@ -1,5 +1,5 @@
-//! How a sender without a fleet finds one, or founds it together with the other seeds; and whether its own start is
-//! agreed on.
+//! How a sender without a fleet finds one or founds it together with the other seeds, and whether the voters agreed on its
+//! start.
 use super::{Effect, HELLO_INTERVAL, Node, Notification};
 use crate::Millis;
 use crate::disk::Record;
@@ -9,50 +9,52 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-const LATER_HELLO_INTERVAL: Millis = 2_000;
-const FREQUENT_HELLOS: u32 = 20;
+/// Interval of the rounds after the first [`FAST_HELLO_COUNT`] ones.
+const SLOW_HELLO_INTERVAL: Millis = 2_000;
+const FAST_HELLO_COUNT: u32 = 20;
 
 impl Node {
-    pub(super) fn hello(&mut self, now: Millis) {
-        self.hellos += 1;
-        let pause = if self.hellos > FREQUENT_HELLOS { LATER_HELLO_INTERVAL } else { HELLO_INTERVAL };
-        self.next_hello = now + pause + self.rng.random_range(0..pause / 4);
+    pub(super) fn send_hellos(&mut self, now: Millis) {
+        self.hello_count += 1;
+        let interval = if self.hello_count > FAST_HELLO_COUNT { SLOW_HELLO_INTERVAL } else { HELLO_INTERVAL };
+        self.next_hello = now + interval + self.rng.random_range(0..interval / 4);
         let own = self.settings.info.address;
         for seed in self.settings.seeds.clone() {
             if seed != own {
                 self.send(seed, Packet::Hello);
             }
         }
-        if self.hellos.is_multiple_of(FREQUENT_HELLOS) {
+        if self.hello_count.is_multiple_of(FAST_HELLO_COUNT) {
             let missing: Vec<String> = self
                 .settings
                 .seeds
                 .iter()
-                .filter(|seed| **seed != own && !self.promises.contains_key(seed))
+                .filter(|seed| **seed != own && !self.founder_promises.contains_key(seed))
                 .map(SocketAddr::to_string)
                 .collect();
-            let what = if self.settings.seeds.first() == Some(&own) {
+            let reason = if self.settings.seeds.first() == Some(&own) {
                 format!("the fleet is not founded yet; these seeds have not answered: {}", missing.join(", "))
             } else {
                 "no member of a fleet has answered at any seed".to_owned()
             };
-            self.effects.push(Effect::Notify(Notification::Waiting(what)));
+            self.effects.push(Effect::Notify(Notification::Waiting(reason)));
         }
     }
 
-    /// A blank seed follows the first one that asks and stands first on the list: only that one founds, and only with the
-    /// promises of all. A promise outlasts a restart, so that no seed is counted for two fleets.
-    pub(super) fn promise_to(&mut self, from: Identity) {
+    /// Handles a hello at a sender without a fleet. A seed promises to follow the first seed of the list: only that one may
+    /// found the fleet, and only with the promises of all seeds. The promise survives a restart, so that no seed is counted in
+    /// two fleets.
+    pub(super) fn promise_to_founder(&mut self, from: Identity) {
         let seeds = &self.settings.seeds;
         let own = self.settings.info.address;
         if seeds.first() != Some(&from.address) || from.address == own || !seeds.contains(&own) {
             return;
         }
-        if self.promise.is_none() {
-            self.promise = Some(from.folder);
+        if self.promised_founder.is_none() {
+            self.promised_founder = Some(from.folder);
             self.effects.push(Effect::Persist(Record::Promise(from.folder)));
         }
-        if self.promise == Some(from.folder) {
+        if self.promised_founder == Some(from.folder) {
             let packet = Packet::Promise {
                 founder: from.folder,
                 incarnation: self.incarnation,
@@ -61,20 +63,21 @@
             };
             self.send(from.address, packet);
         } else {
-            let what = format!(
-                "the first seed, {}, was promised to as folder {:016x} and is {:016x} now: empty the folders of all seeds",
+            let reason = format!(
+                "this seed promised to follow the first seed, {}, with folder {:016x}, but its folder is now {:016x}: empty the folders of all seeds",
                 from.address,
-                self.promise.unwrap_or_default(),
+                self.promised_founder.unwrap_or_default(),
                 from.folder
             );
-            self.effects.push(Effect::Notify(Notification::Waiting(what)));
+            self.effects.push(Effect::Notify(Notification::Waiting(reason)));
         }
     }
 
-    pub(super) fn found(&mut self, now: Millis) {
+    /// Founds the fleet if this is the first seed and all other seeds have promised to follow it.
+    pub(super) fn found_fleet(&mut self, now: Millis) {
         let own = self.settings.info.address;
         let others = self.settings.seeds.iter().filter(|seed| **seed != own);
-        let promised: Option<Vec<_>> = others.map(|seed| self.promises.get(seed).cloned()).collect();
+        let promised: Option<Vec<_>> = others.map(|seed| self.founder_promises.get(seed).cloned()).collect();
         if self.settings.seeds.first() != Some(&own) {
             return;
         }
@@ -89,7 +92,7 @@
         self.member_list_changed(now, None);
     }
 
-    /// Whether this sender's start is agreed on.
+    /// Whether the voters agreed on the start of this process with its present description.
     pub fn confirmed(&self) -> bool {
         let member = self.member_list.as_ref().and_then(|member_list| member_list.members.get(&self.folder));
         member.is_some_and(|member| {
@@ -99,8 +102,8 @@
         })
     }
 
-    /// The incarnation of a member with that folder that answers from another address than the one told.
-    pub(super) fn copied(&self, folder: u64, info: &Info) -> Option<u32> {
+    /// The incarnation of the member with this folder ID, if it answers at another address than the one in `info`.
+    pub(super) fn conflicting_incarnation(&self, folder: u64, info: &Info) -> Option<u32> {
         let member = self.member_list.as_ref()?.members.get(&folder)?;
         let answers = folder == self.folder
             || matches!(self.failure_detector.health_of(folder), Some(Health::Answers | Health::Suspected));
--- a/sender-membership/src/node/mod.rs
+++ b/sender-membership/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One sender's part in its fleet: the member list, who answers, and its work as a voter, behind one state machine.
-//! This module has the state, the clock and the dispatch of packets; each concern has a module of its own.
+//! The state machine of one sender: member list, failure detector and voter. This module has the state, the timers and the
+//! dispatch of packets; each concern has its own submodule.
 mod commands;
 mod dissemination;
 mod effect;
@@ -24,38 +24,40 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// A voter's clock ticks this often.
+/// Interval of [`Voter::tick`].
 const VOTER_TICK_INTERVAL: Millis = 200;
-/// One member is told this often how far the member list here is.
+/// Interval at which the version of the member list is sent to one random member.
 const DIGEST_INTERVAL: Millis = 1_000;
-/// What is asked of the voters is asked again after this, until it is agreed or given up.
+/// Shortest interval at which an open proposal is sent again, until it is agreed on or expires.
 const PROPOSE_INTERVAL: Millis = 700;
-/// A blank sender asks the seeds this often, and later this often.
+/// Interval at which a sender without a fleet contacts the seeds at first.
 const HELLO_INTERVAL: Millis = 500;
-/// The leader of the voters looks at their group this often, and changes it no sooner than this after the last change.
+/// Interval at which the leader checks whether the group of voters should change.
 const GROUP_CHECK_INTERVAL: Millis = 1_000;
-/// A disk that took no record is tried again after this.
+/// Interval of the retries after a failed write to disk.
 const DISK_RETRY_DELAY: Millis = 3_000;
 
-/// One sender's part in its fleet.
+/// Membership of one sender in its fleet. The host calls [`Node::receive`] and [`Node::tick`] and carries out the effects
+/// from [`Node::take_effects`].
 pub struct Node {
     settings: Settings,
-    hash: u64,
+    fleet_hash: u64,
     folder: u64,
     incarnation: u32,
     boot: u64,
     rng: ChaCha8Rng,
-    began: Millis,
-    promise: Option<u64>,
-    promises: BTreeMap<SocketAddr, (u64, u32, u64, Info)>,
+    started_at: Millis,
+    promised_founder: Option<u64>,
+    founder_promises: BTreeMap<SocketAddr, (u64, u32, u64, Info)>,
     member_list: Option<MemberList>,
-    recent: VecDeque<Change>,
+    recent_changes: VecDeque<Change>,
     failure_detector: FailureDetector,
-    watching: Option<Millis>,
+    /// When the failure detector started; `None` until this sender is an agreed member at its address.
+    detecting_since: Option<Millis>,
     voter: Option<Voter>,
     stored_voter: Option<VoterState>,
     disk_broken: bool,
-    hellos: u32,
+    hello_count: u32,
     next_hello: Millis,
     next_digest: Millis,
     next_propose: Millis,
@@ -63,15 +65,17 @@
     next_group_check: Millis,
     next_announce: Millis,
     next_reload: Millis,
-    settled_at: Millis,
-    pulled: Millis,
-    lagging: Option<Millis>,
-    lags: u32,
-    /// The incarnation of each member that the member list has, and since when it is known here.
-    learned: BTreeMap<u64, (u32, Millis)>,
-    /// What the log was told last of who answers.
-    notified: BTreeMap<u64, Health>,
-    /// Peers whose connection broke and that were not heard since.
+    group_changed_at: Millis,
+    /// 0 before the first request.
+    pulled_at: Millis,
+    /// Since when other members have had a newer member list.
+    lagging_since: Option<Millis>,
+    lag_count: u32,
+    /// Incarnation of each current member by folder ID, and since when this sender knows it.
+    known_since: BTreeMap<u64, (u32, Millis)>,
+    /// Health of each member as last reported to the log.
+    reported_health: BTreeMap<u64, Health>,
+    /// Folder IDs of peers whose connection broke and that have sent no consensus message since.
     broken_connections: BTreeSet<u64>,
     last_seen: Option<Millis>,
     other_fleet: Option<SocketAddr>,
@@ -82,7 +86,8 @@
 }
 
 impl Node {
-    /// A sender that starts on what its folder holds. `seed` is for chance alone, and new with each start.
+    /// Creates a node from the state on disk, with a new incarnation. `seed` is for the random number generator and must
+    /// differ at each start.
     pub fn new(settings: Settings, mut state: State, seed: u64, now: Millis) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut effects = Vec::new();
@@ -92,39 +97,39 @@
         }
         let incarnation = state.incarnation.saturating_add(1);
         effects.push(Effect::Persist(Record::Incarnation(incarnation)));
-        let own = Identity { folder: state.folder, incarnation, returns: 0, address: settings.info.address };
+        let own = Identity { folder: state.folder, incarnation, renewals: 0, address: settings.info.address };
         let failure_detector = FailureDetector::new(own, &settings, ChaCha8Rng::from_rng(&mut rng));
-        let spread = rng.random_range(0..HELLO_INTERVAL);
+        let first_digest_delay = rng.random_range(0..HELLO_INTERVAL);
         let mut node = Self {
-            hash: settings.fleet_hash(),
+            fleet_hash: settings.fleet_hash(),
             folder: state.folder,
             incarnation,
             boot: rng.random(),
             rng,
-            began: now,
-            promise: state.promise,
-            promises: BTreeMap::new(),
+            started_at: now,
+            promised_founder: state.promise,
+            founder_promises: BTreeMap::new(),
             member_list: state.member_list,
-            recent: VecDeque::new(),
+            recent_changes: VecDeque::new(),
             failure_detector,
-            watching: None,
+            detecting_since: None,
             voter: None,
             stored_voter: state.voter,
             disk_broken: false,
-            hellos: 0,
+            hello_count: 0,
             next_hello: now,
-            next_digest: now + spread,
+            next_digest: now + first_digest_delay,
             next_propose: now,
             next_voter_tick: now,
             next_group_check: now + GROUP_CHECK_INTERVAL,
             next_announce: now,
             next_reload: now,
-            settled_at: now,
-            pulled: 0,
-            lagging: None,
-            lags: 0,
-            learned: BTreeMap::new(),
-            notified: BTreeMap::new(),
+            group_changed_at: now,
+            pulled_at: 0,
+            lagging_since: None,
+            lag_count: 0,
+            known_since: BTreeMap::new(),
+            reported_health: BTreeMap::new(),
             broken_connections: BTreeSet::new(),
             last_seen: None,
             other_fleet: None,
@@ -138,43 +143,43 @@
         node
     }
 
-    /// The folder's own number, the start on it, and what was drawn at this start.
+    /// Folder ID, incarnation and random ID of this process start.
     pub fn identity(&self) -> (u64, u32, u64) {
         (self.folder, self.incarnation, self.boot)
     }
 
-    /// The latest record of who belongs.
+    /// The latest member list; `None` while this sender has joined no fleet.
     pub fn member_list(&self) -> Option<&MemberList> {
         self.member_list.as_ref()
     }
 
-    /// What came and went.
+    /// Traffic counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Why it takes no part, if it does not.
+    /// Why this sender stopped taking part; `None` while it takes part.
     pub fn halted(&self) -> Option<&Halt> {
         self.halted.as_ref()
     }
 
-    /// The name of the voter that leads the others, as far as this one, a voter, knows.
+    /// Name of the leader of the voters; `None` if this sender is no voter or knows of no leader.
     pub fn leader(&self) -> Option<&str> {
         let folder = self.voter.as_ref()?.leader()?;
         Some(&self.member_list.as_ref()?.members.get(&folder)?.info.name)
     }
 
-    /// Whether it works as a voter.
+    /// Whether this sender is a voter of the current group.
     pub fn is_voter(&self) -> bool {
         self.voter.is_some()
     }
 
-    /// What is to be done.
+    /// Takes the effects that the host has to carry out, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// When [`Node::tick`] is to be called at the latest; none when it takes no part any more.
+    /// When [`Node::tick`] is due; `None` once this sender has stopped taking part.
     pub fn next_tick(&self) -> Option<Millis> {
         if self.halted.is_some() {
             return None;
@@ -183,7 +188,7 @@
         if self.member_list.is_none() {
             next = next.min(self.next_hello);
         }
-        if self.watching.is_some() {
+        if self.detecting_since.is_some() {
             next = next.min(self.next_announce);
         }
         if !self.confirmed() || !self.pending_commands.is_empty() {
@@ -195,16 +200,17 @@
         if self.disk_broken {
             next = next.min(self.next_reload);
         }
-        Some(self.failure_detector.next().map_or(next, |due| next.min(due)))
+        Some(self.failure_detector.next_due().map_or(next, |due| next.min(due)))
     }
 
-    /// What is due by now. Whatever has come is to be handed in before.
+    /// Handles everything that is due. The host must pass in all received packets first, so that a pause of the process does
+    /// not look like silence of its peers.
     pub fn tick(&mut self, now: Millis) {
         if self.halted.is_some() {
             return;
         }
         if self.member_list.is_none() && self.next_hello <= now {
-            self.hello(now);
+            self.send_hellos(now);
         }
         self.failure_detector.tick(now);
         self.process_failure_detector(now);
@@ -214,12 +220,12 @@
                 self.send_digest(address);
             }
         }
-        if self.next_announce <= now && self.watching.is_some() {
-            self.announce_to(now);
+        if self.next_announce <= now && self.detecting_since.is_some() {
+            self.announce_to_unheard(now);
         }
         if self.next_propose <= now && (!self.confirmed() || !self.pending_commands.is_empty()) {
             self.next_propose = now + PROPOSE_INTERVAL + self.rng.random_range(0..PROPOSE_INTERVAL / 2);
-            self.propose_own();
+            self.propose_own_changes();
             self.expire_commands(now);
         }
         if self.voter.is_some() && self.next_voter_tick <= now {
@@ -239,15 +245,15 @@
         self.process_voter(now);
     }
 
-    /// Takes in a datagram or a frame.
+    /// Handles a received datagram or frame.
     ///
     /// # Errors
-    /// The bytes are damaged, of another version or of another fleet: they are counted and dropped.
+    /// The packet is damaged, of another version or of another fleet: it is counted and dropped.
     pub fn receive(&mut self, now: Millis, bytes: &[u8]) -> Result<(), WireError> {
         if self.halted.is_some() {
             return Ok(());
         }
-        let (from, packet) = decode(self.hash, bytes).inspect_err(|e| match e {
+        let (from, packet) = decode(self.fleet_hash, bytes).inspect_err(|error| match error {
             WireError::Fleet => self.counts.foreign += 1,
             WireError::Version(_) => self.counts.versions += 1,
             WireError::Damaged | WireError::Unreadable => self.counts.damaged += 1,
@@ -259,27 +265,31 @@
         Ok(())
     }
 
-    /// A connection to the peer at that address broke, and frames may be lost with it.
+    /// Reports that the connection to the peer at this address broke, so that frames may be lost.
     pub fn connection_broken(&mut self, address: SocketAddr) {
         let folder = self.member_list.as_ref().and_then(|member_list| {
-            member_list.members.iter().find(|(_, m)| m.info.address == address).map(|(folder, _)| *folder)
+            member_list
+                .members
+                .iter()
+                .find(|(_, member)| member.info.address == address)
+                .map(|(folder, _)| *folder)
         });
-        // Nothing is told to it until it is heard again: it may be gone.
+        // The resynchronization waits for its next message: the peer may be down.
         self.broken_connections.extend(folder.filter(|_| self.voter.is_some()));
     }
 
     fn handle_packet(&mut self, now: Millis, from: Identity, packet: Packet) {
         match packet {
             Packet::Hello if self.member_list.is_some() => self.send_digest(from.address),
-            Packet::Hello => self.promise_to(from),
+            Packet::Hello => self.promise_to_founder(from),
             Packet::Promise { founder, incarnation, boot, info } => {
                 let seeds = &self.settings.seeds;
                 if self.member_list.is_none() && founder == self.folder && seeds.contains(&info.address) {
-                    self.promises.insert(info.address, (from.folder, incarnation, boot, info));
-                    self.found(now);
+                    self.founder_promises.insert(info.address, (from.folder, incarnation, boot, info));
+                    self.found_fleet(now);
                 }
             }
-            Packet::Digest { fleet, epoch, number } => self.digest(now, from, fleet, (epoch, number)),
+            Packet::Digest { fleet, epoch, number } => self.handle_digest(now, from, fleet, (epoch, number)),
             Packet::Pull { epoch, number } => self.handle_pull(from.address, epoch, number),
             Packet::Steps { fleet, epoch, after, changes } => {
                 self.receive_steps(now, fleet, (epoch, after), changes)
@@ -312,20 +322,20 @@
         let known = usize::try_from(member_list.number - after).unwrap_or(usize::MAX);
         self.last_seen = Some(now);
         for change in changes.into_iter().skip(known) {
-            self.step(now, change);
+            self.apply_change(now, change);
         }
     }
 
     /// Has the voters agree on a step that a peer proposes, or answers why not.
     fn receive_proposal(&mut self, from: Identity, change: &Change) {
         if let Change::Start { folder, boot, info, .. } = change
-            && let Some(incarnation) = self.copied(*folder, info)
+            && let Some(incarnation) = self.conflicting_incarnation(*folder, info)
         {
             let boot = *boot;
             return self.send(from.address, Packet::Refused { boot, incarnation });
         }
-        if self.agreed_already(change) {
-            // Whoever asks has not heard of it: the frame that told it may have been lost with its connection.
+        if self.is_applied(change) {
+            // The proposer does not know the change yet: the frame with it may have been lost with a connection.
             return self.send_digest(from.address);
         }
         self.propose_to_voters(change);
@@ -339,41 +349,42 @@
         (fleet, epoch, group): (u64, u32, u32),
         message: Message<Change>,
     ) {
-        let ours = self.member_list.as_ref().is_some_and(|r| r.fleet == fleet && r.epoch == epoch);
-        if !ours {
+        let same_epoch =
+            self.member_list.as_ref().is_some_and(|list| list.fleet == fleet && list.epoch == epoch);
+        if !same_epoch {
             return;
         }
         self.last_seen = Some(now);
         match &mut self.voter {
             Some(voter) if voter.group == group => {
-                let again = self.broken_connections.remove(&from.folder);
-                if again {
+                let reconnected = self.broken_connections.remove(&from.folder);
+                if reconnected {
                     voter.reconnected(from.folder);
                 }
-                voter.hear(from.folder, message);
-                if again {
+                voter.handle_message(from.folder, message);
+                if reconnected {
                     self.send(from.address, Packet::Resync { group });
                 }
             }
-            // One of the two has an old member list.
+            // This sender or its peer has an old member list.
             _ => self.send_digest(from.address),
         }
     }
 
-    /// Hands a message of the failure detector to it, if a member sent it.
+    /// Passes a message to the failure detector if a member sent it.
     fn receive_swim(&mut self, now: Millis, from: Identity, fleet: u64, data: &[u8]) {
         let Some(member_list) = &self.member_list else { return };
-        // Only members are listened to: so nobody else can have this sender hold anything.
-        let member = member_list.members.contains_key(&from.folder);
-        if member_list.fleet == fleet && self.watching.is_none() {
-            // It counts as a member there, and does not know so.
+        // Messages of other senders are dropped, so that only members can make this sender store state.
+        let is_member = member_list.members.contains_key(&from.folder);
+        if member_list.fleet == fleet && self.detecting_since.is_none() {
+            // The peer lists this sender as a member, but its own member list does not yet.
             self.send_digest(from.address);
         } else if member_list.fleet == fleet {
-            if member {
+            if is_member {
                 self.last_seen = Some(now);
-                self.failure_detector.hear(now, data);
+                self.failure_detector.handle_data(now, data);
             } else {
-                // Either it is gone and has to learn so, or it is new and this member list is old.
+                // Either the peer has departed and has to learn that, or it is new and this member list is old.
                 self.send_digest(from.address);
             }
         }
@@ -381,25 +392,25 @@
 
     fn halt(&mut self, now: Millis, halt: Halt) {
         if self.halted.is_none() {
-            if matches!(halt, Halt::Departed(_)) && self.watching.is_some() {
+            if matches!(halt, Halt::Departed(_)) && self.detecting_since.is_some() {
                 self.failure_detector.leave(now);
                 self.process_failure_detector(now);
             }
             self.voter = None;
-            self.settle_commands();
+            self.complete_commands();
             self.effects.push(Effect::Halt(halt.clone()));
             self.halted = Some(halt);
         }
     }
 
     fn send(&mut self, to: SocketAddr, packet: Packet) {
-        // What has to come in order goes on a connection; a heartbeat does not.
+        // Ordered messages need a connection; heartbeats (`Message::BLE`) do not.
         let ordered = match &packet {
             Packet::Voter { message, .. } => !matches!(**message, Message::BLE(_)),
             Packet::Steps { .. } | Packet::FullList(_) | Packet::Resync { .. } => true,
             _ => false,
         };
-        let Some(bytes) = encode(self.hash, self.failure_detector.own(), packet) else { return };
+        let Some(bytes) = encode(self.fleet_hash, self.failure_detector.identity(), packet) else { return };
         let connection = ordered || bytes.len() > MAX_DATAGRAM_BYTES;
         *(if connection { &mut self.counts.frames } else { &mut self.counts.datagrams }) += 1;
         self.counts.bytes += bytes.len() as u64;
--- a/sender-membership/src/node/observation.rs
+++ b/sender-membership/src/node/observation.rs
@@ -1,4 +1,4 @@
-//! What this sender tells of its fleet: who is announced to, who responds, and the view for operators.
+//! Announcements to members that do not answer, events of the failure detector, and the view for operators.
 use super::{Effect, Halt, Node, Notification};
 use crate::Millis;
 use crate::failure_view::{Health, HealthChange, MemberState, Row, View, ViewDigest};
@@ -6,53 +6,55 @@
 use crate::wire::{Identity, Packet};
 use rand::RngExt;
 
-/// Members that are not heard are greeted this often, one at a time.
+/// Interval at which this sender announces itself to one of the members that it does not hear.
 const ANNOUNCE_INTERVAL: Millis = 2_000;
-/// The same while some of them are so new here that they could not be heard yet.
-const FRESH_ANNOUNCE_INTERVAL: Millis = 250;
-/// Former members in a view.
+/// The same interval while some of these members are so new that they could not be heard yet.
+const NEW_MEMBER_ANNOUNCE_INTERVAL: Millis = 250;
+/// Departed members that operators are shown.
 const MAX_DEPARTED_SHOWN: usize = 16;
-/// How long the start of SWIM may take until one that was never heard counts as lost, besides the time to object.
-const LISTEN_TIME: Millis = 3_000;
+/// Time, in addition to the suspicion timeout, until a member that was never heard counts as lost: SWIM needs it to start.
+const DETECTION_START_TIME: Millis = 3_000;
 
 impl Node {
-    pub(super) fn announce_to(&mut self, now: Millis) {
+    pub(super) fn announce_to_unheard(&mut self, now: Millis) {
         self.next_announce = now + ANNOUNCE_INTERVAL;
         let Some(member_list) = &self.member_list else { return };
         let health = self.failure_detector.health();
-        let unheard = |folder: &u64, incarnation: u32| {
+        let is_unheard = |folder: &u64, incarnation: u32| {
             *folder != self.folder
                 && health
                     .get(folder)
                     .is_none_or(|(known, health)| *health == Health::Lost || *known < incarnation)
         };
-        let lost: Vec<Identity> = member_list
+        let unheard: Vec<Identity> = member_list
             .members
             .iter()
-            .filter(|(folder, member)| unheard(folder, member.incarnation))
+            .filter(|(folder, member)| is_unheard(folder, member.incarnation))
             .map(|(folder, member)| Identity {
                 folder: *folder,
                 incarnation: member.incarnation,
-                returns: 0,
+                renewals: 0,
                 address: member.info.address,
             })
             .collect();
-        // Those that have their time still are to be heard in it, however many there are: as after the start of a whole fleet.
-        let hurry = lost.iter().any(|id| !health.contains_key(&id.folder) && self.fresh(id.folder, now));
-        self.next_announce = now + if hurry { FRESH_ANNOUNCE_INTERVAL } else { ANNOUNCE_INTERVAL };
-        if lost.is_empty() {
+        // New members should be heard before they count as lost, even if there are many, as after the start of a whole fleet.
+        let some_are_new =
+            unheard.iter().any(|id| !health.contains_key(&id.folder) && self.is_newly_known(id.folder, now));
+        self.next_announce =
+            now + if some_are_new { NEW_MEMBER_ANNOUNCE_INTERVAL } else { ANNOUNCE_INTERVAL };
+        if unheard.is_empty() {
             return;
         }
-        // Those that cannot be reached from here may be known to others, who answer a greeting with whom they hear.
+        // Other members may reach those that this sender cannot: they answer an announcement with the members that they hear.
         let answering: Vec<Identity> = self.failure_detector.answering().copied().collect();
-        let ask = !answering.is_empty() && self.rng.random_range(0..2) == 0;
-        let among = if ask { &answering } else { &lost };
-        let chosen = among[self.rng.random_range(0..among.len())];
-        self.failure_detector.announce_to(now, chosen);
+        let ask_others = !answering.is_empty() && self.rng.random_range(0..2) == 0;
+        let targets = if ask_others { &answering } else { &unheard };
+        let target = targets[self.rng.random_range(0..targets.len())];
+        self.failure_detector.announce_to(now, target);
         self.process_failure_detector(now);
     }
 
-    /// Sends what the watch wants sent, and tells what changed.
+    /// Sends the packets of the failure detector and reports its changes.
     pub(super) fn process_failure_detector(&mut self, _now: Millis) {
         let Some(fleet) = self.member_list.as_ref().map(|member_list| member_list.fleet) else { return };
         for (to, data) in std::mem::take(&mut self.failure_detector.sends) {
@@ -62,61 +64,64 @@
             let name = |id: &Identity| {
                 let member =
                     self.member_list.as_ref().and_then(|member_list| member_list.members.get(&id.folder));
-                member.map_or_else(|| format!("folder {:016x}", id.folder), |m| m.info.name.clone())
+                member.map_or_else(|| format!("folder {:016x}", id.folder), |member| member.info.name.clone())
             };
-            let (id, now) = match change {
+            let (id, health) = match change {
                 HealthChange::Up(id) => (id, Health::Answers),
                 HealthChange::Down(id) => (id, Health::Lost),
                 HealthChange::Returned(id) => {
-                    self.effects.push(Effect::Notify(Notification::Returned(id.returns)));
+                    self.effects.push(Effect::Notify(Notification::Returned(id.renewals)));
                     continue;
                 }
             };
-            let before = self.notified.insert(id.folder, now).unwrap_or(Health::Unknown);
-            let note = Notification::Health { name: name(&id), before, now, incarnation: id.incarnation };
-            self.effects.push(Effect::Notify(note));
+            let before = self.reported_health.insert(id.folder, health).unwrap_or(Health::Unknown);
+            let notification =
+                Notification::Health { name: name(&id), before, now: health, incarnation: id.incarnation };
+            self.effects.push(Effect::Notify(notification));
         }
     }
 
-    /// Whether a member that was never heard has its time still, since it is known, or since this sender listens.
-    fn fresh(&self, folder: u64, now: Millis) -> bool {
-        let listening = self.watching.unwrap_or(self.began);
-        let since = self.learned.get(&folder).map_or(listening, |(_, at)| listening.max(*at));
-        now < since + LISTEN_TIME + self.settings.suspect
+    /// Whether a member that was never heard is still within its grace period, which starts when this sender learns of the
+    /// member or when its failure detector starts, whichever is later.
+    fn is_newly_known(&self, folder: u64, now: Millis) -> bool {
+        let detecting_since = self.detecting_since.unwrap_or(self.started_at);
+        let since =
+            self.known_since.get(&folder).map_or(detecting_since, |(_, known)| detecting_since.max(*known));
+        now < since + DETECTION_START_TIME + self.settings.suspect
     }
 
-    /// Members in the order of their folders, how each belongs, and whether it answers.
-    fn rows(&self, now: Millis) -> impl Iterator<Item = (u64, &Member, MemberState, Health)> {
+    /// Current members in the order of their folder IDs, with state and health.
+    fn members_with_health(&self, now: Millis) -> impl Iterator<Item = (u64, &Member, MemberState, Health)> {
         let health = self.failure_detector.health();
         self.member_list.iter().flat_map(|member_list| &member_list.members).map(move |(folder, member)| {
-            let own = *folder == self.folder;
-            // Of an earlier process of the member, nothing is believed any more.
-            let heard = health.get(folder).filter(|(incarnation, _)| *incarnation >= member.incarnation);
-            let state = match (own && !self.confirmed(), member.leaving) {
+            let is_own = *folder == self.folder;
+            // The health of an earlier process of the member says nothing about the current one.
+            let detected = health.get(folder).filter(|(incarnation, _)| *incarnation >= member.incarnation);
+            let state = match (is_own && !self.confirmed(), member.leaving) {
                 (true, _) => MemberState::Joining,
                 (false, true) => MemberState::Leaving,
                 (false, false) => MemberState::Active,
             };
-            let health = match heard {
-                _ if own && self.halted.is_none() => Health::Answers,
+            let health = match detected {
+                _ if is_own && self.halted.is_none() => Health::Answers,
                 Some((_, health)) => *health,
-                // One that is not agreed on yet listens to nobody.
-                None if self.watching.is_none() => Health::Unknown,
-                // Neither one that has only just been agreed on: nobody can have heard it yet.
-                None if self.fresh(*folder, now) => Health::Unknown,
+                // The failure detector starts once this sender is an agreed member.
+                None if self.detecting_since.is_none() => Health::Unknown,
+                // A new member cannot have been heard yet.
+                None if self.is_newly_known(*folder, now) => Health::Unknown,
                 None => Health::Lost,
             };
             (*folder, member, state, health)
         })
     }
 
-    /// A short sign of what this sender knows: two that have the same one see the same members, in the same states.
+    /// Digest of the view. Senders with equal digests see the same members with the same states and health.
     pub fn view_digest(&self, now: Millis) -> ViewDigest {
-        let mut sum = crc32fast::Hasher::new();
-        for (folder, member, state, health) in self.rows(now) {
-            sum.update(&folder.to_le_bytes());
-            sum.update(&member.incarnation.to_le_bytes());
-            sum.update(&[state as u8, health as u8]);
+        let mut hasher = crc32fast::Hasher::new();
+        for (folder, member, state, health) in self.members_with_health(now) {
+            hasher.update(&folder.to_le_bytes());
+            hasher.update(&member.incarnation.to_le_bytes());
+            hasher.update(&[state as u8, health as u8]);
         }
         let member_list = self.member_list.as_ref();
         ViewDigest {
@@ -125,15 +130,15 @@
             number: member_list.map_or(0, |member_list| member_list.number),
             confirmed: self.confirmed(),
             halted: self.halted.is_some(),
-            view: sum.finalize(),
+            view: hasher.finalize(),
         }
     }
 
-    /// What this sender knows of its fleet.
+    /// The fleet as this sender sees it.
     pub fn view(&self, now: Millis) -> View {
         let voters = self.member_list.as_ref().map_or(&[][..], |member_list| &member_list.voters);
         let mut members: Vec<Row> = self
-            .rows(now)
+            .members_with_health(now)
             .map(|(folder, member, state, health)| Row {
                 name: member.info.name.clone(),
                 number: member.number,
@@ -154,7 +159,7 @@
             fleet: member_list.map(|member_list| member_list.fleet),
             epoch: member_list.map_or(0, |member_list| member_list.epoch),
             number: member_list.map_or(0, |member_list| member_list.number),
-            age_ms: self.last_seen.map(|heard| now.saturating_sub(heard)),
+            age_ms: self.last_seen.map(|seen| now.saturating_sub(seen)),
             voters_answering,
             voters,
             confirmed: self.confirmed(),
@@ -163,7 +168,7 @@
         }
     }
 
-    /// The last of those that do not belong any more, the latest first.
+    /// The most recently departed members, the latest first.
     pub fn departed(&self) -> impl Iterator<Item = &DepartedMember> {
         self.member_list
             .iter()
--- a/sender-membership/src/node/voting.rs
+++ b/sender-membership/src/node/voting.rs
@@ -1,4 +1,4 @@
-//! This sender's work as a voter, what it asks of the voters, and who is to be one.
+//! This sender's work as a voter, its proposals to the voters, and the choice of the voters.
 use super::{Effect, Node, Notification};
 use crate::Millis;
 use crate::disk::{Record, VoterState};
@@ -10,14 +10,16 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
+/// Shortest time between two changes of the group of voters.
 const GROUP_CHANGE_DELAY: Millis = 4_000;
-/// A group of voters that has agreed on so many steps begins anew, with an empty log.
-const MAX_GROUP_STEPS: usize = 256;
-/// Steps that may wait for a majority.
-const MAX_PENDING_STEPS: usize = 64;
+/// Changes after which a group of voters is replaced by a new one, which starts with an empty log.
+const MAX_GROUP_CHANGES: usize = 256;
+/// Log entries that may wait for a majority; further proposals are dropped.
+const MAX_PENDING_ENTRIES: usize = 64;
 
 impl Node {
-    pub(super) fn propose_own(&mut self) {
+    /// Proposes the changes of pending commands, and this sender's start if it is not agreed on yet.
+    pub(super) fn propose_own_changes(&mut self) {
         let mut changes: Vec<Change> =
             self.pending_commands.iter().map(|command| command.change.clone()).collect();
         if !self.confirmed() && self.member_list.is_some() {
@@ -29,7 +31,7 @@
             });
         }
         for change in changes {
-            // A voter that is cut off from its group may still reach one that is not.
+            // A voter that is partitioned from its group may still reach another voter that is not.
             if self.voter.is_some() && self.rng.random_range(0..2) == 0 {
                 self.propose_to_voters(&change);
             } else if let Some(address) = self.random_voter() {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// A voter that answers, or else any.
+    /// Address of a random other voter, mostly of one that answers.
     fn random_voter(&mut self) -> Option<SocketAddr> {
         let member_list = self.member_list.as_ref()?;
         let voters: Vec<(u64, SocketAddr)> = member_list
@@ -55,51 +57,54 @@
         (!voters.is_empty()).then(|| voters[self.rng.random_range(0..voters.len())].1)
     }
 
-    /// Whether the member list here has what a step asks for.
-    pub(super) fn agreed_already(&self, change: &Change) -> bool {
+    /// Whether the member list already reflects a change.
+    pub(super) fn is_applied(&self, change: &Change) -> bool {
         let Some(member_list) = &self.member_list else { return false };
         match change {
             Change::Start { folder, incarnation, boot, .. } => member_list
                 .members
                 .get(folder)
-                .is_some_and(|m| m.incarnation == *incarnation && m.boot == *boot),
+                .is_some_and(|member| member.incarnation == *incarnation && member.boot == *boot),
             Change::Leaving { folder } => member_list.members.get(folder).is_none_or(|member| member.leaving),
             Change::Departure { folder, .. } => !member_list.members.contains_key(folder),
             Change::Voters { .. } => false,
         }
     }
 
-    /// Has the group agree on a step, unless it changes nothing or must not be.
+    /// Proposes a change to the group, unless it has no effect or is not allowed.
     pub(super) fn propose_to_voters(&mut self, change: &Change) {
         let Some(member_list) = &self.member_list else { return };
-        let wanted = match change {
+        let allowed = match change {
             Change::Start { folder, incarnation, info, .. } => {
-                let known = member_list.members.get(folder).is_some_and(|m| m.incarnation >= *incarnation);
-                // Another one has the name: while that one answers, from another address, it keeps it.
-                let holder = member_list.folder_of(&info.name).filter(|holder| holder != folder);
+                let known =
+                    member_list.members.get(folder).is_some_and(|member| member.incarnation >= *incarnation);
+                // Another member keeps the name as long as it is not lost and has another address.
+                let holder = member_list.folder_by_name(&info.name).filter(|holder| holder != folder);
                 let taken = holder.is_some_and(|holder| {
-                    let elsewhere =
-                        member_list.members.get(&holder).is_some_and(|m| m.info.address != info.address);
+                    let other_address = member_list
+                        .members
+                        .get(&holder)
+                        .is_some_and(|member| member.info.address != info.address);
                     let lost = self.failure_detector.health_of(holder) == Some(Health::Lost);
-                    elsewhere && (holder == self.folder || !lost)
+                    other_address && (holder == self.folder || !lost)
                 });
                 !known && !taken && member_list.departure_of(*folder).is_none()
             }
-            Change::Leaving { .. } | Change::Departure { .. } => !self.agreed_already(change),
-            // That is the voters' own.
+            Change::Leaving { .. } | Change::Departure { .. } => !self.is_applied(change),
+            // Only the leader of the voters changes their group.
             Change::Voters { .. } => false,
         };
-        let in_group = member_list.in_group();
+        let applied = member_list.changes_in_group();
         if let Some(voter) = &mut self.voter
-            && wanted
-            && voter.waiting(in_group) < MAX_PENDING_STEPS
+            && allowed
+            && voter.pending_entries(applied) < MAX_PENDING_ENTRIES
         {
             voter.propose(change.clone());
         }
     }
 
-    /// The disk took no record: what this voter has said since is not to be relied on, so it says no more until the disk
-    /// takes records again.
+    /// Reports a failed write to disk. Other voters must not rely on state that is not on disk, so this sender stops being a
+    /// voter until the disk works again.
     pub fn disk_failed(&mut self) {
         self.disk_broken = true;
         self.stored_voter = None;
@@ -108,45 +113,51 @@
         }
     }
 
-    /// The disk takes records again, and holds this of a voter's log.
+    /// Reports that the disk works again, with the voter's log that it holds.
     pub fn reloaded(&mut self, now: Millis, voter: Option<VoterState>) {
         if std::mem::take(&mut self.disk_broken) {
             self.stored_voter = voter;
-            // What was not written meanwhile stands in it.
-            let whole = self
+            // The full list includes the changes that could not be written meanwhile.
+            let full_list = self
                 .member_list
                 .clone()
                 .map(|member_list| Effect::Persist(Record::MemberList(Box::new(member_list))));
-            self.effects.extend(whole);
+            self.effects.extend(full_list);
             self.member_list_changed(now, None);
             self.process_voter(now);
         }
     }
 
-    /// Writes, steps agreed on, and messages of the voter, in this order.
+    /// Moves the output of the voter to the effects: its records, then its messages. Then applies the decided changes.
     pub(super) fn process_voter(&mut self, now: Millis) {
         loop {
             let Some(voter) = &mut self.voter else { return };
             let group = voter.group;
-            let persist: Vec<Effect> =
-                voter.writes().into_iter().map(|write| Effect::Persist(Record::Voter(write))).collect();
-            let messages = voter.messages();
+            let persist: Vec<Effect> = voter
+                .take_records()
+                .into_iter()
+                .map(|record| Effect::Persist(Record::Voter(record)))
+                .collect();
+            let messages = voter.take_messages();
             let Some(member_list) = &self.member_list else { return };
-            let agreed =
-                if member_list.group == group { voter.agreed(member_list.in_group()) } else { Vec::new() };
-            let late = self.settings.injected_faults.tells_before_disk;
-            if !late {
+            let decided = if member_list.group == group {
+                voter.decided(member_list.changes_in_group())
+            } else {
+                Vec::new()
+            };
+            let persist_late = self.settings.injected_faults.tells_before_disk;
+            if !persist_late {
                 self.effects.extend(persist.iter().cloned());
             }
             self.send_voter_messages(group, messages);
-            if late {
+            if persist_late {
                 self.effects.extend(persist);
             }
-            if agreed.is_empty() {
+            if decided.is_empty() {
                 return;
             }
-            for change in agreed {
-                self.step(now, change);
+            for change in decided {
+                self.apply_change(now, change);
             }
         }
     }
@@ -175,104 +186,117 @@
         (member_list.voters.iter().filter(answers).count(), member_list.voters.len())
     }
 
-    /// Members that answer and could be voters beside those, the best first: of zones and machines that have none.
-    pub(super) fn candidates(&self, beside: &[u64]) -> Vec<u64> {
+    /// Answering members that could become voters in addition to `existing`, in order of preference: those of failure domains
+    /// and zones with the fewest voters come first.
+    pub(super) fn candidates(&self, existing: &[u64]) -> Vec<u64> {
         let Some(member_list) = &self.member_list else { return Vec::new() };
         let health = self.failure_detector.health();
         let answers = |folder: &u64| {
-            *folder == self.folder || health.get(folder).is_some_and(|(_, h)| *h == Health::Answers)
+            *folder == self.folder || health.get(folder).is_some_and(|(_, health)| *health == Health::Answers)
         };
-        let mut chosen: Vec<u64> = beside.to_vec();
-        let mut left: Vec<u64> = member_list
+        let mut chosen: Vec<u64> = existing.to_vec();
+        let mut remaining: Vec<u64> = member_list
             .members
             .iter()
-            .filter(|(folder, member)| answers(folder) && !member.leaving && !beside.contains(folder))
+            .filter(|(folder, member)| answers(folder) && !member.leaving && !existing.contains(folder))
             .map(|(folder, _)| *folder)
             .collect();
-        let mut order = Vec::new();
-        while !left.is_empty() && order.len() < self.settings.voters {
-            let alike = |folder: &u64, part: fn(&Info) -> &String| {
-                let of = |folder: &u64| member_list.members.get(folder).map(|m| part(&m.info));
-                chosen.iter().filter(|other| of(other) == of(folder)).count()
+        let mut ranked = Vec::new();
+        while !remaining.is_empty() && ranked.len() < self.settings.voters {
+            let count_sharing = |folder: &u64, label: fn(&Info) -> &String| {
+                let label_of =
+                    |folder: &u64| member_list.members.get(folder).map(|member| label(&member.info));
+                chosen.iter().filter(|other| label_of(other) == label_of(folder)).count()
             };
             let rank = |folder: &u64| {
                 let number = member_list.members.get(folder).map_or(u32::MAX, |member| member.number);
-                (alike(folder, |info| &info.machine), alike(folder, |info| &info.zone), number)
+                (
+                    count_sharing(folder, |info| &info.machine),
+                    count_sharing(folder, |info| &info.zone),
+                    number,
+                )
+            };
+            let Some(index) = (0..remaining.len()).min_by_key(|index| rank(&remaining[*index])) else {
+                break;
             };
-            let Some(at) = (0..left.len()).min_by_key(|at| rank(&left[*at])) else { break };
-            let best = left.swap_remove(at);
+            let best = remaining.swap_remove(index);
             chosen.push(best);
-            order.push(best);
+            ranked.push(best);
         }
-        order
+        ranked
     }
 
-    /// The group that the leader wants: without those that are gone, leaving or lost for long, up to the wanted number, of
-    /// as many zones as there are.
-    fn wanted_group(&self, now: Millis) -> Option<Vec<u64>> {
+    /// The group that the leader aims for: without voters that departed, are leaving or have been down for long, up to the
+    /// configured size, spread over as many zones as possible.
+    fn target_group(&self, now: Millis) -> Option<Vec<u64>> {
         let member_list = self.member_list.as_ref()?;
-        let lost = |folder: &u64| {
+        let is_down = |folder: &u64| {
             *folder != self.folder
                 && self
                     .failure_detector
-                    .lost_since(*folder)
-                    .is_some_and(|at| now >= at + self.settings.replace_voter_after)
+                    .down_since(*folder)
+                    .is_some_and(|since| now >= since + self.settings.replace_voter_after)
         };
-        let belongs = |folder: &u64| member_list.members.get(folder).is_some_and(|member| !member.leaving);
+        let is_staying = |folder: &u64| member_list.members.get(folder).is_some_and(|member| !member.leaving);
         let size = self.settings.voters.min(member_list.members.len());
         let size = if size > 2 && size.is_multiple_of(2) { size - 1 } else { size };
         let mut group: Vec<u64> =
-            member_list.voters.iter().filter(|folder| belongs(folder)).copied().collect();
+            member_list.voters.iter().filter(|folder| is_staying(folder)).copied().collect();
         let candidates = self.candidates(&group);
-        let mut spare = candidates.into_iter();
-        // One that is lost goes only for one that answers: a smaller group is no safer.
-        for place in &mut group {
-            if lost(place)
-                && let Some(next) = spare.next()
+        let mut replacements = candidates.into_iter();
+        // A voter that is down is only replaced by a member that answers: a smaller group is no safer.
+        for voter in &mut group {
+            if is_down(voter)
+                && let Some(replacement) = replacements.next()
             {
-                *place = next;
+                *voter = replacement;
             }
         }
         while group.len() < size
-            && let Some(next) = spare.next()
+            && let Some(addition) = replacements.next()
         {
-            group.push(next);
+            group.push(addition);
         }
         while group.len() > size.max(2) {
-            let worst = group.iter().position(lost).unwrap_or(group.len() - 1);
+            let worst = group.iter().position(is_down).unwrap_or(group.len() - 1);
             group.remove(worst);
         }
-        self.spread(&mut group);
+        self.spread_over_zones(&mut group);
         Some(group)
     }
 
-    /// Gives the place of one voter, in a zone that has several, to one of a zone that has none.
-    fn spread(&self, group: &mut [u64]) {
+    /// Replaces one voter of a zone with several voters by a candidate of a zone without any.
+    fn spread_over_zones(&self, group: &mut [u64]) {
         let Some(member_list) = &self.member_list else { return };
         let zone = |folder: &u64| member_list.members.get(folder).map(|member| member.info.zone.as_str());
-        let next = self.candidates(group).into_iter().find(|c| !group.iter().any(|k| zone(k) == zone(c)));
-        let crowded = group
-            .iter()
-            .rposition(|k| *k != self.folder && group.iter().filter(|o| zone(o) == zone(k)).count() > 1);
-        if let (Some(next), Some(at)) = (next, crowded) {
-            group[at] = next;
+        let replacement = self
+            .candidates(group)
+            .into_iter()
+            .find(|candidate| !group.iter().any(|voter| zone(voter) == zone(candidate)));
+        let crowded = group.iter().rposition(|voter| {
+            *voter != self.folder && group.iter().filter(|other| zone(other) == zone(voter)).count() > 1
+        });
+        if let (Some(replacement), Some(index)) = (replacement, crowded) {
+            group[index] = replacement;
         }
     }
 
-    /// Has the group agree that those are gone who were leaving and do not answer any more: they ended before they could ask
-    /// for that themselves, and nobody else would.
+    /// Proposes the departure of members that announced to leave and are lost: their processes ended before they could
+    /// propose it themselves, and no other member does.
     fn complete_leaves(&mut self) {
         let Some(member_list) = &self.member_list else { return };
-        let is_gone = |folder: &u64| self.failure_detector.health_of(*folder) == Some(Health::Lost);
-        let leaving = member_list.members.iter().filter(|(folder, member)| member.leaving && is_gone(folder));
-        let gone: Vec<u64> = leaving.map(|(folder, _)| *folder).collect();
-        for folder in gone {
+        let is_lost = |folder: &u64| self.failure_detector.health_of(*folder) == Some(Health::Lost);
+        let leaving = member_list.members.iter().filter(|(folder, member)| member.leaving && is_lost(folder));
+        let ended: Vec<u64> = leaving.map(|(folder, _)| *folder).collect();
+        for folder in ended {
             self.propose_to_voters(&Change::Departure { folder, why: Departure::Left });
         }
     }
 
     pub(super) fn check_group(&mut self, now: Millis) {
-        if now < self.settled_at + GROUP_CHANGE_DELAY || !self.voter.as_ref().is_some_and(Voter::leads) {
+        if now < self.group_changed_at + GROUP_CHANGE_DELAY
+            || !self.voter.as_ref().is_some_and(Voter::is_leader)
+        {
             return;
         }
         if self.settings.injected_faults.removes_the_silent {
@@ -280,23 +304,23 @@
             let silent = member_list
                 .members
                 .keys()
-                .find(|folder| self.failure_detector.lost_since(**folder).is_some());
+                .find(|folder| self.failure_detector.down_since(**folder).is_some());
             if let (Some(folder), Some(voter)) = (silent.copied(), &mut self.voter) {
                 voter.propose(Change::Departure { folder, why: Departure::Removed });
             }
         }
         self.complete_leaves();
-        let Some(wanted) = self.wanted_group(now) else { return };
+        let Some(target) = self.target_group(now) else { return };
         let Some(member_list) = &self.member_list else { return };
-        let differs = wanted.iter().any(|folder| !member_list.voters.contains(folder))
-            || wanted.len() != member_list.voters.len();
-        let long = member_list.in_group() >= MAX_GROUP_STEPS;
-        if wanted.len() >= 2
-            && (differs || long)
+        let differs = target.iter().any(|folder| !member_list.voters.contains(folder))
+            || target.len() != member_list.voters.len();
+        let log_is_long = member_list.changes_in_group() >= MAX_GROUP_CHANGES;
+        if target.len() >= 2
+            && (differs || log_is_long)
             && let Some(voter) = &mut self.voter
-            && voter.end_group(&wanted)
+            && voter.end_group(&target)
         {
-            self.settled_at = now;
+            self.group_changed_at = now;
         }
     }
 }
--- a/sender-membership/src/settings.rs
+++ b/sender-membership/src/settings.rs
@@ -1,87 +1,87 @@
-//! How a sender takes part in its fleet.
+//! Settings of a sender's membership in its fleet.
 use crate::Millis;
 use crate::member_list::Info;
 use std::net::SocketAddr;
 
-/// The longest name of a fleet, a sender, a zone or a machine, in bytes.
+/// Longest name of a fleet, sender, zone or machine, in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// The most seeds.
 const MAX_SEEDS: usize = 9;
-/// The most voters: each one more has to hear each step before it counts.
+/// Largest group of voters: every voter adds messages to the agreement on each change.
 const MAX_VOTERS: usize = 9;
 
 /// Why settings cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A name is empty, too long, or holds what would break a line of a log.
+    /// A name is empty, too long, or has characters that would break a log line.
     #[error("{0} is {1:?}: a name has 1 to {MAX_NAME_BYTES} letters, digits, '-', '_', '.' or ':'")]
     Name(&'static str, String),
-    /// Fewer seeds than a fleet can be founded on, or more than are asked.
+    /// Too few seeds to found a fleet, or more than the maximum.
     #[error(
-        "seeds: {0} are named, 2 to {MAX_SEEDS} are needed, the same ones in the same order at every sender"
+        "seeds: {0} listed, 2 to {MAX_SEEDS} are needed, the same ones in the same order at every sender"
     )]
     Seeds(usize),
-    /// A seed stands twice.
-    #[error("seeds: {0} stands twice")]
+    /// Each seed may be listed only once.
+    #[error("seeds: {0} is listed twice")]
     SeedTwice(SocketAddr),
-    /// Voters that cannot have a majority.
+    /// The number of voters is even or out of range.
     #[error("keepers: {0} is not an odd number from 3 to {MAX_VOTERS}")]
     Voters(usize),
-    /// Times that make the living look lost, or the lost living.
+    /// A time is so short that healthy members would be reported as lost, or so long that lost ones go unnoticed.
     #[error("{0}: {1} ms is not between {2} and {3}")]
     Time(&'static str, Millis, Millis, Millis),
-    /// Others could not reach it there.
-    #[error("advertise: {0} is no address that others can reach")]
+    /// The advertised address has no specific IP or no port.
+    #[error("advertise: peers cannot reach a sender at {0}")]
     Advertise(SocketAddr),
 }
 
-/// Ways to break a promise on purpose, so that the checkers can be seen to catch it. Never set by a configuration.
+/// Deliberate violations of the guarantees, which show that the checkers detect them. No configuration can set them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InjectedFaults {
-    /// Voters remove members that do not answer: breaks V3.
+    /// Voters remove members that do not answer, which violates V3.
     pub removes_the_silent: bool,
-    /// One whose folder was emptied keeps its record and its vote: breaks V4.
+    /// A sender whose folder was emptied keeps its identity and its vote, which violates V4.
     pub forgets_incarnation: bool,
-    /// A voter tells before its disk has it: breaks V3 at a crash.
+    /// A voter sends messages before the records that they depend on are on disk, which violates V3 after a crash.
     pub tells_before_disk: bool,
 }
 
-/// How a sender takes part.
+/// Settings of one sender.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The fleet's name: nothing of any other fleet is listened to.
+    /// Name of the fleet: packets of fleets with other names are dropped.
     pub fleet: String,
-    /// What others are told of this sender.
+    /// Description of this sender that its peers receive.
     pub info: Info,
-    /// Where a blank sender asks first; on its first start the fleet is founded by them together.
+    /// Addresses that a sender without a fleet contacts. The seeds together found the fleet at its first start.
     pub seeds: Vec<SocketAddr>,
-    /// How many senders agree on the member list, once there are so many.
+    /// Target size of the group that agrees on the member list; a smaller fleet has fewer voters.
     pub voters: usize,
-    /// One member is asked this often whether it lives.
+    /// Interval at which the failure detector probes one member, in milliseconds.
     pub probe: Millis,
-    /// It has so long to answer before others are asked to ask it.
+    /// Time for a direct answer to a probe, in milliseconds, before other members are asked to probe indirectly.
     pub answer: Millis,
-    /// One that is suspected has so long to object.
+    /// Time for a suspected member to refute the suspicion, in milliseconds.
     pub suspect: Millis,
-    /// One that is held lost counts as lost after this: when two halves meet again, each hears from the other that some of its
-    /// own are lost, and those object within two seconds.
+    /// Delay in milliseconds between the failure detector declaring a member down and its report as lost. When a network
+    /// partition heals, each side learns that the other one declared some of its members down; those refute that within
+    /// two seconds.
     pub confirm: Millis,
-    /// A voter that is held lost for so long is replaced.
+    /// Time in milliseconds for which a voter must be down before it is replaced.
     pub replace_voter_after: Millis,
-    /// For the checkers only.
+    /// Set by simulations only.
     pub injected_faults: InjectedFaults,
 }
 
-fn named(what: &'static str, name: &str) -> Result<(), SettingsError> {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || b"-_.:".contains(&b);
-    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(fits) {
-        return Err(SettingsError::Name(what, name.to_owned()));
+fn check_name(setting: &'static str, name: &str) -> Result<(), SettingsError> {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_allowed) {
+        return Err(SettingsError::Name(setting, name.to_owned()));
     }
     Ok(())
 }
 
 impl Settings {
-    /// The defaults for a sender of that fleet.
+    /// Default settings for a sender of the named fleet.
     pub fn new(fleet: &str, info: Info, seeds: Vec<SocketAddr>) -> Self {
         Self {
             fleet: fleet.to_owned(),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// All that is wrong with them.
+    /// Validates the settings and returns all errors; empty if they are valid.
     pub fn faults(&self) -> Vec<SettingsError> {
         let mut faults = Vec::new();
         let names = [
@@ -107,12 +107,12 @@
             ("machine", &self.info.machine),
             ("version", &self.info.version),
         ];
-        faults.extend(names.iter().filter_map(|(what, name)| named(what, name).err()));
+        faults.extend(names.iter().filter_map(|(setting, name)| check_name(setting, name).err()));
         if !(2..=MAX_SEEDS).contains(&self.seeds.len()) {
             faults.push(SettingsError::Seeds(self.seeds.len()));
         }
-        for (at, seed) in self.seeds.iter().enumerate() {
-            if self.seeds[..at].contains(seed) {
+        for (index, seed) in self.seeds.iter().enumerate() {
+            if self.seeds[..index].contains(seed) {
                 faults.push(SettingsError::SeedTwice(*seed));
             }
         }
@@ -125,9 +125,9 @@
             ("suspect_ms", self.suspect, self.probe, 600_000),
             ("replace_keeper_ms", self.replace_voter_after, self.suspect, 86_400_000),
         ];
-        for (what, time, least, most) in times {
-            if time < least || time > most {
-                faults.push(SettingsError::Time(what, time, least, most));
+        for (setting, time, min, max) in times {
+            if time < min || time > max {
+                faults.push(SettingsError::Time(setting, time, min, max));
             }
         }
         let address = self.info.address;
@@ -137,7 +137,7 @@
         faults
     }
 
-    /// The fleet's name as it stands in front of each datagram and frame: FNV-1a, which is the same everywhere.
+    /// Hash of the fleet's name for the packet header: FNV-1a, which is the same on all platforms and versions.
     pub(crate) fn fleet_hash(&self) -> u64 {
         self.fleet
             .bytes()
--- a/sender-membership/src/voter.rs
+++ b/sender-membership/src/voter.rs
@@ -1,7 +1,7 @@
-//! One voter's part in agreeing on the member list's steps: the consensus library `omnipaxos` over a log in memory, each of whose
-//! writes is also handed out as a record for the disk. Voters of one group have the numbers 1 and up, in the order in
-//! which the member list names their folders. A group ends with a stop sign, which names the next one; that is also how the log
-//! stays short.
+//! One voter in the consensus on changes of the member list: the library `omnipaxos` over a log in memory, each of whose
+//! writes is also returned as a record for the disk. The voters of a group are numbered from 1 in the order in which the
+//! member list has their folder IDs. A group ends with a stop sign that names the next group, which starts with an empty
+//! log; this also bounds the length of the log.
 use crate::disk::{VoterRecord, VoterState};
 use crate::member_list::Change;
 use omnipaxos::ballot_leader_election::Ballot;
@@ -17,25 +17,25 @@
     type Snapshot = NoSnapshot;
 }
 
-type Writes = Rc<RefCell<Vec<VoterRecord>>>;
+type PendingRecords = Rc<RefCell<Vec<VoterRecord>>>;
 
-/// The log: in memory, with the writes that the disk has not been given yet.
-struct Log {
+/// The log in memory, with the writes that were not yet returned for the disk.
+struct VoterLog {
     state: VoterState,
-    writes: Writes,
-    /// How many steps it has; a stop sign is none.
-    steps: Rc<Cell<usize>>,
+    pending_records: PendingRecords,
+    /// Number of changes in the log, not counting a stop sign.
+    change_count: Rc<Cell<usize>>,
 }
 
-impl Log {
+impl VoterLog {
     fn write(&mut self, record: VoterRecord) {
-        self.writes.borrow_mut().push(record.clone());
+        self.pending_records.borrow_mut().push(record.clone());
         self.state.apply(record);
-        self.steps.set(self.state.log.len());
+        self.change_count.set(self.state.log.len());
     }
 }
 
-impl Storage<Change> for Log {
+impl Storage<Change> for VoterLog {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Change>>) -> StorageResult<()> {
         for op in ops {
             match op {
@@ -45,8 +45,8 @@
                 StorageOp::SetPromise(ballot) => self.set_promise(ballot)?,
                 StorageOp::SetDecidedIndex(index) => self.set_decided_idx(index)?,
                 StorageOp::SetAcceptedRound(ballot) => self.set_accepted_round(ballot)?,
-                StorageOp::SetStopsign(stop) => self.set_stopsign(stop)?,
-                // A group's log is never cut short: a new group begins instead.
+                StorageOp::SetStopsign(stop_sign) => self.set_stopsign(stop_sign)?,
+                // A group's log is never compacted: a new group starts instead.
                 StorageOp::SetCompactedIdx(_) | StorageOp::Trim(_) | StorageOp::SetSnapshot(_) => {}
             }
         }
@@ -79,18 +79,18 @@
     }
 
     fn get_decided_idx(&self) -> StorageResult<usize> {
-        Ok(self.state.decided)
+        Ok(self.state.decided_count)
     }
 
     fn set_accepted_round(&mut self, ballot: Ballot) -> StorageResult<()> {
-        if self.state.round != Some(ballot) {
-            self.write(VoterRecord::Round(ballot));
+        if self.state.accepted_ballot != Some(ballot) {
+            self.write(VoterRecord::AcceptedBallot(ballot));
         }
         Ok(())
     }
 
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
-        Ok(self.state.round)
+        Ok(self.state.accepted_ballot)
     }
 
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Change>> {
@@ -109,15 +109,15 @@
         Ok(self.state.promised)
     }
 
-    fn set_stopsign(&mut self, stop: Option<StopSign>) -> StorageResult<()> {
-        if self.state.stop != stop {
-            self.write(VoterRecord::Stop(stop));
+    fn set_stopsign(&mut self, stop_sign: Option<StopSign>) -> StorageResult<()> {
+        if self.state.stop_sign != stop_sign {
+            self.write(VoterRecord::Stop(stop_sign));
         }
         Ok(())
     }
 
     fn get_stopsign(&self) -> StorageResult<Option<StopSign>> {
-        Ok(self.state.stop.clone())
+        Ok(self.state.stop_sign.clone())
     }
 
     fn trim(&mut self, _: usize) -> StorageResult<()> {
@@ -141,31 +141,31 @@
     }
 }
 
-/// Calls of [`Voter::tick`] between two looks at who leads.
+/// Calls of [`Voter::tick`] between two checks of the leader.
 const ELECTION_TICKS: u64 = 4;
-/// Calls between two tellings of what was not answered. Well above a round trip: the library begins a session anew for
-/// each answer that it gets twice, and a group whose answers all come twice agrees on nothing (seen at 5, with answers
-/// that took 2).
+/// Calls of [`Voter::tick`] between two transmissions of an unanswered message. It must be well above a round trip: the
+/// library restarts a session for each duplicate answer, and a group that gets all answers twice makes no progress (seen
+/// at 5 with round trips of 2).
 const RESEND_TICKS: u64 = 10;
 
-/// A voter at work in one group.
+/// A voter of one group.
 pub(crate) struct Voter {
-    paxos: OmniPaxos<Change, Log>,
+    paxos: OmniPaxos<Change, VoterLog>,
     pub(crate) group: u32,
     pub(crate) folders: Vec<u64>,
-    own: NodeId,
-    writes: Writes,
-    steps: Rc<Cell<usize>>,
+    own_number: NodeId,
+    pending_records: PendingRecords,
+    change_count: Rc<Cell<usize>>,
 }
 
 impl Voter {
-    /// The voter with that folder, with the log that its disk holds, if that is of the same group. None if the folder is not
-    /// of the group, or the library does not take the group.
+    /// Creates the voter with this folder ID. It continues with the log from disk if that belongs to the same group. Returns
+    /// `None` if the folder ID is not in the group or the library rejects the group's configuration.
     pub(crate) fn new(group: u32, folders: &[u64], folder: u64, disk: Option<&VoterState>) -> Option<Self> {
-        let own = folders.iter().position(|other| *other == folder)? as NodeId + 1;
-        let writes = Writes::default();
+        let own_number = folders.iter().position(|other| *other == folder)? as NodeId + 1;
+        let pending_records = PendingRecords::default();
         let state = disk.filter(|state| state.group == group).cloned().unwrap_or_else(|| {
-            writes.borrow_mut().push(VoterRecord::Began(group));
+            pending_records.borrow_mut().push(VoterRecord::GroupStarted(group));
             VoterState { group, ..VoterState::default() }
         });
         let cluster = ClusterConfig {
@@ -174,57 +174,59 @@
             flexible_quorum: None,
         };
         let server = ServerConfig {
-            pid: own,
+            pid: own_number,
             election_tick_timeout: ELECTION_TICKS,
             resend_message_tick_timeout: RESEND_TICKS,
             ..ServerConfig::default()
         };
-        let steps = Rc::new(Cell::new(state.log.len()));
-        let log = Log { state, writes: writes.clone(), steps: steps.clone() };
+        let change_count = Rc::new(Cell::new(state.log.len()));
+        let log =
+            VoterLog { state, pending_records: pending_records.clone(), change_count: change_count.clone() };
         let mut paxos = cluster.build_for_server(server, log).ok()?;
         if disk.is_some_and(|state| state.group == group) {
-            // Whatever came while it was away has to be told anew.
-            for peer in (1..=folders.len() as NodeId).filter(|peer| *peer != own) {
+            // The other voters have to resend what this one missed while it was down.
+            for peer in (1..=folders.len() as NodeId).filter(|peer| *peer != own_number) {
                 paxos.reconnected(peer);
             }
         }
-        Some(Self { paxos, group, folders: folders.to_vec(), own, writes, steps })
+        Some(Self { paxos, group, folders: folders.to_vec(), own_number, pending_records, change_count })
     }
 
-    /// The folder of the voter that leads, as far as this one knows.
+    /// Folder ID of the group's leader, as far as this voter knows.
     pub(crate) fn leader(&self) -> Option<u64> {
-        let (leader, accepts) = self.paxos.get_current_leader()?;
+        let (leader, is_accepting) = self.paxos.get_current_leader()?;
         let folder = self.folders.get(usize::try_from(leader).ok()?.checked_sub(1)?)?;
-        // In any other phase nobody is known to follow.
-        accepts.then_some(*folder)
+        // In any other phase it is not known whether a majority follows the leader.
+        is_accepting.then_some(*folder)
     }
 
-    /// Whether this one leads, with a majority behind it.
-    pub(crate) fn leads(&self) -> bool {
-        self.leader().is_some_and(|leader| self.folders.get(self.own as usize - 1) == Some(&leader))
+    /// Whether this voter is the leader and has a majority.
+    pub(crate) fn is_leader(&self) -> bool {
+        self.leader().is_some_and(|leader| self.folders.get(self.own_number as usize - 1) == Some(&leader))
     }
 
     pub(crate) fn tick(&mut self) {
         self.paxos.tick();
     }
 
-    /// What another voter of the group, the one with that folder, says. Nothing is taken from one that says it is another.
-    pub(crate) fn hear(&mut self, folder: u64, message: Message<Change>) -> bool {
+    /// Handles a message from the voter with this folder ID. Returns false, and ignores the message, if its sender or
+    /// receiver number is wrong.
+    pub(crate) fn handle_message(&mut self, folder: u64, message: Message<Change>) -> bool {
         let from = self.folders.iter().position(|other| *other == folder);
-        let sound = from.is_some_and(|at| at as NodeId + 1 == message.get_sender())
-            && message.get_receiver() == self.own
-            && message.get_sender() != self.own;
-        if sound && let Some(message) = self.without_recounted_stop(message) {
+        let valid = from.is_some_and(|index| index as NodeId + 1 == message.get_sender())
+            && message.get_receiver() == self.own_number
+            && message.get_sender() != self.own_number;
+        if valid && let Some(message) = self.correct_sync_index(message) {
             self.paxos.handle_incoming(message);
         }
-        sound
+        valid
     }
 
-    /// Where a log is told anew to one that has its stop sign already, the library counts that sign among the steps that
-    /// are there, and then once more: with each telling this voter would say that it has one step more, until the leader
-    /// takes steps for agreed that nobody has. So the telling is made to begin where the steps end. None where this voter
-    /// knows that the group has ended: it needs no telling.
-    fn without_recounted_stop(&self, mut message: Message<Change>) -> Option<Message<Change>> {
+    /// Works around a fault in the library. When a log is synchronized to a voter that already has the stop sign, the library
+    /// counts the sign among the existing entries and then once more. With each synchronization the voter would report one
+    /// entry more, until the leader takes entries for decided that no voter has. The index is therefore limited to the end
+    /// of the changes. Returns `None` if this voter knows that the group has ended: it needs no synchronization.
+    fn correct_sync_index(&self, mut message: Message<Change>) -> Option<Message<Change>> {
         let sync: Option<&mut LogSync<Change>> = match &mut message {
             Message::SequencePaxos(paxos) => match &mut paxos.msg {
                 PaxosMsg::AcceptSync(sync) => Some(&mut sync.log_sync),
@@ -233,39 +235,42 @@
             },
             Message::BLE(_) => None,
         };
-        if let Some(sync) = sync.filter(|sync| sync.stopsign.is_some() && sync.sync_idx > self.steps.get()) {
-            sync.sync_idx = self.steps.get();
-            if self.paxos.get_decided_idx() > self.steps.get() {
+        if let Some(sync) =
+            sync.filter(|sync| sync.stopsign.is_some() && sync.sync_idx > self.change_count.get())
+        {
+            sync.sync_idx = self.change_count.get();
+            if self.paxos.get_decided_idx() > self.change_count.get() {
                 return None;
             }
         }
         Some(message)
     }
 
-    /// Tries to lead. One that came back with a promise to a ballot that lost since can follow nobody: the others are content
-    /// with their leader, whose ballot is lower (seed 994 of `fleet-chaos`). A higher ballot of its own ends that.
-    pub(crate) fn lead(&mut self) {
+    /// Starts an election with a higher ballot. A voter that restarts with a promise to a ballot that has lost since cannot
+    /// follow the current leader, whose ballot is lower, and the other voters see no reason for an election (seed 994 of
+    /// `fleet-chaos`).
+    pub(crate) fn start_election(&mut self) {
         self.paxos.try_become_leader();
     }
 
-    /// Has a voter tell anew what may have been lost between the two.
+    /// Requests the messages again that may have been lost between this voter and the one with this folder ID.
     pub(crate) fn reconnected(&mut self, folder: u64) {
-        if let Some(at) = self.folders.iter().position(|other| *other == folder) {
-            self.paxos.reconnected(at as NodeId + 1);
+        if let Some(index) = self.folders.iter().position(|other| *other == folder) {
+            self.paxos.reconnected(index as NodeId + 1);
         }
     }
 
-    /// Puts a step to the group; false once the group has ended, or is about to.
+    /// Proposes a change to the group; returns false if the group has ended or is about to end.
     pub(crate) fn propose(&mut self, change: Change) -> bool {
         self.paxos.append(change).is_ok()
     }
 
-    /// Steps that are accepted here and not agreed on yet; `agreed` are.
-    pub(crate) fn waiting(&self, agreed: usize) -> usize {
-        self.paxos.get_accepted_idx().saturating_sub(agreed)
+    /// Number of entries that this voter has accepted beyond the `applied` ones.
+    pub(crate) fn pending_entries(&self, applied: usize) -> usize {
+        self.paxos.get_accepted_idx().saturating_sub(applied)
     }
 
-    /// Ends the group: the next one has these folders.
+    /// Proposes to end the group, with the given folder IDs as the next one; returns false if the library rejects that.
     pub(crate) fn end_group(&mut self, folders: &[u64]) -> bool {
         let next = ClusterConfig {
             configuration_id: self.group + 1,
@@ -276,34 +281,34 @@
         self.paxos.reconfigure(next, Some(metadata)).is_ok()
     }
 
-    /// The steps that are agreed, from the given place on; the last one may be the end of the group.
-    pub(crate) fn agreed(&self, from: usize) -> Vec<Change> {
+    /// The decided changes from this log index on. The last one may be the change of voters that ends the group.
+    pub(crate) fn decided(&self, from: usize) -> Vec<Change> {
         let entries = self.paxos.read_decided_suffix(from).unwrap_or_default();
-        let change = |entry| match entry {
+        let to_change = |entry| match entry {
             LogEntry::Decided(change) => Some(change),
-            LogEntry::StopSign(stop, true) => {
-                let folders = postcard::from_bytes(stop.metadata.as_deref()?).ok()?;
-                Some(Change::Voters { group: stop.next_config.configuration_id, folders })
+            LogEntry::StopSign(stop_sign, true) => {
+                let folders = postcard::from_bytes(stop_sign.metadata.as_deref()?).ok()?;
+                Some(Change::Voters { group: stop_sign.next_config.configuration_id, folders })
             }
             _ => None,
         };
-        entries.into_iter().map_while(change).collect()
+        entries.into_iter().map_while(to_change).collect()
     }
 
-    /// What the disk has to be given before anything else is told.
-    pub(crate) fn writes(&mut self) -> Vec<VoterRecord> {
-        std::mem::take(&mut self.writes.borrow_mut())
+    /// Takes the records that must be on disk before the messages are sent.
+    pub(crate) fn take_records(&mut self) -> Vec<VoterRecord> {
+        std::mem::take(&mut self.pending_records.borrow_mut())
     }
 
-    /// What is to be told, each with the folder of the voter that it is for.
-    pub(crate) fn messages(&mut self) -> Vec<(u64, Message<Change>)> {
+    /// Takes the outgoing messages, each with the folder ID of its receiver.
+    pub(crate) fn take_messages(&mut self) -> Vec<(u64, Message<Change>)> {
         let mut messages = Vec::new();
         self.paxos.take_outgoing_messages(&mut messages);
-        let to = |message: Message<Change>| {
-            let at = usize::try_from(message.get_receiver()).ok()?.checked_sub(1)?;
-            Some((*self.folders.get(at)?, message))
+        let with_receiver = |message: Message<Change>| {
+            let index = usize::try_from(message.get_receiver()).ok()?.checked_sub(1)?;
+            Some((*self.folders.get(index)?, message))
         };
-        messages.into_iter().filter_map(to).collect()
+        messages.into_iter().filter_map(with_receiver).collect()
     }
 }
 
--- a/sender-membership/src/wire/tests.rs
+++ b/sender-membership/src/wire/tests.rs
@@ -1,39 +1,40 @@
 use super::*;
 use omnipaxos::messages::ballot_leader_election::{BLEMessage, HeartbeatMsg, HeartbeatRequest};
 
-fn bytes() -> Vec<u8> {
+fn hello_packet() -> Vec<u8> {
     let address = "127.0.0.1:9".parse().unwrap();
-    encode(7, Identity { folder: 1, incarnation: 2, returns: 3, address }, Packet::Hello).unwrap()
+    encode(7, Identity { folder: 1, incarnation: 2, renewals: 3, address }, Packet::Hello).unwrap()
 }
 
-/// Bad input: each flipped bit and each cut is told from a sound packet, and never a panic.
+/// Every flipped bit and every truncation of a packet is rejected with an error, never with a panic.
 #[test]
-fn damage_is_told_from_packets() {
-    let sound = bytes();
-    assert!(decode(7, &sound).is_ok());
-    assert_eq!(decode(8, &sound).unwrap_err(), WireError::Fleet);
-    for at in 0..sound.len() {
+fn damaged_packets_are_rejected() {
+    let valid = hello_packet();
+    assert!(decode(7, &valid).is_ok());
+    assert_eq!(decode(8, &valid).unwrap_err(), WireError::Fleet);
+    for index in 0..valid.len() {
         for bit in 0..8 {
-            let mut flipped = sound.clone();
-            flipped[at] ^= 1 << bit;
-            assert_eq!(decode(7, &flipped).unwrap_err(), WireError::Damaged, "bit {bit} of byte {at}");
+            let mut flipped = valid.clone();
+            flipped[index] ^= 1 << bit;
+            assert_eq!(decode(7, &flipped).unwrap_err(), WireError::Damaged, "bit {bit} of byte {index}");
         }
-        assert!(decode(7, &sound[..at]).is_err());
+        assert!(decode(7, &valid[..index]).is_err());
     }
-    let mut newer = sound;
-    newer[0] = VERSION + 1;
-    let sum = checksum(&newer);
-    newer[HEADER_BYTES - 4..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
-    assert_eq!(decode(7, &newer).unwrap_err(), WireError::Version(VERSION + 1));
+    let mut newer_version = valid;
+    newer_version[0] = VERSION + 1;
+    let checksum = checksum(&newer_version);
+    newer_version[HEADER_BYTES - 4..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
+    assert_eq!(decode(7, &newer_version).unwrap_err(), WireError::Version(VERSION + 1));
 }
 
-/// Recorded packets, a line each: a word on it, and its bytes in hexadecimal digits.
+/// Reads the recorded packets. Each line has a label, a space and the bytes in hexadecimal.
 fn recorded() -> Vec<Vec<u8>> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/recorded/packets.txt");
     let text = std::fs::read_to_string(path).unwrap();
-    let byte = |pair: &[u8]| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap();
-    let bytes = |line: &str| line.split_once(' ').unwrap().1.as_bytes().chunks(2).map(byte).collect();
-    text.lines().map(bytes).collect()
+    let parse_byte = |pair: &[u8]| u8::from_str_radix(str::from_utf8(pair).unwrap(), 16).unwrap();
+    let parse_line =
+        |line: &str| line.split_once(' ').unwrap().1.as_bytes().chunks(2).map(parse_byte).collect();
+    text.lines().map(parse_line).collect()
 }
 
 /// A packet of every kind.
@@ -63,17 +64,18 @@
     ]
 }
 
-/// A packet's bytes are those of before, and what was sent before is read and told again as it was.
+/// Packets recorded from earlier versions decode and encode to the same bytes.
 #[test]
-fn packets_sent_before_are_read_and_written_alike() {
+fn recorded_packets_decode_and_encode_unchanged() {
     let address = "127.0.0.1:9".parse().unwrap();
-    let from = Identity { folder: 1 << 50, incarnation: 2, returns: 300, address };
-    let fleet = 0x0123_4567_89ab_cdef;
-    let written: Vec<_> = packets().into_iter().map(|packet| encode(fleet, from, packet).unwrap()).collect();
-    assert_eq!(written, recorded());
+    let from = Identity { folder: 1 << 50, incarnation: 2, renewals: 300, address };
+    let fleet_hash = 0x0123_4567_89ab_cdef;
+    let encoded: Vec<_> =
+        packets().into_iter().map(|packet| encode(fleet_hash, from, packet).unwrap()).collect();
+    assert_eq!(encoded, recorded());
     for bytes in recorded() {
-        let (identity, packet) = decode(fleet, &bytes).unwrap();
+        let (identity, packet) = decode(fleet_hash, &bytes).unwrap();
         assert_eq!(identity, from);
-        assert_eq!(encode(fleet, identity, packet).unwrap(), bytes);
+        assert_eq!(encode(fleet_hash, identity, packet).unwrap(), bytes);
     }
 }
--- a/sender-membership/tests/leave.rs
+++ b/sender-membership/tests/leave.rs
@@ -1,4 +1,4 @@
-//! Senders that leave in order, over a network in memory and in simulated time.
+//! Graceful leaves of senders, on a network in memory and in simulated time.
 
 use sender_membership::{Command, Departure, Effect, Info, Node, Settings, State};
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 
 const SENDERS: u16 = 4;
 const STEP_MS: u64 = 50;
-/// Far more than anything here takes, in simulated time.
+/// Simulated time after which a wait fails: far longer than any wait in these tests takes.
 const LIMIT_MS: u64 = 120_000;
 
 fn address(sender: u16) -> SocketAddr {
@@ -24,7 +24,7 @@
     Settings::new("test", info, (1..=3).map(address).collect())
 }
 
-/// The senders that run, and the simulated time.
+/// The running senders, and the simulated time.
 struct Fleet {
     nodes: BTreeMap<SocketAddr, Node>,
     now: u64,
@@ -33,14 +33,14 @@
 impl Fleet {
     fn start() -> Self {
         let new = |sender: u16| {
-            // Each has a folder of its own from the start, as one that has written it to its disk.
+            // Each sender starts with the ID of its own folder, as after an earlier start.
             let state = State { folder: u64::from(sender), incarnation: 1, ..State::default() };
             (address(sender), Node::new(settings(sender), state, u64::from(sender), 0))
         };
         Self { nodes: (1..=SENDERS).map(new).collect(), now: 0 }
     }
 
-    /// Delivers what was sent, and lets time pass.
+    /// Delivers all packets, then advances the time by one step.
     fn step(&mut self) {
         loop {
             let effects: Vec<Effect> = self.nodes.values_mut().flat_map(Node::take_effects).collect();
@@ -62,50 +62,50 @@
         }
     }
 
-    fn run_until(&mut self, what: &str, is_so: impl Fn(&Self) -> bool) {
+    fn run_until(&mut self, condition_name: &str, condition: impl Fn(&Self) -> bool) {
         let limit = self.now + LIMIT_MS;
-        while !is_so(self) {
-            assert!(self.now < limit, "never: {what}");
+        while !condition(self) {
+            assert!(self.now < limit, "timed out: {condition_name}");
             self.step();
         }
     }
 
-    /// Whether all know of so many members.
+    /// Whether the member lists of all running senders have this many members.
     fn all_have(&self, members: usize) -> bool {
-        let has = |node: &Node| node.member_list().is_some_and(|list| list.members.len() == members);
-        self.nodes.values().all(has)
+        let has_count = |node: &Node| node.member_list().is_some_and(|list| list.members.len() == members);
+        self.nodes.values().all(has_count)
     }
 
-    /// Whether all others know that this one is leaving.
-    fn all_know_it_leaves(&self, leaver: u64) -> bool {
-        let knows = |node: &Node| {
+    /// Whether the member lists of all running senders show that this member is leaving.
+    fn all_see_leaving(&self, leaver: u64) -> bool {
+        let sees_leaving = |node: &Node| {
             node.member_list().and_then(|list| list.members.get(&leaver)).is_some_and(|member| member.leaving)
         };
-        self.nodes.values().all(knows)
+        self.nodes.values().all(sees_leaving)
     }
 }
 
 #[test]
-fn a_leave_is_completed_by_the_others_when_the_leaver_ends_in_the_middle_of_it() {
-    // Given a fleet, and a sender whose leave was agreed on,
+fn other_members_complete_the_leave_of_a_sender_that_ends_before_its_departure() {
+    // Given a fleet with a sender whose leave was agreed on,
     let mut fleet = Fleet::start();
     fleet.run_until("all are members", |fleet| fleet.all_have(SENDERS.into()));
     let now = fleet.now;
     let leaver = address(SENDERS);
     fleet.nodes.get_mut(&leaver).unwrap().execute(now, 1, &Command::Leave);
-    fleet.run_until("its leave is agreed on", |fleet| {
+    fleet.run_until("the leave is agreed on", |fleet| {
         fleet.nodes.values().any(|node| {
             let list = node.member_list().unwrap();
             list.members.get(&u64::from(SENDERS)).is_some_and(|member| member.leaving)
         })
     });
-    // when it ends before it could ask for its departure,
+    // when the sender ends before it can propose its departure,
     fleet.nodes.remove(&leaver);
-    fleet.run_until("the others know that it leaves", |fleet| {
-        fleet.all_know_it_leaves(SENDERS.into()) || fleet.all_have(usize::from(SENDERS) - 1)
+    fleet.run_until("the others see that it is leaving", |fleet| {
+        fleet.all_see_leaving(SENDERS.into()) || fleet.all_have(usize::from(SENDERS) - 1)
     });
-    // then it is gone for the others, as one that left.
-    fleet.run_until("it has left", |fleet| fleet.all_have(usize::from(SENDERS) - 1));
+    // then the others record that it left.
+    fleet.run_until("it has departed", |fleet| fleet.all_have(usize::from(SENDERS) - 1));
     for node in fleet.nodes.values() {
         let departed: Vec<_> = node.departed().map(|member| (member.folder, member.why)).collect();
         assert_eq!(departed, [(u64::from(SENDERS), Departure::Left)]);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_sender_that_is_lost_without_leaving_stays_a_member() {
+fn a_sender_that_is_lost_without_leaving_remains_a_member() {
     let mut fleet = Fleet::start();
     fleet.run_until("all are members", |fleet| fleet.all_have(SENDERS.into()));
     fleet.nodes.remove(&address(SENDERS));
