--- a/system/coordination/tests/fuzz.rs
+++ b/system/coordination/tests/fuzz.rs
@@ -1,4 +1,5 @@
-//! Decodes mutated snapshots: each one is either rejected or yields a state that encodes back to itself and accepts commands.
+//! Decodes mutated snapshots. Decoding never panics: it rejects the bytes or yields a state that encodes back to itself and accepts
+//! commands.
 
 use byte_mutation::mutated;
 use coordination::CoordinationState;
