--- a/src/bin/message-sender-cli.rs
+++ b/src/bin/message-sender-cli.rs
@@ -84,7 +84,8 @@
     },
     /// Removes this sender from the fleet permanently.
     Leave,
-    /// Restores the fleet from this sender's state after a majority of the voters is lost for good. Run on one sender only.
+    /// Restores the fleet from the state of this sender after a majority of the voters is lost for good. Run it on one
+    /// sender only.
     Refound,
 }
 
