--- a/sender-membership/src/disk.rs
+++ b/sender-membership/src/disk.rs
@@ -35,7 +35,7 @@
     MemberList(Box<MemberList>),
     /// The change with this number. It applies only to the member list with the preceding number: if a write in between
     /// failed, the stored list stays at its older, consistent version.
-    Step(u64, Change),
+    Change(u64, Change),
     /// A write to the consensus log of this voter.
     Voter(VoterRecord),
     /// A snapshot of the complete state, with which a compacted log begins.
@@ -92,7 +92,7 @@
             Record::Incarnation(incarnation) => self.incarnation = incarnation,
             Record::Promise(founder) => self.promise = Some(founder),
             Record::MemberList(member_list) => self.member_list = Some(*member_list),
-            Record::Step(number, change) => {
+            Record::Change(number, change) => {
                 if let Some(member_list) =
                     self.member_list.as_mut().filter(|member_list| member_list.number + 1 == number)
                 {
--- a/sender-membership/src/disk/tests.rs
+++ b/sender-membership/src/disk/tests.rs
@@ -39,7 +39,7 @@
 fn member_list() -> MemberList {
     let founders =
         (1..=4).map(|folder| (folder, 300 + folder as u32, folder << 40, member_info(&folder.to_string())));
-    let mut member_list = MemberList::found(0x0123_4567_89ab_cdef, 1, founders.collect());
+    let mut member_list = MemberList::with_founders(0x0123_4567_89ab_cdef, 1, founders.collect());
     changes().into_iter().for_each(|change| member_list.apply(change));
     member_list
 }
@@ -90,7 +90,7 @@
         Record::Whole(Box::new(state())),
         Record::Whole(Box::default()),
     ];
-    records.extend(changes().into_iter().zip(500..).map(|(change, number)| Record::Step(number, change)));
+    records.extend(changes().into_iter().zip(500..).map(|(change, number)| Record::Change(number, change)));
     records.extend(voter_records.map(Record::Voter));
     records
 }
--- a/sender-membership/src/failure_view.rs
+++ b/sender-membership/src/failure_view.rs
@@ -212,8 +212,8 @@
 impl FailureDetector {
     pub(crate) fn new(own: Identity, settings: &Settings, rng: ChaCha8Rng) -> Self {
         let config = Config {
-            probe_period: Duration::from_millis(settings.probe),
-            probe_rtt: Duration::from_millis(settings.answer),
+            probe_period: Duration::from_millis(settings.probe_interval),
+            probe_rtt: Duration::from_millis(settings.answer_timeout),
             num_indirect_probes: NonZeroUsize::new(GOSSIP_FANOUT).unwrap_or(NonZeroUsize::MIN),
             max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: Duration::from_millis(settings.suspect),
@@ -230,7 +230,7 @@
             timers: BTreeMap::new(),
             timer_count: 0,
             suspicion_timeout: settings.suspect,
-            answer_timeout: settings.answer,
+            answer_timeout: settings.answer_timeout,
             confirmation_delay: settings.confirm,
             down_members: BTreeMap::new(),
             suspected: BTreeMap::new(),
--- a/sender-membership/src/member_list.rs
+++ b/sender-membership/src/member_list.rs
@@ -112,7 +112,7 @@
     /// Number of the current group of voters.
     pub group: u32,
     /// Value of `number` when the current group took over.
-    pub group_began: u64,
+    pub group_start: u64,
     /// Folder IDs of the voters.
     pub voters: Vec<u64>,
     /// Members by folder ID.
@@ -124,7 +124,7 @@
 
 impl MemberList {
     /// Creates the first member list. The founders, given as (folder, incarnation, boot, info), are also its voters.
-    pub fn found(fleet: u64, founder: u64, founders: Vec<(u64, u32, u64, Info)>) -> Self {
+    pub fn with_founders(fleet: u64, founder: u64, founders: Vec<(u64, u32, u64, Info)>) -> Self {
         let voters = founders.iter().map(|(folder, ..)| *folder).collect();
         let mut member_list = Self {
             fleet,
@@ -132,7 +132,7 @@
             epoch: 1,
             number: 0,
             group: 1,
-            group_began: 1,
+            group_start: 1,
             voters,
             members: BTreeMap::new(),
             departed: VecDeque::new(),
@@ -157,7 +157,7 @@
 
     /// Number of changes that the current group of voters has agreed on.
     pub fn changes_in_group(&self) -> usize {
-        usize::try_from(self.number - self.group_began).unwrap_or(usize::MAX)
+        usize::try_from(self.number - self.group_start).unwrap_or(usize::MAX)
     }
 
     /// Applies a change. The number grows even if the change has no effect.
@@ -176,7 +176,7 @@
             Change::Voters { group, folders } => {
                 if group > self.group {
                     self.group = group;
-                    self.group_began = self.number;
+                    self.group_start = self.number;
                     self.voters = folders;
                 }
             }
@@ -238,7 +238,7 @@
             epoch: self.epoch + 1,
             number,
             group: self.group + 1,
-            group_began: number,
+            group_start: number,
             voters,
             ..self.clone()
         }
--- a/sender-membership/src/node/commands.rs
+++ b/sender-membership/src/node/commands.rs
@@ -27,7 +27,7 @@
     NoFleet(String),
     /// No current member has the given name.
     #[error("no member is called {0:?}; `fleet roster` lists the members")]
-    Unknown(String),
+    UnknownMember(String),
     /// The voters did not agree within the given number of seconds.
     #[error(
         "not agreed on within {0} s: no majority of the voters answers (`fleet keepers` lists them); it is safe to ask again"
@@ -35,10 +35,10 @@
     NoMajority(u64),
     /// A new epoch is refused while a majority of the voters answers: the voters that answer, and all voters.
     #[error("{0} of {1} voters answer: a majority can still agree, so the fleet cannot be founded again")]
-    Majority(usize, usize),
+    MajorityAnswers(usize, usize),
     /// A new epoch needs at least two members that answer.
     #[error("no other member answers: start at least one more member first")]
-    Alone,
+    NoOtherMember,
 }
 
 pub(super) struct PendingCommand {
@@ -69,8 +69,9 @@
             // departure follows.
             Command::Leave => Change::Leaving { folder: self.folder },
             Command::Remove(name) => {
-                let folder =
-                    member_list.folder_by_name(name).ok_or_else(|| CommandError::Unknown(name.clone()))?;
+                let folder = member_list
+                    .folder_by_name(name)
+                    .ok_or_else(|| CommandError::UnknownMember(name.clone()))?;
                 Change::Departure { folder, why: Departure::Removed }
             }
             Command::Refound => return self.refound(now, id),
@@ -84,13 +85,13 @@
         let Some(member_list) = &self.member_list else { return Ok(()) };
         let (answering, total) = self.voters_answering();
         if answering * 2 > total {
-            return Err(CommandError::Majority(answering, total));
+            return Err(CommandError::MajorityAnswers(answering, total));
         }
         let mut candidates = self.candidates(&[self.folder]);
         candidates.insert(0, self.folder);
         candidates.truncate(self.settings.voters);
         if candidates.len() < 2 {
-            return Err(CommandError::Alone);
+            return Err(CommandError::NoOtherMember);
         }
         if candidates.len().is_multiple_of(2) && candidates.len() > 2 {
             candidates.pop();
--- a/sender-membership/src/node/dissemination.rs
+++ b/sender-membership/src/node/dissemination.rs
@@ -90,7 +90,7 @@
         let packet = if epoch == member_list.epoch && behind <= self.recent_changes.len() {
             let changes =
                 self.recent_changes.iter().skip(self.recent_changes.len() - behind).cloned().collect();
-            Packet::Steps { fleet: member_list.fleet, epoch, after: number, changes }
+            Packet::Changes { fleet: member_list.fleet, epoch, after: number, changes }
         } else {
             Packet::FullList(Box::new(member_list.clone()))
         };
@@ -127,7 +127,7 @@
         let number_before = member_list.number;
         let voters_before = member_list.voters.clone();
         member_list.apply(change.clone());
-        self.effects.push(Effect::Persist(Record::Step(number_before + 1, change.clone())));
+        self.effects.push(Effect::Persist(Record::Change(number_before + 1, change.clone())));
         self.recent_changes.push_back(change.clone());
         if self.recent_changes.len() > MAX_RECENT_CHANGES {
             self.recent_changes.pop_front();
--- a/sender-membership/src/node/joining.rs
+++ b/sender-membership/src/node/joining.rs
@@ -85,7 +85,7 @@
         let mut founders = vec![(self.folder, self.incarnation, self.boot, self.settings.info.clone())];
         founders.extend(promised);
         let fleet = self.rng.random();
-        let member_list = MemberList::found(fleet, self.folder, founders);
+        let member_list = MemberList::with_founders(fleet, self.folder, founders);
         self.effects.push(Effect::Persist(Record::MemberList(Box::new(member_list.clone()))));
         self.member_list = Some(member_list);
         self.effects.push(Effect::Notify(Notification::MemberList { before: 0, now: 1, change: None }));
--- a/sender-membership/src/node/mod.rs
+++ b/sender-membership/src/node/mod.rs
@@ -291,8 +291,8 @@
             }
             Packet::Digest { fleet, epoch, number } => self.handle_digest(now, from, fleet, (epoch, number)),
             Packet::Pull { epoch, number } => self.handle_pull(from.address, epoch, number),
-            Packet::Steps { fleet, epoch, after, changes } => {
-                self.receive_steps(now, fleet, (epoch, after), changes)
+            Packet::Changes { fleet, epoch, after, changes } => {
+                self.receive_changes(now, fleet, (epoch, after), changes)
             }
             Packet::FullList(member_list) => self.receive_list(now, *member_list),
             Packet::Propose(change) => self.receive_proposal(from, &change),
@@ -313,8 +313,8 @@
         }
     }
 
-    /// Applies the steps that follow the number `after` in an epoch.
-    fn receive_steps(&mut self, now: Millis, fleet: u64, (epoch, after): (u32, u64), changes: Vec<Change>) {
+    /// Applies those of the changes after the number `after` that the member list does not have yet.
+    fn receive_changes(&mut self, now: Millis, fleet: u64, (epoch, after): (u32, u64), changes: Vec<Change>) {
         let Some(member_list) = &self.member_list else { return };
         if member_list.fleet != fleet || member_list.epoch != epoch || after > member_list.number {
             return;
@@ -326,7 +326,7 @@
         }
     }
 
-    /// Has the voters agree on a step that a peer proposes, or answers why not.
+    /// Proposes a change of a peer to the voters, or answers why not.
     fn receive_proposal(&mut self, from: Identity, change: &Change) {
         if let Change::Start { folder, boot, info, .. } = change
             && let Some(incarnation) = self.conflicting_incarnation(*folder, info)
@@ -407,7 +407,7 @@
         // Ordered messages need a connection; heartbeats (`Message::BLE`) do not.
         let ordered = match &packet {
             Packet::Voter { message, .. } => !matches!(**message, Message::BLE(_)),
-            Packet::Steps { .. } | Packet::FullList(_) | Packet::Resync { .. } => true,
+            Packet::Changes { .. } | Packet::FullList(_) | Packet::Resync { .. } => true,
             _ => false,
         };
         let Some(bytes) = encode(self.fleet_hash, self.failure_detector.identity(), packet) else { return };
--- a/sender-membership/src/node/observation.rs
+++ b/sender-membership/src/node/observation.rs
@@ -6,13 +6,13 @@
 use crate::wire::{Identity, Packet};
 use rand::RngExt;
 
-/// Interval at which this sender announces itself to one of the members that it does not hear.
+/// Interval at which this sender announces itself to one of the members that do not answer.
 const ANNOUNCE_INTERVAL: Millis = 2_000;
-/// The same interval while some of these members are so new that they could not be heard yet.
+/// The same interval while some of these members are so new that they cannot have answered yet.
 const NEW_MEMBER_ANNOUNCE_INTERVAL: Millis = 250;
 /// Departed members that operators are shown.
 const MAX_DEPARTED_SHOWN: usize = 16;
-/// Time, in addition to the suspicion timeout, until a member that was never heard counts as lost: SWIM needs it to start.
+/// Time, in addition to the suspicion timeout, until a member that has never answered counts as lost: SWIM needs it to start.
 const DETECTION_START_TIME: Millis = 3_000;
 
 impl Node {
@@ -37,7 +37,7 @@
                 address: member.info.address,
             })
             .collect();
-        // New members should be heard before they count as lost, even if there are many, as after the start of a whole fleet.
+        // New members should get the chance to answer before they count as lost, even if there are many, as after the start of a whole fleet.
         let some_are_new =
             unheard.iter().any(|id| !health.contains_key(&id.folder) && self.is_newly_known(id.folder, now));
         self.next_announce =
@@ -45,7 +45,7 @@
         if unheard.is_empty() {
             return;
         }
-        // Other members may reach those that this sender cannot: they answer an announcement with the members that they hear.
+        // Other members may reach those that this sender cannot: they answer an announcement with the members that answer them.
         let answering: Vec<Identity> = self.failure_detector.answering().copied().collect();
         let ask_others = !answering.is_empty() && self.rng.random_range(0..2) == 0;
         let targets = if ask_others { &answering } else { &unheard };
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether a member that was never heard is still within its grace period, which starts when this sender learns of the
+    /// Whether a member that has never answered is still within its grace period, which starts when this sender learns of the
     /// member or when its failure detector starts, whichever is later.
     fn is_newly_known(&self, folder: u64, now: Millis) -> bool {
         let detecting_since = self.detecting_since.unwrap_or(self.started_at);
@@ -107,7 +107,7 @@
                 Some((_, health)) => *health,
                 // The failure detector starts once this sender is an agreed member.
                 None if self.detecting_since.is_none() => Health::Unknown,
-                // A new member cannot have been heard yet.
+                // A new member cannot have answered yet.
                 None if self.is_newly_known(*folder, now) => Health::Unknown,
                 None => Health::Lost,
             };
--- a/sender-membership/src/settings.rs
+++ b/sender-membership/src/settings.rs
@@ -22,7 +22,7 @@
     Seeds(usize),
     /// Each seed may be listed only once.
     #[error("seeds: {0} is listed twice")]
-    SeedTwice(SocketAddr),
+    DuplicateSeed(SocketAddr),
     /// The number of voters is even or out of range.
     #[error("keepers: {0} is not an odd number from 3 to {MAX_VOTERS}")]
     Voters(usize),
@@ -31,7 +31,7 @@
     Time(&'static str, Millis, Millis, Millis),
     /// The advertised address has no specific IP or no port.
     #[error("advertise: peers cannot reach a sender at {0}")]
-    Advertise(SocketAddr),
+    UnreachableAddress(SocketAddr),
 }
 
 /// Deliberate violations of the guarantees, which show that the checkers detect them. No configuration can set them.
@@ -57,9 +57,9 @@
     /// Target size of the group that agrees on the member list; a smaller fleet has fewer voters.
     pub voters: usize,
     /// Interval at which the failure detector probes one member, in milliseconds.
-    pub probe: Millis,
+    pub probe_interval: Millis,
     /// Time for a direct answer to a probe, in milliseconds, before other members are asked to probe indirectly.
-    pub answer: Millis,
+    pub answer_timeout: Millis,
     /// Time for a suspected member to refute the suspicion, in milliseconds.
     pub suspect: Millis,
     /// Delay in milliseconds between the failure detector declaring a member down and its report as lost. When a network
@@ -88,8 +88,8 @@
             info,
             seeds,
             voters: 5,
-            probe: 1_000,
-            answer: 400,
+            probe_interval: 1_000,
+            answer_timeout: 400,
             suspect: 4_000,
             confirm: 2_500,
             replace_voter_after: 20_000,
@@ -99,7 +99,7 @@
 
     /// Validates the settings and returns all errors; empty if they are valid.
     pub fn faults(&self) -> Vec<SettingsError> {
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         let names = [
             ("name", &self.fleet),
             ("member", &self.info.name),
@@ -107,34 +107,34 @@
             ("machine", &self.info.machine),
             ("version", &self.info.version),
         ];
-        faults.extend(names.iter().filter_map(|(setting, name)| check_name(setting, name).err()));
+        errors.extend(names.iter().filter_map(|(setting, name)| check_name(setting, name).err()));
         if !(2..=MAX_SEEDS).contains(&self.seeds.len()) {
-            faults.push(SettingsError::Seeds(self.seeds.len()));
+            errors.push(SettingsError::Seeds(self.seeds.len()));
         }
         for (index, seed) in self.seeds.iter().enumerate() {
             if self.seeds[..index].contains(seed) {
-                faults.push(SettingsError::SeedTwice(*seed));
+                errors.push(SettingsError::DuplicateSeed(*seed));
             }
         }
         if self.voters.is_multiple_of(2) || !(3..=MAX_VOTERS).contains(&self.voters) {
-            faults.push(SettingsError::Voters(self.voters));
+            errors.push(SettingsError::Voters(self.voters));
         }
         let times = [
-            ("probe_ms", self.probe, 100, 60_000),
-            ("answer_ms", self.answer, 20, self.probe * 2 / 3),
-            ("suspect_ms", self.suspect, self.probe, 600_000),
+            ("probe_ms", self.probe_interval, 100, 60_000),
+            ("answer_ms", self.answer_timeout, 20, self.probe_interval * 2 / 3),
+            ("suspect_ms", self.suspect, self.probe_interval, 600_000),
             ("replace_keeper_ms", self.replace_voter_after, self.suspect, 86_400_000),
         ];
         for (setting, time, min, max) in times {
             if time < min || time > max {
-                faults.push(SettingsError::Time(setting, time, min, max));
+                errors.push(SettingsError::Time(setting, time, min, max));
             }
         }
         let address = self.info.address;
         if address.ip().is_unspecified() || address.port() == 0 {
-            faults.push(SettingsError::Advertise(address));
+            errors.push(SettingsError::UnreachableAddress(address));
         }
-        faults
+        errors
     }
 
     /// Hash of the fleet's name for the packet header: FNV-1a, which is the same on all platforms and versions.
--- a/sender-membership/src/wire.rs
+++ b/sender-membership/src/wire.rs
@@ -57,8 +57,8 @@
     /// Requests the changes after this version of the member list.
     Pull { epoch: u32, number: u64 },
     /// The changes after the number `after`.
-    Steps { fleet: u64, epoch: u32, after: u64, changes: Vec<Change> },
-    /// The complete member list, for a peer that is too far behind for `Steps`.
+    Changes { fleet: u64, epoch: u32, after: u64, changes: Vec<Change> },
+    /// The complete member list, for a peer that is too far behind for `Changes`.
     FullList(Box<MemberList>),
     /// A change proposed to the voters.
     Propose(Change),
