--- a/system/request-forwarding/src/delivery.rs
+++ b/system/request-forwarding/src/delivery.rs
@@ -101,8 +101,8 @@
     }
 
     async fn wait_for_connection(&mut self, key: request_routing::EndpointKey) {
-        if !self.history.avoided.contains(&key) {
-            self.history.avoided.push(key);
+        if !self.history.avoided_endpoints.contains(&key) {
+            self.history.avoided_endpoints.push(key);
         }
         let retry_at = self.shared.now().after(CONNECTION_RETRY_DELAY.0 as f64);
         self.history.not_before = self.history.not_before.max(retry_at);
--- a/system/request-forwarding/src/endpoint_attempt.rs
+++ b/system/request-forwarding/src/endpoint_attempt.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Response, StatusCode};
 use message_sender::Span;
 use message_sender::net::connection::CallError;
-use request_routing::{AttemptHistory, SendOutcome, ServerLoad, Target};
+use request_routing::{AttemptHistory, SendOutcome, SendTarget, ServerLoad};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
@@ -37,7 +37,7 @@
     pub(crate) async fn attempt(
         self: &Rc<Self>,
         outgoing: &OutboundRequest,
-        target: &Target,
+        target: &SendTarget,
         history: &AttemptHistory,
         call: &mut CallInFlight,
         sends: &mut u32,
@@ -109,12 +109,12 @@
     async fn connect(
         self: &Rc<Self>,
         outgoing: &OutboundRequest,
-        target: &Target,
+        target: &SendTarget,
         service: &str,
     ) -> Result<EndpointConnection, AttemptResult> {
         let connection = match self.checkout_idle(target, service, outgoing.number) {
             Some(connection) => connection,
-            None if target.may_open => self.connect_new(outgoing, target).await?,
+            None if target.may_open_connection => self.connect_new(outgoing, target).await?,
             None => return Err(AttemptResult::NoConnection),
         };
         // The process may have been suspended while a connection was opened or found to be stale.
@@ -127,7 +127,7 @@
     async fn connect_new(
         self: &Rc<Self>,
         outgoing: &OutboundRequest,
-        target: &Target,
+        target: &SendTarget,
     ) -> Result<EndpointConnection, AttemptResult> {
         let remaining = outgoing.deadline.saturating_duration_since(Instant::now());
         let connect_timeout = CONNECT_TIMEOUT.min(remaining / 2);
--- a/system/request-forwarding/src/forwarder.rs
+++ b/system/request-forwarding/src/forwarder.rs
@@ -87,7 +87,7 @@
                 .map(|service| ServiceSettings {
                     name: service.name.clone(),
                     max_connections: service.max_connections,
-                    engine: service.engine.is_some(),
+                    is_engine: service.engine.is_some(),
                     slots: service.engine.as_ref().map(|engine| engine.capacity_slots),
                     cache_tokens: service.engine.as_ref().map(|engine| engine.kv_cache_tokens),
                 })
@@ -225,7 +225,7 @@
                 && route.kind == RouteKind::Streaming
                 && self.shared.policy.stream_resumption,
             session: headers::text(request_headers, "session").map(str::to_owned),
-            continues: headers::text(request_headers, "previous").is_some(),
+            continues_conversation: headers::text(request_headers, "previous").is_some(),
             previous_endpoint: None,
             prefix_tokens: prefix.map_or(0, |prefix| prefix.tokens),
             prefix_id: prefix.map(|prefix| prefix.id.to_owned()),
--- a/system/request-forwarding/src/pool.rs
+++ b/system/request-forwarding/src/pool.rs
@@ -8,7 +8,7 @@
 use message_sender::net::connection::{CallError, Connection};
 use message_sender::net::idle_trust::IdleTrust;
 use message_sender::{Outcome, Span, Time};
-use request_routing::{EndpointKey, Router, RoutingPolicy, RoutingRequest, ServerLoad, Target};
+use request_routing::{EndpointKey, Router, RoutingPolicy, RoutingRequest, SendTarget, ServerLoad};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
 impl Drop for EndpointConnection {
     fn drop(&mut self) {
         if let Some(shared) = self.shared.upgrade() {
-            shared.router.borrow_mut().connection_closed(self.key);
+            shared.router.borrow_mut().record_connection_closed(self.key);
         }
     }
 }
@@ -118,7 +118,7 @@
     /// response to the new send, since both have the same `Attempt-Id`.
     pub(crate) fn checkout_idle(
         &self,
-        target: &Target,
+        target: &SendTarget,
         service: &str,
         request: RequestNumber,
     ) -> Option<EndpointConnection> {
@@ -140,11 +140,11 @@
 
     /// The newest idle connection whose last request was a different one. If there is none, and no further connection
     /// may be opened, one idle connection is closed so that a new one can replace it.
-    fn take_idle(&self, target: &Target, request: RequestNumber) -> Option<IdleConnection> {
+    fn take_idle(&self, target: &SendTarget, request: RequestNumber) -> Option<IdleConnection> {
         let mut all = self.idle.borrow_mut();
         let connections = all.get_mut(&target.key)?;
         let reusable = connections.iter().rposition(|idle| idle.connection.last_request != request);
-        if reusable.is_none() && !target.may_open {
+        if reusable.is_none() && !target.may_open_connection {
             drop(connections.pop());
         }
         Some(connections.remove(reusable?))
@@ -165,12 +165,12 @@
 
     pub(crate) async fn open_connection(
         self: &Rc<Self>,
-        target: &Target,
+        target: &SendTarget,
         connect_timeout: Duration,
         request: RequestNumber,
     ) -> Result<EndpointConnection, CallError> {
         // Counted from the start: the endpoint may count a connection that is never established from here.
-        self.router.borrow_mut().connection_opened(target.key);
+        self.router.borrow_mut().record_connection_opened(target.key);
         let pending = PendingConnection { shared: self, key: Some(target.key) };
         let connection = Connection::open(SocketAddr::V4(target.address), connect_timeout).await?;
         pending.disarm();
@@ -259,7 +259,7 @@
 impl Drop for PendingConnection<'_> {
     fn drop(&mut self) {
         if let Some(key) = self.key {
-            self.shared.router.borrow_mut().connection_closed(key);
+            self.shared.router.borrow_mut().record_connection_closed(key);
         }
     }
 }
@@ -277,7 +277,11 @@
 }
 
 impl CallInFlight {
-    pub(crate) fn new(shared: Rc<SharedState>, target: &Target, routing_request: Rc<RoutingRequest>) -> Self {
+    pub(crate) fn new(
+        shared: Rc<SharedState>,
+        target: &SendTarget,
+        routing_request: Rc<RoutingRequest>,
+    ) -> Self {
         let started_at = Instant::now();
         Self {
             shared,
--- a/system/request-forwarding/src/slot_wait.rs
+++ b/system/request-forwarding/src/slot_wait.rs
@@ -4,7 +4,7 @@
 use crate::pool::SharedState;
 use crate::wait_queue::Rank;
 use message_sender::{Span, Time};
-use request_routing::{AttemptHistory, GiveUp, RoutingDecision, RoutingRequest, Target};
+use request_routing::{AttemptHistory, GiveUp, RoutingDecision, RoutingRequest, SendTarget};
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
@@ -23,7 +23,7 @@
         history: &AttemptHistory,
         rank: Rank,
         deadline: Instant,
-    ) -> Result<Target, GiveUp> {
+    ) -> Result<SendTarget, GiveUp> {
         let mut behind = self.queue.is_behind(&routing_request.service, rank);
         let mut waiter = None;
         loop {
--- a/system/request-routing/src/lib.rs
+++ b/system/request-routing/src/lib.rs
@@ -37,5 +37,5 @@
 pub use router::Router;
 pub use types::{
     AttemptHistory, EndpointKey, EndpointView, GiveUp, RetryDecision, RoutingDecision, RoutingRequest,
-    ServerLoad, ServiceSettings, Target, UnavailableReason,
+    SendTarget, ServerLoad, ServiceSettings, UnavailableReason,
 };
--- a/system/request-routing/src/placement.rs
+++ b/system/request-routing/src/placement.rs
@@ -219,7 +219,7 @@
         self.is_usable(endpoint)
             && endpoint.load(self.now) < f64::from(endpoint.slots(&self.limits))
             && self.penalty(endpoint) == 0.0
-            && !self.history.avoided.contains(&endpoint.key)
+            && !self.history.avoided_endpoints.contains(&endpoint.key)
     }
 
     /// Whether the endpoint's load is within the bound, compared with the other endpoints of `group`.
@@ -242,7 +242,7 @@
             true => 2,
             false => 3,
         };
-        let already_tried = self.history.avoided.contains(&endpoint.key);
+        let already_tried = self.history.avoided_endpoints.contains(&endpoint.key);
         tier + if already_tried { 4 } else { 0 }
     }
 
--- a/system/request-routing/src/retry.rs
+++ b/system/request-routing/src/retry.rs
@@ -53,8 +53,8 @@
 pub(crate) fn record_outcome(history: &mut AttemptHistory, key: EndpointKey, outcome: Outcome) {
     history.last_endpoint = Some(key);
     // An attempt that was never sent gives no reason to avoid the endpoint.
-    if outcome != Outcome::Void && !history.avoided.contains(&key) {
-        history.avoided.push(key);
+    if outcome != Outcome::Void && !history.avoided_endpoints.contains(&key) {
+        history.avoided_endpoints.push(key);
     }
     history.execution = history.execution.after(outcome);
     history.unexecuted_attempts += u32::from(!may_have_executed(outcome));
--- a/system/request-routing/src/router.rs
+++ b/system/request-routing/src/router.rs
@@ -12,8 +12,8 @@
 use crate::service::Service;
 use crate::sessions::{SessionTable, session_hash};
 use crate::types::{
-    AttemptHistory, EndpointKey, EndpointView, RetryDecision, RoutingDecision, RoutingRequest, ServerLoad,
-    ServiceSettings, Target,
+    AttemptHistory, EndpointKey, EndpointView, RetryDecision, RoutingDecision, RoutingRequest, SendTarget,
+    ServerLoad, ServiceSettings,
 };
 use fleet_model::EndpointList;
 use message_sender::{Outcome, Span, Time};
@@ -173,7 +173,7 @@
 
     fn send(&mut self, request: &RoutingRequest, placement: &Placement) -> RoutingDecision {
         let unshared_tokens = request.total_tokens.saturating_sub(request.prefix_tokens);
-        self.placement_metrics.record(placement, request.continues, unshared_tokens);
+        self.placement_metrics.record(placement, request.continues_conversation, unshared_tokens);
         let endpoint = &mut self.endpoints[placement.index];
         let mut may_open = true;
         if let Some(service) = self.services.get_mut(&request.service) {
@@ -184,11 +184,11 @@
             }
         }
         endpoint.record_send();
-        RoutingDecision::Send(Target {
+        RoutingDecision::Send(SendTarget {
             key: endpoint.key,
             address: endpoint.listed.address,
             instance_id: endpoint.instance_id.clone(),
-            may_open,
+            may_open_connection: may_open,
         })
     }
 
@@ -344,14 +344,14 @@
     }
 
     /// Records that this proxy opened a connection to the endpoint.
-    pub fn connection_opened(&mut self, key: EndpointKey) {
+    pub fn record_connection_opened(&mut self, key: EndpointKey) {
         if let Some(index) = self.find_endpoint(key) {
             self.endpoints[index].connections += 1;
         }
     }
 
     /// Records that a connection of this proxy to the endpoint was closed.
-    pub fn connection_closed(&mut self, key: EndpointKey) {
+    pub fn record_connection_closed(&mut self, key: EndpointKey) {
         if let Some(index) = self.find_endpoint(key) {
             let connections = &mut self.endpoints[index].connections;
             *connections = connections.saturating_sub(1);
@@ -418,8 +418,9 @@
         let service = self.services.get(&request.service).filter(|_| self.policy.try_timeout)?;
         let timeout = retry::attempt_timeout(now, request, history, service.idempotent_mean_ttfb())?;
         let ready = service.ready_endpoints().map(|index| &self.endpoints[index]);
-        let others =
-            ready.filter(|other| other.is_in_service() && !history.avoided.contains(&other.key)).count();
+        let others = ready
+            .filter(|other| other.is_in_service() && !history.avoided_endpoints.contains(&other.key))
+            .count();
         (others > 1).then_some(timeout)
     }
 
@@ -432,10 +433,9 @@
     ) -> bool {
         let Some(service) = self.services.get(&request.service) else { return false };
         let candidates = Candidates::new(now, &self.policy, history, service, self.proxies, &self.endpoints);
-        service
-            .ready_endpoints()
-            .map(|index| &self.endpoints[index])
-            .any(|endpoint| !history.avoided.contains(&endpoint.key) && candidates.is_usable(endpoint))
+        service.ready_endpoints().map(|index| &self.endpoints[index]).any(|endpoint| {
+            !history.avoided_endpoints.contains(&endpoint.key) && candidates.is_usable(endpoint)
+        })
     }
 
     /// Placement counters since the start of the proxy.
--- a/system/request-routing/src/service.rs
+++ b/system/request-routing/src/service.rs
@@ -59,7 +59,7 @@
         let max_connections = settings.map_or(0, |settings| settings.max_connections);
         let share = (CONNECTION_UTILIZATION * f64::from(max_connections) / f64::from(proxies)) as u32;
         EndpointLimits {
-            engine: settings.is_some_and(|settings| settings.engine),
+            engine: settings.is_some_and(|settings| settings.is_engine),
             proxies,
             max_connections: if max_connections == 0 { u32::MAX } else { share.max(MIN_CONNECTIONS) },
             default_slots: settings.and_then(|settings| settings.slots).unwrap_or(DEFAULT_SLOTS),
--- a/system/request-routing/src/types.rs
+++ b/system/request-routing/src/types.rs
@@ -22,7 +22,7 @@
     /// Session id, for session affinity; None for a request without a session.
     pub session: Option<String>,
     /// Whether the request continues a conversation, that is, whether it is not its first turn.
-    pub continues: bool,
+    pub continues_conversation: bool,
     /// Instance id of the endpoint that served the previous turn, if known.
     pub previous_endpoint: Option<Arc<str>>,
     /// Id of the shared prompt prefix, for prefix affinity.
@@ -66,7 +66,7 @@
     /// The endpoint of the last attempt.
     pub last_endpoint: Option<EndpointKey>,
     /// Endpoints that refused or failed an attempt; chosen again only if no other is available.
-    pub avoided: Vec<EndpointKey>,
+    pub avoided_endpoints: Vec<EndpointKey>,
     /// Earliest time of the next attempt.
     pub not_before: Time,
 }
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoutingDecision {
     /// Send the request to this endpoint. The call counts as in flight until its completion is recorded.
-    Send(Target),
+    Send(SendTarget),
     /// Route the request again after this time, or earlier if a slot may have become free.
     Wait(Span),
     /// End the request without a response.
@@ -84,7 +84,7 @@
 
 /// The endpoint that a request is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Target {
+pub struct SendTarget {
     /// Key for later reports about this endpoint to the router.
     pub key: EndpointKey,
     /// Address to connect to.
@@ -92,7 +92,7 @@
     /// Instance id of the incarnation that is expected to respond.
     pub instance_id: Arc<str>,
     /// Whether a new connection is within this proxy's share of the endpoint's connections.
-    pub may_open: bool,
+    pub may_open_connection: bool,
 }
 
 /// How a request ends without a response.
@@ -135,7 +135,7 @@
     /// Upper bound on the connections of all proxies together to one endpoint; 0 if unbounded.
     pub max_connections: u32,
     /// Whether the endpoints are model engines.
-    pub engine: bool,
+    pub is_engine: bool,
     /// Slots of an endpoint whose list entry states none, if configured.
     pub slots: Option<u32>,
     /// Capacity of an endpoint's prefix cache in tokens, if configured.
--- a/system/request-routing/tests/common/mod.rs
+++ b/system/request-routing/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
 use request_routing::{
     AttemptHistory, EndpointKey, Outcome, RetryDecision, RouteKind, Router, RoutingDecision, RoutingPolicy,
-    RoutingRequest, ServiceSettings, Span, Target, Time,
+    RoutingRequest, SendTarget, ServiceSettings, Span, Time,
 };
 
 pub(crate) const MS: u64 = 1_000;
@@ -36,7 +36,13 @@
 }
 
 pub(crate) fn service_settings(name: &str, max_connections: u32, engine: bool) -> ServiceSettings {
-    ServiceSettings { name: name.to_owned(), max_connections, engine, slots: None, cache_tokens: None }
+    ServiceSettings {
+        name: name.to_owned(),
+        max_connections,
+        is_engine: engine,
+        slots: None,
+        cache_tokens: None,
+    }
 }
 
 /// A router in zone `a` with two services: `tool`, and the model service `model`.
@@ -56,7 +62,7 @@
         kind,
         resumable: false,
         session: None,
-        continues: false,
+        continues_conversation: false,
         previous_endpoint: None,
         prefix_id: None,
         prefix_tokens: 0,
@@ -80,7 +86,7 @@
     }
 }
 
-pub(crate) fn expect_send(decision: RoutingDecision) -> Target {
+pub(crate) fn expect_send(decision: RoutingDecision) -> SendTarget {
     match decision {
         RoutingDecision::Send(target) => target,
         other => panic!("expected a send, got {other:?}"),
@@ -88,7 +94,7 @@
 }
 
 /// Routes a first attempt, which must be sent, and returns its target.
-pub(crate) fn send(router: &mut Router, now: Time, request: &RoutingRequest) -> Target {
+pub(crate) fn send(router: &mut Router, now: Time, request: &RoutingRequest) -> SendTarget {
     expect_send(router.pick(now, request, &AttemptHistory::default()))
 }
 
@@ -109,7 +115,7 @@
     request: &RoutingRequest,
     history: &mut AttemptHistory,
     outcome: Outcome,
-) -> (Target, RetryDecision) {
+) -> (SendTarget, RetryDecision) {
     let target = expect_send(router.pick(now, request, history));
     complete(router, now, target.key, request, outcome);
     let decision = router.decide_retry(now, request, history, target.key, outcome);
--- a/system/request-routing/tests/endpoint_selection.rs
+++ b/system/request-routing/tests/endpoint_selection.rs
@@ -193,7 +193,8 @@
     let engines = engine_entries(3);
     let mut router = router(&engines);
     let other_session_endpoint = send(&mut router, ms(0), &conversation_turn("other", "p"));
-    let history = AttemptHistory { avoided: vec![other_session_endpoint.key], ..AttemptHistory::default() };
+    let history =
+        AttemptHistory { avoided_endpoints: vec![other_session_endpoint.key], ..AttemptHistory::default() };
     let request = conversation_turn("mine", "p");
     let session_endpoint = expect_send(router.pick(ms(0), &request, &history));
     expect_that!(session_endpoint.key, not(eq(other_session_endpoint.key)));
@@ -219,8 +220,11 @@
     complete(&mut router, ms(1), last_used.key, &first, Outcome::Success);
     for (n, engine) in engines.iter().enumerate() {
         let previous_endpoint = Some(engine.instance_id.as_str().into());
-        let next_turn =
-            RoutingRequest { continues: true, previous_endpoint, ..conversation_turn("mine", "p") };
+        let next_turn = RoutingRequest {
+            continues_conversation: true,
+            previous_endpoint,
+            ..conversation_turn("mine", "p")
+        };
         let now = ms(10 + n as u64);
         let target = send(&mut router, now, &next_turn);
         expect_that!(*target.instance_id, eq(&engine.instance_id));
@@ -228,7 +232,7 @@
     }
     let to_unlisted_endpoint = RoutingRequest {
         previous_endpoint: Some("gone".into()),
-        continues: true,
+        continues_conversation: true,
         ..conversation_turn("mine", "p")
     };
     send(&mut router, ms(20), &to_unlisted_endpoint);
@@ -263,9 +267,10 @@
     let first = conversation_turn("mine", "p");
     let session_endpoint = send(&mut router, ms(0), &first);
     complete(&mut router, ms(1), session_endpoint.key, &first, Outcome::Success);
-    let next_turn = RoutingRequest { continues: true, ..first };
+    let next_turn = RoutingRequest { continues_conversation: true, ..first };
     send(&mut router, ms(2), &next_turn);
-    let of_unknown_session = RoutingRequest { continues: true, ..conversation_turn("other", "p") };
+    let of_unknown_session =
+        RoutingRequest { continues_conversation: true, ..conversation_turn("other", "p") };
     send(&mut router, ms(2), &of_unknown_session);
     router.record_load(ms(3), session_endpoint.key, ServerLoad { running: 12, waiting: 0, slots: 16 });
     send(&mut router, ms(3), &next_turn);
@@ -329,13 +334,13 @@
     let request = request("tool", RouteKind::Idempotent);
     // floor(0.9 x 40 / 12) = 3
     let first = send(&mut router, ms(0), &request);
-    expect_that!(first.may_open, eq(true));
+    expect_that!(first.may_open_connection, eq(true));
     for _ in 0..3 {
-        router.connection_opened(first.key);
+        router.record_connection_opened(first.key);
     }
-    expect_that!(send(&mut router, ms(0), &request).may_open, eq(false));
-    router.connection_closed(first.key);
-    expect_that!(send(&mut router, ms(0), &request).may_open, eq(true));
+    expect_that!(send(&mut router, ms(0), &request).may_open_connection, eq(false));
+    router.record_connection_closed(first.key);
+    expect_that!(send(&mut router, ms(0), &request).may_open_connection, eq(true));
     expect_that!(
         router.pick(ms(0), &request, &AttemptHistory::default()),
         matches_pattern!(RoutingDecision::Wait(_))
--- a/system/request-routing/tests/properties.rs
+++ b/system/request-routing/tests/properties.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use request_routing::{
     AttemptHistory, EndpointKey, GiveUp, Outcome, RetryDecision, RouteKind, RoutingDecision, RoutingRequest,
-    ServerLoad, Span, Target, Time,
+    SendTarget, ServerLoad, Span, Time,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -100,7 +100,7 @@
     let mut router = router(&fleet);
     let mut now = ms(0);
     let mut states: Vec<RequestState> = (0..REQUESTS).map(|_| RequestState::default()).collect();
-    let mut calls: Vec<(usize, Target)> = Vec::new();
+    let mut calls: Vec<(usize, SendTarget)> = Vec::new();
     let mut ready: BTreeSet<String> = fleet.iter().map(|endpoint| endpoint.instance_id.clone()).collect();
     let mut misdirected: BTreeSet<EndpointKey> = BTreeSet::new();
     let check_give_up = |request: &RoutingRequest, state: &RequestState, give_up: GiveUp| {
--- a/system/request-routing/tests/retries.rs
+++ b/system/request-routing/tests/retries.rs
@@ -392,7 +392,11 @@
     // The other endpoint was already tried.
     let last = router.endpoint_views()[0].key;
     expect_that!(
-        router.attempt_timeout(ms(0), &request, &AttemptHistory { avoided: vec![last], ..history.clone() }),
+        router.attempt_timeout(
+            ms(0),
+            &request,
+            &AttemptHistory { avoided_endpoints: vec![last], ..history.clone() }
+        ),
         none()
     );
     // This attempt and another one of 250 ms must fit before the last 25 ms, in which a send is useless.
