--- a/system/control-node/src/endpoint_discovery.rs
+++ b/system/control-node/src/endpoint_discovery.rs
@@ -3,7 +3,7 @@
 
 use crate::membership::CHANGE_TIMEOUT;
 use crate::{ControlBackend, ControlEvent, ControlNode, ENDPOINT_DISCOVERY_TASK};
-use controllers::{DiscoveryPolls, times};
+use controllers::{DiscoveryPollFilter, times};
 use fleet_model::{ControlState, Lease};
 use node_runtime::{Runtime, follow_lists, timeout};
 use std::net::Ipv4Addr;
@@ -40,7 +40,7 @@
         let make_change =
             |state: &ControlState| self.backend.acquire(&self.candidate.borrow(), state, &previous).into();
         if self.change(CHANGE_TIMEOUT, make_change).await {
-            let token = self.candidate.borrow_mut().change_committed(&self.feed.state(), &previous);
+            let token = self.candidate.borrow_mut().on_committed(&self.feed.state(), &previous);
             if let Some(token) = token {
                 self.backend.on_event(&ControlEvent::LeaseAcquired { task: ENDPOINT_DISCOVERY_TASK, token });
             }
@@ -53,7 +53,7 @@
         if !self.backend.discovers_endpoints() {
             return;
         }
-        let mut polls = DiscoveryPolls::default();
+        let mut polls = DiscoveryPollFilter::default();
         let started_at = self.runtime.now();
         loop {
             // After a start the node does not know yet which voters are alive. It need not know that if its previous incarnation
@@ -76,12 +76,12 @@
             self.poll_endpoints(&mut polls, requested_at, token).await;
             let elapsed_ms = self.runtime.now_ms().saturating_sub(requested_at);
             self.runtime
-                .sleep(Duration::from_millis(times::POLL_INTERVAL_MS.saturating_sub(elapsed_ms)))
+                .sleep(Duration::from_millis(times::DISCOVERY_POLL_INTERVAL_MS.saturating_sub(elapsed_ms)))
                 .await;
         }
     }
 
-    async fn poll_endpoints(&self, polls: &mut DiscoveryPolls, requested_at: u64, token: u64) {
+    async fn poll_endpoints(&self, polls: &mut DiscoveryPollFilter, requested_at: u64, token: u64) {
         match self.backend.discover_endpoints().await {
             // Another node may have acquired the lease meanwhile. The list then has an outdated token, and the list of the new
             // holder supersedes it.
--- a/system/control-node/src/event.rs
+++ b/system/control-node/src/event.rs
@@ -87,7 +87,7 @@
             Self::StorageLosses(StorageLosses { configured, tolerated }) => write!(
                 f,
                 "storage loss tolerance changed: available without {}, no data lost without {}, configured {configured}",
-                tolerated.served, tolerated.survived
+                tolerated.losses_served, tolerated.losses_survived
             ),
             Self::RemovingVoter { voter, unresponsive_ms } => {
                 write!(f, "removing voter {voter}: unresponsive for {unresponsive_ms} ms")
--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -40,9 +40,9 @@
             let mut storage_nodes = self.storage_nodes.borrow_mut();
             storage_nodes.observe(self.runtime.now_ms(), &known.roster, min_storage_nodes);
             storage_nodes.record_response(self.runtime.now_ms(), node.disk);
-            storage_nodes.admits(&known.roster, &node)
+            storage_nodes.may_join(&known.roster, &node)
         };
-        let join = if is_founder { controllers::join_founder } else { controllers::join };
+        let join = if is_founder { controllers::join_initial_node } else { controllers::join };
         if !admitted || join(&known, &node, min_storage_nodes).is_none() {
             return Answer::Done;
         }
--- a/system/control-node/src/orders.rs
+++ b/system/control-node/src/orders.rs
@@ -66,7 +66,7 @@
         let mut batch = Vec::new();
         for pending in self.pending.borrow().iter().filter(|pending| pending.verdict.get().is_none()) {
             let current = changed.as_ref().unwrap_or(state);
-            let (next, verdict) = controllers::judge(current, &pending.order, min_storage_nodes);
+            let (next, verdict) = controllers::evaluate_order(current, &pending.order, min_storage_nodes);
             changed = next.or(changed);
             batch.push((pending.clone(), verdict));
         }
--- a/system/controllers/src/discovery_poll.rs
+++ b/system/controllers/src/discovery_poll.rs
@@ -1,6 +1,6 @@
 //! Decides which polls of the platform's endpoint list are published.
 
-use crate::times::{EMPTY_LIST_CONFIRMATION_MS, MAX_EMPTY_POLL_GAP_MS, MAX_POLL_DURATION_MS};
+use crate::times::{EMPTY_LIST_CONFIRMATION_MS, MAX_DISCOVERY_POLL_DURATION_MS, MAX_EMPTY_POLL_GAP_MS};
 use fleet_model::{Endpoint, EndpointList, ListVersion};
 
 /// A series of consecutive polls that returned no endpoints.
@@ -12,14 +12,14 @@
 
 /// State of the endpoint polls under one fencing token. A poll under another token resets it.
 #[derive(Clone, Debug, Default)]
-pub struct DiscoveryPolls {
+pub struct DiscoveryPollFilter {
     token: u64,
     /// Sequence number of the last list published under the token.
     sequence: u64,
     empty: Option<EmptySeries>,
 }
 
-impl DiscoveryPolls {
+impl DiscoveryPollFilter {
     /// Evaluates the result of a poll that was sent at `started_ms` under `token`.
     ///
     /// Returns the list to publish, if it differs from `known` in its endpoints or its token. Processes that know a list of
@@ -36,7 +36,7 @@
         if self.token != token {
             *self = Self { token, ..Self::default() };
         }
-        if now_ms.saturating_sub(started_ms) > MAX_POLL_DURATION_MS {
+        if now_ms.saturating_sub(started_ms) > MAX_DISCOVERY_POLL_DURATION_MS {
             return None;
         }
         if !endpoints.is_empty() {
--- a/system/controllers/src/lease_candidate.rs
+++ b/system/controllers/src/lease_candidate.rs
@@ -98,7 +98,7 @@
 
     /// Evaluates the committed `state` after an attempt to replace the lease `from`. Returns the fencing token if this
     /// incarnation holds the lease.
-    pub fn change_committed(&mut self, state: &ControlState, from: &Lease) -> Option<u64> {
+    pub fn on_committed(&mut self, state: &ControlState, from: &Lease) -> Option<u64> {
         if holds_lease(state, self.role, self.own_ip, from.token + 1) {
             self.acquired_token = Some(from.token + 1);
             self.vacancy = None;
--- a/system/controllers/src/lib.rs
+++ b/system/controllers/src/lib.rs
@@ -28,14 +28,14 @@
 mod voter_controller;
 
 pub use config::put_config;
-pub use discovery_poll::DiscoveryPolls;
+pub use discovery_poll::DiscoveryPollFilter;
 pub use fleet_model::{ConfigVerdict, RetireVerdict};
 pub use lease_candidate::{LeaseCandidate, holds_lease};
 pub use loss_tolerance::{LossTolerance, min_storage_nodes};
-pub use order_evaluation::judge;
+pub use order_evaluation::evaluate_order;
 pub use proposer_selection::ProposerSelection;
 pub use roster::{
-    complete_backfill, forget_turnover, join, join_founder, proposed_nodes, remove_node, retire,
+    complete_backfill, forget_turnover, join, join_initial_node, proposed_nodes, remove_node, retire,
     retire_status,
 };
 pub use roster_step::RosterStep;
--- a/system/controllers/src/loss_tolerance.rs
+++ b/system/controllers/src/loss_tolerance.rs
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LossTolerance {
     /// Number of nodes that may be unresponsive at once while turns are still served.
-    pub served: usize,
+    pub losses_served: usize,
     /// Number of disks that may be lost at once without losing an acknowledged record.
-    pub survived: usize,
+    pub losses_survived: usize,
 }
 
 impl LossTolerance {
@@ -23,12 +23,14 @@
         let sizes = sets.into_iter().flatten().map(|set| QuorumSizes::for_machines(set.len(), tolerance));
         let tolerated = |sizes: Option<QuorumSizes>| {
             sizes.map_or_else(Self::default, |sizes| Self {
-                served: sizes.losses_served(),
-                survived: sizes.losses_survived(),
+                losses_served: sizes.losses_served(),
+                losses_survived: sizes.losses_survived(),
             })
         };
-        let minimum =
-            |a: Self, b: Self| Self { served: a.served.min(b.served), survived: a.survived.min(b.survived) };
+        let minimum = |a: Self, b: Self| Self {
+            losses_served: a.losses_served.min(b.losses_served),
+            losses_survived: a.losses_survived.min(b.losses_survived),
+        };
         sizes.map(tolerated).reduce(minimum).unwrap_or_default()
     }
 }
--- a/system/controllers/src/order_evaluation.rs
+++ b/system/controllers/src/order_evaluation.rs
@@ -8,7 +8,7 @@
 ///
 /// Returns the state to propose, or `None` if the order changes nothing, and the verdict. The verdict may be reported to the
 /// operator only once the proposed state is chosen.
-pub fn judge(
+pub fn evaluate_order(
     state: &ControlState,
     order: &Order,
     min_storage_nodes: usize,
--- a/system/controllers/src/roster.rs
+++ b/system/controllers/src/roster.rs
@@ -36,7 +36,7 @@
 /// Before the bootstrap there is no current set, and nothing is stored. Nodes are collected in the next set, which becomes
 /// current by [`complete_backfill`] like any other, once it has `min_nodes` nodes or the bootstrap wait has expired.
 pub fn join(state: &ControlState, store: &StorageNode, min_nodes: usize) -> Option<ControlState> {
-    let mut joined = join_founder(state, store, min_nodes)?;
+    let mut joined = join_initial_node(state, store, min_nodes)?;
     let roster = &state.roster;
     let is_replaced = |other: &StorageNode| other.name == store.name || other.ip == store.ip;
     let replaces_member = proposed_nodes(roster).iter().any(is_replaced);
@@ -48,7 +48,11 @@
 
 /// As [`join`], for a machine that was started together with the fleet: however late it joins, it does not count as the
 /// replacement of another machine.
-pub fn join_founder(state: &ControlState, store: &StorageNode, min_nodes: usize) -> Option<ControlState> {
+pub fn join_initial_node(
+    state: &ControlState,
+    store: &StorageNode,
+    min_nodes: usize,
+) -> Option<ControlState> {
     let roster = &state.roster;
     let former = proposed_nodes(roster);
     if former.contains(store) || roster.retiring.contains(&store.name) {
--- a/system/controllers/src/storage_controller.rs
+++ b/system/controllers/src/storage_controller.rs
@@ -96,13 +96,13 @@
         let before = self
             .reported_tolerance
             .replace(tolerated)
-            .unwrap_or(LossTolerance { served: tolerance, survived: tolerance });
+            .unwrap_or(LossTolerance { losses_served: tolerance, losses_survived: tolerance });
         (tolerated != before).then_some(tolerated)
     }
 
     /// Whether a node that requests to join may do so. Of two live machines with the same name, the member stays until it
     /// misses a probe; otherwise the two would replace each other for as long as both run.
-    pub fn admits(&self, roster: &Roster, store: &StorageNode) -> bool {
+    pub fn may_join(&self, roster: &Roster, store: &StorageNode) -> bool {
         let is_rival = |other: &&StorageNode| {
             other.name == store.name && other.ip != store.ip && other.disk != store.disk
         };
--- a/system/controllers/src/times.rs
+++ b/system/controllers/src/times.rs
@@ -1,9 +1,9 @@
 //! Intervals and timeouts of the controllers, in milliseconds, and related thresholds.
 
 /// Interval between two polls of the platform's endpoint list.
-pub const POLL_INTERVAL_MS: u64 = 1_000;
+pub const DISCOVERY_POLL_INTERVAL_MS: u64 = 1_000;
 /// Duration above which the result of a poll is discarded: the polling node may have been suspended meanwhile.
-pub const MAX_POLL_DURATION_MS: u64 = 3_000;
+pub const MAX_DISCOVERY_POLL_DURATION_MS: u64 = 3_000;
 /// Time for which all polls have to return an empty endpoint list before it is accepted.
 pub const EMPTY_LIST_CONFIRMATION_MS: u64 = 5_000;
 /// Gap between two empty results above which [`EMPTY_LIST_CONFIRMATION_MS`] starts again.
--- a/system/controllers/tests/membership/cluster/control_nodes.rs
+++ b/system/controllers/tests/membership/cluster/control_nodes.rs
@@ -87,7 +87,7 @@
         let now = self.now;
         let node = &mut self.control_nodes[index];
         if let Some(token) = node.candidate.held_token(&node.state) {
-            node.next_lease_check = now + times::POLL_INTERVAL_MS;
+            node.next_lease_check = now + times::DISCOVERY_POLL_INTERVAL_MS;
             // The instance id is the current time, so that each poll returns a different list.
             let mut endpoint = fleet_model::Endpoint {
                 instance_id: now.to_string(),
@@ -115,7 +115,7 @@
         let candidate = node.candidate.clone();
         if self.change(index, Vec::new(), |state| candidate.acquire(state, &from)) {
             let node = &mut self.control_nodes[index];
-            node.candidate.change_committed(&node.state, &from);
+            node.candidate.on_committed(&node.state, &from);
             node.next_lease_check = now;
         }
     }
--- a/system/controllers/tests/membership/cluster/mod.rs
+++ b/system/controllers/tests/membership/cluster/mod.rs
@@ -7,7 +7,8 @@
 mod storage_nodes;
 
 use controllers::{
-    DiscoveryPolls, LeaseCandidate, RosterStep, StorageController, VoterController, proposed_nodes, retire,
+    DiscoveryPollFilter, LeaseCandidate, RosterStep, StorageController, VoterController, proposed_nodes,
+    retire,
 };
 use fleet_model::{ControlState, EndpointList, ListVersion, Roster, StorageNode};
 use rand_chacha::ChaCha8Rng;
@@ -63,7 +64,7 @@
     voter_controller: VoterController,
     candidate: LeaseCandidate,
     storage_controller: StorageController,
-    polls: DiscoveryPolls,
+    polls: DiscoveryPollFilter,
     list: EndpointList,
     pending: Option<PendingChange>,
     next_poll: u64,
@@ -119,7 +120,7 @@
         voter_controller: VoterController::new(ip),
         candidate: LeaseCandidate::new(ROLE, ip),
         storage_controller: StorageController::default(),
-        polls: DiscoveryPolls::default(),
+        polls: DiscoveryPollFilter::default(),
         list: EndpointList::default(),
         pending: None,
         next_poll: now + phase % POLL_INTERVAL_MS,
--- a/system/controllers/tests/membership/cluster/storage_nodes.rs
+++ b/system/controllers/tests/membership/cluster/storage_nodes.rs
@@ -3,7 +3,7 @@
 use super::{
     BACKFILL_MS, BACKFILL_WITH_LOST_SOURCE_MS, Cluster, Event, Machine, STORAGE_STEP_INTERVAL_MS, disk_set,
 };
-use controllers::{complete_backfill, join, join_founder, proposed_nodes};
+use controllers::{complete_backfill, join, join_initial_node, proposed_nodes};
 use fleet_model::{QuorumSizes, Roster, StorageNode};
 use std::collections::BTreeSet;
 
@@ -102,8 +102,8 @@
         let node = &mut self.control_nodes[index];
         node.storage_controller.observe(now, &node.state.roster, min_nodes);
         node.storage_controller.record_response(now, store.disk);
-        let join = if store.disk <= self.last_initial_disk { join_founder } else { join };
-        if node.storage_controller.admits(&node.state.roster, store)
+        let join = if store.disk <= self.last_initial_disk { join_initial_node } else { join };
+        if node.storage_controller.may_join(&node.state.roster, store)
             && join(&node.state, store, min_nodes).is_some()
         {
             // The disk of the replaced node counts as waived for the committed roster.
--- a/system/controllers/tests/membership/discovery_polls.rs
+++ b/system/controllers/tests/membership/discovery_polls.rs
@@ -1,6 +1,6 @@
 //! Which polls of the endpoint list lead to a published list.
 
-use controllers::{DiscoveryPolls, times};
+use controllers::{DiscoveryPollFilter, times};
 use fleet_model::{Endpoint, EndpointList, EndpointState, ListVersion};
 use googletest::prelude::*;
 
@@ -18,7 +18,7 @@
 
 #[gtest]
 fn a_poll_is_published_if_its_endpoints_or_its_token_changed() -> Result<()> {
-    let mut polls = DiscoveryPolls::default();
+    let mut polls = DiscoveryPollFilter::default();
     let first = polls.accept_poll(100, 90, 1, &EndpointList::default(), endpoints(&["a"])).or_fail()?;
     expect_that!(first.version, eq(ListVersion::new(1, 1)));
     expect_that!(polls.accept_poll(1_100, 1_090, 1, &first, endpoints(&["a"])), none());
@@ -32,8 +32,8 @@
 #[gtest]
 fn an_empty_list_is_published_only_after_a_series_of_empty_polls() {
     let known = EndpointList { version: ListVersion::new(1, 1), endpoints: endpoints(&["a"]) };
-    let mut polls = DiscoveryPolls::default();
-    let empty = |polls: &mut DiscoveryPolls, started_ms: u64, token: u64| {
+    let mut polls = DiscoveryPollFilter::default();
+    let empty = |polls: &mut DiscoveryPollFilter, started_ms: u64, token: u64| {
         polls.accept_poll(started_ms, started_ms, token, &known, Vec::new())
     };
     for started_ms in (0..times::EMPTY_LIST_CONFIRMATION_MS).step_by(1_000) {
@@ -49,13 +49,16 @@
 
 #[gtest]
 fn an_empty_list_is_published_at_once_if_no_endpoints_were_known() {
-    let mut polls = DiscoveryPolls::default();
+    let mut polls = DiscoveryPollFilter::default();
     expect_that!(polls.accept_poll(10, 10, 1, &EndpointList::default(), Vec::new()), some(anything()));
 }
 
 #[gtest]
 fn a_poll_that_took_too_long_is_not_published() {
-    let mut polls = DiscoveryPolls::default();
+    let mut polls = DiscoveryPollFilter::default();
     let known = EndpointList::default();
-    expect_that!(polls.accept_poll(times::MAX_POLL_DURATION_MS + 2, 1, 1, &known, endpoints(&["a"])), none());
+    expect_that!(
+        polls.accept_poll(times::MAX_DISCOVERY_POLL_DURATION_MS + 2, 1, 1, &known, endpoints(&["a"])),
+        none()
+    );
 }
--- a/system/controllers/tests/membership/leases_and_voters.rs
+++ b/system/controllers/tests/membership/leases_and_voters.rs
@@ -59,7 +59,7 @@
         expect_that!(from.is_some(), eq(rank == 0));
         if let Some(from) = from {
             let state = candidate.acquire(&state, &from).or_fail()?;
-            expect_that!(candidate.change_committed(&state, &from), some(eq(5)));
+            expect_that!(candidate.on_committed(&state, &from), some(eq(5)));
             expect_that!(candidate.held_token(&state), some(eq(5)));
         }
     }
@@ -95,7 +95,7 @@
     let voter_controller = controller(A, 0, &[A, B, C], &[B, C]);
     let from = candidate.lease_to_acquire(0, &state, &[A, B, C], &voter_controller).or_fail()?;
     let state = candidate.acquire(&state, &from).or_fail()?;
-    expect_that!(candidate.change_committed(&state, &from), some(eq(5)));
+    expect_that!(candidate.on_committed(&state, &from), some(eq(5)));
     Ok(())
 }
 
@@ -106,8 +106,8 @@
     let from = Lease { token: 4, holder: Some(C) };
     let state = winner.acquire(&state, &from).or_fail()?;
     expect_that!(loser.acquire(&state, &from), none());
-    expect_that!(winner.change_committed(&state, &from), some(eq(5)));
-    expect_that!(loser.change_committed(&state, &from), none());
+    expect_that!(winner.on_committed(&state, &from), some(eq(5)));
+    expect_that!(loser.on_committed(&state, &from), none());
     Ok(())
 }
 
@@ -124,7 +124,7 @@
     let mut candidate = LeaseCandidate::new(ROLE, A);
     let from = Lease::default();
     let state = candidate.acquire(&ControlState::default(), &from).or_fail()?;
-    expect_that!(candidate.change_committed(&state, &from), some(eq(1)));
+    expect_that!(candidate.on_committed(&state, &from), some(eq(1)));
     expect_that!(candidate.held_token(&held_by(2, B)), none());
     // Nor does it hold the lease under a token that another incarnation of the same node acquired.
     expect_that!(candidate.held_token(&held_by(3, A)), none());
@@ -214,13 +214,13 @@
     let mut holder = LeaseCandidate::new(ROLE, A);
     let from = initial.leases[ROLE].clone();
     let held = holder.acquire(&initial, &from).or_fail()?;
-    let token = holder.change_committed(&held, &from).or_fail()?;
+    let token = holder.on_committed(&held, &from).or_fail()?;
     let may_make_change = |state: &ControlState| holds_lease(state, ROLE, A, token);
     expect_that!(may_make_change(&held), eq(true));
     // A successor acquires the lease meanwhile.
     let mut successor = LeaseCandidate::new(ROLE, B);
     let taken_over = successor.acquire(&held, &held.leases[ROLE].clone()).or_fail()?;
-    expect_that!(successor.change_committed(&taken_over, &held.leases[ROLE].clone()), some(eq(token + 1)));
+    expect_that!(successor.on_committed(&taken_over, &held.leases[ROLE].clone()), some(eq(token + 1)));
     // When the former holder resumes, none of the ten changes is made, and it no longer holds the lease.
     for _ in 0..10 {
         expect_that!(may_make_change(&taken_over), eq(false));
@@ -228,7 +228,7 @@
     expect_that!(holder.held_token(&taken_over), none());
     // If it acquires the lease again, it holds it under a new token, and the old token remains invalid.
     let reacquired = holder.acquire(&taken_over, &taken_over.leases[ROLE].clone()).or_fail()?;
-    let next = holder.change_committed(&reacquired, &taken_over.leases[ROLE].clone());
+    let next = holder.on_committed(&reacquired, &taken_over.leases[ROLE].clone());
     expect_that!(next, some(eq(token + 2)));
     expect_that!(may_make_change(&reacquired), eq(false));
     // An attempt based on an outdated token acquires nothing.
--- a/system/controllers/tests/membership/storage_failure_detection.rs
+++ b/system/controllers/tests/membership/storage_failure_detection.rs
@@ -1,7 +1,7 @@
 //! Failure detection of storage nodes, and the resulting roster steps.
 
 use controllers::{
-    LossTolerance, RosterStep, StorageController, join, join_founder, remove_node, retire, times,
+    LossTolerance, RosterStep, StorageController, join, join_initial_node, remove_node, retire, times,
 };
 use fleet_model::{ControlState, StorageNode};
 use googletest::prelude::*;
@@ -373,7 +373,7 @@
 
 #[gtest]
 fn the_loss_tolerance_is_reported_when_reduced_and_when_it_changes() {
-    let tolerance = |served, survived| LossTolerance { served, survived };
+    let tolerance = |served, survived| LossTolerance { losses_served: served, losses_survived: survived };
     let mut controller = StorageController::default();
     expect_that!(controller.loss_tolerance_change(&Default::default(), 2), none());
     expect_that!(controller.loss_tolerance_change(&bootstrapped(5).roster, 2), none());
@@ -397,12 +397,12 @@
     let mut controller = ProbingController::new();
     controller.run(20_000, &state, &[1, 2, 3]);
     let rival = storage_node("s3", 9, 33);
-    expect_that!(controller.inner.admits(&state.roster, &rival), eq(false));
+    expect_that!(controller.inner.may_join(&state.roster, &rival), eq(false));
     // A node with an empty disk at the member's address replaces it at once.
-    expect_that!(controller.inner.admits(&state.roster, &storage_node("s3", 3, 33)), eq(true));
+    expect_that!(controller.inner.may_join(&state.roster, &storage_node("s3", 3, 33)), eq(true));
     // Once the member has missed a probe, the other node may join.
     controller.run(21_100, &state, &[1, 2]);
-    expect_that!(controller.inner.admits(&state.roster, &rival), eq(true));
+    expect_that!(controller.inner.may_join(&state.roster, &rival), eq(true));
 }
 
 #[gtest]
@@ -424,7 +424,7 @@
             join as fn(&ControlState, &StorageNode, usize) -> Option<ControlState>,
             times::REPLACED_STORAGE_TIMEOUT_MS,
         ),
-        (join_founder, times::STORAGE_TIMEOUT_MS),
+        (join_initial_node, times::STORAGE_TIMEOUT_MS),
     ] {
         // The controller has observed the bootstrap, and s9 joins right after it.
         let mut controller = ProbingController::new();
--- a/system/programs/src/control.rs
+++ b/system/programs/src/control.rs
@@ -74,8 +74,11 @@
             metrics.gauge("control_node_duties", held_leases as f64);
             let storage_losses = node.storage_losses();
             metrics.gauge("control_node_storage_losses_to_bear", storage_losses.configured as f64);
-            metrics.gauge("control_node_storage_losses_borne", storage_losses.tolerated.served as f64);
-            metrics.gauge("control_node_storage_losses_survived", storage_losses.tolerated.survived as f64);
+            metrics.gauge("control_node_storage_losses_borne", storage_losses.tolerated.losses_served as f64);
+            metrics.gauge(
+                "control_node_storage_losses_survived",
+                storage_losses.tolerated.losses_survived as f64,
+            );
             let (rounds, disk) = (node.rounds(), node.disk());
             metrics.counter("control_node_runs_total", rounds.begun);
             metrics.counter("control_node_runs_lost_total", rounds.lost);
--- a/system/turn-store/tests/membership_changes/cluster.rs
+++ b/system/turn-store/tests/membership_changes/cluster.rs
@@ -197,7 +197,9 @@
 
     /// How many more machines may be hurt now.
     pub(crate) fn remaining_loss_budget(&self) -> usize {
-        LossTolerance::from_roster(self.roster(), self.tolerance).survived.saturating_sub(self.impaired.len())
+        LossTolerance::from_roster(self.roster(), self.tolerance)
+            .losses_survived
+            .saturating_sub(self.impaired.len())
     }
 
     fn impaired(&mut self, name: &str, how: &str) {
@@ -355,7 +357,7 @@
         }
         self.watch.observe(self.now, roster, 2 * self.tolerance + 1);
         self.watch.record_response(self.now, store.disk);
-        if !self.watch.admits(roster, &store) {
+        if !self.watch.may_join(roster, &store) {
             return false;
         }
         let Some(state) = join(&self.control, &store, self.min_nodes()) else { return false };
