--- a/src/net/host/list.rs
+++ b/src/net/host/endpoints.rs
@@ -1,74 +1,74 @@
-//! The list of endpoints, and the numbers that the module knows them by.
+//! The endpoint list, which maps endpoint ids to the policy's numbers.
 use crate::net::tuning::Tuning;
 use message_sender::wire::{Member, Phase, Targets};
 use message_sender::{DestinationId, EndpointId, Entry, Event, Listing};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// An endpoint that the module remembers.
+/// An endpoint that the policy has not forgotten.
 pub(super) struct Endpoint {
     pub(super) id: String,
     pub(super) address: SocketAddr,
     pub(super) zone: String,
-    /// Messages that a call there may carry.
-    pub(super) batch: usize,
+    /// Maximum number of messages in a call to it.
+    pub(super) max_batch: usize,
 }
 
-/// The endpoints that the module remembers. Numbers are not used again: calls that end late name theirs.
+/// The endpoints that the policy has not forgotten. Numbers are never reused: a call that completes late refers to
+/// its endpoint by number.
 #[derive(Default)]
-pub(super) struct List {
+pub(super) struct EndpointList {
     endpoints: BTreeMap<EndpointId, Endpoint>,
     numbers: HashMap<String, EndpointId>,
-    next: u32,
+    next_number: u32,
     pub(super) revision: u64,
 }
 
-/// As it is handed over: the module's number, id, address, zone, messages in a call.
-pub(super) type Row = (EndpointId, String, SocketAddr, String, usize);
+/// An endpoint in a handover: number, id, address, zone, maximum number of messages in a call.
+pub(super) type HandoverEntry = (EndpointId, String, SocketAddr, String, usize);
 
-impl List {
-    /// As another process of this sender had it.
-    pub(super) fn inherited(revision: u64, next: u32, rows: Vec<Row>) -> Self {
-        let mut list = Self { revision, next, ..Self::default() };
-        for (number, id, address, zone, batch) in rows {
+impl EndpointList {
+    /// The list that another process of this sender handed over.
+    pub(super) fn inherited(revision: u64, next_number: u32, entries: Vec<HandoverEntry>) -> Self {
+        let mut list = Self { revision, next_number, ..Self::default() };
+        for (number, id, address, zone, max_batch) in entries {
             list.numbers.insert(id.clone(), number);
-            list.endpoints.insert(number, Endpoint { id, address, zone, batch });
+            list.endpoints.insert(number, Endpoint { id, address, zone, max_batch });
         }
         list
     }
 
-    /// For another process of this sender, with the next number.
-    pub(super) fn rows(&self) -> (u32, Vec<Row>) {
-        let row = |(number, e): (&EndpointId, &Endpoint)| {
-            (*number, e.id.clone(), e.address, e.zone.clone(), e.batch)
+    /// The next free number and the endpoints, for a handover.
+    pub(super) fn handover_entries(&self) -> (u32, Vec<HandoverEntry>) {
+        let entry = |(number, e): (&EndpointId, &Endpoint)| {
+            (*number, e.id.clone(), e.address, e.zone.clone(), e.max_batch)
         };
-        (self.next, self.endpoints.iter().map(row).collect())
+        (self.next_number, self.endpoints.iter().map(entry).collect())
     }
 
     pub(super) fn get(&self, endpoint: EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(&endpoint)
     }
 
-    /// The number of an id, while it is remembered.
     pub(super) fn number(&self, id: &str) -> Option<EndpointId> {
         self.numbers.get(id).copied()
     }
 
-    /// How many are remembered.
     pub(super) fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// The module remembers nothing of it any more.
-    pub(super) fn forget(&mut self, endpoint: EndpointId) {
-        if let Some(gone) = self.endpoints.remove(&endpoint) {
-            self.numbers.remove(&gone.id);
+    /// Removes an endpoint that the policy has forgotten.
+    pub(super) fn remove(&mut self, endpoint: EndpointId) {
+        if let Some(removed) = self.endpoints.remove(&endpoint) {
+            self.numbers.remove(&removed.id);
         }
     }
 
-    /// Takes in what discovery tells: the events for the module, to be taken in by one step, and so before
-    /// anything can go out. `excluded` knows what staff took out of service.
-    pub(super) fn told(
+    /// Applies a list or changes from discovery. Returns the events for the policy, which one step must handle
+    /// together: otherwise something could be sent to a new endpoint whose exclusion is still pending. `excluded`
+    /// says whether operators took the endpoint with this id out of service.
+    pub(super) fn update(
         &mut self,
         targets: Targets,
         tuning: &Tuning,
@@ -76,11 +76,11 @@
     ) -> Vec<Event> {
         self.revision = targets.revision;
         let mut entries = Vec::with_capacity(targets.members.len());
-        let mut bans = Vec::new();
+        let mut exclusions = Vec::new();
         for member in targets.members {
             let (names, flavor, locality) = (&tuning.names, &member.flavor, &member.locality);
             let (Some(kind), Some(zone)) = (names.kinds.get(flavor), names.zones.get(locality)) else {
-                tracing::warn!("discovery: {} is of an unknown kind or zone", member.id);
+                tracing::warn!("discovery: endpoint {} has an unknown kind or zone; ignoring it", member.id);
                 continue;
             };
             let listing = match member.phase {
@@ -89,14 +89,14 @@
                 Phase::Deleted => Listing::Removed,
             };
             let (destination, hint) = (DestinationId(member.cell), member.size);
-            let endpoint = self.number_for(&member.id);
+            let endpoint = self.number_or_assign(&member.id);
             if let Err(new) = endpoint
                 && excluded(&member.id)
             {
-                bans.push(Event::Excluded(new));
+                exclusions.push(Event::Excluded(new));
             }
             let endpoint = endpoint.unwrap_or_else(|new| new);
-            self.set(endpoint, member, tuning.settings.kinds[kind.0].batch.max(1));
+            self.insert(endpoint, member, tuning.settings.kinds[kind.0].batch.max(1));
             entries.push(Entry { endpoint, destination, kind: *kind, zone: *zone, listing, hint });
         }
         let mut events = Vec::new();
@@ -105,23 +105,23 @@
         } else if !entries.is_empty() {
             events.push(Event::ListChanges(entries));
         }
-        events.append(&mut bans);
+        events.append(&mut exclusions);
         events
     }
 
-    /// The number of an id; a new one, as the error, where it has none.
-    fn number_for(&mut self, id: &str) -> Result<EndpointId, EndpointId> {
+    /// The number of an id, or as the error a newly assigned one.
+    fn number_or_assign(&mut self, id: &str) -> Result<EndpointId, EndpointId> {
         if let Some(known) = self.number(id) {
             return Ok(known);
         }
-        let new = EndpointId(self.next);
-        self.next += 1;
+        let new = EndpointId(self.next_number);
+        self.next_number += 1;
         self.numbers.insert(id.to_owned(), new);
         Err(new)
     }
 
-    fn set(&mut self, endpoint: EndpointId, member: Member, batch: usize) {
+    fn insert(&mut self, endpoint: EndpointId, member: Member, max_batch: usize) {
         let (id, address, zone) = (member.id, member.host_port, member.locality);
-        self.endpoints.insert(endpoint, Endpoint { id, address, zone, batch });
+        self.endpoints.insert(endpoint, Endpoint { id, address, zone, max_batch });
     }
 }
--- a/src/net/host/mod.rs
+++ b/src/net/host/mod.rs
@@ -1,12 +1,12 @@
-//! The loop round the decision module: feeds it events, carries out its actions, and keeps the journal ahead
-//! of both. It maps the wire's names to the module's numbers.
+//! The event loop around the sending policy: feeds it events, executes its actions, and records accepted messages
+//! and attempts in the journal before they take effect. It maps the names of the wire to the policy's numbers.
+mod admin_commands;
 mod calls;
-mod intake;
-mod list;
+mod endpoints;
+mod forwarding;
+mod messages;
 mod recovery;
-mod remains;
-mod round;
-mod staff;
+mod step;
 
 use super::admin_endpoint::{AdminRequest, ServiceState};
 use super::clock::Clock;
@@ -18,12 +18,12 @@
 use super::server::Doors;
 use super::telemetry::{self, Figures, Shared};
 use super::tuning::Tuning;
+use admin_commands::ShutdownSchedule;
 use calls::Calls;
-use list::List;
+use endpoints::EndpointList;
+pub use forwarding::Forwarder;
 use message_sender::wire::Targets;
 use message_sender::{Event, MessageId, Sender, Time};
-pub use remains::Remains;
-use staff::WindDown;
 use std::collections::HashMap;
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -33,243 +33,261 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// Inputs taken in before staff's orders are looked at again.
-const MOST_INPUTS: usize = 256;
+/// Maximum number of queued inputs handled in one iteration, so that a flood of them does not delay operators'
+/// requests.
+const MAX_INPUTS_PER_ITERATION: usize = 256;
 
-/// A sender at work.
+/// The event loop's state: the policy, and all that its actions use.
 pub struct Host {
     sender: Sender,
     tuning: Tuning,
     journal: Journal,
     calls: Calls,
-    list: List,
+    endpoints: EndpointList,
     clock: Clock,
-    /// When each message held was taken on, or taken up, by its id.
-    held: HashMap<String, Instant>,
+    /// When this process accepted, recovered or inherited each outstanding message, by message id.
+    accepted_at: HashMap<String, Instant>,
     figures: Figures,
     shared: Arc<Shared>,
-    /// To an old process that hands over.
-    old: Option<UnboundedSender<ToOld>>,
-    /// A process that asks to take over.
-    new: Option<UnixStream>,
+    /// Channel to the old process, until that has ended.
+    old_process: Option<UnboundedSender<ToOld>>,
+    /// The connection of a new process that requests a handover.
+    new_process: Option<UnixStream>,
     lock: Lock,
-    /// None once the doors are shut: who connects then is turned away by the system, and does not wait in vain.
+    /// None once the process accepts no more connections: the kernel then refuses new ones at once, instead of
+    /// queueing them until they time out.
     listener: Option<TcpListener>,
-    room: Arc<Semaphore>,
-    most_clients: usize,
-    /// The part of that room which an old process still fills.
-    withheld: usize,
-    /// Events for the next step, with when they happened.
-    pending: Vec<(Time, Event)>,
+    client_permits: Arc<Semaphore>,
+    max_clients: usize,
+    /// Permits withheld for the client connections that the old process still serves.
+    withheld_permits: usize,
+    /// Events for the next step, each with its time.
+    pending_events: Vec<(Time, Event)>,
     last_step: Instant,
     wake_at: Option<Instant>,
-    winding_down: Option<WindDown>,
+    shutdown: Option<ShutdownSchedule>,
     doors: watch::Sender<Doors>,
-    standing: watch::Sender<ServiceState>,
+    service_state: watch::Sender<ServiceState>,
     inputs: UnboundedSender<Input>,
     notices: UnboundedSender<Notice>,
 }
 
-/// The ends of the channels that a host works with.
+/// Channels and shared state that connect the host with the other tasks of the process.
 pub struct Links {
+    /// For results of the calls that the host starts: it is the sending end of the inputs that [`Host::run`] reads.
     pub inputs: UnboundedSender<Input>,
+    /// Final outcomes of undelivered messages, to be reported to the platform.
     pub notices: UnboundedSender<Notice>,
+    /// Tells the server which connections to accept and keep.
     pub doors: watch::Sender<Doors>,
+    /// What the admin endpoint reports as the state of the process.
     pub standing: watch::Sender<ServiceState>,
-    /// Room for connections from clients, and how much that is in all.
+    /// A permit for each client connection that may still be opened.
     pub room: Arc<Semaphore>,
+    /// Maximum number of client connections, including those that an old process still serves.
     pub most_clients: usize,
+    /// Counters that other tasks increment.
     pub shared: Arc<Shared>,
 }
 
-/// The folder that lasts, and the socket that clients come to: what one process at a time has.
+/// The resources that only one process of a sender has at a time.
 pub struct Estate {
+    /// The right to write the journal.
     pub lock: Lock,
+    /// The journal that the lock protects.
     pub journal: Journal,
+    /// The listening socket for clients: held to pass it on at a handover, and closed at shutdown.
     pub listener: TcpListener,
 }
 
-/// How a host ended.
+/// How the event loop ended.
 pub enum Ended {
-    /// In order; what clients still have to hear goes out until then.
+    /// After an orderly shutdown; the last answers to clients may be sent until this time.
     WoundDown(Instant),
-    /// Another process has it all.
-    HandedOver(Box<Remains>),
+    /// A new process took over; this one forwards what still reaches it.
+    HandedOver(Box<Forwarder>),
 }
 
-/// Where a host begins.
+/// The state that a host starts from.
 pub enum Origin {
-    /// With a list of endpoints, and what the journal holds.
+    /// An initial endpoint list; outstanding messages are recovered from the journal.
     Listed(Targets),
-    /// Where another process left off.
+    /// The state that an old process handed over, and a channel to it.
     Inherited(Box<Known>, UnboundedSender<ToOld>),
 }
 
 impl Host {
-    /// A host that takes up what the journal still owes.
+    /// Creates a host, recovers or inherits the outstanding messages, and makes the first step.
+    ///
+    /// # Errors
+    /// The policy does not accept the settings.
     pub fn new(
         tuning: Tuning,
         seed: u64,
         origin: Origin,
         estate: Estate,
-        most_connections: usize,
+        max_connections: usize,
         links: Links,
     ) -> Result<Self, String> {
-        let settings = tuning.settings_for(most_connections);
-        let (sender, known, inherited) = match origin {
-            Origin::Listed(known) => (Sender::new(settings, seed), Some(known), None),
-            Origin::Inherited(state, old) => {
+        let settings = tuning.settings_for(max_connections);
+        let (sender, targets, inherited) = match origin {
+            Origin::Listed(targets) => (Sender::new(settings, seed), Some(targets), None),
+            Origin::Inherited(state, old_process) => {
                 let (sender, rest) = state.split();
-                (sender.taken_over(settings, seed), None, Some((rest, old)))
+                (sender.taken_over(settings, seed), None, Some((rest, old_process)))
             }
         };
         let mut host = Self {
             sender: sender.map_err(|e| e.to_string())?,
             journal: estate.journal,
-            calls: Calls::new(most_connections, tuning.idle()),
-            list: List::default(),
+            calls: Calls::new(max_connections, tuning.idle()),
+            endpoints: EndpointList::default(),
             tuning,
             clock: Clock::start(),
-            held: HashMap::new(),
+            accepted_at: HashMap::new(),
             figures: Figures::default(),
             shared: links.shared,
-            old: None,
-            new: None,
+            old_process: None,
+            new_process: None,
             lock: estate.lock,
             listener: Some(estate.listener),
-            room: links.room,
-            most_clients: links.most_clients,
-            withheld: 0,
-            pending: Vec::new(),
+            client_permits: links.room,
+            max_clients: links.most_clients,
+            withheld_permits: 0,
+            pending_events: Vec::new(),
             last_step: Instant::now(),
             wake_at: None,
-            winding_down: None,
+            shutdown: None,
             doors: links.doors,
-            standing: links.standing,
+            service_state: links.standing,
             inputs: links.inputs,
             notices: links.notices,
         };
         host.figures.name(host.tuning.classes());
-        if let Some(known) = known {
-            host.targets(known);
-            host.resume();
+        if let Some(targets) = targets {
+            host.update_endpoints(targets);
+            host.recover();
         }
-        if let Some((state, old)) = inherited {
-            host.inherit(state, old);
+        if let Some((state, old_process)) = inherited {
+            host.inherit(state, old_process);
         }
         host.step();
         Ok(host)
     }
 
-    /// Works until it has wound down, or another process has taken over.
+    /// Runs the event loop until the shutdown is complete or a new process has taken over.
     pub async fn run(
         mut self,
         inputs: &mut UnboundedReceiver<Input>,
-        orders: &mut Receiver<AdminRequest>,
+        admin_requests: &mut Receiver<AdminRequest>,
     ) -> Ended {
-        self.standing.send_replace(ServiceState::Serving);
+        self.service_state.send_replace(ServiceState::Serving);
         loop {
-            let due = self.due();
+            let wakeup = self.next_wakeup();
             tokio::select! {
                 biased;
-                Some(asked) = orders.recv() => self.asked(asked),
+                Some(request) = admin_requests.recv() => self.handle_admin_request(request),
                 input = inputs.recv() => match input {
-                    Some(input) => self.take_in(input),
+                    Some(input) => self.handle_input(input),
                     None => return Ended::WoundDown(Instant::now()),
                 },
-                () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {}
+                () = sleep_until(wakeup.unwrap_or_else(Instant::now)), if wakeup.is_some() => {}
             }
             self.figures.wakeups += 1;
-            for _ in 0..MOST_INPUTS {
+            for _ in 0..MAX_INPUTS_PER_ITERATION {
                 let Ok(input) = inputs.try_recv() else { break };
-                self.take_in(input);
+                self.handle_input(input);
             }
-            if let Some(stream) = self.new.take() {
+            if let Some(stream) = self.new_process.take() {
                 match self.hand_over(stream).await {
-                    Ok(stream) => return Ended::HandedOver(Box::new(self.remains(stream).await)),
-                    Err(e) => tracing::error!("not handed over, this process goes on: {e}"),
+                    Ok(stream) => {
+                        return Ended::HandedOver(Box::new(self.into_forwarder(stream).await));
+                    }
+                    Err(e) => tracing::error!("handover failed, this process continues: {e}"),
                 }
             }
             let now = Instant::now();
-            if self.step_at().is_some_and(|at| at <= now) {
+            if self.next_step().is_some_and(|at| at <= now) {
                 self.step();
             }
-            if let Some(wind_down) = self.winding_down
-                && now >= wind_down.shut
+            if let Some(shutdown) = self.shutdown
+                && now >= shutdown.stop_accepting
             {
                 self.doors.send_replace(Doors::Shut);
                 self.listener = None;
-                if now >= wind_down.end
-                    || (self.calls.out.is_empty() && self.journal.outstanding().next().is_none())
+                if now >= shutdown.end
+                    || (self.calls.in_flight.is_empty() && self.journal.outstanding().next().is_none())
                 {
                     tracing::info!("{}", telemetry::summary(&self.snapshot()));
-                    return Ended::WoundDown(wind_down.end);
+                    return Ended::WoundDown(shutdown.end);
                 }
             }
         }
     }
 
-    /// Takes in what discovery tells.
-    fn targets(&mut self, targets: Targets) {
+    /// Applies an endpoint list, or changes to it, from discovery.
+    fn update_endpoints(&mut self, targets: Targets) {
         let now = self.now();
-        let events = self.list.told(targets, &self.tuning, |id| self.journal.is_excluded(id));
-        self.pending.extend(events.into_iter().map(|event| (now, event)));
+        let events = self.endpoints.update(targets, &self.tuning, |id| self.journal.is_excluded(id));
+        self.pending_events.extend(events.into_iter().map(|event| (now, event)));
     }
 
     fn now(&self) -> Time {
         self.clock.at(Instant::now())
     }
 
-    /// The next step: no sooner than a period after the last.
-    fn step_at(&self) -> Option<Instant> {
+    /// The time of the next step: at least one period after the last one.
+    fn next_step(&self) -> Option<Instant> {
         let earliest = self.last_step + Duration::from_micros(self.tuning.settings.period.0);
-        if self.pending.is_empty() { self.wake_at.map(|at| at.max(earliest)) } else { Some(earliest) }
+        if self.pending_events.is_empty() { self.wake_at.map(|at| at.max(earliest)) } else { Some(earliest) }
     }
 
-    fn due(&self) -> Option<Instant> {
-        let wind_down = self.winding_down.map(|w| match *self.doors.borrow() {
-            Doors::Shut => w.end,
-            _ => w.shut,
+    fn next_wakeup(&self) -> Option<Instant> {
+        let shutdown = self.shutdown.map(|schedule| match *self.doors.borrow() {
+            Doors::Shut => schedule.end,
+            _ => schedule.stop_accepting,
         });
-        self.step_at().into_iter().chain(wind_down).min()
+        self.next_step().into_iter().chain(shutdown).min()
     }
 
-    fn take_in(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::HandIn { message, deadline, answer } => {
-                // A client that has gone comes again under a new id; this one is owed all the same.
-                let _ = answer.send(self.hand_in(message, deadline));
+                // A client that disconnected resubmits under a new id; this message is delivered nevertheless.
+                let _ = answer.send(self.submit(message, deadline));
             }
-            Input::Called(called) => self.called(called),
+            Input::Called(called) => self.complete_call(called),
             Input::Connected { endpoint, messages, may_begin } => {
                 self.figures.opened += 1;
                 let now = self.now();
-                let ok = messages.iter().all(|n| self.sender.may_begin(now, MessageId(*n), endpoint));
-                let _ = may_begin.send(ok);
+                let permitted =
+                    messages.iter().all(|number| self.sender.may_begin(now, MessageId(*number), endpoint));
+                let _ = may_begin.send(permitted);
             }
             Input::Idle(address, connection) => {
-                self.calls.keep(address, connection);
+                self.calls.return_connection(address, connection);
             }
-            Input::Targets(targets) => self.targets(targets),
+            Input::Targets(targets) => self.update_endpoints(targets),
             Input::Noticed(numbers) => {
                 for number in numbers {
-                    self.over(number);
-                    self.pending.push((self.now(), Event::OutcomeAcknowledged(MessageId(number))));
+                    self.remove_message(number);
+                    self.pending_events.push((self.now(), Event::OutcomeAcknowledged(MessageId(number))));
                 }
             }
-            Input::Retune(tuning, done) => drop(done.send(self.retune(*tuning))),
-            Input::WindDown => self.wind_down(),
-            // One that ends soon leaves the journal to the next one, as it is; and calls that an old process has
-            // out are told of to this one only: who asks sooner asks again.
+            Input::Retune(tuning, done) => drop(done.send(self.reload(*tuning))),
+            Input::WindDown => self.begin_shutdown(),
+            // Refused during a shutdown: the next process recovers from the journal. Refused also while an old process
+            // has calls in flight, as their results reach only this process. The new process retries.
             Input::TakeOver(stream) => {
-                self.new = Some(stream).filter(|_| self.winding_down.is_none() && self.old.is_none());
+                self.new_process =
+                    Some(stream).filter(|_| self.shutdown.is_none() && self.old_process.is_none());
             }
-            Input::Old(passed) => self.passed_on(passed),
+            Input::Old(forwarded) => self.handle_forwarded(forwarded),
         }
     }
 }
 
-/// A record that cannot be written is made good by the next compaction; the sender goes on.
+/// Logs a failed write to the journal. The sender continues: the next compaction writes the current state.
 fn log_failure(written: Result<(), JournalError>) {
     if let Err(e) = written {
         tracing::warn!("{e}");
