--- a/tests/sockets/world.rs
+++ b/tests/sockets/harness.rs
@@ -1,4 +1,4 @@
-//! What surrounds a sender in these tests: each peer hands its requests to the test, which answers them.
+//! Test harness: a sender process, and mock servers that pass the requests they receive to the test to be answered.
 use prometheus_parse::Value as Sample;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
@@ -14,19 +14,21 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// Far longer than anything here takes: only a failure waits for it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Far longer than any step of a test takes, so only a failing test waits for it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A request or an answer: first line, header lines, body.
+/// A request or a response.
 #[derive(Debug)]
-pub struct Http {
-    pub first: String,
+pub struct HttpMessage {
+    /// The request line or the status line.
+    pub start_line: String,
+    /// Names in lower case.
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-impl Http {
-    /// Reads one; none where the connection ends before its last byte.
+impl HttpMessage {
+    /// Reads a message; none if the connection ends before it is complete.
     pub async fn read(stream: &mut TcpStream) -> Option<Self> {
         let mut bytes = Vec::new();
         let head = loop {
@@ -37,10 +39,11 @@
         };
         let text = String::from_utf8(bytes[..head].to_vec()).unwrap();
         let mut lines = text.split("\r\n").map(str::to_owned);
-        let first = lines.next().unwrap();
+        let start_line = lines.next().unwrap();
         let headers =
             lines.map(|l| l.split_once(": ").map(|(n, v)| (n.to_lowercase(), v.to_owned())).unwrap());
-        let mut http = Http { first, headers: headers.collect(), body: bytes.split_off(head + 4) };
+        let mut http =
+            HttpMessage { start_line, headers: headers.collect(), body: bytes.split_off(head + 4) };
         let length = http.header("content-length").map_or(0, |l| l.parse().unwrap());
         while http.body.len() < length {
             stream.read_buf(&mut http.body).await.ok().filter(|read| *read > 0)?;
@@ -53,7 +56,7 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).unwrap().parse().unwrap()
+        self.start_line.split(' ').nth(1).unwrap().parse().unwrap()
     }
 
     pub fn json(&self) -> Value {
@@ -61,19 +64,19 @@
     }
 }
 
-/// What a peer does with a request.
+/// How a mock server handles a request.
 pub enum Reply {
-    Answer(String),
-    Break,
+    Response(String),
+    Disconnect,
 }
 
-pub fn answer(status: &str, headers: &str, body: &str) -> Reply {
-    Reply::Answer(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()))
+pub fn response(status: &str, headers: &str, body: &str) -> Reply {
+    Reply::Response(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// A request that waits for the test's word; unanswered, it hangs until this is dropped.
+/// A received request that the test has to answer. Dropping it closes the connection.
 pub struct Call {
-    pub http: Http,
+    pub http: HttpMessage,
     reply: oneshot::Sender<Reply>,
 }
 
@@ -83,7 +86,7 @@
     }
 
     pub fn ok(self) {
-        self.reply(answer("200 OK", "", ""));
+        self.reply(response("200 OK", "", ""));
     }
 
     pub fn id(&self) -> &str {
@@ -91,13 +94,13 @@
     }
 }
 
-/// A server on a port of its own.
-pub struct Peer {
+/// An HTTP server on a port of its own, whose requests the test answers.
+pub struct MockServer {
     pub address: SocketAddr,
     calls: mpsc::UnboundedReceiver<Call>,
 }
 
-impl Peer {
+impl MockServer {
     pub async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -110,151 +113,150 @@
         Self { address, calls }
     }
 
-    pub async fn call(&mut self) -> Call {
-        timeout(PATIENCE, self.calls.recv()).await.expect("a call").unwrap()
+    pub async fn next_call(&mut self) -> Call {
+        timeout(TEST_TIMEOUT, self.calls.recv()).await.expect("a call").unwrap()
     }
 
-    /// Whether nothing comes for `span`.
-    pub async fn quiet(&mut self, span: Duration) -> bool {
+    /// Whether no call arrives for `span`.
+    pub async fn no_call_for(&mut self, span: Duration) -> bool {
         timeout(span, self.calls.recv()).await.is_err()
     }
 }
 
 async fn serve(mut stream: TcpStream, to_test: mpsc::UnboundedSender<Call>) {
-    while let Some(http) = Http::read(&mut stream).await {
+    while let Some(http) = HttpMessage::read(&mut stream).await {
         let (reply, replied) = oneshot::channel();
         if to_test.send(Call { http, reply }).is_err() {
             return;
         }
         match replied.await {
-            Ok(Reply::Answer(text)) => {
+            Ok(Reply::Response(text)) => {
                 if stream.write_all(text.as_bytes()).await.is_err() {
                     return;
                 }
             }
-            Ok(Reply::Break) | Err(_) => return,
+            Ok(Reply::Disconnect) | Err(_) => return,
         }
     }
 }
 
-/// Discovery's agent and the platform that takes notices, but for those of ids that hold "unreadable".
+/// Mock of the discovery agent and of the platform. It rejects notices of ids that contain "unreadable".
 pub struct Platform {
     pub address: SocketAddr,
     notices: mpsc::UnboundedReceiver<Value>,
     changes: mpsc::UnboundedSender<Value>,
-    /// While set, notices are read and not acknowledged.
-    pub deaf: Arc<AtomicBool>,
-    /// Calls for the list so far.
-    asked: Arc<AtomicUsize>,
+    /// While set, notices are read, but neither recorded nor acknowledged.
+    pub ignore_notices: Arc<AtomicBool>,
+    list_requests: Arc<AtomicUsize>,
 }
 
 impl Platform {
     pub async fn start() -> Self {
-        let mut peer = Peer::start().await;
-        let address = peer.address;
-        let (noticed, notices) = mpsc::unbounded_channel();
-        let (changes, mut to_tell) = mpsc::unbounded_channel::<Value>();
-        let deaf = Arc::new(AtomicBool::new(false));
-        let is_deaf = deaf.clone();
-        let asked = Arc::<AtomicUsize>::default();
-        let asks = asked.clone();
+        let mut server = MockServer::start().await;
+        let address = server.address;
+        let (to_notices, notices) = mpsc::unbounded_channel();
+        let (changes, mut queued_changes) = mpsc::unbounded_channel::<Value>();
+        let ignore_notices = Arc::new(AtomicBool::new(false));
+        let ignoring = ignore_notices.clone();
+        let list_requests = Arc::<AtomicUsize>::default();
+        let request_count = list_requests.clone();
         tokio::spawn(async move {
             let mut watch: Option<Call> = None;
-            let mut untold: Option<Value> = None;
+            let mut pending_change: Option<Value> = None;
             loop {
                 tokio::select! {
-                    change = to_tell.recv() => match change {
-                        Some(change) => untold = Some(change),
+                    change = queued_changes.recv() => match change {
+                        Some(change) => pending_change = Some(change),
                         None => return,
                     },
-                    call = peer.calls.recv() => {
+                    call = server.calls.recv() => {
                         let Some(call) = call else { return };
-                        if call.http.first.starts_with("GET /api/targets") {
+                        if call.http.start_line.starts_with("GET /api/targets") {
                             watch = Some(call);
-                            asks.fetch_add(1, Ordering::SeqCst);
-                        } else if is_deaf.load(Ordering::SeqCst) {
-                            call.reply(Reply::Break);
+                            request_count.fetch_add(1, Ordering::SeqCst);
+                        } else if ignoring.load(Ordering::SeqCst) {
+                            call.reply(Reply::Disconnect);
                         } else if call.http.body.windows(10).any(|bytes| bytes == b"unreadable") {
-                            call.reply(answer("400 Bad Request", "", ""));
+                            call.reply(response("400 Bad Request", "", ""));
                         } else {
                             for line in call.http.body.split(|b| *b == b'\n').filter(|l| !l.is_empty()) {
-                                let _ = noticed.send(serde_json::from_slice(line).unwrap());
+                                let _ = to_notices.send(serde_json::from_slice(line).unwrap());
                             }
-                            call.reply(answer("204 No Content", "", ""));
+                            call.reply(response("204 No Content", "", ""));
                         }
                     }
                 }
                 if watch.is_some()
-                    && let Some(change) = untold.take()
+                    && let Some(change) = pending_change.take()
                 {
-                    watch.take().unwrap().reply(answer("200 OK", "", &change.to_string()));
+                    watch.take().unwrap().reply(response("200 OK", "", &change.to_string()));
                 }
             }
         });
-        Self { address, notices, changes, deaf, asked }
+        Self { address, notices, changes, ignore_notices, list_requests }
     }
 
-    pub async fn notice(&mut self) -> Value {
-        timeout(PATIENCE, self.notices.recv()).await.expect("a notice").unwrap()
+    pub async fn next_notice(&mut self) -> Value {
+        timeout(TEST_TIMEOUT, self.notices.recv()).await.expect("a notice").unwrap()
     }
 
-    /// The states of so many messages by their ids: a notice may come more than once.
-    pub async fn states(&mut self, count: usize) -> BTreeMap<String, String> {
+    /// The final states of this many messages, by id. A notice may arrive more than once.
+    pub async fn final_states(&mut self, count: usize) -> BTreeMap<String, String> {
         let mut states = BTreeMap::new();
         while states.len() < count {
-            let notice = self.notice().await;
+            let notice = self.next_notice().await;
             let text = |field: &str| notice[field].as_str().unwrap().to_owned();
             states.insert(text("id"), text("state"));
         }
         states
     }
 
-    /// How a message ended.
-    pub async fn state_of(&mut self, id: &str) -> String {
+    /// The final state of a message; skips the notices of others.
+    pub async fn final_state(&mut self, id: &str) -> String {
         loop {
-            let notice = self.notice().await;
+            let notice = self.next_notice().await;
             if notice["id"] == id {
                 return notice["state"].as_str().unwrap().to_owned();
             }
         }
     }
 
-    /// How often the list was asked for.
-    pub fn asked(&self) -> usize {
-        self.asked.load(Ordering::SeqCst)
+    /// Number of requests for the endpoint list so far.
+    pub fn list_requests(&self) -> usize {
+        self.list_requests.load(Ordering::SeqCst)
     }
 
-    /// Waits until the list was asked for more often than that: by a process that has just begun, say.
-    pub async fn asked_after(&self, before: usize) {
-        let asked = async {
-            while self.asked() <= before {
+    /// Waits until there were more than `before` requests for the list, for example by a new process.
+    pub async fn wait_for_list_request(&self, before: usize) {
+        let requested = async {
+            while self.list_requests() <= before {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        timeout(PATIENCE, asked).await.expect("a call for the list");
+        timeout(TEST_TIMEOUT, requested).await.expect("a request for the list");
     }
 
-    /// Tells a change of the list.
-    pub fn tell(&self, members: &[Value]) {
+    /// Answers the pending or next watch with a change of the list.
+    pub fn send_list_change(&self, members: &[Value]) {
         let change = json!({"revision": 2, "complete": false, "members": members});
         self.changes.send(change).unwrap();
     }
 }
 
-/// An endpoint of destination 7: of the kind `single`, or `batching`, which takes five messages in a call.
+/// An endpoint of destination 7, of the kind `single` or `batching`; the latter accepts five messages in a call.
 pub fn member(id: &str, address: SocketAddr, flavor: &str, phase: &str) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": flavor, "cell": 7,
         "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// A sender's folder and what it is told; `process` is there while it runs.
+/// A sender: its state folder, its configuration, and its process while that runs.
 pub struct Node {
     folder: Arc<TempDir>,
     pub config: Value,
     process: Option<Child>,
     pub address: SocketAddr,
-    pub mgmt: SocketAddr,
-    /// What it has logged since it served.
+    pub admin_address: SocketAddr,
+    /// Log lines since it started listening.
     log: Arc<Mutex<Vec<String>>>,
 }
 
@@ -291,15 +293,15 @@
             config,
             process: None,
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
-            mgmt: SocketAddr::from(([127, 0, 0, 1], 0)),
+            admin_address: SocketAddr::from(([127, 0, 0, 1], 0)),
             log: Arc::default(),
         };
-        node.begin().await;
+        node.start_process().await;
         node
     }
 
-    /// A second process of the same sender, not yet started.
-    pub fn beside(&self) -> Self {
+    /// A second process with the same folder, not yet started.
+    pub fn second_process(&self) -> Self {
         Self {
             folder: self.folder.clone(),
             config: self.config.clone(),
@@ -309,8 +311,8 @@
         }
     }
 
-    /// Starts the process on what its folder holds, and waits until it serves.
-    pub async fn begin(&mut self) {
+    /// Starts the process with the present contents of its folder, and waits until it serves.
+    pub async fn start_process(&mut self) {
         let file = self.folder.path().join("config.json");
         std::fs::write(&file, self.config.to_string()).unwrap();
         let mut process = Command::new(env!("CARGO_BIN_EXE_message-sender"))
@@ -321,21 +323,22 @@
             .unwrap();
         let mut log = BufReader::new(process.stderr.take().unwrap()).lines().map_while(Result::ok);
         self.process = Some(process);
-        let (told, addresses) = oneshot::channel();
-        let kept = self.log.clone();
+        let (to_test, addresses) = oneshot::channel();
+        let log_lines = self.log.clone();
         std::thread::spawn(move || {
             let mut find = |start: &str| log.find_map(|line| line.strip_prefix(start).map(str::to_owned));
-            let _ = told.send((find("second address: "), find("listening on ")));
-            // Read on, so that the process never waits for room in the pipe.
+            let _ = to_test.send((find("second address: "), find("listening on ")));
+            // Keep reading, so that the process never blocks on a full pipe.
             log.for_each(|line| {
                 println!("sender: {line}");
-                kept.lock().unwrap().push(line);
+                log_lines.lock().unwrap().push(line);
             });
         });
-        let (mgmt, address) = timeout(PATIENCE, addresses).await.expect("a start").unwrap();
-        self.mgmt = mgmt.expect("a second address").parse().unwrap();
+        let (admin_address, address) =
+            timeout(TEST_TIMEOUT, addresses).await.expect("the addresses in the log").unwrap();
+        self.admin_address = admin_address.expect("a second address").parse().unwrap();
         self.address = address.expect("a listening sender").parse().unwrap();
-        while self.staff("readyz").await != "done\n" {
+        while self.admin_request("readyz").await != "done\n" {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
@@ -347,12 +350,12 @@
         }
     }
 
-    /// Stops the process where it is: it answers nothing, and does not end.
-    pub fn stop(&self) {
+    /// Suspends the process with SIGSTOP: it answers nothing, and does not exit.
+    pub fn suspend(&self) {
         self.signal("STOP");
     }
 
-    /// Begins a planned restart: SIGTERM.
+    /// Starts an orderly shutdown with SIGTERM.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
@@ -362,33 +365,32 @@
         assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
     }
 
-    /// Waits for the process to end by itself; whether it did so in good order.
-    pub async fn ends_well(&mut self) -> bool {
+    /// Waits until the process exits, and returns whether its status was success.
+    pub async fn exits_cleanly(&mut self) -> bool {
         let mut process = self.process.take().unwrap();
         let wait = tokio::task::spawn_blocking(move || process.wait().unwrap().success());
-        timeout(PATIENCE, wait).await.expect("an end").unwrap()
+        timeout(TEST_TIMEOUT, wait).await.expect("an exit").unwrap()
     }
 
-    /// Whether the process has not ended.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.process.as_mut().is_some_and(|process| process.try_wait().unwrap().is_none())
     }
 
-    /// Has the process read its configuration file again, which holds `text` now.
+    /// Writes `text` to the configuration file, and has the process reload it with SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(self.folder.path().join("config.json"), text).unwrap();
         self.signal("HUP");
     }
 
-    /// The configuration with discovery at another address.
-    pub fn config_at(&self, discovery: SocketAddr) -> String {
+    /// The configuration with another address of discovery.
+    pub fn config_with_discovery(&self, discovery: SocketAddr) -> String {
         let mut config = self.config.clone();
         config["discovery"] = json!(discovery.to_string());
         config.to_string()
     }
 
-    /// The line of the log that begins so, once it is there.
-    pub async fn logged(&self, start: &str) -> String {
+    /// Waits for the first log line with this prefix.
+    pub async fn wait_for_log(&self, start: &str) -> String {
         let found = async {
             loop {
                 let line = self.log.lock().unwrap().iter().find(|line| line.starts_with(start)).cloned();
@@ -398,10 +400,10 @@
                 }
             }
         };
-        timeout(PATIENCE, found).await.expect("a line of the log")
+        timeout(TEST_TIMEOUT, found).await.expect("a line of the log")
     }
 
-    /// Descriptors that the process holds.
+    /// Number of open descriptors of the process.
     pub fn descriptors(&self) -> usize {
         let folder = format!("/proc/{}/fd", self.process.as_ref().unwrap().id());
         std::fs::read_dir(folder).unwrap().count()
@@ -411,40 +413,47 @@
         self.folder.path().join("messages.wal")
     }
 
-    /// One line at the second address, and the line that comes back.
-    pub async fn staff(&self, line: &str) -> String {
-        let mut stream = TcpStream::connect(self.mgmt).await.unwrap();
+    /// Sends a line to the admin endpoint, and returns the answer.
+    pub async fn admin_request(&self, line: &str) -> String {
+        let mut stream = TcpStream::connect(self.admin_address).await.unwrap();
         stream.write_all(format!("{line}\n").as_bytes()).await.unwrap();
         let mut answer = String::new();
-        timeout(PATIENCE, stream.read_to_string(&mut answer)).await.expect("an answer").unwrap();
+        timeout(TEST_TIMEOUT, stream.read_to_string(&mut answer)).await.expect("an answer").unwrap();
         answer
     }
 
-    /// What `telemetry` tells, read by somebody else's parser and checked to add up.
-    pub async fn figures(&self) -> Figures {
-        let text = self.staff("telemetry").await;
-        Figures::read(&text)
+    /// The metrics of `telemetry`, read by an independent parser and checked to add up.
+    pub async fn metrics(&self) -> Metrics {
+        let text = self.admin_request("telemetry").await;
+        Metrics::read(&text)
     }
 
-    /// The figures, once they are as wanted.
-    pub async fn figures_once(&self, wanted: impl Fn(&Figures) -> bool) -> Figures {
-        let patience = tokio::time::Instant::now() + PATIENCE;
+    /// Waits until the metrics satisfy `condition`, and returns them.
+    pub async fn metrics_when(&self, condition: impl Fn(&Metrics) -> bool) -> Metrics {
+        let deadline = tokio::time::Instant::now() + TEST_TIMEOUT;
         loop {
-            let figures = self.figures().await;
-            if wanted(&figures) {
-                return figures;
+            let metrics = self.metrics().await;
+            if condition(&metrics) {
+                return metrics;
             }
-            assert!(tokio::time::Instant::now() < patience, "{figures:?}");
+            assert!(tokio::time::Instant::now() < deadline, "{metrics:?}");
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Hands in a message for destination 7.
-    pub async fn hand_in(&self, id: &str, class: &str, key: &str) -> Http {
-        self.hand_in_for(id, class, key, "30.0").await
+    /// Submits a message for destination 7, whose body is its id.
+    pub async fn submit(&self, id: &str, class: &str, key: &str) -> HttpMessage {
+        self.submit_with_deadline(id, class, key, "30.0").await
     }
 
-    pub async fn hand_in_for(&self, id: &str, class: &str, key: &str, remaining: &str) -> Http {
+    /// Like `submit`, with the remaining time until the deadline in seconds.
+    pub async fn submit_with_deadline(
+        &self,
+        id: &str,
+        class: &str,
+        key: &str,
+        remaining: &str,
+    ) -> HttpMessage {
         let head = format!(
             "X-Txn: {id}\r\nX-Lane: {class}\r\nX-Org: acme\r\nX-Entity: {key}\r\nX-Remaining: {remaining}\r\n\
              X-Envelope: dest=7\r\nIdempotency-Key: idem-{id}\r\n"
@@ -452,28 +461,34 @@
         self.request("POST /api", &head, id.as_bytes()).await
     }
 
-    pub async fn request(&self, what: &str, headers: &str, body: &[u8]) -> Http {
+    pub async fn request(&self, method_and_path: &str, headers: &str, body: &[u8]) -> HttpMessage {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
-        let head = format!("{what} HTTP/1.1\r\nHost: a\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
+        let head = format!(
+            "{method_and_path} HTTP/1.1\r\nHost: a\r\n{headers}Content-Length: {}\r\n\r\n",
+            body.len()
+        );
         stream.write_all(head.as_bytes()).await.unwrap();
-        // A sender may answer before it has read a body that it does not want.
+        // A sender may reject a request before it has read the body.
         let _ = stream.write_all(body).await;
-        timeout(PATIENCE, Http::read(&mut stream)).await.expect("an answer").expect("a whole answer")
+        timeout(TEST_TIMEOUT, HttpMessage::read(&mut stream))
+            .await
+            .expect("an answer")
+            .expect("a complete answer")
     }
 }
 
-/// The samples of a scrape, by name and labels as they stand in its text, without the prefix.
+/// The samples of a scrape by name and labels, written as in its text without the prefix.
 #[derive(Debug)]
-pub struct Figures(HashMap<String, f64>);
+pub struct Metrics(HashMap<String, f64>);
 
-impl Figures {
+impl Metrics {
     pub fn read(text: &str) -> Self {
         let text = text.strip_suffix("end\n").unwrap_or_else(|| panic!("no end: {text:?}"));
         let scrape = prometheus_parse::Scrape::parse(text.lines().map(|line| Ok(line.to_owned()))).unwrap();
-        let mut all = HashMap::new();
+        let mut values = HashMap::new();
         for sample in scrape.samples {
             let name = sample.metric.strip_prefix("sender_").expect("the prefix");
-            // The parser takes a histogram's sum and count for samples of their own.
+            // The parser returns a histogram's sum and count as separate samples.
             let family = ["_sum", "_count"].iter().find_map(|end| sample.metric.strip_suffix(end));
             let family = family.unwrap_or(&sample.metric);
             assert!(scrape.docs.contains_key(family), "{name} lacks HELP");
@@ -493,13 +508,13 @@
                 Sample::Untyped(value) if family != sample.metric => value,
                 other => panic!("{name} lacks TYPE: {other:?}"),
             };
-            assert!(all.insert(format!("{name}{labels}"), value).is_none(), "{name}{labels} comes twice");
+            assert!(values.insert(format!("{name}{labels}"), value).is_none(), "{name}{labels} occurs twice");
         }
-        let figures = Self(all);
-        let ended = figures.sum("downstream_requests_total");
-        assert_eq!(figures.sum("taken_on_total"), ended + figures.get("pending"), "{figures:?}");
-        assert_eq!(figures.get("answer_seconds"), ended, "{figures:?}");
-        figures
+        let metrics = Self(values);
+        let finished = metrics.sum("downstream_requests_total");
+        assert_eq!(metrics.sum("taken_on_total"), finished + metrics.get("pending"), "{metrics:?}");
+        assert_eq!(metrics.get("answer_seconds"), finished, "{metrics:?}");
+        metrics
     }
 
     pub fn get(&self, name: &str) -> f64 {
@@ -510,14 +525,14 @@
         self.0.get(name).copied()
     }
 
-    /// Over all labels.
+    /// The sum over all label values.
     pub fn sum(&self, name: &str) -> f64 {
-        let of = |key: &&String| key.strip_prefix(name).is_some_and(|rest| rest.starts_with('{'));
-        self.0.keys().filter(of).map(|key| self.0[key]).sum()
+        let has_name = |key: &&String| key.strip_prefix(name).is_some_and(|rest| rest.starts_with('{'));
+        self.0.keys().filter(has_name).map(|key| self.0[key]).sum()
     }
 
-    /// Messages of a class that ended so.
-    pub fn ended(&self, lane: &str, result: &str) -> f64 {
+    /// Number of messages of a class with this final outcome.
+    pub fn finished(&self, lane: &str, result: &str) -> f64 {
         self.get(&format!("downstream_requests_total{{lane={lane},result={result}}}"))
     }
 }
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,10 +1,10 @@
 //! The sender as a process, with endpoints, platform and clients on loopback sockets.
+mod admin_endpoint;
 mod calls;
 mod clients;
 mod cost;
-mod figures;
+mod harness;
+mod metrics;
 mod restarts;
 mod shutdown;
-mod staff;
 mod upgrade;
-mod world;
