--- a/src/net/host/calls.rs
+++ b/src/net/host/calls.rs
@@ -11,7 +11,6 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A call in flight.
 pub struct InFlightCall {
     pub started: Time,
     /// The message of a call with a single one; a call with several cannot be cancelled.
@@ -78,8 +77,8 @@
 
     /// Closes idle connections that exceed the limit together with the calls in flight.
     fn trim(&mut self) {
-        let active = self.in_flight.len() + self.in_flight_elsewhere.len();
-        self.pool.trim(self.max_connections.saturating_sub(active));
+        self.pool
+            .trim(self.max_connections.saturating_sub(self.in_flight.len() + self.in_flight_elsewhere.len()));
     }
 }
 
--- a/src/net/host/step.rs
+++ b/src/net/host/step.rs
@@ -47,8 +47,10 @@
                     }
                 }
                 Action::Refuse { message, after } => {
-                    let retry_after_ms = after.map(|span| span.0.div_ceil(1000));
-                    self.finish_undelivered(message.0, FinalOutcome::Returned(retry_after_ms));
+                    self.finish_undelivered(
+                        message.0,
+                        FinalOutcome::Returned(after.map(|span| span.0.div_ceil(1000))),
+                    );
                 }
                 Action::Fail(id) => self.finish_undelivered(id.0, FinalOutcome::Failed),
                 Action::WakeIn(span) => {
--- a/tests/sockets/metrics.rs
+++ b/tests/sockets/metrics.rs
@@ -125,7 +125,7 @@
         assert_eq!(node.submit(id, id, "").await.status(), 202);
     }
     let calls = [endpoint.next_call().await, endpoint.next_call().await];
-    // One more has failed, and the platform does not acknowledge its notice.
+    // A third message fails, and the platform does not acknowledge its notice.
     platform.ignore_notices.store(true, Ordering::SeqCst);
     assert_eq!(node.submit("over", "unsafe", "").await.status(), 202);
     endpoint.next_call().await.reply(Reply::Disconnect);
@@ -269,7 +269,7 @@
         assert!(answer == "done\n" || answer.ends_with("end\n"), "{answer:?}");
         assert!(started.elapsed() < 2 * ANSWER_TIMEOUT, "{line} took {:?}", started.elapsed());
     }
-    // Those that read at last get as much as their buffer could hold, and then a close.
+    // Callers that read at last get as much as their buffer could hold, and then a close.
     for mut stream in not_reading {
         let mut got = Vec::new();
         let _ = tokio::time::timeout(TEST_TIMEOUT, stream.read_to_end(&mut got)).await.expect("a close");
