--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,4 +1,4 @@
-//! The side that clients see: messages are handed in, and answered once the journal holds them.
+//! The HTTP server for clients: accepts submitted messages and answers them once the journal holds them.
 use super::input::Input;
 use super::journal::SubmittedMessage;
 use super::relay::Answer;
@@ -23,76 +23,76 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore, oneshot, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-const MOST_BODY: usize = 64 * 1024;
-/// Seconds that no deadline is further away; what clients say beyond it is cut.
-const MOST_REMAINING: f64 = 86_400.0;
-/// Longest header field that is kept with a message.
-const MOST_FIELD: usize = 1024;
-/// What one connection may have buffered: hundreds of them, each with a head that never ends, must fit in memory.
-const MOST_BUFFER: usize = 16 * 1024;
-/// Whoever has not sent a whole request so long after connecting is cut off: strangers are owed an error or a
-/// close within 3 s.
-const FIRST_PATIENCE: Duration = Duration::from_millis(2200);
-/// A first request whose head has come is answered by then, whatever of its body has: an error serves its client
-/// better than a close, and a stranger has it in time.
-const FIRST_ANSWER: Duration = Duration::from_millis(2700);
-/// A client that has not sent the rest of its request by then has gone.
-const READ_PATIENCE: Duration = Duration::from_secs(2);
-/// While the clients are sent away, an idle connection stays open this long: the front still deals out new
-/// ones for 0.2 s after it heard the no, and asks ten times a second.
-const DRAIN_STAY: Duration = Duration::from_millis(400);
-/// With the doors shut, whoever has just connected may still hand in what is on its way: a new connection that ends
-/// without an answer costs its client the request.
-const FIRST_STAY: Duration = Duration::from_millis(100);
-/// What still comes on a connection that this side has ended is read for so long, and so much of it: a close over
-/// unread bytes is a reset, which may take the last answer with it.
-const LINGER: Duration = Duration::from_millis(200);
-const MOST_LINGER: usize = 256 * 1024;
-/// The same where others wait for its place.
-const SHORT_LINGER: Duration = Duration::from_millis(20);
-/// A connection on which nothing was begun for so long makes room for others.
-const IDLE: Duration = Duration::from_secs(10);
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Maximum deadline in seconds; longer ones from clients are capped.
+const MAX_REMAINING_S: f64 = 86_400.0;
+/// Maximum length of a header field that is stored with a message.
+const MAX_FIELD_BYTES: usize = 1024;
+/// Maximum read buffer of a connection: hundreds of connections, each with an endless head, must fit in memory.
+const MAX_BUFFER_BYTES: usize = 16 * 1024;
+/// A connection without a complete request head by then is closed: unknown callers are due an error or a close
+/// within 3 s.
+const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2200);
+/// A first request whose head has arrived is answered by then, even if its body is incomplete: an error is more
+/// useful to the client than a close, and it still arrives within the 3 s.
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(2700);
+/// A client that has not sent the rest of its request by then is considered disconnected.
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
+/// While draining, an idle connection stays open this long: the load balancer polls readiness ten times a second, and
+/// assigns new connections for another 0.2 s after a negative answer.
+const DRAIN_IDLE_GRACE: Duration = Duration::from_millis(400);
+/// After the listener is closed, a connection without a request so far may still submit one that is on its way: a new
+/// connection that ends without an answer costs its client the request.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
+/// Limits on reading from a connection after shutting down its sending side: closing with unread bytes resets the
+/// connection, and the client may lose the last answer.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+const MAX_LINGER_BYTES: usize = 256 * 1024;
+/// The limit on time when another connection waits for the slot.
+const CROWDED_LINGER_TIMEOUT: Duration = Duration::from_millis(20);
+/// A connection without a new request for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What winding down asks of the connections.
+/// How client connections are treated, from normal service to shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Doors {
     Open,
-    /// Staff send the clients away: readiness says no, each connection ends with its next answer, and idle ones
-    /// are closed after a short stay. New ones are served all the same.
+    /// Drained by an operator: readiness is negative, each connection closes after its next answer, and idle ones
+    /// close after a grace period. New connections are still served.
     Draining,
-    /// Another process serves new clients: those that are still here are sent to it as in a drain.
+    /// Another process serves new clients: the remaining connections move to it as in a drain.
     Leaving {
         ready: bool,
     },
-    /// Each connection ends with its next answer, so that its client goes elsewhere.
+    /// Each connection closes after its next answer, so that its client goes elsewhere.
     Closing,
-    /// No new connections, and idle ones are closed.
+    /// The listener is closed, and idle connections are closed.
     Shut,
 }
 
 impl Doors {
-    /// Whether idle connections are closed after a short stay.
-    fn send_away(self) -> bool {
+    /// Whether idle connections are closed after `DRAIN_IDLE_GRACE`.
+    fn closes_idle(self) -> bool {
         matches!(self, Doors::Draining | Doors::Leaving { .. })
     }
 }
 
-/// Bytes of a body for one permit.
-const BODY_PERMIT: usize = 1024;
+/// Body bytes that one permit stands for.
+const BYTES_PER_PERMIT: usize = 1024;
 
-/// Permits for the bodies that are being read, where they may have so many bytes together; none for any number.
+/// Permits for request bodies being read, which together may have that many bytes; unlimited without a limit.
 pub fn bodies(bytes: Option<usize>) -> Arc<Semaphore> {
-    // One body always has room, or nothing could ever be handed in.
-    let permits = bytes.map(|bytes| bytes.max(MOST_BODY) / BODY_PERMIT);
+    // One body always fits, or no message could ever be submitted.
+    let permits = bytes.map(|bytes| bytes.max(MAX_BODY_BYTES) / BYTES_PER_PERMIT);
     Arc::new(Semaphore::new(permits.unwrap_or(Semaphore::MAX_PERMITS).min(Semaphore::MAX_PERMITS)))
 }
 
-fn body_permits(length: usize) -> u32 {
-    u32::try_from(length.div_ceil(BODY_PERMIT)).unwrap_or(u32::MAX)
+fn permits_for(length: usize) -> u32 {
+    u32::try_from(length.div_ceil(BYTES_PER_PERMIT)).unwrap_or(u32::MAX)
 }
 
-/// Serves clients, on `most` connections at once, until the doors are shut and every request that was read has
-/// its answer.
+/// Serves clients, on at most `most` connections, until shutdown closes the listener and every request that was read
+/// is answered.
 pub async fn serve(
     listener: TcpListener,
     room: Arc<Semaphore>,
@@ -103,14 +103,14 @@
     shared: Arc<Shared>,
 ) {
     let crowded = Arc::new(Notify::new());
-    let mut last = false;
+    let mut shut = false;
     loop {
         let accepted = tokio::select! {
-            // The socket itself is another process's then too: what is in its queue is not lost.
+            // On a handover the listening socket is shared with the new process: queued connections aren't lost.
             ended = doors.wait_for(|doors| matches!(doors, Doors::Shut | Doors::Leaving { .. })) => {
-                last = ended.is_ok_and(|doors| *doors == Doors::Shut);
-                // Whoever has been let in by the system already is served as one that came just before.
-                match last.then(|| accept(&listener, &room, &crowded).now_or_never()).flatten() {
+                shut = ended.is_ok_and(|doors| *doors == Doors::Shut);
+                // A connection that the kernel has already accepted is still served.
+                match shut.then(|| accept(&listener, &room, &crowded).now_or_never()).flatten() {
                     Some(accepted) => accepted,
                     None => break,
                 }
@@ -120,7 +120,7 @@
         match accepted {
             Ok((stream, permit)) => {
                 let connection =
-                    connection(stream, host.clone(), crowded.clone(), doors.clone(), bodies.clone());
+                    serve_connection(stream, host.clone(), crowded.clone(), doors.clone(), bodies.clone());
                 let shared = shared.clone();
                 tokio::spawn(async move {
                     shared.clients.fetch_add(1, Ordering::Relaxed);
@@ -129,21 +129,21 @@
                     drop(permit);
                 });
             }
-            Err(_) if last => break,
+            Err(_) if shut => break,
             Err(e) => {
-                // Out of descriptors, say: what is open goes on, and closing makes room.
-                tracing::warn!("accepting: {e}");
+                // For example out of descriptors: open connections continue, and closing them frees some.
+                tracing::warn!("cannot accept a client connection: {e}");
                 sleep(Duration::from_millis(20)).await;
             }
         }
     }
     drop(listener);
-    // With all permits back, every connection has ended.
+    // Once all permits are returned, every connection has ended.
     let _ = room.acquire_many(u32::try_from(most).unwrap_or(u32::MAX)).await;
 }
 
-/// The next connection, once there is room for it: where there is none, the oldest one makes it, at once if
-/// it is idle and else with its next answer.
+/// Accepts the next connection once a slot is free. If none is, the oldest connection is asked to close: at once if it
+/// is idle, else after its next answer.
 async fn accept(
     listener: &TcpListener,
     room: &Arc<Semaphore>,
@@ -157,7 +157,7 @@
     Ok((stream, permit))
 }
 
-async fn connection(
+async fn serve_connection(
     mut stream: TcpStream,
     host: UnboundedSender<Input>,
     crowded: Arc<Notify>,
@@ -165,98 +165,98 @@
     bodies: Arc<Semaphore>,
 ) {
     let _ = stream.set_nodelay(true);
-    let patience = match served(&mut stream, host, &crowded, &mut doors, bodies).await {
-        Ending::Crowded => SHORT_LINGER,
-        Ending::Other => LINGER,
+    let linger = match serve_requests(&mut stream, host, &crowded, &mut doors, bodies).await {
+        Ending::Crowded => CROWDED_LINGER_TIMEOUT,
+        Ending::Other => LINGER_TIMEOUT,
     };
-    // Ended by the other side, or reset: nothing comes any more.
+    // Closed or reset by the client: there is nothing left to read.
     if stream.shutdown().await.is_err() {
         return;
     }
-    let mut piece = vec![0; 4096];
+    let mut chunk = vec![0; 4096];
     let rest = async {
-        let mut left = MOST_LINGER;
-        while let Ok(read @ 1..) = stream.read(&mut piece).await
-            && read < left
+        let mut bytes_left = MAX_LINGER_BYTES;
+        while let Ok(read @ 1..) = stream.read(&mut chunk).await
+            && read < bytes_left
         {
-            left -= read;
+            bytes_left -= read;
         }
     };
-    let _ = timeout(patience, rest).await;
+    let _ = timeout(linger, rest).await;
 }
 
 /// Why a connection ends.
 enum Ending {
-    /// Others wait for its place.
+    /// Another connection waits for its slot.
     Crowded,
     Other,
 }
 
-/// Serves a connection until this side has nothing more to say on it.
-async fn served(
+/// Serves requests on a connection until this side has no more answers to send.
+async fn serve_requests(
     stream: &mut TcpStream,
     host: UnboundedSender<Input>,
     crowded: &Notify,
     doors: &mut watch::Receiver<Doors>,
     bodies: Arc<Semaphore>,
 ) -> Ending {
-    let (at_door, began) = (doors.clone(), Instant::now());
-    let heard = Arc::new(AtomicBool::new(false));
-    let asked = heard.clone();
+    let (current_doors, connected_at) = (doors.clone(), Instant::now());
+    let has_request = Arc::new(AtomicBool::new(false));
+    let request_arrived = has_request.clone();
     let service = service_fn(move |request| {
-        let (host, doors, bodies) = (host.clone(), *at_door.borrow(), bodies.clone());
-        // Its head has come: from here on it gets an answer.
-        let patience = match asked.swap(true, Ordering::Relaxed) {
-            true => READ_PATIENCE,
-            false => READ_PATIENCE.min(FIRST_ANSWER.saturating_sub(began.elapsed())),
+        let (host, doors, bodies) = (host.clone(), *current_doors.borrow(), bodies.clone());
+        // The head has arrived: from here on the request gets an answer.
+        let body_timeout = match request_arrived.swap(true, Ordering::Relaxed) {
+            true => BODY_TIMEOUT,
+            false => BODY_TIMEOUT.min(FIRST_ANSWER_TIMEOUT.saturating_sub(connected_at.elapsed())),
         };
-        async move { Ok::<_, Infallible>(respond(request, &host, doors, patience, &bodies).await) }
+        async move { Ok::<_, Infallible>(respond(request, &host, doors, body_timeout, &bodies).await) }
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
-        .max_buf_size(MOST_BUFFER)
-        // A client may end its sending with its request; it still waits for the answer.
+        .header_read_timeout(IDLE_TIMEOUT)
+        .max_buf_size(MAX_BUFFER_BYTES)
+        // A client may close its sending side after its request and still wait for the answer.
         .half_close(true)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    // A client that breaks its connection off hears nothing more: there is nobody to tell of the error.
+    // If the client breaks the connection, nobody is left to receive the error.
     let mut ending = Ending::Other;
     tokio::select! {
         _ = connection.as_mut() => return ending,
-        () = sent_away(doors, &heard) => {}
+        () = idle_close_due(doors, &has_request) => {}
         () = crowded.notified() => ending = Ending::Crowded,
-        () = unheard(&heard) => return ending,
+        () = first_head_overdue(&has_request) => return ending,
     }
     connection.as_mut().graceful_shutdown();
     tokio::select! {
         _ = connection => {}
-        () = unheard(&heard) => {}
+        () = first_head_overdue(&has_request) => {}
     }
     ending
 }
 
-/// Ends once an idle connection is to be closed.
-async fn sent_away(doors: &mut watch::Receiver<Doors>, heard: &AtomicBool) {
+/// Completes when an idle connection is to be closed.
+async fn idle_close_due(doors: &mut watch::Receiver<Doors>, has_request: &AtomicBool) {
     loop {
-        let told = doors.wait_for(|doors| doors.send_away() || *doors == Doors::Shut).await;
-        if !told.is_ok_and(|doors| doors.send_away()) {
-            if !heard.load(Ordering::Relaxed) {
-                sleep(FIRST_STAY).await;
+        let changed = doors.wait_for(|doors| doors.closes_idle() || *doors == Doors::Shut).await;
+        if !changed.is_ok_and(|doors| doors.closes_idle()) {
+            if !has_request.load(Ordering::Relaxed) {
+                sleep(FIRST_REQUEST_GRACE).await;
             }
             return;
         }
-        // Back at work before that, nobody has to go.
-        if timeout(DRAIN_STAY, doors.wait_for(|doors| !doors.send_away())).await.is_err() {
+        // If normal service resumes within the grace period, the connection stays.
+        if timeout(DRAIN_IDLE_GRACE, doors.wait_for(|doors| !doors.closes_idle())).await.is_err() {
             return;
         }
     }
 }
 
-/// Ends when a connection's patience for its first request is over, and never once the head of that has come.
-async fn unheard(heard: &AtomicBool) {
-    sleep(FIRST_PATIENCE).await;
-    if heard.load(Ordering::Relaxed) {
+/// Completes when a connection's first request is overdue, and never if its head has arrived in time.
+async fn first_head_overdue(has_request: &AtomicBool) {
+    sleep(FIRST_HEAD_TIMEOUT).await;
+    if has_request.load(Ordering::Relaxed) {
         pending::<()>().await;
     }
 }
@@ -265,7 +265,7 @@
     request: Request<Incoming>,
     host: &UnboundedSender<Input>,
     doors: Doors,
-    patience: Duration,
+    body_timeout: Duration,
     bodies: &Semaphore,
 ) -> Response<Full<Bytes>> {
     let mut response = match (request.method(), request.uri().path()) {
@@ -277,7 +277,7 @@
             plain(StatusCode::SERVICE_UNAVAILABLE, "draining\n")
         }
         (&Method::GET, READY) => plain(StatusCode::SERVICE_UNAVAILABLE, "winding down\n"),
-        (&Method::POST, HAND_IN) => hand_in(request, host, patience, bodies).await,
+        (&Method::POST, HAND_IN) => submit(request, host, body_timeout, bodies).await,
         (_, READY | HAND_IN) => plain(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n"),
         _ => plain(StatusCode::NOT_FOUND, "not found\n"),
     };
@@ -293,49 +293,51 @@
     response
 }
 
-async fn hand_in(
+async fn submit(
     request: Request<Incoming>,
     host: &UnboundedSender<Input>,
-    patience: Duration,
+    body_timeout: Duration,
     bodies: &Semaphore,
 ) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
-    // Clients tell the length of a message: without it, where one ends is a matter of opinion.
+    // Clients must send Content-Length: without it the end of a message is ambiguous.
     let length = match body.size_hint().exact().map(usize::try_from) {
         None => return plain(StatusCode::LENGTH_REQUIRED, "Content-Length is missing\n"),
-        Some(Ok(length)) if length <= MOST_BODY => length,
+        Some(Ok(length)) if length <= MAX_BODY_BYTES => length,
         Some(_) => return plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n"),
     };
-    // Hundreds of clients that each begin a long body at one moment must fit in memory.
-    let Ok(_room) = bodies.try_acquire_many(body_permits(length)) else {
-        return plain(StatusCode::SERVICE_UNAVAILABLE, "no room for the body now\n");
+    // Hundreds of clients that send a long body at the same time must fit in memory.
+    let Ok(_permits) = bodies.try_acquire_many(permits_for(length)) else {
+        return plain(StatusCode::SERVICE_UNAVAILABLE, "too many request bodies in memory\n");
     };
-    let body = match timeout(patience, whole(body, length)).await {
+    let body = match timeout(body_timeout, read_body(body, length)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "the body cannot be read\n"),
-        Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not come\n"),
+        Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "the body could not be read\n"),
+        Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "timed out while reading the body\n"),
     };
-    let came = Instant::now();
-    let (message, remaining) = match read(&head.headers, body) {
-        Ok(read) => read,
-        Err(what) => return plain(StatusCode::BAD_REQUEST, format!("{what}\n")),
+    let received_at = Instant::now();
+    let (message, remaining) = match parse(&head.headers, body) {
+        Ok(parsed) => parsed,
+        Err(reason) => return plain(StatusCode::BAD_REQUEST, format!("{reason}\n")),
     };
     let (answer, answered) = oneshot::channel();
-    let _ = host.send(Input::HandIn { message, deadline: came + remaining, answer });
+    let _ = host.send(Input::HandIn { message, deadline: received_at + remaining, answer });
     match answered.await {
         Ok(Answer::TakenOn) => plain(StatusCode::ACCEPTED, ""),
-        Ok(Answer::Malformed(what)) => plain(StatusCode::BAD_REQUEST, format!("{what}\n")),
-        // A host that has ended took nothing on.
-        Ok(Answer::Refused) | Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n"),
+        Ok(Answer::Malformed(reason)) => plain(StatusCode::BAD_REQUEST, format!("{reason}\n")),
+        // A host that has ended did not accept the message.
+        Ok(Answer::Refused) | Err(_) => {
+            plain(StatusCode::SERVICE_UNAVAILABLE, "the message was not accepted\n")
+        }
     }
 }
 
-/// A body in memory of its own. As it comes it is a part of the connection's buffer, of 8 KiB and more, which a
-/// message of a few bytes would keep for as long as it is held, with a new one made for the next request.
-async fn whole(mut body: Incoming, length: usize) -> Result<Bytes, hyper::Error> {
+/// Copies a body into its own allocation. hyper's frames share the connection's buffer of 8 KiB and more, which a
+/// message of a few bytes would keep allocated while it is pending, and the next request would need a new buffer.
+async fn read_body(mut body: Incoming, length: usize) -> Result<Bytes, hyper::Error> {
     let mut bytes = Vec::with_capacity(length);
     while let Some(frame) = body.frame().await {
-        // Trailers mean nothing here.
+        // Trailers are ignored.
         if let Ok(data) = frame?.into_data() {
             bytes.extend_from_slice(&data);
         }
@@ -343,35 +345,36 @@
     Ok(bytes.into())
 }
 
-/// A message and how long it may still be delivered.
-fn read(headers: &HeaderMap, body: Bytes) -> Result<(SubmittedMessage, Duration), String> {
+/// Parses a submitted message and the time left to deliver it. The error is sent to the client.
+fn parse(headers: &HeaderMap, body: Bytes) -> Result<(SubmittedMessage, Duration), String> {
     let optional = |name: &str| -> Result<Option<String>, String> {
         if headers.get_all(name).iter().nth(1).is_some() {
-            return Err(format!("{name} comes more than once"));
+            return Err(format!("{name} is given more than once"));
         }
         let text = headers.get(name).map(|value| value.to_str().map(|text| text.trim().to_owned()));
         let text = text.transpose().map_err(|_| format!("{name} is not text"))?;
         match text {
-            Some(text) if text.len() > MOST_FIELD => Err(format!("{name} is too long")),
+            Some(text) if text.len() > MAX_FIELD_BYTES => Err(format!("{name} is too long")),
             text => Ok(text),
         }
     };
-    let needed = |name: &str| optional(name)?.filter(|t| !t.is_empty()).ok_or(format!("{name} is missing"));
-    let remaining: f64 = needed(REMAINING)?.parse().map_err(|_| "X-Remaining is not a number")?;
+    let required =
+        |name: &str| optional(name)?.filter(|text| !text.is_empty()).ok_or(format!("{name} is missing"));
+    let remaining: f64 = required(REMAINING)?.parse().map_err(|_| "X-Remaining is not a number")?;
     if !(remaining > 0.0 && remaining.is_finite()) {
-        return Err("X-Remaining is not a time left".to_owned());
+        return Err("X-Remaining is not a positive number of seconds".to_owned());
     }
-    let envelope = needed(ENVELOPE)?;
+    let envelope = required(ENVELOPE)?;
     let destination = envelope.split([',', ';', ' ']).find_map(|field| field.trim().strip_prefix("dest="));
     let destination = destination.and_then(|number| number.parse().ok());
     let message = SubmittedMessage {
-        id: needed(TXN)?,
-        class: needed(LANE)?,
+        id: required(TXN)?,
+        class: required(LANE)?,
         tenant: optional("X-Org")?,
         key: optional("X-Entity")?,
         idempotency_key: optional(IDEMPOTENCY_KEY)?,
-        destination: destination.ok_or("X-Envelope holds no dest")?,
+        destination: destination.ok_or("X-Envelope has no valid dest field")?,
         body,
     };
-    Ok((message, Duration::from_secs_f64(remaining.min(MOST_REMAINING))))
+    Ok((message, Duration::from_secs_f64(remaining.min(MAX_REMAINING_S))))
 }
