--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! One connection, kept or new, and how much of a request went out on it.
+//! An HTTP/1.1 client connection that tracks how much of its request was written.
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -20,39 +20,40 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// What one connection may have buffered beside that: an answer's head that never ends must not fill the memory.
-const MOST_BUFFER: usize = 32 * 1024;
+/// Maximum read buffer of a connection: an endless response head must not fill the memory.
+const MAX_BUFFER_BYTES: usize = 32 * 1024;
 
 /// Why a call got no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    #[error("no connection: {0}")]
+    #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
-    /// A kept connection was no good any more, seen before a byte of the request went out on it.
-    #[error("gone before a byte was written: {0}")]
+    /// A reused connection was found unusable before any byte of the request was written.
+    #[error("reused connection closed before the request was sent: {0}")]
     Stale(#[source] hyper::Error),
-    /// It broke before the request's last byte was written.
-    #[error("broken before the request was written: {0}")]
+    /// It broke before the request's last byte was written: the call cannot have executed.
+    #[error("connection broke before the request was written: {0}")]
     Unsent(#[source] hyper::Error),
-    #[error("broken after the request was written: {0}")]
+    /// It broke after the request's last byte was written: the call may have executed.
+    #[error("connection broke after the request was written: {0}")]
     Reset(#[source] hyper::Error),
 }
 
-/// How much of the request on a connection has been written, counted on the way to the socket: the one way
-/// to know whether a call that broke may have run.
+/// How much of the current request has been written, counted at the socket: the only way to know whether a call
+/// on a broken connection may have executed.
 #[derive(Default)]
 struct Written {
     /// Whether the connection had carried a request before this one.
     kept: bool,
-    begun: bool,
-    /// Bytes matched of the blank line that ends the head.
+    started: bool,
+    /// Matched bytes of the `\r\n\r\n` that ends the head.
     matched: u8,
     body_left: usize,
 }
 
 impl Written {
     fn count(&mut self, mut bytes: &[u8]) {
-        self.begun |= !bytes.is_empty();
+        self.started |= !bytes.is_empty();
         while self.matched < 4
             && let Some((first, rest)) = bytes.split_first()
         {
@@ -66,16 +67,16 @@
         self.body_left = self.body_left.saturating_sub(bytes.len());
     }
 
-    fn head_whole(&self) -> bool {
+    fn head_complete(&self) -> bool {
         self.matched == 4
     }
 
-    fn whole(&self) -> bool {
-        self.head_whole() && self.body_left == 0
+    fn complete(&self) -> bool {
+        self.head_complete() && self.body_left == 0
     }
 }
 
-/// A stream that counts what is written to it. It takes no vectored writes, which keeps the count simple.
+/// A stream that counts the bytes written to it. It supports no vectored writes, which keeps the count simple.
 struct Counted {
     stream: TcpStream,
     written: Arc<Mutex<Written>>,
@@ -93,12 +94,12 @@
 
 impl AsyncWrite for Counted {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let first = {
+        let first_write = {
             let written = self.written.lock().unwrap_or_else(PoisonError::into_inner);
-            written.kept && !written.begun
+            written.kept && !written.started
         };
-        if first {
-            quiet(&self.stream)?;
+        if first_write {
+            check_idle(&self.stream)?;
         }
         let count = ready!(Pin::new(&mut self.stream).poll_write(cx, buf))?;
         self.written.lock().unwrap_or_else(PoisonError::into_inner).count(&buf[..count]);
@@ -114,18 +115,18 @@
     }
 }
 
-/// An error if the peer has ended a connection on which nothing is due, or has sent anything. Asked of the system
-/// itself: what has come since the last look at the socket would be read as the answer to the next request.
-fn quiet(stream: &TcpStream) -> io::Result<()> {
+/// Checks that the peer has neither closed an idle connection nor sent anything on it. Peeks at the socket itself:
+/// bytes that arrived since the last poll would be read as the answer to the next request.
+fn check_idle(stream: &TcpStream) -> io::Result<()> {
     match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(()),
         Err(e) => Err(e),
         Ok(0) => Err(io::ErrorKind::ConnectionAborted.into()),
-        Ok(_) => Err(io::Error::new(io::ErrorKind::InvalidData, "bytes that nobody asked for")),
+        Ok(_) => Err(io::Error::new(io::ErrorKind::InvalidData, "unsolicited bytes on an idle connection")),
     }
 }
 
-/// A connection of our own. Dropping it closes it, which also gives up the call on it.
+/// An open connection. Dropping it closes it, which also abandons the call on it.
 pub struct Connection {
     requests: http1::SendRequest<Full<Bytes>>,
     written: Arc<Mutex<Written>>,
@@ -141,58 +142,61 @@
 }
 
 impl Connection {
-    /// Connects within `patience`.
-    pub async fn open(address: SocketAddr, patience: Duration) -> Result<Self, CallError> {
-        let stream = match timeout(patience, TcpStream::connect(address)).await {
+    /// Connects within `time_limit`.
+    pub async fn open(address: SocketAddr, time_limit: Duration) -> Result<Self, CallError> {
+        let stream = match timeout(time_limit, TcpStream::connect(address)).await {
             Ok(stream) => stream.map_err(CallError::Connect)?,
             Err(_) => return Err(CallError::Connect(io::ErrorKind::TimedOut.into())),
         };
-        Self::over(stream).await
+        Self::from_stream(stream).await
     }
 
-    /// On a stream that is connected.
-    async fn over(stream: TcpStream) -> Result<Self, CallError> {
+    /// Wraps a connected stream.
+    async fn from_stream(stream: TcpStream) -> Result<Self, CallError> {
         stream.set_nodelay(true).map_err(CallError::Connect)?;
         let written = Arc::new(Mutex::new(Written::default()));
         let io = TokioIo::new(Counted { stream, written: written.clone() });
-        let (requests, connection) =
-            http1::Builder::new().max_buf_size(MOST_BUFFER).handshake(io).await.map_err(CallError::Unsent)?;
-        // How it ends shows in the call on it, or in `is_alive`.
+        let (requests, connection) = http1::Builder::new()
+            .max_buf_size(MAX_BUFFER_BYTES)
+            .handshake(io)
+            .await
+            .map_err(CallError::Unsent)?;
+        // Its result also shows in the call on the connection, or in `is_alive`.
         let driver = tokio::spawn(async move { drop(connection.await) }).abort_handle();
         Ok(Self { requests, written, used: false, driver })
     }
 
-    /// Whether it can take a call: asked before a byte of one is written.
+    /// Waits until the connection can send a request; false if it is closed.
     pub async fn is_alive(&mut self) -> bool {
         self.requests.ready().await.is_ok()
     }
 
-    /// Whether its end has been seen.
+    /// Whether the connection is known to be closed.
     pub fn is_closed(&self) -> bool {
         self.requests.is_closed()
     }
 
-    /// Sends one request; the answer is there with its head.
+    /// Sends one request, and returns its answer once the head has arrived.
     pub async fn send(&mut self, request: Builder, body: Bytes) -> Result<Response<Incoming>, CallError> {
         let kept = std::mem::replace(&mut self.used, true);
         *self.written() = Written { kept, body_left: body.len(), ..Written::default() };
         let request = request.body(Full::new(body)).unwrap_or_else(|e| {
-            // All parts were valid header values when they came in.
-            tracing::warn!("pool: {e}");
+            // All parts were valid header values when the server received them.
+            tracing::warn!("cannot build the request: {e}");
             Request::default()
         });
         self.requests.send_request(request).await.map_err(|e| match *self.written() {
-            ref written if written.whole() => CallError::Reset(e),
-            Written { kept: true, begun: false, .. } => CallError::Stale(e),
+            ref written if written.complete() => CallError::Reset(e),
+            Written { kept: true, started: false, .. } => CallError::Stale(e),
             _ => CallError::Unsent(e),
         })
     }
 
-    /// Sends one request on `kept`, or on a new connection where there is none or that one is stale.
+    /// Sends one request on the `kept` connection, or on a new one if there is none or it is stale.
     pub async fn exchange(
         kept: Option<Self>,
         address: SocketAddr,
-        patience: Duration,
+        time_limit: Duration,
         head: impl Fn() -> Builder,
         body: Bytes,
     ) -> Result<(Self, Response<Incoming>), CallError> {
@@ -202,7 +206,7 @@
                 answer => return answer.map(|answer| (kept, answer)),
             }
         }
-        let mut new = Self::open(address, patience).await?;
+        let mut new = Self::open(address, time_limit).await?;
         let answer = new.send(head(), body).await?;
         Ok((new, answer))
     }
@@ -211,18 +215,18 @@
         self.written.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the last request's head has been written: an endpoint may begin work on it before it has the body.
+    /// Whether the last request's head has been written: an endpoint may start executing it before the body arrives.
     pub fn head_written(&self) -> bool {
-        self.written().head_whole()
+        self.written().head_complete()
     }
 
-    /// Whether the whole of the last request has been written.
+    /// Whether the last request has been written completely.
     pub fn request_written(&self) -> bool {
-        self.written().whole()
+        self.written().complete()
     }
 }
 
-/// A request's head.
+/// Starts a request with its method, path and `Host` header.
 pub fn request(method: Method, path: &str, host: SocketAddr) -> Builder {
     Request::builder().method(method).uri(path).header(HOST, host.to_string())
 }
--- a/src/net/connection/tests.rs
+++ b/src/net/connection/tests.rs
@@ -5,111 +5,111 @@
 use std::net::{TcpListener, TcpStream as Blocking};
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(20);
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const TIME_LIMIT: Duration = Duration::from_secs(20);
+const EMPTY_ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 fn post(to: SocketAddr) -> Builder {
     request(Method::POST, "/hook", to)
 }
 
-/// A connection, the peer's end of it, and a second handle on ours, to see what the system holds for it.
-async fn pair() -> (Connection, Blocking, Blocking, SocketAddr) {
+/// A connection, the peer's end, and a second handle on our socket, to see what the kernel has received for it.
+async fn connected_pair() -> (Connection, Blocking, Blocking, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let ours = Blocking::connect(address).unwrap();
     let (peer, _) = listener.accept().unwrap();
-    peer.set_read_timeout(Some(PATIENCE)).unwrap();
-    let seen = ours.try_clone().unwrap();
+    peer.set_read_timeout(Some(TIME_LIMIT)).unwrap();
+    let observer = ours.try_clone().unwrap();
     ours.set_nonblocking(true).unwrap();
     let stream = TcpStream::from_std(ours).unwrap();
-    (Connection::over(stream).await.unwrap(), peer, seen, address)
+    (Connection::from_stream(stream).await.unwrap(), peer, observer, address)
 }
 
-/// Reads one request whole, on a thread of its own, and answers it.
+/// Reads one complete request on its own thread, and answers it.
 fn answer_one(mut peer: Blocking) -> std::thread::JoinHandle<Blocking> {
     std::thread::spawn(move || {
-        let mut got = Vec::new();
-        while !got.ends_with(b"\r\n\r\nwhole") {
-            let mut piece = [0; 512];
-            let read = peer.read(&mut piece).unwrap();
-            assert!(read > 0, "no whole request");
-            got.extend_from_slice(&piece[..read]);
+        let mut received = Vec::new();
+        while !received.ends_with(b"\r\n\r\nwhole") {
+            let mut chunk = [0; 512];
+            let read = peer.read(&mut chunk).unwrap();
+            assert!(read > 0, "incomplete request");
+            received.extend_from_slice(&chunk[..read]);
         }
-        peer.write_all(ANSWER).unwrap();
+        peer.write_all(EMPTY_ANSWER).unwrap();
         peer
     })
 }
 
-/// A connection that has carried one call, and its peer.
-async fn used() -> (Connection, Blocking, Blocking) {
-    let (mut connection, peer, seen, address) = pair().await;
+/// A connection that has completed one call, its peer, and the second handle on its socket.
+async fn used_connection() -> (Connection, Blocking, Blocking) {
+    let (mut connection, peer, observer, address) = connected_pair().await;
     let answering = answer_one(peer);
-    let answer = timeout(PATIENCE, connection.send(post(address), "whole".into())).await.unwrap().unwrap();
+    let answer = timeout(TIME_LIMIT, connection.send(post(address), "whole".into())).await.unwrap().unwrap();
     assert_eq!(answer.status(), StatusCode::OK);
     answer.into_body().collect().await.unwrap();
     let peer = tokio::task::spawn_blocking(|| answering.join().unwrap()).await.unwrap();
-    (connection, peer, seen)
+    (connection, peer, observer)
 }
 
-/// Waits until the system holds what the peer did for us. It blocks, so that the runtime cannot look at its own
-/// sockets meanwhile: the next call meets bytes that nobody has seen.
-fn arrived(seen: &Blocking) {
+/// Waits until the kernel has received the peer's bytes, close or reset. It blocks, so that the runtime cannot poll
+/// its sockets meanwhile: the next call starts with this input still unread.
+fn wait_for_arrival(observer: &Blocking) {
     let began = std::time::Instant::now();
-    // An error is a reset, and that has arrived too.
-    while matches!(seen.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock) {
-        assert!(began.elapsed() < PATIENCE);
+    // Any other error is a reset, which has arrived as well.
+    while matches!(observer.peek(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock) {
+        assert!(began.elapsed() < TIME_LIMIT);
         std::thread::yield_now();
     }
 }
 
 /// Guards against reading a surplus answer, or stray bytes, on an idle connection as the answer to the next call:
-/// the message would count as delivered though nobody has read it.
+/// the message would count as delivered though no endpoint has read it.
 #[tokio::test]
 async fn bytes_on_an_idle_connection_answer_no_call() {
-    for stray in [ANSWER, b"HTTP/1.1 200 OK\r\n", b"x"] {
-        let (mut connection, mut peer, seen) = used().await;
+    for stray in [EMPTY_ANSWER, b"HTTP/1.1 200 OK\r\n", b"x"] {
+        let (mut connection, mut peer, observer) = used_connection().await;
         peer.write_all(stray).unwrap();
-        arrived(&seen);
+        wait_for_arrival(&observer);
         let address = peer.local_addr().unwrap();
-        let answer = timeout(PATIENCE, connection.send(post(address), "whole".into())).await.unwrap();
+        let answer = timeout(TIME_LIMIT, connection.send(post(address), "whole".into())).await.unwrap();
         assert!(matches!(answer, Err(CallError::Stale(_))), "{answer:?}");
-        drop((connection, seen));
-        // Either end of it is an end: a close over unread bytes may come as a reset.
-        assert_eq!(peer.read(&mut [0; 512]).unwrap_or(0), 0, "something went out");
+        drop((connection, observer));
+        // A close and a reset both count: closing with unread bytes may send a reset.
+        assert_eq!(peer.read(&mut [0; 512]).unwrap_or(0), 0, "the connection sent bytes");
     }
 }
 
-/// Guards against a call on a connection that its peer has closed or reset meanwhile: nothing goes out, so that it
-/// is known for certain that the call never ran. The other order is `a_break_after_the_last_byte_is_known`.
+/// Guards against a call on a connection that its peer has closed or reset meanwhile: nothing is written, so the call
+/// certainly never executed. The opposite order is `a_break_after_the_last_byte_may_have_executed`.
 #[tokio::test]
-async fn a_connection_closed_in_the_moment_of_its_next_call_is_stale() {
+async fn a_connection_closed_just_before_its_next_call_is_stale() {
     for reset in [false, true] {
-        let (mut connection, peer, seen) = used().await;
+        let (mut connection, peer, observer) = used_connection().await;
         let address = peer.local_addr().unwrap();
         if reset {
             SockRef::from(&peer).set_linger(Some(Duration::ZERO)).unwrap();
         }
         drop(peer);
-        arrived(&seen);
-        let answer = timeout(PATIENCE, connection.send(post(address), "whole".into())).await.unwrap();
+        wait_for_arrival(&observer);
+        let answer = timeout(TIME_LIMIT, connection.send(post(address), "whole".into())).await.unwrap();
         assert!(matches!(answer, Err(CallError::Stale(_))), "reset {reset}: {answer:?}");
         assert!(!connection.request_written());
     }
 }
 
-/// Guards against an exchange that fails for a kept connection's sake: it goes to a new one, once.
+/// Guards against an exchange that fails because its kept connection is stale: it is sent once on a new one.
 #[tokio::test]
-async fn an_exchange_goes_past_a_stale_connection() {
-    let (connection, peer, seen) = used().await;
+async fn an_exchange_replaces_a_stale_connection() {
+    let (connection, peer, observer) = used_connection().await;
     let address = peer.local_addr().unwrap();
     drop(peer);
-    arrived(&seen);
+    wait_for_arrival(&observer);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let new = listener.local_addr().unwrap();
     assert_ne!(new, address);
     let answering = std::thread::spawn(move || answer_one(listener.accept().unwrap().0).join().unwrap());
-    let done = Connection::exchange(Some(connection), new, PATIENCE, || post(new), "whole".into());
-    let (_, answer) = timeout(PATIENCE, done).await.unwrap().unwrap();
+    let done = Connection::exchange(Some(connection), new, TIME_LIMIT, || post(new), "whole".into());
+    let (_, answer) = timeout(TIME_LIMIT, done).await.unwrap().unwrap();
     assert_eq!(answer.status(), StatusCode::OK);
     answering.join().unwrap();
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,4 +1,5 @@
-//! Connections and calls: one call at a time on a connection, and what came back as an [`Outcome`].
+//! The pool of idle connections to endpoints, and calls on them: one call at a time on a connection, with its result
+//! as an [`Outcome`].
 use super::connection::{CallError, Connection, request};
 use super::idle_trust::IdleTrust;
 use super::input::{Called, Input};
@@ -20,12 +21,12 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Bodies of answers are read up to this, which no peer goes beyond; longer ones cost their connection.
-const MOST_ANSWER: usize = 64 * 1024;
-/// How long the rest of an answer may take once its head is there: a wait that it tells binds 100 ms later.
-const REST_PATIENCE: Duration = Duration::from_millis(50);
+/// Maximum length of an answer's body. No peer sends more; a longer answer closes its connection.
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
+/// Time limit for the rest of an answer once its head has arrived: a `Retry-After` in it takes effect 100 ms later.
+const ANSWER_REST_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// One message of a call.
+/// A message as sent in a call.
 #[derive(Clone)]
 pub struct Parcel {
     pub number: u32,
@@ -40,12 +41,13 @@
     pub endpoint: EndpointId,
     pub address: SocketAddr,
     pub parcels: Vec<Parcel>,
-    /// When it is given up.
+    /// Deadline: the call is abandoned then.
     pub expires: Instant,
     pub connect_timeout: Duration,
 }
 
-/// Idle connections by address, the last used one first out: an endpoint that moves leaves its old ones behind.
+/// Idle connections by address, the most recently used one taken first: an endpoint that moves to a new address leaves
+/// its old connections behind.
 pub struct Pool {
     idle: HashMap<SocketAddr, Vec<(Connection, Instant)>>,
     keep: Duration,
@@ -53,39 +55,41 @@
 }
 
 impl Pool {
-    /// `idle_time` is how long endpoints keep an idle connection open: ours are dropped well before.
+    /// Creates an empty pool. `idle_time` is how long endpoints keep an idle connection open; connections here are
+    /// closed after four fifths of it.
     pub fn new(idle_time: Duration) -> Self {
         Self { idle: HashMap::new(), keep: idle_time * 4 / 5, trust: IdleTrust::new() }
     }
 
-    /// From now on, endpoints keep an idle connection open that long.
+    /// Changes how long endpoints keep an idle connection open.
     pub fn keep_for(&mut self, idle_time: Duration) {
         self.keep = idle_time * 4 / 5;
     }
 
-    /// The youngest idle connection to the address, if any is young enough, and how long it was idle.
+    /// Removes the most recently used idle connection to the address, if there is a usable one, and returns it with its
+    /// idle time.
     pub fn take(&mut self, address: SocketAddr) -> Option<(Connection, Duration)> {
         self.prune();
         let idle = self.idle.get_mut(&address)?;
         idle.pop().map(|(connection, since)| (connection, since.elapsed()))
     }
 
-    /// Takes in whether a connection that had been idle for so long, or was new, broke under its call.
+    /// Records whether a call's connection broke, with its idle time before the call, or none if it was new.
     pub fn learn(&mut self, idle: Option<Duration>, broke: bool) {
         self.trust.learn(idle, broke);
     }
 
-    /// Keeps a connection for the next call.
+    /// Adds an idle connection for later calls.
     pub fn put(&mut self, address: SocketAddr, connection: Connection) {
         self.prune();
         self.idle.entry(address).or_default().push((connection, Instant::now()));
     }
 
-    /// Closes the connections that have been idle for longest, all but `most`.
+    /// Closes the connections that have been idle for longest until at most `most` remain.
     pub fn trim(&mut self, most: usize) {
         let over = self.idle().saturating_sub(most);
         for _ in 0..over {
-            // Each address keeps its own in the order in which they fell idle.
+            // The connections of an address are in the order in which they became idle.
             let oldest = self.idle.iter_mut().min_by_key(|(_, idle)| idle.first().map(|(_, since)| *since));
             if let Some((_, idle)) = oldest.filter(|(_, idle)| !idle.is_empty()) {
                 idle.remove(0);
@@ -94,12 +98,12 @@
         }
     }
 
-    /// Connections that are idle.
+    /// Number of idle connections.
     pub fn idle(&self) -> usize {
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// Closes what is idle to an address.
+    /// Closes the idle connections to an address.
     pub fn close(&mut self, address: SocketAddr) {
         self.idle.remove(&address);
     }
@@ -124,14 +128,14 @@
 }
 
 #[derive(Deserialize)]
-struct BatchEnd {
+struct BatchResult {
     id: String,
-    state: State,
+    state: ItemState,
 }
 
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum State {
+enum ItemState {
     Ok,
     Error,
     Later,
@@ -140,8 +144,8 @@
 }
 
 impl Call {
-    /// Makes the call, on `kept` or a new connection. The host hears how it ended as soon as that is known; the
-    /// connection comes back if it can carry another call.
+    /// Makes the call, on the `kept` connection or a new one. Sends its result to the host as soon as it is known, and
+    /// returns the connection if it can be reused.
     pub async fn run(
         self,
         kept: Option<(Connection, Duration)>,
@@ -151,14 +155,14 @@
     ) -> Option<Connection> {
         let mut kept = kept;
         let (connection, idle, answer) = loop {
-            let (mut connection, idle) = match self.connection(kept.take(), host).await {
+            let (mut connection, idle) = match self.open_or_reuse(kept.take(), host).await {
                 Ok(Some(connection)) => connection,
                 Ok(None) => {
-                    let _ = host.send(Input::Called(self.called(self.all(Outcome::Void), None, None)));
+                    let _ = host.send(Input::Called(self.called(self.all_with(Outcome::Void), None, None)));
                     return None;
                 }
                 Err(e) => {
-                    let _ = host.send(Input::Called(self.ended_by(&e)));
+                    let _ = host.send(Input::Called(self.failed(&e)));
                     return None;
                 }
             };
@@ -167,67 +171,67 @@
                 answer = timeout_at(self.expires, connection.send(request, body)) => answer.map_err(|_| Outcome::TimedOut),
                 Ok(()) = &mut called_off => Err(Outcome::Cancelled),
             };
-            // Nothing of the call went out: it is made on a new connection, and asks again whether it still may be.
+            // Nothing was written: the call is retried on a new connection, after asking again whether it may start.
             if !matches!(answer, Ok(Err(CallError::Stale(_)))) {
                 break (connection, idle, answer);
             }
         };
         let done = |called| drop(host.send(Input::Called(Called { idle, ..called })));
         match answer {
-            // An answer to something else: the call begins with its last byte, and that was not written.
+            // Not an answer to this call: endpoints execute it only after its last byte, which was not written.
             Ok(Ok(answer)) if answer.status() == StatusCode::OK && !connection.request_written() => {
                 drop(connection);
-                done(self.called(self.all(Outcome::ConnectFailed), None, None));
+                done(self.called(self.all_with(Outcome::ConnectFailed), None, None));
                 None
             }
             Ok(Ok(answer)) if self.parcels.len() > 1 && answer.status() == StatusCode::OK => {
-                // A batch is answered with its whole body, and until then its messages' fates are open.
+                // The outcomes of a batch's messages are known only once the whole body has arrived.
                 let (head, body) = answer.into_parts();
-                let read = timeout_at(self.expires, Limited::new(body, MOST_ANSWER).collect()).await;
-                let told = told(&head.headers);
-                let (ends, whole) = match read {
-                    Ok(Ok(body)) => (self.batch_ends(&body.to_bytes(), told), true),
-                    Ok(Err(_)) => (self.all(Outcome::Reset), false),
-                    Err(_) => (self.all(Outcome::TimedOut), false),
+                let read = timeout_at(self.expires, Limited::new(body, MAX_ANSWER_BYTES).collect()).await;
+                let wait = retry_after(&head.headers);
+                let (ends, complete) = match read {
+                    Ok(Ok(body)) => (self.batch_outcomes(&body.to_bytes(), wait), true),
+                    Ok(Err(_)) => (self.all_with(Outcome::Reset), false),
+                    Err(_) => (self.all_with(Outcome::TimedOut), false),
                 };
-                done(self.called(ends, told, fields.read(&head.headers)));
-                whole.then_some(connection)
+                done(self.called(ends, wait, fields.read(&head.headers)));
+                complete.then_some(connection)
             }
             Ok(Ok(answer)) => {
-                let told = told(answer.headers());
-                let (outcome, over) = match told {
-                    None if idle.is_none() && no_room(answer.status(), answer.headers()) => {
+                let wait = retry_after(answer.headers());
+                let (outcome, is_final) = match wait {
+                    None if idle.is_none() && connection_refused(answer.status(), answer.headers()) => {
                         (Outcome::NoRoom, false)
                     }
-                    _ => outcome(answer.status(), answer.headers(), told),
+                    _ => outcome(answer.status(), answer.headers(), wait),
                 };
-                let ends = self.parcels.iter().map(|p| (p.number, outcome, over)).collect();
-                let called = self.called(ends, told, fields.read(answer.headers()));
-                let body = Limited::new(answer.into_body(), MOST_ANSWER).collect();
-                // The call is out until its answer has come whole or its connection is closed: before that its slot
-                // is taken, and another attempt would be a second copy.
-                let read = timeout(REST_PATIENCE, body).await;
+                let ends = self.parcels.iter().map(|parcel| (parcel.number, outcome, is_final)).collect();
+                let called = self.called(ends, wait, fields.read(answer.headers()));
+                let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect();
+                // The call is in flight until its answer is complete or its connection is closed: until then it
+                // occupies a slot, and another attempt could execute concurrently.
+                let read = timeout(ANSWER_REST_TIMEOUT, body).await;
                 let connection = matches!(read, Ok(Ok(_))).then_some(connection);
                 done(called);
                 connection
             }
             Ok(Err(e)) => {
-                done(self.ended_by(&e));
+                done(self.failed(&e));
                 None
             }
-            Err(given_up) => {
-                // Closed first: what was never written whole then never runs.
-                let outcome = if connection.request_written() { given_up } else { Outcome::ConnectFailed };
+            Err(abandoned) => {
+                // Close the connection first: an incomplete request then never executes.
+                let outcome = if connection.request_written() { abandoned } else { Outcome::ConnectFailed };
                 drop(connection);
-                done(self.called(self.all(outcome), None, None));
+                done(self.called(self.all_with(outcome), None, None));
                 None
             }
         }
     }
 
-    /// A connection for the call, and how long it was idle unless it is new; none if its messages may not go
-    /// out any more once there is one.
-    async fn connection(
+    /// Returns a connection for the call, with its idle time unless it is new, or none if the host no longer allows the
+    /// messages to be sent once a new connection is open.
+    async fn open_or_reuse(
         &self,
         kept: Option<(Connection, Duration)>,
         host: &UnboundedSender<Input>,
@@ -240,9 +244,9 @@
         let left = self.expires.saturating_duration_since(Instant::now());
         let new = Connection::open(self.address, left.min(self.connect_timeout)).await?;
         let (may_begin, allowed) = oneshot::channel();
-        let messages = self.parcels.iter().map(|p| p.number).collect();
+        let messages = self.parcels.iter().map(|parcel| parcel.number).collect();
         let _ = host.send(Input::Connected { endpoint: self.endpoint, messages, may_begin });
-        // A host that has ended has no more calls to make.
+        // A host that has ended makes no more calls.
         Ok(allowed.await.unwrap_or(false).then_some((new, None)))
     }
 
@@ -258,42 +262,46 @@
             return (head, parcel.body.clone());
         }
         let items: Vec<_> = (self.parcels.iter())
-            .map(|p| BatchItem { id: &p.id, key: p.idempotency_key.as_deref(), body: BASE64.encode(&p.body) })
+            .map(|parcel| BatchItem {
+                id: &parcel.id,
+                key: parcel.idempotency_key.as_deref(),
+                body: BASE64.encode(&parcel.body),
+            })
             .collect();
         // Strings always have a JSON form.
         let body = serde_json::to_vec(&items).unwrap_or_default();
         (head.header(CONTENT_TYPE, "application/json"), body.into())
     }
 
-    fn all(&self, outcome: Outcome) -> Vec<(u32, Outcome, bool)> {
-        self.parcels.iter().map(|p| (p.number, outcome, false)).collect()
+    fn all_with(&self, outcome: Outcome) -> Vec<(u32, Outcome, bool)> {
+        self.parcels.iter().map(|parcel| (parcel.number, outcome, false)).collect()
     }
 
-    fn batch_ends(&self, body: &[u8], told: Option<Span>) -> Vec<(u32, Outcome, bool)> {
-        let states: HashMap<String, State> = match serde_json::from_slice::<Vec<BatchEnd>>(body) {
-            Ok(ends) => ends.into_iter().map(|end| (end.id, end.state)).collect(),
+    fn batch_outcomes(&self, body: &[u8], wait: Option<Span>) -> Vec<(u32, Outcome, bool)> {
+        let states: HashMap<String, ItemState> = match serde_json::from_slice::<Vec<BatchResult>>(body) {
+            Ok(results) => results.into_iter().map(|result| (result.id, result.state)).collect(),
             Err(e) => {
-                tracing::warn!("pool: a batch's answer cannot be read: {e}");
+                tracing::warn!("invalid answer to a batch: {e}");
                 HashMap::new()
             }
         };
         let end = |parcel: &Parcel| match states.get(&parcel.id) {
-            Some(State::Ok) => (Outcome::Success, true),
-            Some(State::Later) => (Outcome::Full(told), false),
-            Some(State::Gone) => (Outcome::Void, true),
-            Some(State::Exhausted) => (Outcome::Void, false),
-            // What the answer does not tell of may have run.
-            Some(State::Error) | None => (Outcome::Failure, false),
+            Some(ItemState::Ok) => (Outcome::Success, true),
+            Some(ItemState::Later) => (Outcome::Full(wait), false),
+            Some(ItemState::Gone) => (Outcome::Void, true),
+            Some(ItemState::Exhausted) => (Outcome::Void, false),
+            // A message that is missing in the answer may have executed.
+            Some(ItemState::Error) | None => (Outcome::Failure, false),
         };
-        self.parcels.iter().map(|p| (p.number, end(p).0, end(p).1)).collect()
+        self.parcels.iter().map(|parcel| (parcel.number, end(parcel).0, end(parcel).1)).collect()
     }
 
-    fn ended_by(&self, error: &CallError) -> Called {
+    fn failed(&self, error: &CallError) -> Called {
         let outcome = match error {
             CallError::Connect(_) | CallError::Stale(_) | CallError::Unsent(_) => Outcome::ConnectFailed,
             CallError::Reset(_) => Outcome::Reset,
         };
-        self.called(self.all(outcome), None, None)
+        self.called(self.all_with(outcome), None, None)
     }
 
     fn called(&self, ends: Vec<(u32, Outcome, bool)>, wait: Option<Span>, report: Option<Report>) -> Called {
@@ -302,31 +310,31 @@
     }
 }
 
-/// The outcome that a status stands for, and whether it ends the message.
-fn outcome(status: StatusCode, headers: &HeaderMap, told: Option<Span>) -> (Outcome, bool) {
+/// Maps an answer to its outcome, and whether the message needs no further attempt.
+fn outcome(status: StatusCode, headers: &HeaderMap, wait: Option<Span>) -> (Outcome, bool) {
     match status {
         StatusCode::OK => (Outcome::Success, true),
-        StatusCode::TOO_MANY_REQUESTS => (Outcome::Full(told), false),
+        StatusCode::TOO_MANY_REQUESTS => (Outcome::Full(wait), false),
         StatusCode::SERVICE_UNAVAILABLE if headers.contains_key(NO_SLOT) => (Outcome::Void, false),
-        StatusCode::SERVICE_UNAVAILABLE => (Outcome::Full(told), false),
+        StatusCode::SERVICE_UNAVAILABLE => (Outcome::Full(wait), false),
         StatusCode::GATEWAY_TIMEOUT => (Outcome::Void, false),
         StatusCode::GONE => (Outcome::Void, true),
-        // Nothing else is agreed on: it may have run.
+        // The protocol defines no other status: the message may have executed.
         _ => (Outcome::Failure, false),
     }
 }
 
-/// Whether a new connection was taken only to be turned away: the endpoint holds no more of them. Refusals for
-/// any other reason leave the connection open.
-fn no_room(status: StatusCode, headers: &HeaderMap) -> bool {
+/// Whether the endpoint refused a new connection because it has reached its connection limit. Refusals for other
+/// reasons leave the connection open.
+fn connection_refused(status: StatusCode, headers: &HeaderMap) -> bool {
     let closes = headers.get(CONNECTION).and_then(|value| value.to_str().ok());
     status == StatusCode::SERVICE_UNAVAILABLE
         && !headers.contains_key(NO_SLOT)
         && closes.is_some_and(|value| value.split(',').any(|word| word.trim().eq_ignore_ascii_case("close")))
 }
 
-/// A told wait: seconds, with decimals.
-fn told(headers: &HeaderMap) -> Option<Span> {
+/// The `Retry-After` of an answer, in seconds with decimals.
+fn retry_after(headers: &HeaderMap) -> Option<Span> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     (seconds > 0.0 && seconds.is_finite()).then(|| Span((seconds * 1e6).ceil() as u64))
 }
