--- a/src/net/journal.rs
+++ b/src/net/journal.rs
@@ -17,12 +17,12 @@
 const MAX_RECORD_BYTES: usize = 256 * 1024;
 /// Bytes of a message besides its body and names: numbers, framing, its recorded attempts, its class.
 const MESSAGE_OVERHEAD_BYTES: u64 = 160;
-/// The file is compacted beyond one part in so many of the disk ...
+/// The file is compacted when it exceeds this fraction (1/n) of the disk limit ...
 const COMPACTION_DISK_DIVISOR: u64 = 3;
-/// ... and outstanding messages may fill one part in so many, so that the old and the new file fit together: the old
-/// one is at most twice as long when the new one is written.
+/// ... and outstanding messages may fill this fraction, so that the old and the new file fit together: when the new
+/// one is written, the old one is at most twice as long.
 const OUTSTANDING_DISK_DIVISOR: u64 = 4;
-/// Maximum capacity of the reused write buffer: usual records are far shorter, and a single long one shall not stay
+/// Maximum capacity of the reused write buffer: usual records are far shorter, and a single long one should not stay
 /// in memory.
 const MAX_BUFFER_BYTES: usize = 8 * 1024;
 /// Disk space left unused: files occupy whole blocks.
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OutstandingMessage {
     pub message: SubmittedMessage,
-    /// Wall clock, microseconds: it holds across processes.
+    /// Wall clock, microseconds: it stays valid across processes.
     pub deadline: u64,
     pub attempts: u32,
     /// The first attempt that may have executed.
@@ -118,10 +118,10 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-#[error("journal {path}: {doing}: {source}")]
+#[error("journal {path}: {action}: {source}")]
 pub struct JournalError {
     path: PathBuf,
-    doing: &'static str,
+    action: &'static str,
     source: io::Error,
 }
 
@@ -131,12 +131,12 @@
     file: File,
     length: u64,
     compact_at: u64,
-    disk: u64,
+    disk_limit: u64,
     outstanding: BTreeMap<u32, OutstandingMessage>,
     outstanding_bytes: u64,
     /// Ids of the endpoints that operators took out of service.
     excluded: BTreeSet<String>,
-    next: u32,
+    next_number: u32,
     /// Reused for the next record.
     buffer: Vec<u8>,
 }
@@ -159,16 +159,16 @@
 }
 
 impl Journal {
-    /// Opens or creates the journal in `folder`, and recovers its messages. Damage is reported, and never keeps a
-    /// sender from starting: what can be read is recovered.
+    /// Opens or creates the journal in `folder`, and recovers its messages. `disk_limit` is in bytes. Damage is reported
+    /// and never prevents a start: every intact record is recovered.
     ///
     /// # Errors
     /// The file cannot be opened, read or truncated.
-    pub fn open(folder: &Path, disk: u64) -> Result<(Self, Damage), JournalError> {
+    pub fn open(folder: &Path, disk_limit: u64) -> Result<(Self, Damage), JournalError> {
         let path = folder.join("messages.wal");
-        let error = |doing| {
+        let error = |action| {
             let path = path.clone();
-            move |source| JournalError { path, doing, source }
+            move |source| JournalError { path, action, source }
         };
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&path);
         let mut file = file.map_err(error("opening"))?;
@@ -178,17 +178,17 @@
             path: path.clone(),
             file,
             length: 0,
-            compact_at: disk / COMPACTION_DISK_DIVISOR,
-            disk,
+            compact_at: disk_limit / COMPACTION_DISK_DIVISOR,
+            disk_limit,
             outstanding: BTreeMap::new(),
             outstanding_bytes: 0,
             excluded: BTreeSet::new(),
-            next: 0,
+            next_number: 0,
             buffer: Vec::new(),
         };
         let (valid_length, damage) = wal::read(&bytes, MAX_RECORD_BYTES, |record| journal.apply(record));
         journal.length = valid_length as u64;
-        journal.file.set_len(journal.length).map_err(error("cutting off a torn tail"))?;
+        journal.file.set_len(journal.length).map_err(error("truncating a torn tail"))?;
         journal.file.seek(SeekFrom::End(0)).map_err(error("seeking"))?;
         // A compacted file that was never moved into place only takes up space.
         let _ = std::fs::remove_file(journal.compacted_path());
@@ -215,10 +215,10 @@
     /// # Errors
     /// The disk has no space for it, and it is not accepted.
     pub fn accept(&mut self, entry: OutstandingMessage) -> Result<u32, JournalError> {
-        if self.outstanding_bytes + entry.size_bytes() > self.disk / OUTSTANDING_DISK_DIVISOR {
-            return Err(self.error("taking on", io::ErrorKind::StorageFull.into()));
+        if self.outstanding_bytes + entry.size_bytes() > self.disk_limit / OUTSTANDING_DISK_DIVISOR {
+            return Err(self.error("accepting a message", io::ErrorKind::StorageFull.into()));
         }
-        let number = self.next;
+        let number = self.next_number;
         self.append(acceptance_record(number, entry))?;
         Ok(number)
     }
@@ -263,8 +263,8 @@
         if self.excluded.contains(id) {
             return Ok(());
         }
-        if self.outstanding_bytes + excluded_size_bytes(id) > self.disk / OUTSTANDING_DISK_DIVISOR {
-            return Err(self.error("excluding", io::ErrorKind::StorageFull.into()));
+        if self.outstanding_bytes + excluded_size_bytes(id) > self.disk_limit / OUTSTANDING_DISK_DIVISOR {
+            return Err(self.error("excluding an endpoint", io::ErrorKind::StorageFull.into()));
         }
         self.append(Record::Excluded(id.to_owned()))
     }
@@ -290,8 +290,9 @@
     /// persists it.
     fn append(&mut self, record: Record) -> Result<(), JournalError> {
         // A file that cannot be compacted still leaves space for compaction: beyond that it accepts no more.
-        let max_length =
-            self.disk - (self.disk / OUTSTANDING_DISK_DIVISOR) - DISK_SLACK_BYTES.min(self.disk / 8);
+        let max_length = self.disk_limit
+            - (self.disk_limit / OUTSTANDING_DISK_DIVISOR)
+            - DISK_SLACK_BYTES.min(self.disk_limit / 8);
         let written = frame(&record, std::mem::take(&mut self.buffer)).and_then(|frame| {
             let written = self.write(&frame, max_length);
             if frame.capacity() <= MAX_BUFFER_BYTES {
@@ -321,19 +322,19 @@
         if self.length + frame.len() as u64 > max_length {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        let done = self.file.write_all(frame);
-        if done.is_err() {
+        let result = self.file.write_all(frame);
+        if result.is_err() {
             // A partial record must not remain between complete ones.
             self.file.set_len(self.length)?;
             self.file.seek(SeekFrom::Start(self.length))?;
         }
-        done.map(|()| self.length += frame.len() as u64)
+        result.map(|()| self.length += frame.len() as u64)
     }
 
     fn apply(&mut self, record: Record) {
         match record {
             Record::Accepted(number, entry) => {
-                self.next = self.next.max(number + 1);
+                self.next_number = self.next_number.max(number + 1);
                 self.outstanding_bytes += entry.size_bytes();
                 if let Some(before) = self.outstanding.insert(number, *entry) {
                     self.outstanding_bytes -= before.size_bytes();
@@ -391,12 +392,12 @@
         match self.write_compacted() {
             Ok((file, length)) => {
                 (self.file, self.length) = (file, length);
-                self.compact_at = (self.disk / COMPACTION_DISK_DIVISOR).max(2 * length);
+                self.compact_at = (self.disk_limit / COMPACTION_DISK_DIVISOR).max(2 * length);
             }
             Err(e) => {
                 let _ = std::fs::remove_file(self.compacted_path());
-                self.compact_at = self.length + self.disk / 16;
-                tracing::error!("journal: compaction failed, the old file stays: {e}");
+                self.compact_at = self.length + self.disk_limit / 16;
+                tracing::error!("journal: compaction failed, the old file remains in use: {e}");
             }
         }
     }
@@ -404,24 +405,24 @@
     fn write_compacted(&self) -> io::Result<(File, u64)> {
         let mut file = io::BufWriter::new(File::create(self.compacted_path())?);
         let mut length = 0;
-        let mut put = |frame: Vec<u8>| {
+        let mut write = |frame: Vec<u8>| {
             length += frame.len() as u64;
             file.write_all(&frame).map(|()| frame)
         };
         let mut buffer = Vec::new();
         for id in &self.excluded {
-            buffer = put(frame(&Record::Excluded(id.clone()), buffer)?)?;
+            buffer = write(frame(&Record::Excluded(id.clone()), buffer)?)?;
         }
         for (number, entry) in &self.outstanding {
-            buffer = put(acceptance_frame(*number, entry, buffer)?)?;
+            buffer = write(acceptance_frame(*number, entry, buffer)?)?;
         }
         let file = file.into_inner().map_err(io::IntoInnerError::into_error)?;
         std::fs::rename(self.compacted_path(), &self.path)?;
         Ok((file, length))
     }
 
-    fn error(&self, doing: &'static str, source: io::Error) -> JournalError {
-        JournalError { path: self.path.clone(), doing, source }
+    fn error(&self, action: &'static str, source: io::Error) -> JournalError {
+        JournalError { path: self.path.clone(), action, source }
     }
 }
 
