--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -1,5 +1,5 @@
-//! The sender's part in its fleet, on sockets: drives the machines of `sender-membership`, on a thread of its own, so that a busy
-//! loop is not taken for a lost sender. Without `[fleet]` none of this is begun.
+//! The fleet membership of this sender, on sockets: drives the state machines of `sender-membership` on its own thread, so
+//! that peers don't take a busy host loop for a lost sender. It isn't started without `[fleet]` in the configuration.
 use super::{telemetry, wal};
 use crate::config;
 use bytes::Bytes;
@@ -21,77 +21,77 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Room on the disk that the fleet's own record takes at the most: two files while it is written anew.
+/// Maximum disk space for the membership state: two files while it is compacted.
 pub const DISK: u64 = 512 * 1024;
-/// The record is written anew past this length, and past twice what it was then.
+/// The file is compacted beyond this length, and beyond twice its length after the last compaction.
 const COMPACT_AT: u64 = 64 * 1024;
-/// An earlier process on the same folder may have the address still.
-const BIND_PATIENCE: Duration = Duration::from_secs(12);
-const BIND_PAUSE: Duration = Duration::from_millis(50);
-/// Connections from peers at once, and to them; a keeper has one with each other keeper.
-const MOST_PEERS: usize = 32;
-/// Frames that wait for a peer: past that the connection counts as broken, and what is lost is asked for again.
-const MOST_WAITING: usize = 64;
-/// A peer that has connected says something within this, and again within that.
-const FIRST_WORD: Duration = Duration::from_secs(3);
-const IDLE: Duration = Duration::from_secs(15);
-/// For a connection to come up, and a frame to be taken.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Datagrams taken in before what is due is looked at.
-const MOST_AT_ONCE: usize = 256;
-/// A disk that takes nothing at the start is tried again after this.
-const AGAIN: Duration = Duration::from_secs(3);
-/// The exit code of a process whose folder another one has a copy of.
-const COPIED: i32 = 3;
+/// An earlier process on the same folder may still have the address.
+const BIND_TIME_LIMIT: Duration = Duration::from_secs(12);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum concurrent connections from peers, and to peers; a voter has one with each other voter.
+const MAX_PEER_CONNECTIONS: usize = 32;
+/// Maximum frames queued for a peer: beyond that the connection counts as broken, and the peer requests lost frames again.
+const MAX_QUEUED_FRAMES: usize = 64;
+/// Time limits for the first frame on a connection from a peer, and for each further one.
+const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(3);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time limit for connecting to a peer, and for sending a frame.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum datagrams processed before timers are checked.
+const MAX_DATAGRAMS_PER_TURN: usize = 256;
+/// Retry interval when the disk accepts no writes at the start.
+const DISK_RETRY_INTERVAL: Duration = Duration::from_secs(3);
+/// The exit code of a process whose folder was copied to another sender.
+const EXIT_FOLDER_COPIED: i32 = 3;
 
-/// What staff ask of this part.
+/// An operator's request to the membership thread.
 pub enum Asked {
-    /// What it knows of the fleet, as JSON.
+    /// A query for its state, answered as JSON.
     Look(Look, oneshot::Sender<Result<String, String>>),
-    /// What it knows, in figures.
+    /// A request for its metrics.
     Figures(oneshot::Sender<Result<telemetry::Fleet, String>>),
-    /// Something to be done.
+    /// A command to carry out.
     Order(Command, oneshot::Sender<Result<String, String>>),
 }
 
-/// What staff look at.
+/// What an operator queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Look {
-    /// Members, and whether they answer.
+    /// The members and their health.
     View,
-    /// Who belongs, and who did.
+    /// The agreed list of members, and departed ones.
     Roster,
-    /// Who agrees on that.
+    /// The voters, which agree on the list of members.
     Keepers,
-    /// A short sign of both, to compare senders by.
+    /// Digests of the member list and the view, to compare senders.
     Mark,
 }
 
-/// Why the part cannot begin.
+/// Why the membership thread cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// The record in the folder.
-    #[error("fleet's record {path}: {source}")]
+    /// The membership file in the state folder cannot be opened, read or truncated.
+    #[error("fleet: membership file {path}: {source}")]
     Disk {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The address.
-    #[error("fleet: listening on {address}: {source}")]
+    /// The listen address cannot be bound.
+    #[error("fleet: cannot listen on {address}: {source}")]
     Listen {
-        /// Where.
+        /// The configured listen address.
         address: SocketAddr,
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The thread, or its runtime.
-    #[error("fleet: starting: {0}")]
+    /// The thread, its runtime, or the system's random numbers are unavailable.
+    #[error("fleet: cannot start: {0}")]
     Start(io::Error),
 }
 
-/// The record on disk, and what it adds up to.
+/// The membership file, and the state that results from its records.
 struct Disk {
     path: PathBuf,
     file: File,
@@ -112,7 +112,7 @@
         let (sound, damage) = wal::read(&bytes, MAX_FRAME_BYTES, |record: Record| state.apply(record));
         if damage != wal::Damage::default() {
             tracing::error!(
-                "fleet's record: {} bytes cut off at the end, {} passed over",
+                "fleet: membership file damaged: {} bytes truncated at the end, {} skipped",
                 damage.torn,
                 damage.skipped
             );
@@ -122,7 +122,7 @@
         Ok(Self { path, file, length: sound as u64, compact_at: COMPACT_AT, state })
     }
 
-    /// Writes a record; an error means that it does not stand there, and nothing of it.
+    /// Appends a record. After an error, the file contains no part of it.
     fn write(&mut self, record: Record) -> io::Result<()> {
         let frame = wal::frame(&record, Vec::new())?;
         let length = self.length + frame.len() as u64;
@@ -142,7 +142,7 @@
         Ok(())
     }
 
-    /// Writes the state into a new file and puts it in the old one's place in one move.
+    /// Writes the state into a new file, which atomically replaces the old one.
     fn compact(&mut self) -> io::Result<()> {
         let frame = wal::frame(&Record::Whole(Box::new(self.state.clone())), Vec::new())?;
         if frame.len() as u64 > DISK / 2 {
@@ -159,35 +159,38 @@
     }
 }
 
-/// What reaches the part besides datagrams.
-enum Came {
+/// An event on a connection with a peer.
+enum PeerEvent {
     Frame(Bytes),
-    Broke(SocketAddr),
+    Disconnected(SocketAddr),
 }
 
-/// Begins the part, on a thread of its own that ends with `stop`.
+/// Starts the membership thread, which ends when `stop` becomes true.
+///
+/// # Errors
+/// The runtime or the thread cannot be started.
 pub fn spawn(
     config: &config::Fleet,
     zone: &str,
     folder: &Path,
-    asked: mpsc::Receiver<Asked>,
+    requests: mpsc::Receiver<Asked>,
     stop: watch::Receiver<bool>,
 ) -> Result<(), FleetError> {
     let (settings, folder, listen) = (config.settings(zone), folder.to_owned(), config.listen);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(FleetError::Start)?;
-    let work = move || {
-        if let Err(e) = runtime.block_on(work(settings, &folder, listen, asked, stop)) {
-            tracing::error!("{e}: this sender takes no part in its fleet");
+    let run_thread = move || {
+        if let Err(e) = runtime.block_on(run(settings, &folder, listen, requests, stop)) {
+            tracing::error!("{e}: this sender runs without fleet membership");
         }
     };
-    std::thread::Builder::new().name("fleet".to_owned()).spawn(work).map_err(FleetError::Start)?;
+    std::thread::Builder::new().name("fleet".to_owned()).spawn(run_thread).map_err(FleetError::Start)?;
     Ok(())
 }
 
-/// Binds both sockets; a process that is about to end may have them still.
+/// Binds both sockets. Retries while a process that is about to end still has the address.
 async fn bind(address: SocketAddr) -> Result<(UdpSocket, TcpListener), FleetError> {
-    let given_up = Instant::now() + BIND_PATIENCE;
+    let deadline = Instant::now() + BIND_TIME_LIMIT;
     loop {
         let bound = match UdpSocket::bind(address).await {
             Ok(datagrams) => TcpListener::bind(address).await.map(|listener| (datagrams, listener)),
@@ -195,22 +198,22 @@
         };
         match bound {
             Ok(bound) => return Ok(bound),
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && Instant::now() < given_up => {
-                sleep(BIND_PAUSE).await;
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse && Instant::now() < deadline => {
+                sleep(BIND_RETRY_INTERVAL).await;
             }
             Err(source) => return Err(FleetError::Listen { address, source }),
         }
     }
 }
 
-/// What a folder's own number and all other chance of a start is drawn from. From the system alone: two senders that drew
-/// the same number would be one member, whatever their configurations' seeds are.
-fn chance() -> Result<u64, FleetError> {
+/// Seeds all random numbers of a start, including the folder's id. It comes from the operating system and not from the
+/// configured seed: two senders with the same folder id would count as one member.
+fn random_seed() -> Result<u64, FleetError> {
     getrandom::u64().map_err(|e| FleetError::Start(e.into()))
 }
 
-/// Writes down that a node begins.
-fn begin(node: &mut Node, disk: &mut Disk) -> io::Result<()> {
+/// Persists the start of a node.
+fn persist_start(node: &mut Node, disk: &mut Disk) -> io::Result<()> {
     for effect in node.take_effects() {
         if let Effect::Persist(record) = effect {
             disk.write(record)?;
@@ -219,135 +222,145 @@
     Ok(())
 }
 
-struct Part {
+struct Membership {
     node: Node,
     disk: Disk,
     datagrams: UdpSocket,
-    own: SocketAddr,
-    began: Instant,
-    came: mpsc::Sender<Came>,
+    own_address: SocketAddr,
+    started_at: Instant,
+    peer_events: mpsc::Sender<PeerEvent>,
     peers: HashMap<SocketAddr, mpsc::Sender<Bytes>>,
     answers: HashMap<u64, oneshot::Sender<Result<String, String>>>,
     next_answer: u64,
 }
 
-async fn work(
+async fn run(
     settings: Settings,
     folder: &Path,
     listen: SocketAddr,
-    mut asked: mpsc::Receiver<Asked>,
+    mut requests: mpsc::Receiver<Asked>,
     mut stop: watch::Receiver<bool>,
 ) -> Result<(), FleetError> {
     let (datagrams, listener) = tokio::select! {
         bound = bind(listen) => bound?,
         _ = stop.wait_for(|stop| *stop) => return Ok(()),
     };
-    // Only now: an earlier process that had the address writes no more.
+    // Open the file only after binding: an earlier process that had the address no longer writes.
     let disk = Disk::open(folder)?;
-    let mut node = Node::new(settings.clone(), disk.state.clone(), chance()?, 0);
-    // A start that is not written down is none: it could be counted twice.
+    let mut node = Node::new(settings.clone(), disk.state.clone(), random_seed()?, 0);
+    // A start that isn't persisted must not take effect: its incarnation could be used twice.
     let mut disk = disk;
-    while let Err(e) = begin(&mut node, &mut disk) {
+    while let Err(e) = persist_start(&mut node, &mut disk) {
         tracing::error!(
-            "fleet's record {}: {e}; tried again each {} s",
+            "fleet: membership file {}: {e}; retrying every {} s",
             disk.path.display(),
-            AGAIN.as_secs()
+            DISK_RETRY_INTERVAL.as_secs()
         );
         tokio::select! {
-            () = sleep(AGAIN) => {}
+            () = sleep(DISK_RETRY_INTERVAL) => {}
             _ = stop.wait_for(|stop| *stop) => return Ok(()),
         }
-        node = Node::new(settings.clone(), disk.state.clone(), chance()?, 0);
+        node = Node::new(settings.clone(), disk.state.clone(), random_seed()?, 0);
     }
-    let began = Instant::now();
-    let (came, mut coming) = mpsc::channel(MOST_WAITING);
-    tokio::spawn(accept(listener, came.clone()));
+    let started_at = Instant::now();
+    let (peer_events, mut received_events) = mpsc::channel(MAX_QUEUED_FRAMES);
+    tokio::spawn(accept(listener, peer_events.clone()));
     let (peers, answers) = (HashMap::new(), HashMap::new());
-    let mut part = Part { node, disk, datagrams, own: listen, began, came, peers, answers, next_answer: 0 };
+    let mut membership = Membership {
+        node,
+        disk,
+        datagrams,
+        own_address: listen,
+        started_at,
+        peer_events,
+        peers,
+        answers,
+        next_answer: 0,
+    };
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
-    part.carry_out();
+    membership.carry_out_effects();
     loop {
-        let due = part.node.next_tick().map(|due| part.began + Duration::from_millis(due));
+        let due = membership.node.next_tick().map(|due| membership.started_at + Duration::from_millis(due));
         tokio::select! {
-            // What has come counts before what is due: else a pause would look like silence of the others.
+            // Received input comes before timers: after a pause of this process, peers would else seem silent.
             biased;
             _ = stop.wait_for(|stop| *stop) => return Ok(()),
-            ask = asked.recv() => match ask {
-                Some(ask) => part.asked(ask),
+            request = requests.recv() => match request {
+                Some(request) => membership.handle_request(request),
                 None => return Ok(()),
             },
-            Some(came) = coming.recv() => part.took(came),
-            received = part.datagrams.recv_from(&mut buffer) => {
+            Some(event) = received_events.recv() => membership.handle_peer_event(event),
+            received = membership.datagrams.recv_from(&mut buffer) => {
                 let mut received = received;
-                for _ in 0..MOST_AT_ONCE {
+                for _ in 0..MAX_DATAGRAMS_PER_TURN {
                     match received {
-                        // What is too long is cut off by the system, and told by its checksum.
-                        Ok((length, _)) => part.hear(&buffer[..length]),
-                        // A port that nobody has, told by the system: others find out by silence.
+                        // The kernel truncates a datagram that is too long, and its checksum fails.
+                        Ok((length, _)) => membership.receive(&buffer[..length]),
                         Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
+                        // For example an unreachable port of a peer: its failure shows by its missing answers.
                         Err(_) => {}
                     }
-                    received = part.datagrams.try_recv_from(&mut buffer);
+                    received = membership.datagrams.try_recv_from(&mut buffer);
                 }
             }
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                let now = part.now();
-                part.node.tick(now);
+                let now = membership.now();
+                membership.node.tick(now);
             }
         }
-        part.carry_out();
+        membership.carry_out_effects();
     }
 }
 
-impl Part {
-    /// Milliseconds since the part began, of a clock that never steps.
+impl Membership {
+    /// Milliseconds since the start, on the monotonic clock.
     fn now(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn hear(&mut self, bytes: &[u8]) {
+    fn receive(&mut self, bytes: &[u8]) {
         let now = self.now();
-        // What cannot be read is counted by the node, and nothing else.
+        // The node counts invalid packets, and they have no other effect.
         let _ = self.node.receive(now, bytes);
     }
 
-    fn took(&mut self, came: Came) {
-        match came {
-            Came::Frame(bytes) => self.hear(&bytes),
-            Came::Broke(address) => {
+    fn handle_peer_event(&mut self, event: PeerEvent) {
+        match event {
+            PeerEvent::Frame(bytes) => self.receive(&bytes),
+            PeerEvent::Disconnected(address) => {
                 self.peers.remove(&address);
                 self.node.connection_broken(address);
             }
         }
     }
 
-    fn asked(&mut self, asked: Asked) {
-        match asked {
-            Asked::Look(look, answer) => {
-                let text = match look {
+    fn handle_request(&mut self, request: Asked) {
+        match request {
+            Asked::Look(query, answer) => {
+                let text = match query {
                     Look::View => serde_json::to_string(&self.node.view(self.now())),
-                    Look::Roster => serde_json::to_string(&self.roster()),
-                    Look::Keepers => serde_json::to_string(&self.keepers()),
-                    Look::Mark => serde_json::to_string(&self.mark()),
+                    Look::Roster => serde_json::to_string(&self.member_list()),
+                    Look::Keepers => serde_json::to_string(&self.voters()),
+                    Look::Mark => serde_json::to_string(&self.digests()),
                 };
                 drop(answer.send(text.map_err(|e| e.to_string())));
             }
-            Asked::Figures(answer) => drop(answer.send(Ok(self.figures()))),
-            Asked::Order(order, answer) => {
+            Asked::Figures(answer) => drop(answer.send(Ok(self.metrics()))),
+            Asked::Order(command, answer) => {
                 self.next_answer += 1;
                 self.answers.retain(|_, waiting| !waiting.is_closed());
                 self.answers.insert(self.next_answer, answer);
                 let now = self.now();
-                tracing::info!("staff: fleet: {order:?}");
-                self.node.execute(now, self.next_answer, &order);
+                tracing::info!("fleet: operator command: {command:?}");
+                self.node.execute(now, self.next_answer, &command);
             }
         }
     }
 
-    fn roster(&self) -> serde_json::Value {
+    fn member_list(&self) -> serde_json::Value {
         let Some(roster) = self.node.member_list() else { return serde_json::Value::Null };
-        let gone = self.node.departed().map(|gone| {
-            serde_json::json!({"name": gone.name, "incarnation": gone.incarnation, "why": format!("{:?}", gone.why)})
+        let departed = self.node.departed().map(|departure| {
+            serde_json::json!({"name": departure.name, "incarnation": departure.incarnation, "why": format!("{:?}", departure.why)})
         });
         let members = roster.members.iter().map(|(folder, member)| {
             serde_json::json!({"name": member.info.name, "number": member.number,
@@ -357,10 +370,10 @@
         });
         serde_json::json!({"fleet": format!("{:016x}", roster.fleet), "epoch": roster.epoch, "number": roster.number,
             "digest": format!("{:08x}", roster.digest()),
-            "members": members.collect::<Vec<_>>(), "gone": gone.collect::<Vec<_>>()})
+            "members": members.collect::<Vec<_>>(), "gone": departed.collect::<Vec<_>>()})
     }
 
-    fn figures(&self) -> telemetry::Fleet {
+    fn metrics(&self) -> telemetry::Fleet {
         let view = self.node.view(self.now());
         let counts = self.node.counts();
         let health = [
@@ -369,9 +382,9 @@
             ("lost", Health::Lost),
             ("unknown", Health::Unknown),
         ];
-        let count = |health: Health| view.members.iter().filter(|row| row.health == health).count();
+        let count = |health: Health| view.members.iter().filter(|member| member.health == health).count();
         telemetry::Fleet {
-            members: health.into_iter().map(|(word, health)| (word, count(health))).collect(),
+            members: health.into_iter().map(|(label, health)| (label, count(health))).collect(),
             keepers: [view.voters_answering, view.voters],
             roster: [u64::from(view.epoch), view.number],
             heard: view.age_ms.map(Duration::from_millis),
@@ -381,57 +394,57 @@
         }
     }
 
-    fn mark(&self) -> serde_json::Value {
-        let mark = self.node.view_digest(self.now());
+    fn digests(&self) -> serde_json::Value {
+        let digest_of_view = self.node.view_digest(self.now());
         let digest = self.node.member_list().map(|roster| format!("{:08x}", roster.digest()));
-        serde_json::json!({"fleet": mark.fleet.map(|fleet| format!("{fleet:016x}")), "epoch": mark.epoch,
-            "number": mark.number, "digest": digest, "view": format!("{:08x}", mark.view),
-            "confirmed": mark.confirmed, "halted": mark.halted})
+        serde_json::json!({"fleet": digest_of_view.fleet.map(|fleet| format!("{fleet:016x}")), "epoch": digest_of_view.epoch,
+            "number": digest_of_view.number, "digest": digest, "view": format!("{:08x}", digest_of_view.view),
+            "confirmed": digest_of_view.confirmed, "halted": digest_of_view.halted})
     }
 
-    fn keepers(&self) -> serde_json::Value {
+    fn voters(&self) -> serde_json::Value {
         let Some(roster) = self.node.member_list() else { return serde_json::Value::Null };
         let view = self.node.view(self.now());
-        let keepers = view.members.iter().filter(|row| row.voter);
+        let voters = view.members.iter().filter(|member| member.voter);
         let counts = self.node.counts();
         serde_json::json!({"group": roster.group, "answering": view.voters_answering, "of": view.voters,
-            "leader": self.node.leader(), "keepers": keepers.collect::<Vec<_>>(),
+            "leader": self.node.leader(), "keepers": voters.collect::<Vec<_>>(),
             "sent": {"datagrams": counts.datagrams, "frames": counts.frames, "bytes": counts.bytes},
             "taken": counts.received,
             "dropped": {"foreign": counts.foreign, "versions": counts.versions, "damaged": counts.damaged}})
     }
 
-    /// Carries out what the node wants, in its order. A write that fails ends what depends on it.
-    fn carry_out(&mut self) {
+    /// Carries out the node's effects in order. After a failed write, the effects that depend on it are dropped.
+    fn carry_out_effects(&mut self) {
         loop {
             let effects = self.node.take_effects();
             if effects.is_empty() {
                 return;
             }
             for effect in effects {
-                if !self.effect(effect) {
+                if !self.carry_out(effect) {
                     break;
                 }
             }
         }
     }
 
-    /// False if what follows must not be carried out.
-    fn effect(&mut self, effect: Effect) -> bool {
+    /// Returns false if the effects after this one must not be carried out.
+    fn carry_out(&mut self, effect: Effect) -> bool {
         match effect {
             Effect::Persist(record) => {
                 if let Err(e) = self.disk.write(record) {
-                    tracing::error!("fleet's record {}: {e}", self.disk.path.display());
+                    tracing::error!("fleet: membership file {}: {e}", self.disk.path.display());
                     self.node.disk_failed();
                     return false;
                 }
             }
             Effect::Send { to, bytes, connection: false } => {
-                // A full socket loses datagrams as the network does.
+                // A full socket buffer drops datagrams, as the network may.
                 let _ = self.datagrams.try_send_to(&bytes, to);
             }
             Effect::Send { to, bytes, connection: true } => self.send(to, bytes.into()),
-            Effect::Notify(note) => self.tell(&note),
+            Effect::Notify(notification) => self.log(&notification),
             Effect::Reload => {
                 let state = self.disk.state.clone();
                 if self.disk.write(Record::Incarnation(state.incarnation)).is_ok() {
@@ -442,86 +455,87 @@
             Effect::Halt(halt) => {
                 tracing::error!("fleet: {halt}");
                 if matches!(halt, Halt::Copied { .. }) {
-                    // What the journal holds is the other's as well: to go on would deliver it twice.
-                    process::exit(COPIED);
+                    // The copy of the folder holds the same journal: continuing would deliver its messages twice.
+                    process::exit(EXIT_FOLDER_COPIED);
                 }
             }
-            Effect::Answer(id, done) => {
+            Effect::Answer(id, result) => {
                 if let Some(answer) = self.answers.remove(&id) {
-                    let done = done.map(|()| String::new()).map_err(|e| e.to_string());
-                    drop(answer.send(done));
+                    let result = result.map(|()| String::new()).map_err(|e| e.to_string());
+                    drop(answer.send(result));
                 }
             }
         }
         true
     }
 
-    /// A line in the log for what changed: what was believed before, what is now, and why.
-    fn tell(&self, note: &Notification) {
+    /// Logs a change with the state before, the state now and the reason.
+    fn log(&self, notification: &Notification) {
         let (_, own, _) = self.node.identity();
-        match note {
+        match notification {
             Notification::Health { name, before, now: now @ Health::Lost, incarnation } => tracing::warn!(
                 peer = %name, incarnation, ?before, ?now, own,
-                reason = "it did not answer, nor object within its time to being held lost",
+                reason = "it did not answer, nor refute the suspicion in time",
                 "fleet: {name} is lost"
             ),
             Notification::Health { name, before, now, incarnation } => tracing::info!(
-                peer = %name, incarnation, ?before, ?now, own, reason = "it was heard, by this sender or another",
+                peer = %name, incarnation, ?before, ?now, own, reason = "this sender or another member received a message from it",
                 "fleet: {name} answers"
             ),
             Notification::MemberList { before, now, change } => {
                 let text = change.as_ref().map_or_else(
-                    || "taken over whole from a peer".to_owned(),
+                    || "complete copy from a peer".to_owned(),
                     |change| match change {
                         Change::Start { info, incarnation, .. } => {
                             format!("start {incarnation} of {}, at {}", info.name, info.address)
                         }
                         Change::Leaving { folder } => format!("{} is leaving", self.name(*folder)),
                         Change::Departure { folder, why } => {
-                            format!("{} is gone: {why:?}", self.name(*folder))
+                            format!("{} has departed: {why:?}", self.name(*folder))
                         }
                         Change::Voters { group, folders } => {
                             let names: Vec<String> =
                                 folders.iter().map(|folder| self.name(*folder)).collect();
-                            format!("keepers of group {group} are {}", names.join(", "))
+                            format!("voters of term {group}: {}", names.join(", "))
                         }
                     },
                 );
-                tracing::info!(before, number = now, own, reason = %text, "fleet: roster {now}: {text}");
+                tracing::info!(before, number = now, own, reason = %text, "fleet: member list {now}: {text}");
             }
             Notification::Returned(times) => tracing::warn!(
                 own,
                 times,
-                "fleet: others held this sender lost; it has objected, and is back"
+                "fleet: peers had declared this sender lost; it has refuted that and is a member again"
             ),
-            Notification::Waiting(what) => tracing::warn!(own, "fleet: waiting: {what}"),
+            Notification::Waiting(reason) => tracing::warn!(own, "fleet: waiting: {reason}"),
             Notification::OtherFleet(peer) => {
-                tracing::warn!(%peer, own, "fleet: another fleet of the same name is at {peer}, and is not listened to");
+                tracing::warn!(%peer, own, "fleet: {peer} belongs to another fleet of the same name; its messages are ignored");
             }
             Notification::Voter(Some(group)) => {
-                tracing::info!(own, term = group, "fleet: a keeper, of group {group}")
+                tracing::info!(own, term = group, "fleet: this sender is a voter, in term {group}")
             }
-            Notification::Voter(None) => tracing::info!(own, "fleet: no keeper any more"),
+            Notification::Voter(None) => tracing::info!(own, "fleet: this sender is no longer a voter"),
         }
     }
 
-    /// The name that goes with a folder, as far as the roster has it or had it.
+    /// The name of the current or departed member with this folder id; the id itself if it is unknown.
     fn name(&self, folder: u64) -> String {
         let roster = self.node.member_list();
-        let member = roster.and_then(|r| r.members.get(&folder)).map(|member| member.info.name.clone());
-        let gone = || roster.and_then(|r| r.departure_of(folder)).map(|gone| gone.name.clone());
-        member.or_else(gone).unwrap_or_else(|| format!("folder {folder:016x}"))
+        let member = roster.and_then(|list| list.members.get(&folder)).map(|member| member.info.name.clone());
+        let departed =
+            || roster.and_then(|list| list.departure_of(folder)).map(|departure| departure.name.clone());
+        member.or_else(departed).unwrap_or_else(|| format!("folder {folder:016x}"))
     }
 
-    /// Sends a frame on the connection to a peer, which is made where there is none.
+    /// Queues a frame for a peer, and connects to it if there is no connection.
     fn send(&mut self, to: SocketAddr, bytes: Bytes) {
         self.peers.retain(|_, peer| !peer.is_closed());
-        if self.peers.len() >= MOST_PEERS && !self.peers.contains_key(&to) {
+        if self.peers.len() >= MAX_PEER_CONNECTIONS && !self.peers.contains_key(&to) {
             return self.node.connection_broken(to);
         }
         let peer = self.peers.entry(to).or_insert_with(|| {
-            let (frames, waiting) = mpsc::channel(MOST_WAITING);
-            tokio::spawn(tell(self.own, to, waiting, self.came.clone()));
+            let (frames, queue) = mpsc::channel(MAX_QUEUED_FRAMES);
+            tokio::spawn(send_frames(self.own_address, to, queue, self.peer_events.clone()));
             frames
         });
         if peer.try_send(bytes).is_err() {
@@ -535,51 +549,56 @@
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_framed(stream)
 }
 
-/// Tells a peer what waits for it, on one connection, until that breaks or nothing more comes.
-async fn tell(own: SocketAddr, to: SocketAddr, mut waiting: mpsc::Receiver<Bytes>, came: mpsc::Sender<Came>) {
+/// Sends queued frames to a peer on one connection, until it breaks or stays idle.
+async fn send_frames(
+    own_address: SocketAddr,
+    to: SocketAddr,
+    mut queue: mpsc::Receiver<Bytes>,
+    peer_events: mpsc::Sender<PeerEvent>,
+) {
     let connect = async {
         let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-        // From the own address: peers and whatever stands between may tell by it who calls.
-        if !own.ip().is_unspecified() && own.is_ipv4() == to.is_ipv4() {
-            socket.bind(SocketAddr::new(own.ip(), 0))?;
+        // Bind to our own address: peers and middleboxes may identify the caller by it.
+        if !own_address.ip().is_unspecified() && own_address.is_ipv4() == to.is_ipv4() {
+            socket.bind(SocketAddr::new(own_address.ip(), 0))?;
         }
         socket.connect(to).await
     };
-    let stream = match timeout(CONNECT, connect).await {
+    let stream = match timeout(CONNECT_TIMEOUT, connect).await {
         Ok(Ok(stream)) => stream,
-        _ => return drop(came.send(Came::Broke(to)).await),
+        _ => return drop(peer_events.send(PeerEvent::Disconnected(to)).await),
     };
     let _ = stream.set_nodelay(true);
     let mut framed = framed(stream);
-    while let Ok(Some(bytes)) = timeout(IDLE / 2, waiting.recv()).await {
-        if !matches!(timeout(CONNECT, framed.send(bytes)).await, Ok(Ok(()))) {
-            return drop(came.send(Came::Broke(to)).await);
+    while let Ok(Some(bytes)) = timeout(IDLE_TIMEOUT / 2, queue.recv()).await {
+        if !matches!(timeout(CONNECT_TIMEOUT, framed.send(bytes)).await, Ok(Ok(()))) {
+            return drop(peer_events.send(PeerEvent::Disconnected(to)).await);
         }
     }
 }
 
-/// Takes frames from peers.
-async fn accept(listener: TcpListener, came: mpsc::Sender<Came>) {
-    let room = Arc::new(Semaphore::new(MOST_PEERS));
+/// Receives frames from peers.
+async fn accept(listener: TcpListener, peer_events: mpsc::Sender<PeerEvent>) {
+    let connection_slots = Arc::new(Semaphore::new(MAX_PEER_CONNECTIONS));
     loop {
-        let Ok(permit) = room.clone().acquire_owned().await else { return };
+        let Ok(permit) = connection_slots.clone().acquire_owned().await else { return };
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                tracing::warn!("fleet: accepting: {e}");
+                tracing::warn!("fleet: cannot accept a connection: {e}");
                 sleep(Duration::from_millis(20)).await;
                 continue;
             }
         };
-        let came = came.clone();
+        let peer_events = peer_events.clone();
         tokio::spawn(async move {
             let mut framed = framed(stream);
-            let mut patience = FIRST_WORD;
-            while let Ok(Some(Ok(bytes))) = timeout(patience, framed.next()).await {
-                if came.send(Came::Frame(bytes.freeze())).await.is_err() {
+            let mut time_limit = FIRST_FRAME_TIMEOUT;
+            while let Ok(Some(Ok(bytes))) = timeout(time_limit, framed.next()).await {
+                if peer_events.send(PeerEvent::Frame(bytes.freeze())).await.is_err() {
                     return;
                 }
-                patience = IDLE;
+                time_limit = IDLE_TIMEOUT;
             }
             drop(permit);
         });
