--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints: an unbroken watch on the agent of this machine.
+//! Watches the list of endpoints by long polling the discovery agent on this machine.
 use super::connection::{Connection, request};
 use super::input::Input;
 use super::telemetry::Shared;
@@ -15,20 +15,20 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long one call of the watch may wait for news: short, as an agent that fell silent shows only by it.
+/// Maximum time that the agent holds a long poll open. Short, as a silent agent is detected only by its expiry.
 const HOLD: Duration = Duration::from_secs(5);
-/// An answer that takes this much longer than it may wait does not come any more.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// Pause after a first failed call, at least: inside the 200 ms within which a watch goes on, whatever chance adds.
-const PAUSE: Duration = Duration::from_millis(100);
-/// For so long after a move a call that fails is soon made again: what there is to tell counts as told 4 s after it.
-const MOVING: Duration = Duration::from_secs(4);
-/// What discovery is given for the call of each sender.
-const CALL: Duration = Duration::from_millis(50);
-/// More senders than these are not reckoned with: beyond, the longest pause counts.
-const MOST_ROUND: u32 = 100_000;
-/// No list is longer.
-const MOST_BYTES: usize = 8 << 20;
+/// Extra time after `HOLD` before a call counts as unanswered.
+const ANSWER_MARGIN: Duration = Duration::from_secs(1);
+/// Minimum backoff after a first failed call: with jitter it stays below the 200 ms within which a watch must resume.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Time after an address change in which failed calls are retried soon: changes count as delivered 4 s after the move.
+const URGENT_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// Time that the discovery service is allowed for each sender's call.
+const TIME_PER_SENDER: Duration = Duration::from_millis(50);
+/// Cap on the number of senders in the computation: beyond it, the maximum backoff applies anyway.
+const MAX_SENDERS: u32 = 100_000;
+/// Maximum length of a list.
+const MAX_LIST_BYTES: usize = 8 << 20;
 
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
@@ -38,71 +38,71 @@
     Call(#[from] super::connection::CallError),
     #[error("status {0}")]
     Status(hyper::StatusCode),
-    #[error("reading the answer: {0}")]
+    #[error("cannot read the answer: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("the answer is not a list: {0}")]
+    #[error("the answer is not a list of endpoints: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// Pauses before calls that begin a watch. The agent is one for all senders and takes their calls in turn: a
-/// hundred that ask at one moment overfill its queue, and what it turns away would come back at another.
+/// Backoff with jitter between calls. All senders share one agent, which handles their calls in sequence: a hundred
+/// simultaneous calls overflow its queue, and without jitter the rejected ones would be retried simultaneously too.
 pub struct Pauses {
-    chance: ChaCha8Rng,
-    /// The time in which all senders can ask, each once.
+    rng: ChaCha8Rng,
+    /// The time in which every sender can make one call.
     round: Duration,
-    /// Before the second try, on average.
+    /// Mean backoff before the second attempt.
     start: Duration,
-    most: Duration,
+    max: Duration,
     next: Duration,
 }
 
 impl Pauses {
-    /// Those of one of so many senders; none is longer than `most`.
-    pub fn new(seed: u64, senders: usize, most: Duration) -> Self {
-        let round = CALL * u32::try_from(senders).unwrap_or(u32::MAX).min(MOST_ROUND);
-        Self { round, ..Self::between(seed, round.max(PAUSE), most) }
+    /// Backoff for one of `senders` senders, never longer than `max`.
+    pub fn new(seed: u64, senders: usize, max: Duration) -> Self {
+        let round = TIME_PER_SENDER * u32::try_from(senders).unwrap_or(u32::MAX).min(MAX_SENDERS);
+        Self { round, ..Self::between(seed, round.max(MIN_BACKOFF), max) }
     }
 
-    /// Pauses between tries where no others are reckoned with.
-    pub fn between(seed: u64, start: Duration, most: Duration) -> Self {
-        let chance = ChaCha8Rng::seed_from_u64(seed);
-        Self { chance, round: Duration::ZERO, start, most, next: start }
+    /// Backoff from `start` on average up to `max`, regardless of other senders.
+    pub fn between(seed: u64, start: Duration, max: Duration) -> Self {
+        let rng = ChaCha8Rng::seed_from_u64(seed);
+        Self { rng, round: Duration::ZERO, start, max, next: start }
     }
 
-    /// Before the first call: all senders may be starting together.
+    /// Delay before the first call: all senders may start together.
     fn first(&mut self) -> Duration {
-        self.round.min(self.most).mul_f64(self.chance())
+        self.round.min(self.max).mul_f64(self.random())
     }
 
-    /// After a failed call: doubling up to the cap, by chance apart.
+    /// Backoff after a failed call: doubles up to the cap, with jitter.
     pub fn again(&mut self) -> Duration {
-        let full = self.next.min(self.most * 2 / 3);
+        let full = self.next.min(self.max * 2 / 3);
         self.next = full * 2;
-        full.mul_f64(0.5 + self.chance())
+        full.mul_f64(0.5 + self.random())
     }
 
-    /// The longest pause soon after a move.
+    /// Maximum backoff soon after an address change.
     fn while_moving(&mut self) -> Duration {
-        (MOVING / 4).mul_f64(0.5 + self.chance())
+        (URGENT_AFTER_MOVE / 4).mul_f64(0.5 + self.random())
     }
 
-    /// After a call that no answer came to: what it misses counts as told a second after its time, and others of the
-    /// fleet began theirs at other moments, so that nobody asks in step.
+    /// Backoff after a call without an answer. It is short, as changes missed by the call count as delivered a second
+    /// after its time limit; the senders' calls started at different times, so their retries don't coincide.
     fn after_silence(&mut self) -> Duration {
-        PAUSE.mul_f64(0.5 + self.chance())
+        MIN_BACKOFF.mul_f64(0.5 + self.random())
     }
 
-    /// The next failure is the first one again.
+    /// Resets the backoff after a success.
     pub fn start_over(&mut self) {
         self.next = self.start;
     }
 
-    fn chance(&mut self) -> f64 {
-        f64::from(self.chance.next_u32()) / (f64::from(u32::MAX) + 1.0)
+    fn random(&mut self) -> f64 {
+        f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 }
 
-/// Watches the list from `revision` on, for as long as the host listens, at the address that is told last.
+/// Watches the list from `revision` on at the current `address`, until the host ends.
 pub async fn watch(
     mut address: watch::Receiver<SocketAddr>,
     mut revision: u64,
@@ -112,19 +112,19 @@
 ) {
     let mut connection = None;
     let mut failing = false;
-    // Until when a call that has failed is soon made again: who has moved there counts as told 4 s later.
-    let mut urgent = Instant::now();
+    // Until then a failed call is retried soon: changes at a new address count as delivered 4 s after the move.
+    let mut urgent_until = Instant::now();
     sleep(pauses.first()).await;
     loop {
         let agent = *address.borrow_and_update();
         let answer = tokio::select! {
-            // The old address answers no more: the watch goes on at the new one, from what was told.
+            // The old address no longer answers: continue at the new one from the last known revision.
             Ok(()) = address.changed() => {
                 connection = None;
-                urgent = Instant::now() + MOVING;
+                urgent_until = Instant::now() + URGENT_AFTER_MOVE;
                 continue;
             }
-            answer = timeout(HOLD + PATIENCE, next(agent, revision, &mut connection)) => answer,
+            answer = timeout(HOLD + ANSWER_MARGIN, fetch_next(agent, revision, &mut connection)) => answer,
         };
         let answer = answer.unwrap_or(Err(WatchError::Silent));
         shared.discovery_calls.count(answer.is_ok());
@@ -140,19 +140,19 @@
             Err(e) => {
                 let pause = match e {
                     WatchError::Silent if !failing => pauses.after_silence(),
-                    _ if Instant::now() < urgent => pauses.again().min(pauses.while_moving()),
+                    _ if Instant::now() < urgent_until => pauses.again().min(pauses.while_moving()),
                     _ => pauses.again(),
                 };
-                // One line an outage, not one a call.
+                // Log once per outage, not once per call.
                 if !failing {
                     tracing::warn!("discovery: {e}");
                 }
                 failing = true;
                 connection = None;
-                // A new address is asked at once.
+                // A new address is called immediately.
                 tokio::select! {
                     Ok(()) = address.changed() => {
-                        urgent = Instant::now() + MOVING;
+                        urgent_until = Instant::now() + URGENT_AFTER_MOVE;
                         pauses.start_over();
                     }
                     () = sleep(pause) => {}
@@ -162,7 +162,7 @@
     }
 }
 
-async fn next(
+async fn fetch_next(
     agent: SocketAddr,
     revision: u64,
     kept: &mut Option<Connection>,
@@ -173,7 +173,7 @@
     if !answer.status().is_success() {
         return Err(WatchError::Status(answer.status()));
     }
-    let body = http_body_util::Limited::new(answer.into_body(), MOST_BYTES).collect().await;
+    let body = http_body_util::Limited::new(answer.into_body(), MAX_LIST_BYTES).collect().await;
     let targets = serde_json::from_slice(&body.map_err(WatchError::Body)?.to_bytes())?;
     *kept = Some(connection);
     Ok(targets)
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -6,14 +6,14 @@
 const BUSY: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 const BROKEN: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n[{\"ok";
 
-/// Guards against a hundred senders that ask a busy agent again every 50 ms (800 calls a second on quick days
-/// at size, of which most senders never got one through): the pauses grow, whatever the failure.
+/// Guards against a hundred senders that retry at a busy agent every 50 ms (800 calls a second in short runs at full
+/// size, where most senders never succeeded): the backoff grows with each kind of failure.
 #[tokio::test]
-async fn a_failing_agent_is_asked_ever_more_rarely() {
+async fn calls_to_a_failing_agent_back_off() {
     for answer in [BUSY, BROKEN, ""] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (_move, address) = watch::channel(listener.local_addr().unwrap());
-        let (host, mut heard) = unbounded_channel();
+        let (host, mut received) = unbounded_channel();
         let watching =
             tokio::spawn(watch(address, 7, Pauses::new(1, 1, Duration::from_secs(5)), host, Arc::default()));
         let mut calls = 0;
@@ -28,15 +28,15 @@
         })
         .await;
         assert!((2..=10).contains(&calls), "{calls} calls in two seconds answered {answer:?}");
-        assert!(heard.try_recv().is_err(), "the last good list stays");
+        assert!(received.try_recv().is_err(), "the last good list stays");
         watching.abort();
     }
 }
 
-/// Guards against senders that were all turned away at one moment and all come back at another.
+/// Guards against senders that are rejected together and then all retry at the same time.
 #[test]
-fn pauses_grow_to_their_cap_and_lie_apart() {
-    for (senders, first) in [(1, PAUSE), (20, Duration::from_secs(1))] {
+fn backoff_grows_to_its_cap_with_jitter() {
+    for (senders, first) in [(1, MIN_BACKOFF), (20, Duration::from_secs(1))] {
         let most = Duration::from_secs(9);
         let all: Vec<Vec<Duration>> = (0..50)
             .map(|seed| {
@@ -58,10 +58,10 @@
     }
 }
 
-/// Guards against a fleet that starts at one moment and asks at one (quick days at size: the first 38 of a
-/// hundred were heard, of the others none for half a minute).
+/// Guards against a fleet that starts together and calls the agent at the same time (in short runs at full size the
+/// first 38 of a hundred senders were served, and none of the others for half a minute).
 #[tokio::test]
-async fn senders_that_start_together_ask_one_after_the_other() {
+async fn senders_that_start_together_spread_their_first_calls() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (_move, address) = watch::channel(listener.local_addr().unwrap());
     let (host, _heard) = unbounded_channel();
@@ -72,50 +72,50 @@
     }
     let mut calls = Vec::new();
     while calls.len() < 40 {
-        // Kept open and unanswered: nobody asks twice meanwhile.
+        // Kept open without an answer, so that no sender calls twice meanwhile.
         let (stream, _) = timeout(Duration::from_secs(20), listener.accept()).await.unwrap().unwrap();
         calls.push((began.elapsed(), stream));
     }
     let (early, late) = (calls[9].0, calls[39].0);
     assert!(late > Duration::from_millis(1000), "over two seconds: {late:?}");
-    assert!(early > Duration::from_millis(100), "not at once: ten had asked after {early:?}");
+    assert!(early > Duration::from_millis(100), "not at once: ten had called after {early:?}");
 }
 
-/// Reads one call for the list.
-async fn asked(stream: &mut tokio::net::TcpStream) -> String {
+/// Reads one request for the list.
+async fn read_request(stream: &mut tokio::net::TcpStream) -> String {
     let mut got = Vec::new();
     while !got.ends_with(b"\r\n\r\n") {
-        assert!(stream.read_buf(&mut got).await.unwrap() > 0, "no call");
+        assert!(stream.read_buf(&mut got).await.unwrap() > 0, "no request");
     }
     String::from_utf8(got).unwrap()
 }
 
-/// A whole list of that revision, which names nobody.
+/// An answer with a complete, empty list of that revision.
 fn list(revision: u64) -> String {
     let list = format!(r#"{{"revision":{revision},"complete":true,"members":[]}}"#);
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())
 }
 
-/// Guards against a sender of a large fleet that stays with a watch which fell silent: what that misses counts as told
-/// 2 s after its wait is over, and the pauses of a fleet are longer than that. Silent from the first moment, and in the
-/// middle of an answer.
+/// Guards against a sender of a large fleet that waits too long after its watch got no answer: changes missed by the
+/// watch count as delivered 2 s after its time limit, and the usual backoff of a large fleet is longer. The agent is
+/// silent from the start, or stops in the middle of an answer.
 #[tokio::test(start_paused = true)]
-async fn a_silent_watch_is_opened_anew_in_time_whatever_the_fleet() {
+async fn an_unanswered_watch_is_retried_in_time_at_any_fleet_size() {
     for said in ["", "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"revision\""] {
         for senders in [1, 300, 3000] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let (_move, address) = watch::channel(listener.local_addr().unwrap());
-            let (host, mut heard) = unbounded_channel();
+            let (host, mut received) = unbounded_channel();
             let pauses = Pauses::new(senders as u64, senders, Duration::from_secs(10));
             let watching = tokio::spawn(watch(address, 7, pauses, host, Arc::default()));
             let (mut silent, _) = listener.accept().await.unwrap();
-            asked(&mut silent).await;
+            read_request(&mut silent).await;
             let began = Instant::now();
             silent.write_all(said.as_bytes()).await.unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
-            asked(&mut stream).await;
+            read_request(&mut stream).await;
             stream.write_all(list(8).as_bytes()).await.unwrap();
-            assert!(matches!(heard.recv().await, Some(Input::Targets(targets)) if targets.revision == 8));
+            assert!(matches!(received.recv().await, Some(Input::Targets(targets)) if targets.revision == 8));
             let took = began.elapsed();
             assert!(took < HOLD + Duration::from_millis(1500), "{senders} senders: {took:?}");
             watching.abort();
@@ -123,55 +123,55 @@
     }
 }
 
-/// Guards against a sender of a large fleet that waits out a pause at an address to which discovery has just moved:
-/// all come there at once, some are turned away, and all count as told 4 s later.
+/// Guards against a sender of a large fleet that backs off for too long after discovery has moved: all senders call the
+/// new address at once, some are rejected, and changes count as delivered to all of them 4 s later.
 #[tokio::test(start_paused = true)]
-async fn a_moved_discovery_that_is_busy_is_asked_again_in_time() {
+async fn a_busy_agent_at_a_new_address_is_retried_in_time() {
     for senders in [1, 300, 3000] {
         let (old, new) = (
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
         );
         let (moves, address) = watch::channel(old.local_addr().unwrap());
-        let (host, mut heard) = unbounded_channel();
+        let (host, mut received) = unbounded_channel();
         let pauses = Pauses::new(senders as u64, senders, Duration::from_secs(10));
         let watching = tokio::spawn(watch(address, 7, pauses, host, Arc::default()));
         let (mut before, _) = old.accept().await.unwrap();
-        asked(&mut before).await;
+        read_request(&mut before).await;
         let began = Instant::now();
         moves.send_replace(new.local_addr().unwrap());
         let (mut busy, _) = new.accept().await.unwrap();
-        asked(&mut busy).await;
+        read_request(&mut busy).await;
         busy.write_all(BUSY.as_bytes()).await.unwrap();
         let (mut stream, _) = new.accept().await.unwrap();
-        asked(&mut stream).await;
+        read_request(&mut stream).await;
         stream.write_all(list(8).as_bytes()).await.unwrap();
-        assert!(heard.recv().await.is_some());
+        assert!(received.recv().await.is_some());
         let took = began.elapsed();
         assert!(took < Duration::from_secs(2), "{senders} senders: {took:?}");
         watching.abort();
     }
 }
 
-/// Guards against a watch from a revision that its service does not know: one that starts anew counts from less, and
-/// what it tells is followed down; what was cut off is asked for again from the last whole answer.
+/// Guards against a watch from a revision that the service doesn't know: a restarted service counts from a lower
+/// revision, which the sender adopts. A truncated answer is requested again from the last complete one.
 #[tokio::test(start_paused = true)]
-async fn the_watch_goes_on_from_the_last_whole_answer() {
+async fn the_watch_continues_from_the_last_complete_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (_move, address) = watch::channel(listener.local_addr().unwrap());
-    let (host, mut heard) = unbounded_channel();
+    let (host, mut received) = unbounded_channel();
     tokio::spawn(watch(address, 7, Pauses::new(1, 1, Duration::from_secs(10)), host, Arc::default()));
-    // Whole; cut off in the middle; of a service that counts anew.
+    // Complete; truncated; from a service that restarted its revisions.
     let cut = list(9);
-    let told = [list(8), cut[..cut.len() - 9].to_owned(), list(3), String::new()];
-    for (text, from) in told.iter().zip([7, 8, 8, 3]) {
+    let answers = [list(8), cut[..cut.len() - 9].to_owned(), list(3), String::new()];
+    for (text, from) in answers.iter().zip([7, 8, 8, 3]) {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let first = asked(&mut stream).await;
+        let first = read_request(&mut stream).await;
         assert!(first.starts_with(&format!("GET /api/targets?from={from}&")), "{first}");
-        // Each answer ends its connection: the next call comes on another one.
+        // Each answer closes its connection: the next call arrives on a new one.
         stream.write_all(text.as_bytes()).await.unwrap();
     }
-    let revisions = [heard.recv().await, heard.recv().await].map(|input| match input {
+    let revisions = [received.recv().await, received.recv().await].map(|input| match input {
         Some(Input::Targets(targets)) => targets.revision,
         _ => 0,
     });
