--- a/src/net/notices.rs
+++ b/src/net/notices.rs
@@ -1,4 +1,4 @@
-//! Final answers to the platform: each is sent again until it is acknowledged, in the order in which they came.
+//! Notifies the platform of the final outcomes of undelivered messages, in order, retrying each until it is acknowledged.
 use super::connection::{CallError, Connection, request};
 use super::discovery::Pauses;
 use super::input::Input;
@@ -15,18 +15,18 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Notices in one request: the longest ids stay under the 64 KiB of a body.
-const MOST_LINES: usize = 50;
-/// The platform answers at once; a connection that stays silent for so long is given up.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// Pause after a first request that failed, on average: a notice is late 300 ms after its message's time.
-const PAUSE: Duration = Duration::from_millis(50);
-/// The longest pause: the platform answers even while discovery is down.
-const MOST_PAUSE: Duration = Duration::from_millis(400);
-/// Bodies of answers mean nothing and are read up to this, so that the connection can be used again.
-const MOST_ANSWER: usize = 64 * 1024;
+/// Maximum notices in one request: even with the longest ids the body stays under 64 KiB.
+const MAX_BATCH: usize = 50;
+/// Time limit for a request. The platform answers immediately, so a connection without an answer by then is abandoned.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
+/// Mean backoff after a first failed request: a notice is late 300 ms after its message's deadline.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// Maximum backoff: the platform answers even while discovery is down.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
+/// Maximum length of an answer's body, which is ignored and read only so that the connection can be reused.
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// How a message ended that was not delivered, on its way to the platform.
+/// The final outcome of an undelivered message, to be reported to the platform.
 pub struct Notice {
     pub number: u32,
     pub id: String,
@@ -43,8 +43,8 @@
     Status(StatusCode),
 }
 
-/// Sends what comes from `queue` to the platform, at the address that is told last, and tells the host what was
-/// acknowledged, for as long as both are there.
+/// Sends notices from `queue` to the platform at the current `address`, and reports acknowledged ones to the host, until
+/// the queue or the host ends.
 pub async fn run(
     mut address: watch::Receiver<SocketAddr>,
     mut queue: UnboundedReceiver<Notice>,
@@ -53,25 +53,25 @@
     shared: Arc<Shared>,
 ) {
     let (mut connection, mut batch, mut failing) = (None, Vec::new(), false);
-    // By chance apart: all senders lose the platform at one moment.
-    let mut pauses = Pauses::between(seed, PAUSE, MOST_PAUSE);
-    while queue.recv_many(&mut batch, MOST_LINES).await > 0 {
-        // One that changed while nothing was to be sent is not the kept connection's.
+    // With jitter, as all senders lose the platform at the same time.
+    let mut pauses = Pauses::between(seed, MIN_BACKOFF, MAX_BACKOFF);
+    while queue.recv_many(&mut batch, MAX_BATCH).await > 0 {
+        // The kept connection is of no use if the address changed while the queue was empty.
         if address.has_changed().unwrap_or(false) {
             connection = None;
         }
-        let mut take = batch.len();
+        let mut count = batch.len();
         while !batch.is_empty() {
-            take = take.min(batch.len());
-            let body = lines(&batch[..take]);
+            count = count.min(batch.len());
+            let body = lines(&batch[..count]);
             let platform = *address.borrow_and_update();
             let sent = tokio::select! {
-                // A notice that reached the old address too does no harm.
+                // A notice that also reached the old address is harmless.
                 Ok(()) = address.changed() => {
                     connection = None;
                     continue;
                 }
-                sent = timeout(PATIENCE, send(platform, body, &mut connection)) => sent,
+                sent = timeout(REQUEST_TIMEOUT, send(platform, body, &mut connection)) => sent,
             };
             let sent = sent.unwrap_or(Err(NoticeError::Silent));
             shared.notice_calls.count(sent.is_ok());
@@ -80,16 +80,19 @@
                     failing = false;
                     pauses.start_over();
                 }
-                // One that cannot be read must not hold up the others: each goes alone, and that one nowhere.
-                Err(NoticeError::Status(StatusCode::BAD_REQUEST)) if take > 1 => {
-                    take = 1;
+                // An invalid notice must not block the others: each is sent alone, and the invalid one is dropped.
+                Err(NoticeError::Status(StatusCode::BAD_REQUEST)) if count > 1 => {
+                    count = 1;
                     continue;
                 }
                 Err(NoticeError::Status(StatusCode::BAD_REQUEST)) => {
-                    tracing::warn!("notices: the platform cannot read the one of {:?}: dropped", batch[0].id);
+                    tracing::warn!(
+                        "notices: the platform rejected the notice for message {:?} as invalid; dropping it",
+                        batch[0].id
+                    );
                 }
                 Err(e) => {
-                    // One line an outage, not one a request.
+                    // Log once per outage, not once per request.
                     if !failing {
                         tracing::warn!("notices: {e}");
                     }
@@ -99,7 +102,7 @@
                     continue;
                 }
             }
-            let numbers = batch.drain(..take).map(|notice| notice.number).collect();
+            let numbers = batch.drain(..count).map(|notice| notice.number).collect();
             if host.send(Input::Noticed(numbers)).is_err() {
                 return;
             }
@@ -107,7 +110,7 @@
     }
 }
 
-/// One JSON object a line.
+/// Encodes notices as one JSON object per line.
 fn lines(batch: &[Notice]) -> Bytes {
     let mut body = Vec::new();
     for notice in batch {
@@ -124,9 +127,10 @@
 
 async fn send(platform: SocketAddr, body: Bytes, kept: &mut Option<Connection>) -> Result<(), NoticeError> {
     let head = || request(Method::POST, NOTICES, platform);
-    let (connection, answer) = Connection::exchange(kept.take(), platform, PATIENCE, head, body).await?;
+    let (connection, answer) =
+        Connection::exchange(kept.take(), platform, REQUEST_TIMEOUT, head, body).await?;
     let status = answer.status();
-    let read = Limited::new(answer.into_body(), MOST_ANSWER).collect().await;
+    let read = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await;
     if !status.is_success() {
         return Err(NoticeError::Status(status));
     }
