--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,15 +1,15 @@
-//! The upgrade: a running process hands what it has over to a new one that uses the same folder.
+//! Upgrade without downtime: a running process hands its state over to a new one that uses the same folder.
 //!
-//! Whoever writes the journal holds a lock on a file beside it, which the kernel frees at any end of the process.
-//! The holder listens at a local socket there. A new process that finds the lock taken asks at that socket:
+//! The process that writes the journal locks a file beside it; the kernel releases the lock however the process ends.
+//! The lock holder listens on a Unix socket there. A new process that finds the lock held connects to that socket:
 //!
-//! 1. new: its version; the old one stops deciding and writing.
-//! 2. old: the listening socket, then its [`State`].
-//! 3. new: [`ToOld::Taken`].
-//! 4. old: lets the lock go, then [`ToNew::Yours`]. From here on the new one decides and writes.
+//! 1. new: sends its version; the old one stops deciding and writing.
+//! 2. old: sends the listening socket, then its [`State`].
+//! 3. new: sends [`ToOld::Taken`].
+//! 4. old: releases the lock, then sends [`ToNew::Yours`]. From here on the new one decides and writes.
 //!
-//! Before 4 the old one goes on as if nothing had been asked where anything fails; the new one asks again until it
-//! has the lock. After 4 the old one finishes its calls and passes on what still reaches it.
+//! If anything fails before step 4, the old process resumes as before, and the new one retries until it has the lock.
+//! After step 4 the old process finishes its calls and forwards what still reaches it.
 use super::relay::{ToNew, ToOld};
 use message_sender::{EndpointId, Event, Sender, Time};
 use rustix::net::{
@@ -31,47 +31,48 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Raised with every change of what is handed over: processes of different versions wait for each other's end.
+/// Protocol version, raised with every change of the handed-over state. Between different versions there is no
+/// handover: the new process waits for the old one to end.
 const VERSION: u32 = 5;
-/// No frame is longer: a thousand messages under way take a fraction of a megabyte.
-const MOST_FRAME: usize = 16 << 20;
-/// Between two attempts to have the lock.
-const PAUSE: Duration = Duration::from_millis(20);
-/// The same, where both processes answer and do not fit.
-const LONG_PAUSE: Duration = Duration::from_secs(2);
-/// A process that asks says so at once.
-const HELLO_PATIENCE: Duration = Duration::from_secs(1);
+/// Maximum frame length: a thousand pending messages take a fraction of a megabyte.
+const MAX_FRAME_BYTES: usize = 16 << 20;
+/// Interval between attempts to take the lock.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// The interval after a failure that shows that the two processes are incompatible.
+const INCOMPATIBLE_RETRY_INTERVAL: Duration = Duration::from_secs(2);
+/// Time limit for the version from a process that has connected.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the old process knows that the journal does not hold.
+/// The state of the old process that the journal does not hold.
 #[derive(Serialize, Deserialize)]
 pub struct State<S, P> {
     pub sender: S,
-    /// What has happened since the module's last step.
+    /// Events since the decision module's last step.
     pub pending: P,
-    /// The module's number, id, address, zone, messages in a call.
+    /// The decision module's number of each endpoint, its id, address, zone and batch size.
     pub endpoints: Vec<(EndpointId, String, SocketAddr, String, usize)>,
-    /// The next one's number.
+    /// The number for the next new endpoint.
     pub next_endpoint: u32,
-    /// The names that the module's other numbers stand for.
+    /// The names behind the decision module's other numbers.
     pub numbering: Vec<Vec<String>>,
-    /// Version of the list.
+    /// Revision of the list of endpoints.
     pub revision: u64,
-    /// Clients are being sent away.
+    /// Whether the process is draining.
     pub draining: bool,
-    /// Connections from clients that the old process still serves.
+    /// Client connections that the old process still serves.
     pub clients: usize,
 }
 
-/// As the new process has it.
+/// The state as read by the new process.
 pub type Known = State<Sender, Vec<(Time, Event)>>;
-/// As the old process gives it, and keeps it where that fails.
+/// The state as borrowed by the old process, which keeps it if the handover fails.
 pub type Given<'a> = State<&'a Sender, &'a [(Time, Event)]>;
 
-/// All but the module itself.
+/// The state without the decision module.
 pub type Rest = State<(), Vec<(Time, Event)>>;
 
 impl Known {
-    /// The module, and the rest.
+    /// Separates the decision module from the rest.
     pub fn split(self) -> (Sender, Rest) {
         let State { sender, pending, endpoints, next_endpoint, numbering, revision, draining, clients } =
             self;
@@ -87,34 +88,37 @@
     Folder { doing: &'static str, path: PathBuf, source: io::Error },
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("what came cannot be read: {0}")]
+    #[error("invalid frame: {0}")]
     Frame(#[from] postcard::Error),
-    #[error("no listening socket came")]
+    #[error("no listening socket was received")]
     NoSocket,
     #[error("this process is ending")]
     Ending,
-    #[error("it answered out of turn")]
+    #[error("unexpected message from the other process")]
     Turn,
-    #[error("its zones, kinds or tenants are not those of this configuration")]
+    #[error("the zones, kinds or tenants of the running process differ from this configuration")]
     Numbering,
     #[error("no answer in time")]
     Silent(#[from] tokio::time::error::Elapsed),
 }
 
-/// The right to write the journal, for as long as this is held.
+/// The exclusive right to write the journal, held until this is dropped or the process ends.
 #[derive(Debug)]
 pub struct Lock {
     _file: File,
 }
 
-/// What came from a process that was running.
+/// What a running process handed over.
 pub struct Inherited {
     pub state: Box<Known>,
     pub listener: TcpListener,
     pub stream: UnixStream,
 }
 
-/// Waits for the right to the folder's journal, asking whoever has it to hand over.
+/// Waits for the lock on the folder's journal, asking the process that holds it to hand over.
+///
+/// # Errors
+/// The lock file cannot be opened or locked.
 pub async fn claim(
     folder: &Path,
     numbering: &[Vec<String>],
@@ -124,7 +128,7 @@
         let path = path.clone();
         move |source| HandoverError::Folder { doing, path, source }
     };
-    let mut said = String::new();
+    let mut logged = String::new();
     loop {
         let file = File::options().write(true).create(true).truncate(false).open(&path);
         let file = file.map_err(error("opening"))?;
@@ -133,29 +137,29 @@
             Err(TryLockError::WouldBlock) => {}
             Err(TryLockError::Error(source)) => return Err(error("locking")(source)),
         }
-        match ask(folder, numbering).await {
+        match request_handover(folder, numbering).await {
             Ok(inherited) => {
-                // It let go before its last word.
+                // The old process released the lock before its last message.
                 file.lock().map_err(error("locking"))?;
                 return Ok((Lock { _file: file }, Some(inherited)));
             }
             Err(e) => {
-                // Once a reason, not once an attempt.
+                // Log each reason once, not each attempt.
                 let text = e.to_string();
-                if said != text {
-                    tracing::warn!("another process has the journal, and has not handed over: {text}");
-                    said = text;
+                if logged != text {
+                    tracing::warn!("another process holds the journal and did not hand over: {text}");
+                    logged = text;
                 }
-                // Each attempt that goes so far stops the other process for a moment.
-                let far = matches!(e, HandoverError::Numbering | HandoverError::Frame(_));
-                sleep(if far { LONG_PAUSE } else { PAUSE }).await;
+                // An attempt that gets this far pauses the other process for a moment.
+                let incompatible = matches!(e, HandoverError::Numbering | HandoverError::Frame(_));
+                sleep(if incompatible { INCOMPATIBLE_RETRY_INTERVAL } else { RETRY_INTERVAL }).await;
             }
         }
     }
 }
 
-/// The socket's name: through the folder's descriptor where its own is too long for one.
-fn socket(folder: &Path) -> io::Result<(PathBuf, File)> {
+/// The path of the handover socket, through the folder's descriptor if the plain path is too long for a socket address.
+fn socket_path(folder: &Path) -> io::Result<(PathBuf, File)> {
     let open = File::open(folder)?;
     let path = folder.join("handover.sock");
     if path.as_os_str().len() < 100 {
@@ -164,9 +168,9 @@
     Ok((PathBuf::from(format!("/proc/self/fd/{}/handover.sock", open.as_raw_fd())), open))
 }
 
-/// No limit on time: one that never answers is waited for until its end breaks the connection.
-async fn ask(folder: &Path, numbering: &[Vec<String>]) -> Result<Inherited, HandoverError> {
-    let (path, _open) = socket(folder)?;
+/// Requests a handover. No time limit: if the old process never answers, this waits until its end closes the connection.
+async fn request_handover(folder: &Path, numbering: &[Vec<String>]) -> Result<Inherited, HandoverError> {
+    let (path, _open) = socket_path(folder)?;
     let mut stream = UnixStream::connect(path).await?;
     write(&mut stream, &ToOld::Hello(VERSION)).await?;
     let listener = TcpListener::from(receive_descriptor(&stream).await?);
@@ -181,10 +185,11 @@
     }
 }
 
-/// Listens for a process that is to take over; those that ask come through `found`, one at a time.
-pub fn listen(folder: &Path, found: impl Fn(UnixStream) -> bool + Send + 'static) -> io::Result<()> {
-    let (path, _open) = socket(folder)?;
-    // Whoever has the lock is alone: what stands there was left by a process that has ended, or is ending.
+/// Listens for processes that request a handover, and passes their connections to `on_request`, which returns false to
+/// stop listening.
+pub fn listen(folder: &Path, on_request: impl Fn(UnixStream) -> bool + Send + 'static) -> io::Result<()> {
+    let (path, _open) = socket_path(folder)?;
+    // This process holds the lock: an existing socket belongs to a process that has ended or is ending.
     match std::fs::remove_file(&path) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
@@ -193,21 +198,24 @@
     tokio::spawn(async move {
         loop {
             let Ok((mut stream, _)) = listener.accept().await else {
-                sleep(PAUSE).await;
+                sleep(RETRY_INTERVAL).await;
                 continue;
             };
-            let hello = timeout(HELLO_PATIENCE, read(&mut stream)).await;
+            let hello = timeout(HELLO_TIMEOUT, read(&mut stream)).await;
             match hello {
-                Ok(Ok(ToOld::Hello(VERSION))) if found(stream) => {}
+                Ok(Ok(ToOld::Hello(VERSION))) if on_request(stream) => {}
                 Ok(Ok(ToOld::Hello(VERSION))) => return,
-                _ => tracing::warn!("handover: asked for by something that does not speak version {VERSION}"),
+                _ => {
+                    tracing::warn!("handover: ignored a request that does not use protocol version {VERSION}")
+                }
             }
         }
     });
     Ok(())
 }
 
-/// The old one's part up to the word that the state was taken; nothing is given away before that.
+/// Sends the listening socket and the state, and waits until the new process has taken them. On an error the old process
+/// still owns everything.
 pub async fn offer(
     stream: &mut UnixStream,
     listener: &TcpListener,
@@ -251,9 +259,9 @@
 /// Writes a frame: its length, then its bytes.
 pub async fn write<T: Serialize>(
     stream: &mut (impl AsyncWriteExt + Unpin),
-    what: &T,
+    message: &T,
 ) -> Result<(), HandoverError> {
-    let mut frame = postcard::to_extend(what, vec![0; 4])?;
+    let mut frame = postcard::to_extend(message, vec![0; 4])?;
     let length = u32::try_from(frame.len() - 4).map_err(io::Error::other)?;
     frame[..4].copy_from_slice(&length.to_le_bytes());
     Ok(stream.write_all(&frame).await?)
@@ -261,7 +269,7 @@
 
 async fn read<T: DeserializeOwned>(stream: &mut (impl AsyncReadExt + Unpin)) -> Result<T, HandoverError> {
     let length = stream.read_u32_le().await? as usize;
-    if length > MOST_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(HandoverError::Io(io::ErrorKind::InvalidData.into()));
     }
     let mut frame = Vec::new();
@@ -269,11 +277,11 @@
     Ok(postcard::from_bytes(&frame)?)
 }
 
-/// The two ends of a connection as channels: what comes goes to `take`, with none for its end; the task ends once
-/// all that was sent is written.
+/// Connects a stream to channels. Received messages are passed to `on_message`, with none for the end of the stream. The
+/// returned task completes once all sent messages are written.
 pub fn link<In, Out>(
     stream: UnixStream,
-    take: impl Fn(Option<In>) -> bool + Send + 'static,
+    on_message: impl Fn(Option<In>) -> bool + Send + 'static,
 ) -> (UnboundedSender<Out>, JoinHandle<()>)
 where
     In: DeserializeOwned + Send + 'static,
@@ -283,9 +291,9 @@
     let (send, mut queue): (UnboundedSender<Out>, UnboundedReceiver<Out>) = unbounded_channel();
     tokio::spawn(async move {
         loop {
-            let came = read(&mut reads).await.ok();
-            let ended = came.is_none();
-            if !take(came) || ended {
+            let message = read(&mut reads).await.ok();
+            let ended = message.is_none();
+            if !on_message(message) || ended {
                 return;
             }
         }
--- a/src/net/handover/tests.rs
+++ b/src/net/handover/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use message_sender::*;
 
-/// Recorded frames, a line each: a word on it, and its bytes in hexadecimal digits.
+/// Recorded frames, one per line: a label and the bytes in hexadecimal.
 fn recorded(name: &str) -> Vec<Vec<u8>> {
     let path = format!("{}/tests/recorded/{name}.txt", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(path).unwrap();
@@ -13,24 +13,24 @@
     text.lines().map(bytes).collect()
 }
 
-/// The frames of these, as they are sent.
+/// The frames of these messages as they are sent.
 async fn sent<T: Serialize>(all: &[T]) -> Vec<Vec<u8>> {
     let mut frames = Vec::new();
-    for what in all {
+    for message in all {
         let mut frame = Vec::new();
-        write(&mut frame, what).await.unwrap();
+        write(&mut frame, message).await.unwrap();
         frames.push(frame);
     }
     frames
 }
 
-/// What is sent now is what was recorded, and what was recorded is read and sent again as it was.
+/// Checks that messages encode to the recorded frames, and that recorded frames decode and encode unchanged.
 async fn check<T: Serialize + DeserializeOwned>(name: &str, all: &[T]) {
     let recorded = recorded(name);
     assert_eq!(sent(all).await, recorded, "{name}");
     for frame in recorded {
-        let came: T = read(&mut frame.as_slice()).await.unwrap();
-        assert_eq!(sent(&[came]).await, [frame], "{name}");
+        let decoded: T = read(&mut frame.as_slice()).await.unwrap();
+        assert_eq!(sent(&[decoded]).await, [frame], "{name}");
     }
 }
 
@@ -162,7 +162,7 @@
     events
 }
 
-/// A module that has messages waiting and out, lines that learned, and an endpoint in an outage.
+/// A decision module with queued and in-flight messages, learned state, and an endpoint in an outage.
 fn sender() -> Sender {
     let mut sender = Sender::new(settings(), 7).unwrap();
     let mut actions = Vec::new();
@@ -203,21 +203,21 @@
     }
 }
 
-/// Guards against an upgrade between two versions of one number that read each other's words as something else. What
-/// the module has learned is in it: decisions that come out otherwise change these bytes too.
+/// Guards against an incompatible change of the state without a new protocol version. The state includes what the
+/// decision module has learned, so a change in its decisions changes these bytes too.
 #[tokio::test]
-async fn what_is_handed_over_is_told_and_understood_as_before() {
+async fn the_handed_over_state_matches_the_recorded_frames() {
     let pending = events().into_iter().zip(1_u64..).map(|(event, at)| (Time(at), event)).collect::<Vec<_>>();
     check::<Known>("handover-state", &[state(sender(), pending.clone())]).await;
-    // The old process writes the same from what it lends.
+    // The old process writes the same bytes from its borrowed state.
     let sender = sender();
     let given: [Given<'_>; 1] = [state(&sender, &pending[..])];
     assert_eq!(sent(&given).await, recorded("handover-state"));
 }
 
-/// Guards against the same in what the two processes say afterwards.
+/// Guards against the same in the messages that the two processes exchange.
 #[tokio::test]
-async fn what_two_processes_say_is_told_and_understood_as_before() {
+async fn the_handover_messages_match_the_recorded_frames() {
     let handed = SubmittedMessage {
         id: "id".to_owned(),
         class: "charge".to_owned(),
