--- a/src/net/admin_endpoint.rs
+++ b/src/net/admin_endpoint.rs
@@ -72,17 +72,17 @@
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 enum CallError {
-    #[error("no call in the line")]
+    #[error("empty request line")]
     Empty,
-    #[error("unknown call {0:?}")]
+    #[error("unknown command {0:?}")]
     Unknown(String),
-    #[error("{0} needs the id of an endpoint")]
+    #[error("{0} requires the id of an endpoint")]
     NoId(&'static str),
-    #[error("fleet needs one of view, roster, keepers, mark, remove NAME, leave, refound")]
+    #[error("fleet requires one of view, roster, keepers, mark, remove NAME, leave, refound")]
     Fleet,
     #[error("this sender knows no fleet: its configuration has no part `fleet`")]
     NoFleet,
-    #[error("{0:?} is a word too many")]
+    #[error("unexpected argument {0:?}")]
     Extra(String),
 }
 
@@ -95,7 +95,7 @@
     Fleet(sender_membership::Command),
 }
 
-/// Parses a request to the membership part.
+/// Parses a request to the membership thread.
 fn parse_fleet<'a>(mut words: impl Iterator<Item = &'a str>) -> Result<Parsed, CallError> {
     use sender_membership::Command as Membership;
     Ok(match words.next().ok_or(CallError::Fleet)? {
@@ -213,14 +213,14 @@
         }
     };
     let answer = match read {
-        Err(_) => Err("no whole line came in time".to_owned()),
+        Err(_) => Err("timed out while reading the request line".to_owned()),
         Ok(Err(e)) => return Err(e),
         Ok(Ok(_)) if line.len() > MAX_LINE_BYTES => {
             Err(format!("the line is longer than {MAX_LINE_BYTES} bytes"))
         }
         Ok(Ok(0)) => return Ok(()),
         // Half a line could be half an id.
-        Ok(Ok(_)) if line.last() != Some(&b'\n') => Err("the line has no end".to_owned()),
+        Ok(Ok(_)) if line.last() != Some(&b'\n') => Err("the request line has no newline".to_owned()),
         Ok(Ok(_)) => match std::str::from_utf8(&line).map(parse) {
             Err(_) => Err("the line is not text".to_owned()),
             Ok(Err(e)) => Err(e.to_string()),
@@ -240,7 +240,7 @@
                 request_fleet(fleet, MEMBERSHIP_TIMEOUT, |answer| fleet::Asked::Order(command, answer)).await
             }
             Ok(Ok(Parsed::Figures)) => {
-                // A membership part that is busy omits its metrics, and delays no others.
+                // If the membership thread is busy, its metrics are omitted, without delaying the others.
                 let known = match fleet {
                     Some(fleet) => request_within(fleet, HOST_TIMEOUT / 2, fleet::Asked::Figures).await.ok(),
                     None => None,
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,6 +1,5 @@
-//! The log on standard error, by `tracing`: levels and forms as the configuration says, a bounded rate for each place in the
-//! code, and a standard error that takes nothing never holds whoever writes to it. Without a part `log` it is as it always
-//! was: the bare lines from `info` up.
+//! Logging to standard error with `tracing`: configurable level and format, a rate limit per call site, and no blocking
+//! when standard error accepts no data. Without a `log` section in the configuration, it writes plain lines from `info` up.
 use crate::config::{Form, Level, Log};
 use std::collections::HashMap;
 use std::fmt;
@@ -19,27 +18,27 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::{Layer, Registry, reload};
 
-/// A pipe that can be written to takes so many bytes at once, or none (POSIX: PIPE_BUF).
-const AT_ONCE: usize = 4096;
-/// What a place in the code has saved up, in seconds of its rate.
+/// A write of at most this many bytes to a writable pipe is atomic (POSIX: PIPE_BUF).
+const MAX_ATOMIC_WRITE_BYTES: usize = 4096;
+/// Maximum burst of a call site, in seconds of its rate.
 const BURST_S: f64 = 3.0;
 
-/// Why there is no log.
+/// Why logging cannot be set up.
 #[derive(Debug, thiserror::Error)]
 pub enum LogError {
-    /// There is one already.
-    #[error("the log was begun twice: {0}")]
+    /// The process has a global subscriber already.
+    #[error("logging is already set up: {0}")]
     Twice(#[from] tracing::subscriber::SetGlobalDefaultError),
 }
 
-/// The log's level, which can be changed.
+/// Changes the log level at run time.
 #[derive(Clone)]
 pub struct Handle(reload::Handle<LevelFilter, Registry>);
 
 impl Handle {
-    /// Has lines from this level up told from now on.
+    /// Sets the minimum level of lines.
     pub fn set(&self, level: Level) {
-        // An error says that the log is gone, at the process's end.
+        // Fails only if the subscriber has been dropped, at the end of the process.
         let _ = self.0.modify(|filter| *filter = filter_of(level));
     }
 }
@@ -53,7 +52,10 @@
     }
 }
 
-/// Begins the log of this process, which is called `sender` in it.
+/// Sets up logging for this process, with `sender` as its name in each line.
+///
+/// # Errors
+/// A global subscriber is already set.
 pub fn begin(log: &Log, sender: &str) -> Result<Handle, LogError> {
     let (filter, handle) = reload::Layer::new(filter_of(log.level));
     let stderr = Stderr::new();
@@ -91,35 +93,35 @@
     Ok(Handle(handle))
 }
 
-/// Standard error. One that somebody has to take from is asked first whether it takes a line.
+/// Standard error. If it is a pipe, socket or terminal, it is polled before a write, which could else block.
 #[derive(Clone, Copy)]
 struct Stderr {
-    asks: bool,
+    polls: bool,
 }
 
 impl Stderr {
     fn new() -> Self {
         let kind =
             io::stderr().as_fd().try_clone_to_owned().and_then(|fd| std::fs::File::from(fd).metadata());
-        let waits = |kind: std::fs::FileType| kind.is_fifo() || kind.is_socket() || kind.is_char_device();
-        Self { asks: kind.is_ok_and(|metadata| waits(metadata.file_type())) }
+        let may_block = |kind: std::fs::FileType| kind.is_fifo() || kind.is_socket() || kind.is_char_device();
+        Self { polls: kind.is_ok_and(|metadata| may_block(metadata.file_type())) }
     }
 
-    /// Whether a line can be written without a wait.
-    fn takes(self) -> bool {
-        if !self.asks {
+    /// Whether a line can be written without blocking.
+    fn is_writable(self) -> bool {
+        if !self.polls {
             return true;
         }
         let stderr = io::stderr();
-        let mut asked = [nix::poll::PollFd::new(stderr.as_fd(), nix::poll::PollFlags::POLLOUT)];
-        // Where that cannot be asked, a line is worth a wait.
-        !matches!(nix::poll::poll(&mut asked, nix::poll::PollTimeout::ZERO), Ok(0))
+        let mut polled = [nix::poll::PollFd::new(stderr.as_fd(), nix::poll::PollFlags::POLLOUT)];
+        // If polling fails, risk blocking rather than losing the line.
+        !matches!(nix::poll::poll(&mut polled, nix::poll::PollTimeout::ZERO), Ok(0))
     }
 }
 
 impl Write for Stderr {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        // Nobody is told that the log cannot be written: there is no other place to say so, and the sender goes on.
+        // Write errors are ignored: there is no other place to report them, and the sender continues.
         let _ = io::stderr().lock().write_all(line);
         Ok(line.len())
     }
@@ -137,14 +139,14 @@
     }
 }
 
-/// One place in the code: what it may still write, as of when, and what was left out.
+/// Rate limit of a call site (token bucket), and the number of lines suppressed since the last one written.
 struct Site {
     tokens: f64,
     at: Instant,
     left_out: u64,
 }
 
-/// What is the same for all forms.
+/// Rate limits and settings shared by all formats.
 struct Bounded {
     form: Form,
     rate: u32,
@@ -153,12 +155,12 @@
     stderr: Stderr,
 }
 
-/// Lines that nobody took.
-static UNTAKEN: AtomicU64 = AtomicU64::new(0);
+/// Lines dropped because standard error was not writable.
+static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 impl Bounded {
-    /// How many lines of this place were left out before this one; none where this one is.
-    fn pass(&self, site: Identifier) -> Option<u64> {
+    /// Returns the number of lines suppressed at this call site before this one, or none if this one is suppressed.
+    fn admit(&self, site: Identifier) -> Option<u64> {
         if self.rate == 0 {
             return Some(0);
         }
@@ -176,12 +178,12 @@
         Some(std::mem::take(&mut site.left_out))
     }
 
-    /// Adds what stands on each line, whatever it says.
-    fn finish(&self, line: &mut String, left_out: u64, untaken: u64) {
-        let end = line.trim_end().len();
-        line.truncate(end);
+    /// Appends the fields that each line has: the sender's name, and the counts of lines lost.
+    fn finish(&self, line: &mut String, left_out: u64, dropped: u64) {
+        let trimmed_length = line.trim_end().len();
+        line.truncate(trimmed_length);
         let counts =
-            [("left_out", left_out), ("not_taken", untaken)].into_iter().filter(|(_, count)| *count > 0);
+            [("left_out", left_out), ("not_taken", dropped)].into_iter().filter(|(_, count)| *count > 0);
         if self.form == Form::Json {
             let _ = line.pop();
             let name = serde_json::Value::from(self.sender.as_str());
@@ -198,7 +200,7 @@
     }
 }
 
-/// Lines of one form, within their bounds.
+/// Formats lines with `inner`, within the limits of `bound`.
 struct Shaped<F> {
     inner: F,
     bound: Bounded,
@@ -216,17 +218,17 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let Some(left_out) = self.bound.pass(event.metadata().callsite()) else { return Ok(()) };
-        if !self.bound.stderr.takes() {
-            UNTAKEN.fetch_add(1 + left_out, Ordering::Relaxed);
+        let Some(left_out) = self.bound.admit(event.metadata().callsite()) else { return Ok(()) };
+        if !self.bound.stderr.is_writable() {
+            DROPPED.fetch_add(1 + left_out, Ordering::Relaxed);
             return Ok(());
         }
         let mut line = String::new();
         self.inner.format_event(context, Writer::new(&mut line), event)?;
-        self.bound.finish(&mut line, left_out, UNTAKEN.swap(0, Ordering::Relaxed));
-        if self.bound.stderr.asks && line.len() > AT_ONCE {
-            // A longer one could find room for its beginning alone, and wait for the rest.
-            UNTAKEN.fetch_add(1, Ordering::Relaxed);
+        self.bound.finish(&mut line, left_out, DROPPED.swap(0, Ordering::Relaxed));
+        if self.bound.stderr.polls && line.len() > MAX_ATOMIC_WRITE_BYTES {
+            // A longer line could be written in part and then block.
+            DROPPED.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
         writer.write_str(&line)
--- a/src/net/log/tests.rs
+++ b/src/net/log/tests.rs
@@ -1,12 +1,18 @@
 use super::*;
 
 fn bounded(form: Form, rate: u32) -> Bounded {
-    Bounded { form, rate, sender: "n\"1".to_owned(), sites: Mutex::default(), stderr: Stderr { asks: false } }
+    Bounded {
+        form,
+        rate,
+        sender: "n\"1".to_owned(),
+        sites: Mutex::default(),
+        stderr: Stderr { polls: false },
+    }
 }
 
-/// What stands on each line keeps each form readable by what reads it.
+/// Guards against appended fields that make a line invalid in its format.
 #[test]
-fn lines_end_as_their_form_does() {
+fn appended_fields_keep_each_format_valid() {
     let finished = |form, line: &str, left_out| {
         let mut line = line.to_owned();
         bounded(form, 1).finish(&mut line, left_out, 0);
--- a/src/net/telemetry.rs
+++ b/src/net/telemetry.rs
@@ -1,29 +1,29 @@
-//! What the sender did and what it costs, as Prometheus text for staff.
+//! Metrics of the sender in the Prometheus text format.
 //!
-//! The host counts in plain numbers of its own, so that counting costs a request next to nothing, and gives a copy
-//! of them with its present state when a scrape asks: all of it is of one moment between two turns of the loop, as
-//! the tasks that count in [`Shared`] run on the host's thread. Files of the system are read and text is written on
-//! the thread of the second address. All counters begin anew with each process.
+//! The host counts in plain integers, so that counting costs a request almost nothing, and gives a scrape a copy with
+//! its current state. All values are of the same moment between two turns of the loop, as the tasks that count in
+//! [`Shared`] run on the host's thread. The admin endpoint's thread reads `/proc` and formats the text. All counters
+//! start at zero in each process.
 use message_sender::Outcome;
 use std::fmt::{Display, Write};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Classes that get a label of their own; what belongs to others counts under an empty one.
-const MOST_LANES: usize = 100;
-/// Upper bounds of the histograms' buckets, in milliseconds: from one step of the module to the longest deadlines.
+/// Maximum classes with their own label; further ones are counted under an empty label.
+const MAX_LANE_LABELS: usize = 100;
+/// Upper bounds of the histogram buckets in milliseconds, from one step of the decision module to the longest deadlines.
 const BOUNDS_MS: [u32; 14] =
     [5, 10, 25, 50, 100, 250, 500, 1_000, 2_500, 5_000, 10_000, 20_000, 30_000, 60_000];
 const PREFIX: &str = "sender";
 
-/// What became of a message that was taken on.
+/// The final outcome of an accepted message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// Delivered.
     Completed,
-    /// Returned to its client, which may safely come again.
+    /// Returned to its client, which may safely submit it again.
     Rejected,
-    /// Undelivered, with no promise about its effect; or no longer wanted.
+    /// Not delivered, and it may have executed; or cancelled.
     Failed,
 }
 
@@ -31,7 +31,7 @@
 const OUTCOMES: [&str; 9] =
     ["success", "failure", "full", "timed_out", "connect_failed", "reset", "cancelled", "void", "no_room"];
 
-fn index(outcome: Outcome) -> usize {
+fn outcome_index(outcome: Outcome) -> usize {
     match outcome {
         Outcome::Success => 0,
         Outcome::Failure => 1,
@@ -45,10 +45,10 @@
     }
 }
 
-/// How often something took how long.
+/// A histogram of durations.
 #[derive(Clone, Debug, Default)]
 pub struct Histogram {
-    /// By bucket, each counted in one only; the last is beyond all bounds.
+    /// Observations per bucket, not cumulative; the last bucket has no upper bound.
     counts: [u64; BOUNDS_MS.len() + 1],
     sum: Duration,
 }
@@ -62,70 +62,70 @@
     }
 }
 
-/// What the host counts.
+/// Counters of the host.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
-    /// Messages taken on from clients, and those that an earlier process left to this one.
+    /// Messages accepted from clients, and messages resumed from an earlier process.
     pub taken: u64,
     pub resumed: u64,
-    /// Turned away at the door.
+    /// Messages not accepted: refused, and invalid ones.
     pub refused: u64,
     pub malformed: u64,
-    /// Calls to endpoints, each with one message or several.
+    /// Calls to endpoints, each with one or more messages.
     pub calls: u64,
-    /// Attempts begun: one for each message of a call.
+    /// Attempts started: one for each message of a call.
     pub attempts: u64,
     attempt_ends: [u64; OUTCOMES.len()],
-    /// Connections to endpoints: made, and used again.
+    /// Connections to endpoints: opened, and reused.
     pub opened: u64,
     pub reused: u64,
-    /// Turns of the loop, and steps of the module.
+    /// Turns of the host loop, and steps of the decision module.
     pub wakeups: u64,
     pub steps: u64,
-    /// From taking on to the first attempt, and to the final answer.
+    /// Time from acceptance to the first attempt, and to the final outcome.
     pub queue: Histogram,
     pub answer: Histogram,
-    /// Ends of messages by class, and of those whose class has no label of its own.
+    /// Final outcomes by class, and of the classes without their own label.
     lanes: Vec<(String, [u64; ENDS.len()])>,
     other_lanes: [u64; ENDS.len()],
 }
 
 impl Figures {
-    /// Gives classes labels: their names come from the settings, and from nowhere else.
+    /// Adds labels for classes. Only names from the settings become labels, which bounds their number.
     pub fn name(&mut self, lanes: impl IntoIterator<Item = String>) {
         for lane in lanes {
-            if self.lanes.len() < MOST_LANES && !self.lanes.iter().any(|(name, _)| *name == lane) {
+            if self.lanes.len() < MAX_LANE_LABELS && !self.lanes.iter().any(|(name, _)| *name == lane) {
                 self.lanes.push((lane, [0; ENDS.len()]));
             }
         }
         self.lanes.sort();
     }
 
-    /// Counts the end of a message of that class, so long after it was taken on.
+    /// Counts the final outcome of a message of class `lane`, `after` its acceptance.
     pub fn ended(&mut self, lane: &str, end: End, after: Duration) {
         let own = self.lanes.iter_mut().find(|(name, _)| name == lane).map(|(_, ends)| ends);
         own.unwrap_or(&mut self.other_lanes)[end as usize] += 1;
         self.answer.observe(after);
     }
 
-    /// Counts the end of an attempt.
+    /// Counts the outcome of an attempt.
     pub fn attempt_ended(&mut self, outcome: Outcome) {
-        self.attempt_ends[index(outcome)] += 1;
+        self.attempt_ends[outcome_index(outcome)] += 1;
     }
 }
 
-/// What else there is to tell of the host at the same moment.
+/// Gauges of the host, as of the same moment as its counters.
 #[derive(Clone, Debug, Default)]
 pub struct Present {
-    /// Messages held, and the bytes of their bodies.
+    /// Accepted messages without a final outcome, and the bytes of their bodies.
     pub pending: usize,
     pub pending_bytes: usize,
-    /// Final answers that the platform has not acknowledged.
+    /// Notices of final outcomes that the platform has not acknowledged.
     pub notices: usize,
-    /// Endpoints on the list, and those of them that nothing goes to now.
+    /// Listed endpoints, and those of them that currently receive no messages.
     pub members: usize,
     pub unavailable: usize,
-    /// Endpoints remembered, listed or not.
+    /// Endpoints with stored state, listed or not.
     pub remembered: usize,
     pub journal_bytes: u64,
     /// Connections to endpoints.
@@ -133,27 +133,27 @@
     pub endpoints_busy: usize,
 }
 
-/// A scrape's copy of it all.
+/// All values of the host's thread for one scrape.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     pub figures: Figures,
     pub present: Present,
-    pub beside: Beside,
+    pub beside: TaskCounts,
 }
 
-/// Counts of tasks beside the host.
+/// Counters that tasks besides the host update.
 #[derive(Debug, Default)]
 pub struct Shared {
-    pub discovery_calls: Tries,
-    pub notice_calls: Tries,
-    pub reloads: Tries,
+    pub discovery_calls: ResultCounts,
+    pub notice_calls: ResultCounts,
+    pub reloads: ResultCounts,
     /// Connections from clients.
     pub clients: AtomicUsize,
 }
 
 impl Shared {
-    pub fn read(&self) -> Beside {
-        Beside {
+    pub fn read(&self) -> TaskCounts {
+        TaskCounts {
             discovery_calls: self.discovery_calls.read(),
             notice_calls: self.notice_calls.read(),
             reloads: self.reloads.read(),
@@ -162,23 +162,23 @@
     }
 }
 
-/// The same as plain numbers; what was tried as often as it went well, and as it failed.
+/// A copy of [`Shared`] in plain integers; each pair counts successes and failures.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Beside {
+pub struct TaskCounts {
     discovery_calls: (u64, u64),
     notice_calls: (u64, u64),
     reloads: (u64, u64),
     clients: usize,
 }
 
-/// How often something was tried, by how it went.
+/// Counts attempts by success and failure.
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct ResultCounts {
     ok: AtomicU64,
     failed: AtomicU64,
 }
 
-impl Tries {
+impl ResultCounts {
     pub fn count(&self, ok: bool) {
         let counter = if ok { &self.ok } else { &self.failed };
         counter.fetch_add(1, Ordering::Relaxed);
@@ -189,7 +189,7 @@
     }
 }
 
-/// What the system says of this process; what it does not say is left out.
+/// Resource use of this process; none where the system doesn't provide a value.
 #[derive(Debug, Default)]
 struct Process {
     user: Option<Duration>,
@@ -213,7 +213,7 @@
             let line = status.lines().find_map(|line| line.strip_prefix(name))?;
             Some(line.trim().strip_suffix(" kB")?.trim().parse::<u64>().ok()? * 1024)
         };
-        // The one that reads the folder is there only meanwhile.
+        // Excludes the descriptor of the directory listing itself.
         let open = std::fs::read_dir("/proc/self/fd").ok().map(|files| files.count().saturating_sub(1));
         Self {
             user: usage.map(|usage| span(usage.user_time())),
@@ -225,7 +225,7 @@
     }
 }
 
-/// The text of a scrape, up to and with the word that ends it.
+/// Formats a scrape, including the final `end` line.
 pub fn scrape(snapshot: &Snapshot, fleet: Option<&Fleet>) -> String {
     let mut text = Text(String::with_capacity(16 * 1024));
     text.messages(snapshot);
@@ -239,36 +239,36 @@
     text.0
 }
 
-/// What a sender knows of its fleet, in figures.
+/// Metrics of the fleet membership.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// Members by whether they answer, as the view has it.
+    /// Number of members by health.
     pub members: Vec<(&'static str, usize)>,
-    /// Keepers that answer, and keepers in all.
+    /// Voters that answer, and all voters.
     pub keepers: [usize; 2],
-    /// How often the fleet was founded anew, and the number of the roster.
+    /// The epoch, which grows each time the fleet is founded again, and the number of the member list.
     pub roster: [u64; 2],
-    /// Since another member was heard; none where none ever was.
+    /// Time since a message from another member; none if there was none.
     pub heard: Option<Duration>,
-    /// Whether this sender's start is agreed on.
+    /// Whether the voters have agreed on this sender's start.
     pub confirmed: bool,
-    /// Datagrams, frames and bytes sent, and packets taken in.
+    /// Datagrams, frames and bytes sent, and packets received.
     pub packets: [u64; 4],
-    /// Packets dropped: of another fleet, of another version, damaged.
+    /// Packets dropped: from another fleet, of another version, damaged.
     pub dropped: [u64; 3],
 }
 
-/// What a process did and cost in all, in one line: for its log, as it ends in order.
-pub fn summary(Snapshot { figures, present, beside }: &Snapshot) -> String {
+/// A line of totals for the log at an orderly shutdown.
+pub fn summary(Snapshot { figures, present, beside: tasks }: &Snapshot) -> String {
     let process = Process::read();
     let ends = figures.lanes.iter().map(|(_, ends)| ends).chain([&figures.other_lanes]);
     let [completed, rejected, failed] =
         ends.fold([0; ENDS.len()], |sums, ends| std::array::from_fn(|n| sums[n] + ends[n]));
     let millis = |spent: Option<Duration>| spent.unwrap_or_default().as_millis();
-    let (asked, unanswered) = beside.discovery_calls;
+    let (discovery_ok, discovery_failed) = tasks.discovery_calls;
     format!(
         "in all: taken_on={} resumed={} completed={completed} rejected={rejected} failed={failed} pending={} \
-         refused={} attempts={} opened={} reused={} discovery={asked} discovery_errors={unanswered} wakeups={} \
+         refused={} attempts={} opened={} reused={} discovery={discovery_ok} discovery_errors={discovery_failed} wakeups={} \
          steps={} cpu_user_ms={} cpu_system_ms={} peak_bytes={}",
         figures.taken,
         figures.resumed,
@@ -302,16 +302,22 @@
         let _ = writeln!(self.0, "{} {value}", if labels.is_empty() { "" } else { "}" });
     }
 
-    fn one(&mut self, name: &str, kind: &str, help: &str, value: impl Display) {
+    fn single(&mut self, name: &str, kind: &str, help: &str, value: impl Display) {
         self.family(name, kind, help);
         self.sample(name, &[], value);
     }
 
     fn fleet(&mut self, fleet: &Fleet) {
         let answers = &fleet.members;
-        self.by("fleet_members", "gauge", "Members of the fleet by whether they answer.", "health", answers);
+        self.labelled(
+            "fleet_members",
+            "gauge",
+            "Members of the fleet by whether they answer.",
+            "health",
+            answers,
+        );
         let keepers = [("answering", fleet.keepers[0]), ("all", fleet.keepers[1])];
-        self.by(
+        self.labelled(
             "fleet_keepers",
             "gauge",
             "Keepers; with half or fewer answering nothing is agreed on.",
@@ -319,34 +325,41 @@
             &keepers,
         );
         let [epoch, number] = fleet.roster;
-        self.one("fleet_epoch", "gauge", "How often the fleet was founded anew.", epoch);
-        self.one("fleet_roster_number", "gauge", "The number of the roster that this sender has.", number);
+        self.single("fleet_epoch", "gauge", "How often the fleet was founded anew.", epoch);
+        self.single("fleet_roster_number", "gauge", "The number of the roster that this sender has.", number);
         let confirmed = u8::from(fleet.confirmed);
-        self.one("fleet_confirmed", "gauge", "1 once this sender's start is agreed on.", confirmed);
+        self.single("fleet_confirmed", "gauge", "1 once this sender's start is agreed on.", confirmed);
         if let Some(heard) = fleet.heard {
             let help = "Since another member was heard.";
-            self.one("fleet_heard_seconds", "gauge", help, heard.as_secs_f64());
+            self.single("fleet_heard_seconds", "gauge", help, heard.as_secs_f64());
         }
         let [datagrams, frames, bytes, taken] = fleet.packets;
         let sent = [("datagram", datagrams), ("frame", frames)];
-        self.by("fleet_sent_total", "counter", "Packets sent to peers.", "by", &sent);
-        self.one("fleet_sent_bytes_total", "counter", "Bytes of them.", bytes);
-        self.one("fleet_taken_total", "counter", "Packets taken in from peers.", taken);
+        self.labelled("fleet_sent_total", "counter", "Packets sent to peers.", "by", &sent);
+        self.single("fleet_sent_bytes_total", "counter", "Bytes of them.", bytes);
+        self.single("fleet_taken_total", "counter", "Packets taken in from peers.", taken);
         let [foreign, versions, damaged] = fleet.dropped;
         let dropped = [("fleet", foreign), ("version", versions), ("damaged", damaged)];
-        self.by("fleet_dropped_total", "counter", "Packets dropped.", "reason", &dropped);
+        self.labelled("fleet_dropped_total", "counter", "Packets dropped.", "reason", &dropped);
     }
 
-    /// A family with one label.
-    fn by<V: Display>(&mut self, name: &str, kind: &str, help: &str, label: &str, values: &[(&str, V)]) {
+    /// A metric family with one label.
+    fn labelled<V: Display>(
+        &mut self,
+        name: &str,
+        kind: &str,
+        help: &str,
+        label: &str,
+        values: &[(&str, V)],
+    ) {
         self.family(name, kind, help);
-        for (of, value) in values {
-            self.sample(name, &[(label, of)], value);
+        for (label_value, value) in values {
+            self.sample(name, &[(label, label_value)], value);
         }
     }
 
-    fn tries(&mut self, name: &str, help: &str, (ok, failed): (u64, u64)) {
-        self.by(name, "counter", help, "result", &[("ok", ok), ("error", failed)]);
+    fn results(&mut self, name: &str, help: &str, (ok, failed): (u64, u64)) {
+        self.labelled(name, "counter", help, "result", &[("ok", ok), ("error", failed)]);
     }
 
     fn histogram(&mut self, name: &str, help: &str, histogram: &Histogram) {
@@ -364,7 +377,7 @@
     }
 
     fn messages(&mut self, Snapshot { figures, present, .. }: &Snapshot) {
-        self.by(
+        self.labelled(
             "taken_on_total",
             "counter",
             "Messages taken on: from clients, and from an earlier process.",
@@ -380,10 +393,15 @@
                 self.sample(name, &[("lane", lane), ("result", result)], count);
             }
         }
-        self.one("pending", "gauge", "Messages taken on that wait for their final answer.", present.pending);
-        self.one("pending_bytes", "gauge", "Bytes of their bodies.", present.pending_bytes);
-        self.one("notices_pending", "gauge", "Final answers not yet acknowledged.", present.notices);
-        self.by(
+        self.single(
+            "pending",
+            "gauge",
+            "Messages taken on that wait for their final answer.",
+            present.pending,
+        );
+        self.single("pending_bytes", "gauge", "Bytes of their bodies.", present.pending_bytes);
+        self.single("notices_pending", "gauge", "Final answers not yet acknowledged.", present.notices);
+        self.labelled(
             "turned_away_total",
             "counter",
             "Messages not taken on.",
@@ -394,69 +412,78 @@
         self.histogram("answer_seconds", "Time from taking on to the final answer.", &figures.answer);
     }
 
-    fn calls(&mut self, figures: &Figures, beside: &Beside) {
-        self.one("upstream_requests_total", "counter", "Calls to endpoints.", figures.calls);
-        self.one(
+    fn calls(&mut self, figures: &Figures, tasks: &TaskCounts) {
+        self.single("upstream_requests_total", "counter", "Calls to endpoints.", figures.calls);
+        self.single(
             "attempts_total",
             "counter",
             "Attempts begun, one for each message of a call.",
             figures.attempts,
         );
         let ends: Vec<_> = OUTCOMES.into_iter().zip(figures.attempt_ends).collect();
-        self.by("attempt_ends_total", "counter", "Attempts that have ended.", "outcome", &ends);
-        self.by(
+        self.labelled("attempt_ends_total", "counter", "Attempts that have ended.", "outcome", &ends);
+        self.labelled(
             "upstream_connections_total",
             "counter",
             "Connections to endpoints that carried a call or were made for one.",
             "origin",
             &[("opened", figures.opened), ("reused", figures.reused)],
         );
-        self.tries("discovery_calls_total", "Calls to discovery that have ended.", beside.discovery_calls);
-        self.tries("notice_calls_total", "Calls with final answers that have ended.", beside.notice_calls);
-        let (reloads, errors) = beside.reloads;
-        self.one("config_reloads_total", "counter", "Configurations taken up at SIGHUP.", reloads);
-        self.one("config_reload_errors_total", "counter", "Configurations not taken up at SIGHUP.", errors);
-        self.one("loop_wakeups_total", "counter", "Turns of the loop.", figures.wakeups);
-        self.one("steps_total", "counter", "Steps of the decision module.", figures.steps);
+        self.results("discovery_calls_total", "Calls to discovery that have ended.", tasks.discovery_calls);
+        self.results("notice_calls_total", "Calls with final answers that have ended.", tasks.notice_calls);
+        let (reloads, errors) = tasks.reloads;
+        self.single("config_reloads_total", "counter", "Configurations taken up at SIGHUP.", reloads);
+        self.single(
+            "config_reload_errors_total",
+            "counter",
+            "Configurations not taken up at SIGHUP.",
+            errors,
+        );
+        self.single("loop_wakeups_total", "counter", "Turns of the loop.", figures.wakeups);
+        self.single("steps_total", "counter", "Steps of the decision module.", figures.steps);
     }
 
     fn members(&mut self, present: &Present) {
-        self.one("members", "gauge", "Endpoints on the list.", present.members);
+        self.single("members", "gauge", "Endpoints on the list.", present.members);
         let help = "Endpoints on the list that nothing goes to now: draining, excluded or in an outage.";
-        self.one("members_unavailable", "gauge", help, present.unavailable);
-        self.one("endpoints_remembered", "gauge", "Endpoints remembered, listed or not.", present.remembered);
+        self.single("members_unavailable", "gauge", help, present.unavailable);
+        self.single(
+            "endpoints_remembered",
+            "gauge",
+            "Endpoints remembered, listed or not.",
+            present.remembered,
+        );
     }
 
-    fn process(&mut self, Snapshot { present, beside, .. }: &Snapshot, process: &Process) {
+    fn process(&mut self, Snapshot { present, beside: tasks, .. }: &Snapshot, process: &Process) {
         let spent = [("user", process.user), ("system", process.system)];
         let spent: Vec<_> = (spent.into_iter())
             .filter_map(|(mode, spent)| spent.map(|spent| (mode, spent.as_secs_f64())))
             .collect();
-        self.by("process_cpu_seconds_total", "counter", "Processor time spent.", "mode", &spent);
+        self.labelled("process_cpu_seconds_total", "counter", "Processor time spent.", "mode", &spent);
         if let Some(bytes) = process.resident {
-            self.one("process_resident_memory_bytes", "gauge", "Resident memory.", bytes);
+            self.single("process_resident_memory_bytes", "gauge", "Resident memory.", bytes);
         }
         if let Some(bytes) = process.peak {
-            self.one("process_peak_memory_bytes", "gauge", "The most resident memory so far.", bytes);
+            self.single("process_peak_memory_bytes", "gauge", "The most resident memory so far.", bytes);
         }
         #[cfg(feature = "count-allocations")]
         {
             let counted = stats_alloc::INSTRUMENTED_SYSTEM.stats();
             let blocks = counted.allocations + counted.reallocations;
-            self.one("allocations_total", "counter", "Blocks of memory taken or moved.", blocks);
+            self.single("allocations_total", "counter", "Blocks of memory taken or moved.", blocks);
             let bytes = counted.bytes_allocated;
-            self.one("allocated_bytes_total", "counter", "Bytes of memory taken.", bytes);
+            self.single("allocated_bytes_total", "counter", "Bytes of memory taken.", bytes);
         }
         let endpoints = present.endpoints_idle + present.endpoints_busy;
-        let known = beside.clients + endpoints + JOURNAL_FILES;
-        let mut uses =
-            vec![("clients", beside.clients), ("endpoints", endpoints), ("journal", JOURNAL_FILES)];
-        // Some may have come or gone since the host told of its own.
+        let known = tasks.clients + endpoints + JOURNAL_FILES;
+        let mut uses = vec![("clients", tasks.clients), ("endpoints", endpoints), ("journal", JOURNAL_FILES)];
+        // Descriptors may have been opened or closed since the host's values were copied.
         uses.extend(process.descriptors.map(|all| ("other", all.saturating_sub(known))));
-        self.by("descriptors", "gauge", "Descriptors held, by use.", "use", &uses);
-        self.one("journal_bytes", "gauge", "Length of the journal.", present.journal_bytes);
+        self.labelled("descriptors", "gauge", "Descriptors held, by use.", "use", &uses);
+        self.single("journal_bytes", "gauge", "Length of the journal.", present.journal_bytes);
     }
 }
 
-/// The journal and its lock.
+/// Descriptors of the journal and its lock file.
 const JOURNAL_FILES: usize = 2;
