--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,10 +1,10 @@
-//! Two clocks made one.
+//! The decision module's clock, from wall time and the monotonic clock.
 use message_sender::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The module's clock: wall time at the start, so that deadlines hold across processes, carried on by the
-/// monotonic clock, so that nothing within one process jumps.
+/// The decision module's clock: wall time at the start, so that deadlines stay valid across processes, advanced by the
+/// monotonic clock, so that time never jumps within a process.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -12,18 +12,18 @@
 }
 
 impl Clock {
-    /// One that starts now.
+    /// Creates a clock from the current wall time.
     pub fn start() -> Self {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { start: Instant::now(), wall: micros(wall) }
     }
 
-    /// The module's time of an instant.
+    /// Converts an instant to the module's time.
     pub fn at(&self, instant: Instant) -> Time {
         Time(self.wall + micros(instant.saturating_duration_since(self.start)))
     }
 
-    /// The instant of the module's time.
+    /// Converts the module's time to an instant.
     pub fn instant(&self, time: Time) -> Instant {
         self.start + Duration::from_micros(time.0.saturating_sub(self.wall))
     }
--- a/src/net/idle_trust.rs
+++ b/src/net/idle_trust.rs
@@ -1,33 +1,33 @@
-//! How long an idle connection can be used, as its service's connections show.
+//! Learns from broken calls how long idle connections of a service stay usable.
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Idle times, in milliseconds, between which connections are told apart when some break.
+/// Bounds of the idle-time buckets, in milliseconds.
 const IDLE_STEPS: [u64; 7] = [50, 100, 200, 400, 800, 1600, 3200];
-/// Weight of one more call in the learned shares of calls that broke.
-const TRUST_LEARN: f64 = 0.1;
-/// More broken calls than on new connections, as a share, at which a longer idle connection is not used.
+/// Weight of one call in the moving averages of broken calls.
+const LEARNING_RATE: f64 = 0.1;
+/// Excess of the share of broken calls over that of new connections at which connections of an idle time are not reused.
 const SUSPECT_SHARE: f64 = 0.08;
-/// Time over which the learned shares fade.
-const TRUST_FADES: Duration = Duration::from_secs(10);
+/// Time constant of the decay of the learned shares.
+const DECAY_TIME: Duration = Duration::from_secs(10);
 
-/// What is learned of how long an idle connection can still be used. Something on the way may drop those idle
-/// for far less than the settings' time; a call on such a one ends as a reset, and may cost a message its try.
+/// The learned limit on idle time. A middlebox may drop connections that were idle for far less than the configured
+/// time; a call on such a connection ends as a reset, and may cost a message its only attempt.
 pub struct IdleTrust {
-    /// Learned share of calls on new connections that broke: what breaks anyway.
+    /// Share of broken calls on new connections: the baseline.
     base: f64,
-    /// The same for connections that had been idle up to each of `IDLE_STEPS`, and for longer.
+    /// The same for connections by idle time, per bucket of `IDLE_STEPS`; the last bucket is above all steps.
     broken: [f64; IDLE_STEPS.len() + 1],
-    at: Instant,
+    decayed_at: Instant,
 }
 
 impl IdleTrust {
-    /// Of a service of which nothing is known yet.
+    /// Starts without observations.
     pub fn new() -> Self {
-        Self { base: 0.0, broken: [0.0; IDLE_STEPS.len() + 1], at: Instant::now() }
+        Self { base: 0.0, broken: [0.0; IDLE_STEPS.len() + 1], decayed_at: Instant::now() }
     }
 
-    /// Takes in whether a connection that had been idle for so long, or was new, broke under its call.
+    /// Records whether a call's connection broke, with its idle time before the call, or none if it was new.
     pub fn learn(&mut self, idle: Option<Duration>, broke: bool) {
         self.forget();
         let share = match idle {
@@ -37,17 +37,17 @@
             }
             None => &mut self.base,
         };
-        *share += TRUST_LEARN * (f64::from(u8::from(broke)) - *share);
+        *share += LEARNING_RATE * (f64::from(u8::from(broke)) - *share);
     }
 
-    /// What is not seen again fades, so that longer idle times are tried again.
+    /// Decays the learned shares, so that longer idle times are tried again.
     pub fn forget(&mut self) {
-        let fading = (-self.at.elapsed().as_secs_f64() / TRUST_FADES.as_secs_f64()).exp();
-        self.broken.iter_mut().for_each(|share| *share *= fading);
-        self.at = Instant::now();
+        let decay = (-self.decayed_at.elapsed().as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
+        self.broken.iter_mut().for_each(|share| *share *= decay);
+        self.decayed_at = Instant::now();
     }
 
-    /// The idle time from which on connections break markedly more often than new ones.
+    /// The idle time above which connections break markedly more often than new ones.
     pub fn limit(&self) -> Option<Duration> {
         let suspect = |share: &f64| *share > self.base + SUSPECT_SHARE;
         let step = self.broken[1..].iter().position(suspect)?;
--- a/src/net/idle_trust/tests.rs
+++ b/src/net/idle_trust/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Guards against calls on connections that something on the way has dropped (case6958: half of those idle
-/// for 0.2 s or more): what was idle for so long is not used, what is fresher is, and in time more is.
+/// Guards against calls on connections that a middlebox has dropped (case6958: half of those idle for 0.2 s or more):
+/// connections idle for longer are not reused, fresher ones are, and longer idle times are tried again later.
 #[tokio::test(start_paused = true)]
-async fn idle_connections_are_trusted_only_as_long_as_they_live() {
+async fn the_idle_limit_follows_broken_connections_and_decays() {
     let mut trust = IdleTrust::new();
     for n in 0..20 {
         trust.learn(None, n % 20 == 0);
@@ -13,5 +13,5 @@
     assert_eq!(trust.limit(), Some(Duration::from_millis(200)));
     tokio::time::advance(Duration::from_secs(30)).await;
     trust.forget();
-    assert_eq!(trust.limit(), None, "none broke for a while: tried again");
+    assert_eq!(trust.limit(), None, "the limit ends after a time without broken connections");
 }
--- a/src/net/input.rs
+++ b/src/net/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the loop, from whoever it comes: all who send it stand above this, and the loop above all of them.
+//! The inputs of the host loop. The modules that send them depend on this one, and the host depends on all of these.
 use super::connection::Connection;
 use super::journal::SubmittedMessage;
 use super::relay::{Answer, ToNew};
@@ -11,47 +11,48 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What reaches the loop.
+/// An input of the host loop.
 pub enum Input {
+    /// A client submits a message.
     HandIn {
         message: SubmittedMessage,
-        /// By when it may still be delivered.
+        /// The message is not to be delivered after this.
         deadline: Instant,
         answer: oneshot::Sender<Answer>,
     },
     Called(Called),
-    /// A call has a new connection, and asks whether its messages may still go out on it.
+    /// A call has opened a new connection, and asks whether its messages may still be sent.
     Connected {
         endpoint: EndpointId,
         messages: Vec<u32>,
         may_begin: oneshot::Sender<bool>,
     },
-    /// A connection that can carry another call.
+    /// A connection that can be reused.
     Idle(SocketAddr, Connection),
     Targets(Targets),
-    /// New settings, checked; whether they hold now.
+    /// New, validated settings; the answer says whether they are now in effect.
     Retune(Box<Tuning>, oneshot::Sender<Result<(), String>>),
     /// Notices that the platform has acknowledged.
     Noticed(Vec<u32>),
     WindDown,
     /// A new process asks to take over.
     TakeOver(UnixStream),
-    /// What the old process passes on; none once it has ended.
+    /// A message from the old process during a handover; none once it has ended.
     Old(Option<ToNew>),
 }
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Debug)]
 pub struct Called {
     pub number: u64,
     pub endpoint: EndpointId,
-    /// When the end of the call was seen: waits run from here.
+    /// When the result was known: `wait` runs from here.
     pub at: Instant,
-    /// What became of each message, in the call's order.
+    /// Each message with its outcome and whether it needs no further attempt, in the call's order.
     pub ends: Vec<(u32, Outcome, bool)>,
-    /// A wait that the answer told.
+    /// The answer's `Retry-After`.
     pub wait: Option<Span>,
     pub report: Option<Report>,
-    /// How long its connection had been idle before, unless that was new.
+    /// Idle time of the connection before the call; none if it was new.
     pub idle: Option<Duration>,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The sender on real sockets: everything round the decision module that does I/O or reads a clock.
+//! The sender on real sockets: everything around the decision module that does I/O or reads a clock.
 pub mod admin_endpoint;
 pub mod clock;
 pub mod connection;
@@ -18,23 +18,23 @@
 pub mod tuning;
 pub mod wal;
 
-/// Descriptors besides those of clients and endpoints: standard streams, the loops' and the signals' own, the
-/// listeners, the journal's two files, discovery, notices, the configuration at a reload, staff's callers.
-const OWN: usize = 32 + admin_endpoint::MAX_CONNECTIONS;
+/// Descriptors for other uses than clients and endpoints: standard streams, event loops, signals, listeners, the journal's
+/// two files, discovery, notices, the configuration during a reload, and admin connections.
+const RESERVED: usize = 32 + admin_endpoint::MAX_CONNECTIONS;
 
-/// How the descriptors that the process may hold are shared out.
+/// The division of the process's file descriptors.
 #[derive(Clone, Copy, Debug)]
 pub struct Descriptors {
-    /// Connections from clients at once: they use a third of all at the most, the rest is for strangers.
+    /// Maximum concurrent client connections: known clients use at most a third of all, the rest is for unknown callers.
     pub clients: usize,
-    /// Connections to endpoints at once, idle ones counted.
+    /// Maximum concurrent connections to endpoints, including idle ones.
     pub endpoints: usize,
 }
 
 impl Descriptors {
-    /// The parts of so many descriptors.
+    /// Divides `all` descriptors.
     pub fn share(all: usize) -> Self {
-        let left = all.saturating_sub(OWN).max(2);
-        Self { clients: left / 2, endpoints: left - left / 2 }
+        let available = all.saturating_sub(RESERVED).max(2);
+        Self { clients: available / 2, endpoints: available - available / 2 }
     }
 }
--- a/src/net/tuning.rs
+++ b/src/net/tuning.rs
@@ -1,29 +1,32 @@
-//! The settings in the forms that the sender's I/O needs.
+//! The settings in the form that the sender's I/O needs.
 use hyper::HeaderMap;
 use message_sender::profile::{Names, Profile};
 use message_sender::{Report, Settings, Span};
 use std::time::Duration;
 
-/// Where the settings do not say how long a sender may go without asking discovery.
-const MUST_ASK_IN: Duration = Duration::from_secs(10);
+/// Default for the longest time that a sender may go without calling discovery.
+const DEFAULT_CALL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// All that the settings say, in the forms that the host needs.
+/// Validated settings in the form that the host needs.
 pub struct Tuning {
     profile: Profile,
-    /// For the module, whatever may be open at once.
+    /// Settings of the decision module, without the limit on open connections.
     pub settings: Settings,
-    /// The module's numbers for the settings' names.
+    /// The decision module's numbers for names in the settings.
     pub names: Names,
-    /// Which load reports answers hold.
+    /// Which fields of load reports are used.
     pub fields: ReportFields,
 }
 
 impl Tuning {
-    /// Checks the settings whole; the error says what cannot be acted on.
+    /// Validates the settings.
+    ///
+    /// # Errors
+    /// Names the setting that is invalid or unsupported.
     pub fn new(profile: Profile) -> Result<Self, String> {
         let names = profile.names();
-        let told = profile.settings(&names)?;
-        let settings = Settings { outcomes_acknowledged: true, batches_expire_together: true, ..told };
+        let configured = profile.settings(&names)?;
+        let settings = Settings { outcomes_acknowledged: true, batches_expire_together: true, ..configured };
         let fields = ReportFields {
             left: profile.report_field("x0").is_some(),
             limit: profile.report_field("x1").is_some(),
@@ -36,36 +39,36 @@
         Duration::from_micros(self.profile.connection_idle().map_or(5_000_000, |span| span.0))
     }
 
-    /// How many senders share the traffic, this one counted.
+    /// Number of senders that share the traffic, including this one.
     pub fn senders(&self) -> usize {
         self.settings.senders
     }
 
-    /// A sender that does not ask discovery for so long counts as told all the same.
+    /// A sender that hasn't called discovery for this long is assumed to have its current list.
     pub fn must_ask_in(&self) -> Duration {
         match self.settings.rules.must_ask_in {
-            Span(0) => MUST_ASK_IN,
+            Span(0) => DEFAULT_CALL_INTERVAL,
             Span(span) => Duration::from_micros(span),
         }
     }
 
-    /// The names of the classes.
+    /// The names of the message classes.
     pub fn classes(&self) -> impl Iterator<Item = String> {
         self.profile.classes()
     }
 
-    /// The names that the module's numbers stand for.
+    /// The names behind the decision module's numbers.
     pub fn numbering(&self) -> Vec<Vec<String>> {
         self.profile.numbering()
     }
 
-    /// The module's settings, where no more connections than that may be open.
+    /// The decision module's settings with at most `most_connections` open connections.
     pub fn settings_for(&self, most_connections: usize) -> Settings {
         Settings { slots: self.settings.slots.min(most_connections), ..self.settings.clone() }
     }
 }
 
-/// Where the fields of a load report stand.
+/// The fields of a load report that the settings enable.
 #[derive(Clone, Copy)]
 pub struct ReportFields {
     pub left: bool,
@@ -73,12 +76,18 @@
 }
 
 impl ReportFields {
-    /// The report that an answer holds, if it holds one that can be read.
+    /// Parses the load report of an answer; none if it is missing or invalid.
     pub fn read(self, headers: &HeaderMap) -> Option<Report> {
         let text = headers.get("X-Pressure")?.to_str().ok()?;
         let field = |name: &str| -> Option<f64> {
             let mut fields = text.split(',').filter_map(|pair| pair.trim().split_once('='));
-            fields.find(|(n, _)| *n == name)?.1.trim().parse().ok().filter(|v: &f64| v.is_finite())
+            fields
+                .find(|(key, _)| *key == name)?
+                .1
+                .trim()
+                .parse()
+                .ok()
+                .filter(|value: &f64| value.is_finite())
         };
         let left = field("x0").filter(|_| self.left);
         let limit = field("x1").filter(|_| self.limit);
--- a/src/net/wal.rs
+++ b/src/net/wal.rs
@@ -1,5 +1,5 @@
-//! Records in a file that only grows at its end: each framed by its length and a checksum over both. What the records mean
-//! is their owner's.
+//! An append-only file of records, each framed by its length and a checksum over length and payload. The callers define
+//! the records.
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::io;
@@ -7,16 +7,16 @@
 /// Bytes before a record: its length, and the checksum.
 pub const HEADER: usize = 8;
 
-/// What was read that is no record.
+/// Bytes in the file that are not valid records.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Damage {
-    /// Bytes cut off at the end: a record whose writing the process's end broke off.
+    /// Bytes at the end without a valid record: usually a write interrupted by the end of the process.
     pub torn: usize,
-    /// Bytes passed over before a record that could be read.
+    /// Bytes skipped before valid records.
     pub skipped: usize,
 }
 
-/// The framed record, in the memory of `spare`.
+/// Encodes a record with its frame, reusing the memory of `spare`.
 pub fn frame(record: &impl Serialize, mut spare: Vec<u8>) -> io::Result<Vec<u8>> {
     spare.clear();
     spare.resize(HEADER, 0);
@@ -35,32 +35,38 @@
     sum.finalize()
 }
 
-/// The record at the start of `bytes` and its framed length, if a whole and sound one of at most `most` bytes stands there.
-fn unframe<T: DeserializeOwned>(bytes: &[u8], most: usize) -> Option<(T, usize)> {
+/// Decodes the record at the start of `bytes` and returns it with its framed length, if it is complete, valid and has at
+/// most `max_bytes` bytes.
+fn unframe<T: DeserializeOwned>(bytes: &[u8], max_bytes: usize) -> Option<(T, usize)> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (sum, rest) = rest.split_first_chunk::<4>()?;
     let size = u32::from_le_bytes(*length) as usize;
-    let payload = rest.get(..size).filter(|_| size <= most)?;
+    let payload = rest.get(..size).filter(|_| size <= max_bytes)?;
     if checksum(length, payload) != u32::from_le_bytes(*sum) {
         return None;
     }
     Some((postcard::from_bytes(payload).ok()?, HEADER + size))
 }
 
-/// Reads all records, each of at most `most` bytes, past whatever is none; the length up to the end of the last one.
-pub fn read<T: DeserializeOwned>(bytes: &[u8], most: usize, mut each: impl FnMut(T)) -> (usize, Damage) {
-    let (mut at, mut sound, mut damage) = (0, 0, Damage::default());
-    while at < bytes.len() {
-        match unframe(&bytes[at..], most) {
+/// Reads all valid records of at most `max_bytes` bytes each, skipping invalid bytes. Returns the length up to the end of
+/// the last valid record.
+pub fn read<T: DeserializeOwned>(
+    bytes: &[u8],
+    max_bytes: usize,
+    mut on_record: impl FnMut(T),
+) -> (usize, Damage) {
+    let (mut position, mut valid_end, mut damage) = (0, 0, Damage::default());
+    while position < bytes.len() {
+        match unframe(&bytes[position..], max_bytes) {
             Some((record, size)) => {
-                damage.skipped += at - sound;
-                at += size;
-                sound = at;
-                each(record);
+                damage.skipped += position - valid_end;
+                position += size;
+                valid_end = position;
+                on_record(record);
             }
-            None => at += 1,
+            None => position += 1,
         }
     }
-    damage.torn = bytes.len() - sound;
-    (sound, damage)
+    damage.torn = bytes.len() - valid_end;
+    (valid_end, damage)
 }
