--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -64,7 +64,7 @@
 async fn senders_that_start_together_spread_their_first_calls() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (_move, address) = watch::channel(listener.local_addr().unwrap());
-    let (host, _heard) = unbounded_channel();
+    let (host, _received) = unbounded_channel();
     let began = std::time::Instant::now();
     for seed in 0..40 {
         let pauses = Pauses::new(seed, 40, Duration::from_secs(9));
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -358,18 +358,18 @@
     }
 
     fn member_list(&self) -> serde_json::Value {
-        let Some(roster) = self.node.member_list() else { return serde_json::Value::Null };
+        let Some(list) = self.node.member_list() else { return serde_json::Value::Null };
         let departed = self.node.departed().map(|departure| {
             serde_json::json!({"name": departure.name, "incarnation": departure.incarnation, "why": format!("{:?}", departure.why)})
         });
-        let members = roster.members.iter().map(|(folder, member)| {
+        let members = list.members.iter().map(|(folder, member)| {
             serde_json::json!({"name": member.info.name, "number": member.number,
                 "incarnation": member.incarnation, "folder": format!("{folder:016x}"),
                 "zone": member.info.zone, "machine": member.info.machine,
                 "version": member.info.version, "address": member.info.address})
         });
-        serde_json::json!({"fleet": format!("{:016x}", roster.fleet), "epoch": roster.epoch, "number": roster.number,
-            "digest": format!("{:08x}", roster.digest()),
+        serde_json::json!({"fleet": format!("{:016x}", list.fleet), "epoch": list.epoch, "number": list.number,
+            "digest": format!("{:08x}", list.digest()),
             "members": members.collect::<Vec<_>>(), "gone": departed.collect::<Vec<_>>()})
     }
 
@@ -385,9 +385,9 @@
         let count = |health: Health| view.members.iter().filter(|member| member.health == health).count();
         telemetry::Fleet {
             members: health.into_iter().map(|(label, health)| (label, count(health))).collect(),
-            keepers: [view.voters_answering, view.voters],
-            roster: [u64::from(view.epoch), view.number],
-            heard: view.age_ms.map(Duration::from_millis),
+            voters: [view.voters_answering, view.voters],
+            member_list: [u64::from(view.epoch), view.number],
+            since_last_received: view.age_ms.map(Duration::from_millis),
             confirmed: view.confirmed,
             packets: [counts.datagrams, counts.frames, counts.bytes, counts.received],
             dropped: [counts.foreign, counts.versions, counts.damaged],
@@ -396,18 +396,18 @@
 
     fn digests(&self) -> serde_json::Value {
         let digest_of_view = self.node.view_digest(self.now());
-        let digest = self.node.member_list().map(|roster| format!("{:08x}", roster.digest()));
+        let digest = self.node.member_list().map(|list| format!("{:08x}", list.digest()));
         serde_json::json!({"fleet": digest_of_view.fleet.map(|fleet| format!("{fleet:016x}")), "epoch": digest_of_view.epoch,
             "number": digest_of_view.number, "digest": digest, "view": format!("{:08x}", digest_of_view.view),
             "confirmed": digest_of_view.confirmed, "halted": digest_of_view.halted})
     }
 
     fn voters(&self) -> serde_json::Value {
-        let Some(roster) = self.node.member_list() else { return serde_json::Value::Null };
+        let Some(list) = self.node.member_list() else { return serde_json::Value::Null };
         let view = self.node.view(self.now());
         let voters = view.members.iter().filter(|member| member.voter);
         let counts = self.node.counts();
-        serde_json::json!({"group": roster.group, "answering": view.voters_answering, "of": view.voters,
+        serde_json::json!({"group": list.group, "answering": view.voters_answering, "of": view.voters,
             "leader": self.node.leader(), "keepers": voters.collect::<Vec<_>>(),
             "sent": {"datagrams": counts.datagrams, "frames": counts.frames, "bytes": counts.bytes},
             "taken": counts.received,
@@ -520,10 +520,10 @@
 
     /// The name of the current or departed member with this folder id; the id itself if it is unknown.
     fn name(&self, folder: u64) -> String {
-        let roster = self.node.member_list();
-        let member = roster.and_then(|list| list.members.get(&folder)).map(|member| member.info.name.clone());
+        let list = self.node.member_list();
+        let member = list.and_then(|list| list.members.get(&folder)).map(|member| member.info.name.clone());
         let departed =
-            || roster.and_then(|list| list.departure_of(folder)).map(|departure| departure.name.clone());
+            || list.and_then(|list| list.departure_of(folder)).map(|departure| departure.name.clone());
         member.or_else(departed).unwrap_or_else(|| format!("folder {folder:016x}"))
     }
 
--- a/src/net/telemetry.rs
+++ b/src/net/telemetry.rs
@@ -245,11 +245,11 @@
     /// Number of members by health.
     pub members: Vec<(&'static str, usize)>,
     /// Voters that answer, and all voters.
-    pub keepers: [usize; 2],
+    pub voters: [usize; 2],
     /// The epoch, which grows each time the fleet is founded again, and the number of the member list.
-    pub roster: [u64; 2],
+    pub member_list: [u64; 2],
     /// Time since a message from another member; none if there was none.
-    pub heard: Option<Duration>,
+    pub since_last_received: Option<Duration>,
     /// Whether the voters have agreed on this sender's start.
     pub confirmed: bool,
     /// Datagrams, frames and bytes sent, and packets received.
@@ -316,22 +316,22 @@
             "health",
             answers,
         );
-        let keepers = [("answering", fleet.keepers[0]), ("all", fleet.keepers[1])];
+        let voters = [("answering", fleet.voters[0]), ("all", fleet.voters[1])];
         self.labelled(
             "fleet_keepers",
             "gauge",
             "Keepers; with half or fewer answering nothing is agreed on.",
             "which",
-            &keepers,
+            &voters,
         );
-        let [epoch, number] = fleet.roster;
+        let [epoch, number] = fleet.member_list;
         self.single("fleet_epoch", "gauge", "How often the fleet was founded anew.", epoch);
         self.single("fleet_roster_number", "gauge", "The number of the roster that this sender has.", number);
         let confirmed = u8::from(fleet.confirmed);
         self.single("fleet_confirmed", "gauge", "1 once this sender's start is agreed on.", confirmed);
-        if let Some(heard) = fleet.heard {
+        if let Some(elapsed) = fleet.since_last_received {
             let help = "Since another member was heard.";
-            self.single("fleet_heard_seconds", "gauge", help, heard.as_secs_f64());
+            self.single("fleet_heard_seconds", "gauge", help, elapsed.as_secs_f64());
         }
         let [datagrams, frames, bytes, taken] = fleet.packets;
         let sent = [("datagram", datagrams), ("frame", frames)];
