--- a/src/net/admin_endpoint.rs
+++ b/src/net/admin_endpoint.rs
@@ -2,7 +2,7 @@
 //!
 //! It runs on its own thread, so that neither a busy step nor the clients' traffic delays its accept loop. Only
 //! commands and requests for metrics wait for the host.
-use super::fleet::{self, Look};
+use super::fleet::{self, Query};
 use super::telemetry::{self, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -91,7 +91,7 @@
     Ready,
     Figures,
     Command(Command),
-    Look(Look),
+    Query(Query),
     Fleet(sender_membership::Command),
 }
 
@@ -99,10 +99,10 @@
 fn parse_fleet<'a>(mut words: impl Iterator<Item = &'a str>) -> Result<Parsed, CallError> {
     use sender_membership::Command as Membership;
     Ok(match words.next().ok_or(CallError::Fleet)? {
-        "view" => Parsed::Look(Look::View),
-        "roster" => Parsed::Look(Look::Roster),
-        "keepers" => Parsed::Look(Look::Keepers),
-        "mark" => Parsed::Look(Look::Mark),
+        "view" => Parsed::Query(Query::View),
+        "roster" => Parsed::Query(Query::MemberList),
+        "keepers" => Parsed::Query(Query::Voters),
+        "mark" => Parsed::Query(Query::Digests),
         "remove" => Parsed::Fleet(Membership::Remove(words.next().ok_or(CallError::Fleet)?.to_owned())),
         "leave" => Parsed::Fleet(Membership::Leave),
         "refound" => Parsed::Fleet(Membership::Refound),
@@ -233,8 +233,8 @@
                 let done = request_host(requests, |answer| AdminRequest::Command { command, answer }).await;
                 done.map(|()| "done\n".to_owned())
             }
-            Ok(Ok(Parsed::Look(query))) => {
-                request_fleet(fleet, HOST_TIMEOUT, |answer| fleet::Asked::Look(query, answer)).await
+            Ok(Ok(Parsed::Query(query))) => {
+                request_fleet(fleet, HOST_TIMEOUT, |answer| fleet::Asked::Query(query, answer)).await
             }
             Ok(Ok(Parsed::Fleet(command))) => {
                 request_fleet(fleet, MEMBERSHIP_TIMEOUT, |answer| fleet::Asked::Order(command, answer)).await
@@ -242,7 +242,7 @@
             Ok(Ok(Parsed::Figures)) => {
                 // If the membership thread is busy, its metrics are omitted, without delaying the others.
                 let known = match fleet {
-                    Some(fleet) => request_within(fleet, HOST_TIMEOUT / 2, fleet::Asked::Figures).await.ok(),
+                    Some(fleet) => request_within(fleet, HOST_TIMEOUT / 2, fleet::Asked::Metrics).await.ok(),
                     None => None,
                 };
                 request_host(requests, AdminRequest::Figures)
--- a/src/net/admin_endpoint/tests.rs
+++ b/src/net/admin_endpoint/tests.rs
@@ -11,8 +11,8 @@
     assert_eq!(parse("include s-1"), Ok(Parsed::Command(Command::Include("s-1".to_owned()))));
     assert_eq!(parse("evacuate"), Ok(Parsed::Command(Command::Evacuate)));
     assert_eq!(parse("activate"), Ok(Parsed::Command(Command::Activate)));
-    assert_eq!(parse("fleet view"), Ok(Parsed::Look(Look::View)));
-    assert_eq!(parse("fleet mark"), Ok(Parsed::Look(Look::Mark)));
+    assert_eq!(parse("fleet view"), Ok(Parsed::Query(Query::View)));
+    assert_eq!(parse("fleet mark"), Ok(Parsed::Query(Query::Digests)));
     let remove = sender_membership::Command::Remove("n1".to_owned());
     assert_eq!(parse("fleet remove n1"), Ok(Parsed::Fleet(remove)));
     assert_eq!(parse("fleet remove"), Err(CallError::Fleet));
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -47,24 +47,24 @@
 /// An operator's request to the membership thread.
 pub enum Asked {
     /// A query for its state, answered as JSON.
-    Look(Look, oneshot::Sender<Result<String, String>>),
+    Query(Query, oneshot::Sender<Result<String, String>>),
     /// A request for its metrics.
-    Figures(oneshot::Sender<Result<telemetry::Fleet, String>>),
+    Metrics(oneshot::Sender<Result<telemetry::Fleet, String>>),
     /// A command to carry out.
     Order(Command, oneshot::Sender<Result<String, String>>),
 }
 
 /// What an operator queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum Query {
     /// The members and their health.
     View,
     /// The agreed list of members, and departed ones.
-    Roster,
+    MemberList,
     /// The voters, which agree on the list of members.
-    Keepers,
+    Voters,
     /// Digests of the member list and the view, to compare senders.
-    Mark,
+    Digests,
 }
 
 /// Why the membership thread cannot start.
@@ -336,16 +336,16 @@
 
     fn handle_request(&mut self, request: Asked) {
         match request {
-            Asked::Look(query, answer) => {
+            Asked::Query(query, answer) => {
                 let text = match query {
-                    Look::View => serde_json::to_string(&self.node.view(self.now())),
-                    Look::Roster => serde_json::to_string(&self.member_list()),
-                    Look::Keepers => serde_json::to_string(&self.voters()),
-                    Look::Mark => serde_json::to_string(&self.digests()),
+                    Query::View => serde_json::to_string(&self.node.view(self.now())),
+                    Query::MemberList => serde_json::to_string(&self.member_list()),
+                    Query::Voters => serde_json::to_string(&self.voters()),
+                    Query::Digests => serde_json::to_string(&self.digests()),
                 };
                 drop(answer.send(text.map_err(|e| e.to_string())));
             }
-            Asked::Figures(answer) => drop(answer.send(Ok(self.metrics()))),
+            Asked::Metrics(answer) => drop(answer.send(Ok(self.metrics()))),
             Asked::Order(command, answer) => {
                 self.next_answer += 1;
                 self.answers.retain(|_, waiting| !waiting.is_closed());
--- a/src/net/notices.rs
+++ b/src/net/notices.rs
@@ -20,7 +20,7 @@
 /// Time limit for a request. The platform answers immediately, so a connection without an answer by then is abandoned.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Mean backoff after a first failed request: a notice is late 300 ms after its message's deadline.
-const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const FIRST_BACKOFF: Duration = Duration::from_millis(50);
 /// Maximum backoff: the platform answers even while discovery is down.
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 /// Maximum length of an answer's body, which is ignored and read only so that the connection can be reused.
@@ -54,7 +54,7 @@
 ) {
     let (mut connection, mut batch, mut failing) = (None, Vec::new(), false);
     // With jitter, as all senders lose the platform at the same time.
-    let mut pauses = Pauses::between(seed, MIN_BACKOFF, MAX_BACKOFF);
+    let mut pauses = Pauses::between(seed, FIRST_BACKOFF, MAX_BACKOFF);
     while queue.recv_many(&mut batch, MAX_BATCH).await > 0 {
         // The kept connection is of no use if the address changed while the queue was empty.
         if address.has_changed().unwrap_or(false) {
