--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -308,12 +308,12 @@
     };
     // Hundreds of clients that send a long body at the same time must fit in memory.
     let Ok(_permits) = bodies.try_acquire_many(permits_for(length)) else {
-        return plain(StatusCode::SERVICE_UNAVAILABLE, "too many request bodies in memory\n");
+        return plain(StatusCode::SERVICE_UNAVAILABLE, "no room for the body now\n");
     };
     let body = match timeout(body_timeout, read_body(body, length)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "the body could not be read\n"),
-        Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "timed out while reading the body\n"),
+        Ok(Err(_)) => return plain(StatusCode::BAD_REQUEST, "the body cannot be read\n"),
+        Err(_) => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not come\n"),
     };
     let received_at = Instant::now();
     let (message, remaining) = match parse(&head.headers, body) {
@@ -326,9 +326,7 @@
         Ok(Answer::TakenOn) => plain(StatusCode::ACCEPTED, ""),
         Ok(Answer::Malformed(reason)) => plain(StatusCode::BAD_REQUEST, format!("{reason}\n")),
         // A host that has ended did not accept the message.
-        Ok(Answer::Refused) | Err(_) => {
-            plain(StatusCode::SERVICE_UNAVAILABLE, "the message was not accepted\n")
-        }
+        Ok(Answer::Refused) | Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE, "not taken on\n"),
     }
 }
 
@@ -349,7 +347,7 @@
 fn parse(headers: &HeaderMap, body: Bytes) -> Result<(SubmittedMessage, Duration), String> {
     let optional = |name: &str| -> Result<Option<String>, String> {
         if headers.get_all(name).iter().nth(1).is_some() {
-            return Err(format!("{name} is given more than once"));
+            return Err(format!("{name} comes more than once"));
         }
         let text = headers.get(name).map(|value| value.to_str().map(|text| text.trim().to_owned()));
         let text = text.transpose().map_err(|_| format!("{name} is not text"))?;
@@ -362,7 +360,7 @@
         |name: &str| optional(name)?.filter(|text| !text.is_empty()).ok_or(format!("{name} is missing"));
     let remaining: f64 = required(REMAINING)?.parse().map_err(|_| "X-Remaining is not a number")?;
     if !(remaining > 0.0 && remaining.is_finite()) {
-        return Err("X-Remaining is not a positive number of seconds".to_owned());
+        return Err("X-Remaining is not a time left".to_owned());
     }
     let envelope = required(ENVELOPE)?;
     let destination = envelope.split([',', ';', ' ']).find_map(|field| field.trim().strip_prefix("dest="));
@@ -373,7 +371,7 @@
         tenant: optional("X-Org")?,
         key: optional("X-Entity")?,
         idempotency_key: optional(IDEMPOTENCY_KEY)?,
-        destination: destination.ok_or("X-Envelope has no valid dest field")?,
+        destination: destination.ok_or("X-Envelope holds no dest")?,
         body,
     };
     Ok((message, Duration::from_secs_f64(remaining.min(MAX_REMAINING_S))))
