--- a/system/control-node/src/coordination/leader.rs
+++ b/system/control-node/src/coordination/leader.rs
@@ -193,7 +193,7 @@
         let as_millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         CoordinationBatch {
             elapsed_ms: as_millis(elapsed),
-            history_ms: as_millis(self.backend.history()),
+            history_ms: as_millis(self.backend.event_retention()),
             commands,
         }
     }
--- a/system/control-node/src/coordination/mod.rs
+++ b/system/control-node/src/coordination/mod.rs
@@ -132,7 +132,10 @@
 
 impl<R: Runtime, B: ControlBackend> ControlNode<R, B> {
     /// Executes an application's request.
-    pub async fn coordinate(self: &Rc<Self>, request: ApplicationRequest) -> ApplicationReply {
+    pub async fn execute_application_request(
+        self: &Rc<Self>,
+        request: ApplicationRequest,
+    ) -> ApplicationReply {
         match request {
             ApplicationRequest::Command(command) => self.submit_command(command).await,
             ApplicationRequest::ReadKey { key } => self.read_key(key).await,
--- a/system/control-node/src/durable_acceptor.rs
+++ b/system/control-node/src/durable_acceptor.rs
@@ -38,9 +38,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskState {
     /// Whether the most recently completed write failed.
-    pub is_refusing: bool,
+    pub is_failing: bool,
     /// Number of failed writes in this incarnation.
-    pub refusals: u64,
+    pub failed_writes: u64,
 }
 
 /// A write for the caller to start.
@@ -179,17 +179,17 @@
     pub fn on_write_completed(&mut self, number: WriteNumber, succeeded: bool) -> bool {
         let Some(record) = self.in_flight.remove(&number) else { return false };
         self.in_flight.retain(|other, _| *other > number);
-        let was_refusing = self.disk.is_refusing;
-        self.disk.is_refusing = !succeeded;
+        let was_refusing = self.disk.is_failing;
+        self.disk.is_failing = !succeeded;
         if succeeded {
             self.on_synced(number, record);
         } else {
-            self.disk.refusals += 1;
+            self.disk.failed_writes += 1;
         }
         if self.in_flight.is_empty() && self.newest_write != self.synced_write {
             self.revert_to_synced();
         }
-        self.disk.is_refusing != was_refusing
+        self.disk.is_failing != was_refusing
     }
 
     fn on_synced(&mut self, number: WriteNumber, record: AcceptorRecord) {
--- a/system/control-node/src/event.rs
+++ b/system/control-node/src/event.rs
@@ -32,7 +32,7 @@
         is_changed: bool,
     },
     /// The register contains a value that cannot be decoded.
-    Unreadable(&'a str),
+    UndecodableValue(&'a str),
     /// This incarnation of the node has acquired the lease of a singleton task.
     LeaseAcquired {
         /// The name of the task's lease in the register.
@@ -66,7 +66,7 @@
         ballot: Ballot,
     },
     /// Writes of the acceptor's record have begun to fail: the node does not vote.
-    DiskRefuses(&'a str),
+    DiskFailing(&'a str),
     /// Writes of the acceptor's record succeed again: the node votes.
     DiskRecovered,
 }
@@ -78,7 +78,7 @@
             Self::Adopted { value, state, .. } => {
                 write!(f, "configuration {} adopted, voters {:?}", state.version(), value.voters)
             }
-            Self::Unreadable(error) => write!(f, "undecodable value in the register: {error}"),
+            Self::UndecodableValue(error) => write!(f, "undecodable value in the register: {error}"),
             Self::LeaseAcquired { task, token } => write!(f, "lease acquired: task {task}, token {token}"),
             Self::DiscoveryFailed(error) => write!(f, "endpoint discovery failed: {error}"),
             Self::EvictingStorageNode { node, unresponsive_ms } => {
@@ -102,7 +102,7 @@
             Self::LeadsCoordination { ballot } => {
                 write!(f, "leading the coordination log: round {}", ballot.round)
             }
-            Self::DiskRefuses(error) => write!(f, "disk refuses the acceptor's record, not voting: {error}"),
+            Self::DiskFailing(error) => write!(f, "disk refuses the acceptor's record, not voting: {error}"),
             Self::DiskRecovered => write!(f, "disk accepts the acceptor's record again"),
         }
     }
--- a/system/control-node/src/lib.rs
+++ b/system/control-node/src/lib.rs
@@ -75,7 +75,7 @@
     async fn write_journal(&self, write: JournalWrite) -> Result<(), PersistError>;
 
     /// How long events of watched keys are retained, from the program's settings.
-    fn history(&self) -> Duration;
+    fn event_retention(&self) -> Duration;
 
     /// Whether the settings name a platform from which to read endpoints.
     fn discovers_endpoints(&self) -> bool;
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BallotCounts {
     /// Ballots started.
-    pub begun: u64,
+    pub started: u64,
     /// Ballots lost to a higher one, or without a quorum.
     pub lost: u64,
 }
@@ -195,7 +195,7 @@
     }
 
     /// The number of known control nodes, including those that are not voters.
-    pub fn known_core_nodes(&self) -> usize {
+    pub fn known_core_node_count(&self) -> usize {
         self.known_core_nodes.borrow().len()
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// Counts of this incarnation's ballots.
-    pub fn rounds(&self) -> BallotCounts {
+    pub fn ballot_counts(&self) -> BallotCounts {
         self.ballot_counts.get()
     }
 
--- a/system/control-node/src/operator_requests.rs
+++ b/system/control-node/src/operator_requests.rs
@@ -18,13 +18,13 @@
     /// This version is committed, by this request or an earlier one.
     Committed(u64),
     /// The request would replace another version than the current one, which is given here.
-    OtherVersion(u64),
+    VersionMismatch(u64),
     /// The configuration's version is not higher than the current one.
-    NotAbove,
+    VersionNotNewer,
     /// The configuration was rejected by validation, with these findings.
     Invalid(Findings),
     /// The request does not state the version that it replaces.
-    NoBase,
+    MissingExpectedVersion,
     /// The outcome is unknown: no majority replied in time, or the outcome is no longer stored.
     Unavailable,
 }
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CurrentConfig {
     /// No configuration has been committed yet.
-    Nothing,
+    Unset,
     /// The state with the configuration, confirmed by a quorum read after the request arrived.
     Current(Rc<ControlState>),
     /// Unknown: no majority replied in time.
@@ -61,16 +61,16 @@
             Ok(config) => config,
             Err(findings) => return PutConfigOutcome::Invalid(findings),
         };
-        let Some(expected) = expected else { return PutConfigOutcome::NoBase };
+        let Some(expected) = expected else { return PutConfigOutcome::MissingExpectedVersion };
         let version = config.version;
         let sent = CommittedVersion { version, digest: digest(&body) };
         let order = Order::PutConfig { expected, sent, body };
         match self.submit(order, OPERATOR_REPLY_TIMEOUT).await {
             Some(OrderVerdict::PutConfig(ConfigVerdict::Committed)) => PutConfigOutcome::Committed(version),
             Some(OrderVerdict::PutConfig(ConfigVerdict::VersionMismatch(current))) => {
-                PutConfigOutcome::OtherVersion(current)
+                PutConfigOutcome::VersionMismatch(current)
             }
-            Some(OrderVerdict::PutConfig(ConfigVerdict::NotNewer)) => PutConfigOutcome::NotAbove,
+            Some(OrderVerdict::PutConfig(ConfigVerdict::NotNewer)) => PutConfigOutcome::VersionNotNewer,
             Some(OrderVerdict::PutConfig(ConfigVerdict::Indeterminate) | OrderVerdict::Retire(_)) | None => {
                 PutConfigOutcome::Unavailable
             }
@@ -84,7 +84,7 @@
         }
         let state = self.feed.state();
         match state.version() {
-            0 => CurrentConfig::Nothing,
+            0 => CurrentConfig::Unset,
             _ => CurrentConfig::Current(state),
         }
     }
@@ -100,7 +100,7 @@
     }
 
     /// The progress of a storage node's retirement, confirmed by a quorum read.
-    pub async fn retiring(&self, name: &str) -> RetireOutcome {
+    pub async fn retire_progress(&self, name: &str) -> RetireOutcome {
         if !self.confirm_now(OPERATOR_REPLY_TIMEOUT).await {
             return RetireOutcome::Unavailable;
         }
--- a/system/control-node/src/proposer.rs
+++ b/system/control-node/src/proposer.rs
@@ -72,7 +72,7 @@
 
     fn count_attempt(&self) {
         let mut counts = self.ballot_counts.get();
-        counts.begun += 1;
+        counts.started += 1;
         self.ballot_counts.set(counts);
     }
 
@@ -157,7 +157,7 @@
         let state = match ControlState::from_payload(&read.payload) {
             Ok(state) => state,
             Err(error) => {
-                self.backend.on_event(&ControlEvent::Unreadable(&error.to_string()));
+                self.backend.on_event(&ControlEvent::UndecodableValue(&error.to_string()));
                 return (Change::Keep, None);
             }
         };
--- a/system/control-node/src/replica.rs
+++ b/system/control-node/src/replica.rs
@@ -86,7 +86,7 @@
     pub(crate) fn probe_disk(self: &Rc<Self>) {
         let probe = {
             let mut acceptor = self.acceptor.borrow_mut();
-            match acceptor.disk().is_refusing && !acceptor.is_writing() {
+            match acceptor.disk().is_failing && !acceptor.is_writing() {
                 true => acceptor.write_newest(),
                 false => None,
             }
@@ -121,7 +121,7 @@
 
     fn report_disk(&self, error: Option<String>) {
         match error {
-            Some(error) => self.backend.on_event(&ControlEvent::DiskRefuses(&error)),
+            Some(error) => self.backend.on_event(&ControlEvent::DiskFailing(&error)),
             None => self.backend.on_event(&ControlEvent::DiskRecovered),
         }
     }
--- a/system/control-node/tests/cluster/coordination.rs
+++ b/system/control-node/tests/cluster/coordination.rs
@@ -27,7 +27,7 @@
 
 async fn send_request(cluster: &Cluster, node_ip: Ipv4Addr, request: ApplicationRequest) -> ApplicationReply {
     let node = cluster.node(node_ip);
-    tokio::time::timeout(CLIENT_TIMEOUT, node.coordinate(request))
+    tokio::time::timeout(CLIENT_TIMEOUT, node.execute_application_request(request))
         .await
         .expect("the node answers within a second")
 }
@@ -122,7 +122,7 @@
             .map(|node| {
                 let node = cluster.node(node);
                 tokio::task::spawn_local(async move {
-                    let reply = node.coordinate(watch("g.", 1, seconds(20))).await;
+                    let reply = node.execute_application_request(watch("g.", 1, seconds(20))).await;
                     (reply, Instant::now())
                 })
             })
--- a/system/control-node/tests/cluster/in_memory_cluster.rs
+++ b/system/control-node/tests/cluster/in_memory_cluster.rs
@@ -365,7 +365,7 @@
         Ok(())
     }
 
-    fn history(&self) -> Duration {
+    fn event_retention(&self) -> Duration {
         Duration::from_secs(20)
     }
 
@@ -378,7 +378,7 @@
     }
 
     fn on_event(&self, event: &ControlEvent<'_>) {
-        if matches!(event, ControlEvent::DiskRefuses(_) | ControlEvent::DiskRecovered) {
+        if matches!(event, ControlEvent::DiskFailing(_) | ControlEvent::DiskRecovered) {
             self.host.cluster.events.borrow_mut().push((self.host.ip, event.to_string()));
         }
     }
--- a/system/control-node/tests/cluster/invalid_configurations.rs
+++ b/system/control-node/tests/cluster/invalid_configurations.rs
@@ -34,7 +34,7 @@
                     // then it is rejected as invalid, or for its expected version if that is not in force,
                     let is_rejected_as_invalid = matches!(outcome, PutConfigOutcome::Invalid(_));
                     let is_rejected_for_version =
-                        outcome == PutConfigOutcome::OtherVersion(2) && expected != Some(2);
+                        outcome == PutConfigOutcome::VersionMismatch(2) && expected != Some(2);
                     expect_true!(
                         is_rejected_as_invalid || is_rejected_for_version,
                         "{outcome:?} for expected version {expected:?}"
@@ -48,7 +48,7 @@
         }
         // A valid configuration with an outdated expected version is rejected for that, and the next valid one is committed.
         let stale = cluster.node(ip(1)).put_config(Some(1), configuration(3)).await;
-        expect_that!(stale, eq(&PutConfigOutcome::OtherVersion(2)));
+        expect_that!(stale, eq(&PutConfigOutcome::VersionMismatch(2)));
         expect_that!(cluster.commit(ip(2), 3).await, eq(&PutConfigOutcome::Committed(3)));
     });
 }
--- a/system/control-node/tests/cluster/main.rs
+++ b/system/control-node/tests/cluster/main.rs
@@ -45,13 +45,13 @@
             matches!(node.config().await, CurrentConfig::Current(state) if state.version() == 3),
             eq(true)
         );
-        expect_that!(node.disk().is_refusing, eq(true));
-        expect_that!(node.disk().refusals, gt(1));
+        expect_that!(node.disk().is_failing, eq(true));
+        expect_that!(node.disk().failed_writes, gt(1));
         // it reports the failure only once, and it votes again when its disk has recovered.
         expect_that!(cluster.disk_events(ip(2)).len(), eq(1));
         cluster.set_disk_behavior(ip(2), DiskBehavior::Accepts);
         sleep(seconds(1)).await;
-        expect_that!(node.disk().is_refusing, eq(false));
+        expect_that!(node.disk().is_failing, eq(false));
         expect_that!(cluster.disk_events(ip(2)).len(), eq(2));
         cluster.set_disk_behavior(ip(0), DiskBehavior::Refuses);
         expect_that!(cluster.commit(ip(1), 4).await, eq(&PutConfigOutcome::Committed(4)));
@@ -93,7 +93,7 @@
         }
         sleep(seconds(1)).await;
         for index in 0..3 {
-            expect_that!(cluster.node(ip(index)).disk().is_refusing, eq(false));
+            expect_that!(cluster.node(ip(index)).disk().is_failing, eq(false));
         }
         expect_that!(cluster.premature_votes(), is_empty());
     });
--- a/system/control-node/tests/cluster/orders.rs
+++ b/system/control-node/tests/cluster/orders.rs
@@ -11,7 +11,7 @@
 const CONCURRENT_ORDERS: u64 = 8;
 
 fn ballots_started(cluster: &Cluster) -> u64 {
-    seeds().into_iter().map(|ip| cluster.node(ip).rounds().begun).sum()
+    seeds().into_iter().map(|ip| cluster.node(ip).ballot_counts().started).sum()
 }
 
 #[gtest]
@@ -34,7 +34,7 @@
         expect_that!(committed.len(), eq(1));
         let PutConfigOutcome::Committed(version) = committed[0] else { unreachable!() };
         let rejected =
-            outcomes.iter().filter(|outcome| **outcome == PutConfigOutcome::OtherVersion(*version));
+            outcomes.iter().filter(|outcome| **outcome == PutConfigOutcome::VersionMismatch(*version));
         expect_that!(rejected.count() as u64, eq(CONCURRENT_ORDERS - 1));
         expect_that!(ballots_started(&cluster) - before, lt(CONCURRENT_ORDERS));
     });
--- a/system/control-node/tests/cluster/seed_discovery.rs
+++ b/system/control-node/tests/cluster/seed_discovery.rs
@@ -38,7 +38,7 @@
 async fn config_version(cluster: &Cluster, ip: Ipv4Addr) -> Option<u64> {
     match cluster.node(ip).config().await {
         CurrentConfig::Current(state) => Some(state.version()),
-        CurrentConfig::Nothing | CurrentConfig::Unavailable => None,
+        CurrentConfig::Unset | CurrentConfig::Unavailable => None,
     }
 }
 
--- a/system/control-node/tests/durable_acceptor.rs
+++ b/system/control-node/tests/durable_acceptor.rs
@@ -59,7 +59,7 @@
     expect_that!(acceptor.on_write_completed(write.number, false), eq(true));
     // then its reply is never sent, the disk counts as failing, and the promise is dropped from memory:
     expect_that!(acceptor.outcome(write.number), eq(WriteOutcome::Failed));
-    expect_that!((acceptor.disk().is_refusing, acceptor.disk().refusals), eq((true, 1)));
+    expect_that!((acceptor.disk().is_failing, acceptor.disk().failed_writes), eq((true, 1)));
     expect_that!(acceptor.newest_record(), eq(acceptor.synced_record()));
     // a lower ballot is promised, and once that write succeeds the node votes again.
     let pending_reply = acceptor.handle(&prepare(3));
@@ -67,7 +67,7 @@
     let retried = pending_reply.write.expect("a promise is written");
     expect_that!(acceptor.on_write_completed(retried.number, true), eq(true));
     expect_that!(acceptor.outcome(retried.number), eq(WriteOutcome::Synced));
-    expect_that!(acceptor.disk().is_refusing, eq(false));
+    expect_that!(acceptor.disk().is_failing, eq(false));
     // The first write remains failed even though a write of a later generation is synced.
     expect_that!(acceptor.outcome(write.number), eq(WriteOutcome::Failed));
 }
@@ -108,11 +108,11 @@
     let first = start_write(&mut acceptor, &prepare(4));
     let second = start_write(&mut acceptor, &accept(4));
     acceptor.on_write_completed(first.number, false);
-    expect_that!(acceptor.disk().is_refusing, eq(true));
+    expect_that!(acceptor.disk().is_failing, eq(true));
     // when the second write succeeds, then both votes are on disk.
     acceptor.on_write_completed(second.number, true);
     expect_that!(acceptor.outcome(second.number), eq(WriteOutcome::Synced));
-    expect_that!(acceptor.disk().is_refusing, eq(false));
+    expect_that!(acceptor.disk().is_failing, eq(false));
     expect_that!(polled_ballot(&mut acceptor), some(eq(ballot(4))));
     // The same applies if the first write is skipped in favor of the second.
     let first = start_write(&mut acceptor, &prepare(6));
--- a/system/programs/src/control.rs
+++ b/system/programs/src/control.rs
@@ -68,7 +68,7 @@
             metrics.gauge("control_node_fit_to_vote", f64::from(u8::from(node.can_vote())));
             metrics.gauge("control_node_damages_found", self.damages as f64);
             metrics.gauge("control_node_fresh", f64::from(u8::from(node.is_fresh())));
-            metrics.gauge("control_node_core_machines_heard", node.known_core_nodes() as f64);
+            metrics.gauge("control_node_core_machines_heard", node.known_core_node_count() as f64);
             let state = node.feed.state();
             let held_leases = state.lease_holders().filter(|holder| *holder == self.me).count();
             metrics.gauge("control_node_duties", held_leases as f64);
@@ -79,11 +79,11 @@
                 "control_node_storage_losses_survived",
                 storage_losses.tolerated.losses_survived as f64,
             );
-            let (rounds, disk) = (node.rounds(), node.disk());
-            metrics.counter("control_node_runs_total", rounds.begun);
+            let (rounds, disk) = (node.ballot_counts(), node.disk());
+            metrics.counter("control_node_runs_total", rounds.started);
             metrics.counter("control_node_runs_lost_total", rounds.lost);
-            metrics.gauge("control_node_disk_refusing", f64::from(u8::from(disk.is_refusing)));
-            metrics.counter("control_node_disk_refusals_total", disk.refusals);
+            metrics.gauge("control_node_disk_refusing", f64::from(u8::from(disk.is_failing)));
+            metrics.counter("control_node_disk_refusals_total", disk.failed_writes);
             let api = self.api_load.counts();
             metrics.gauge("control_node_api_connections", api.connections as f64);
             metrics.gauge("control_node_waiting_watches", api.waiting_watches as f64);
--- a/system/programs/src/control/application_requests.rs
+++ b/system/programs/src/control/application_requests.rs
@@ -6,6 +6,6 @@
 
 impl Applications for ControlServer {
     async fn coordinate(&self, request: ApplicationRequest) -> ApplicationReply {
-        self.node.coordinate(request).await
+        self.node.execute_application_request(request).await
     }
 }
--- a/system/programs/src/control/backend.rs
+++ b/system/programs/src/control/backend.rs
@@ -42,7 +42,7 @@
         self.journal.write(write).await.map_err(|e| PersistError(e.to_string()))
     }
 
-    fn history(&self) -> Duration {
+    fn event_retention(&self) -> Duration {
         // Settings may name any number of seconds.
         Duration::try_from_secs_f64(self.process.settings().bounds.history_s).unwrap_or(Duration::MAX)
     }
@@ -62,7 +62,7 @@
         match event {
             ControlEvent::Chosen(_) | ControlEvent::Adopted { is_changed: false, .. } => {}
             ControlEvent::DiscoveryFailed(_) => log::debug!("{event}"),
-            ControlEvent::Unreadable(_) | ControlEvent::DiskRefuses(_) => log::error!("{event}"),
+            ControlEvent::UndecodableValue(_) | ControlEvent::DiskFailing(_) => log::error!("{event}"),
             ControlEvent::StorageLosses(_) => log::warn!("{event}"),
             _ => log::info!("{event}"),
         }
--- a/system/programs/src/control/operator_requests.rs
+++ b/system/programs/src/control/operator_requests.rs
@@ -14,9 +14,7 @@
 
     async fn config(&self) -> Reply {
         match self.node.config().await {
-            CurrentConfig::Nothing => {
-                Reply::new(StatusCode::NOT_FOUND, r#"{"error":"no configuration yet"}"#)
-            }
+            CurrentConfig::Unset => Reply::new(StatusCode::NOT_FOUND, r#"{"error":"no configuration yet"}"#),
             CurrentConfig::Current(state) => Reply::new(StatusCode::OK, state.config.clone()),
             CurrentConfig::Unavailable => Reply::unavailable(),
         }
@@ -27,7 +25,7 @@
     }
 
     async fn retiring(&self, name: &str) -> Reply {
-        retire_reply(self.node.retiring(name).await)
+        retire_reply(self.node.retire_progress(name).await)
     }
 }
 
@@ -36,16 +34,16 @@
         PutConfigOutcome::Committed(version) => {
             Reply::new(StatusCode::OK, format!(r#"{{"version":{version}}}"#))
         }
-        PutConfigOutcome::OtherVersion(current) => Reply::new(
+        PutConfigOutcome::VersionMismatch(current) => Reply::new(
             StatusCode::PRECONDITION_FAILED,
             format!(r#"{{"error":"current version","version":{current}}}"#),
         ),
-        PutConfigOutcome::NotAbove => {
+        PutConfigOutcome::VersionNotNewer => {
             let place = r#"[{"place":"version","what":"is not above the current one"}]"#;
             Reply::new(StatusCode::BAD_REQUEST, place)
         }
         PutConfigOutcome::Invalid(findings) => Reply::new(StatusCode::BAD_REQUEST, findings.to_json()),
-        PutConfigOutcome::NoBase => {
+        PutConfigOutcome::MissingExpectedVersion => {
             Reply::new(StatusCode::BAD_REQUEST, r#"{"error":"If-Match: names no version"}"#)
         }
         PutConfigOutcome::Unavailable => Reply::unavailable(),
--- a/testbed/src/system/control.rs
+++ b/testbed/src/system/control.rs
@@ -96,10 +96,10 @@
     pub async fn put_config(&self, expected: u64, body: Bytes) -> Option<ConfigVerdict> {
         match self.node.put_config(Some(expected), body).await {
             PutConfigOutcome::Committed(_) => Some(ConfigVerdict::Committed),
-            PutConfigOutcome::OtherVersion(current) => Some(ConfigVerdict::VersionMismatch(current)),
-            PutConfigOutcome::NotAbove => Some(ConfigVerdict::NotNewer),
+            PutConfigOutcome::VersionMismatch(current) => Some(ConfigVerdict::VersionMismatch(current)),
+            PutConfigOutcome::VersionNotNewer => Some(ConfigVerdict::NotNewer),
             PutConfigOutcome::Unavailable => None,
-            outcome @ (PutConfigOutcome::Invalid(_) | PutConfigOutcome::NoBase) => {
+            outcome @ (PutConfigOutcome::Invalid(_) | PutConfigOutcome::MissingExpectedVersion) => {
                 unreachable!("{outcome:?}")
             }
         }
@@ -108,7 +108,7 @@
     /// The version of the current configuration; none if it cannot be determined.
     pub async fn version(&self) -> Option<u64> {
         match self.node.config().await {
-            CurrentConfig::Nothing => Some(0),
+            CurrentConfig::Unset => Some(0),
             CurrentConfig::Current(state) => Some(state.version()),
             CurrentConfig::Unavailable => None,
         }
@@ -163,7 +163,7 @@
         Err(PersistError("the journal is not simulated".to_owned()))
     }
 
-    fn history(&self) -> Duration {
+    fn event_retention(&self) -> Duration {
         Duration::from_secs(20)
     }
 
