--- a/system/controllers/src/lib.rs
+++ b/system/controllers/src/lib.rs
@@ -3,12 +3,12 @@
 //! The register (`config-register`) agrees on one value, the [`ControlState`](fleet_model::ControlState). This crate decides
 //! how that value should change:
 //!
-//! - [`judge`] evaluates operators' orders, [`put_config`] those that submit a configuration.
+//! - [`evaluate_order`] evaluates operators' orders, [`put_config`] those that submit a configuration.
 //! - [`join`], [`complete_backfill`], [`remove_node`] and [`retire`] change the roster of storage nodes. They are pure
 //!   functions: they take the state that was read and return the state to propose, or `None`.
 //! - [`StorageController`] and [`VoterController`] detect failures of storage and control nodes and decide which to remove.
 //! - [`LeaseCandidate`] acquires the lease of a singleton role; [`ProposerSelection`] decides who proposes operators' orders.
-//! - [`DiscoveryPolls`] decides which polls of the platform's endpoint list are published.
+//! - [`DiscoveryPollFilter`] decides which polls of the platform's endpoint list are published.
 //!
 //! The crate has no I/O, clock or randomness. The host (`control-node`) sends the requests and probes, proposes the
 //! resulting states to the register, and passes in the time in milliseconds of a monotonic clock.
